--- a/src/main/java/org/ternhinge/api/Submissions.java
+++ b/src/main/java/org/ternhinge/api/Submissions.java
@@ -7,7 +7,7 @@
 import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.RecordSize;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 
@@ -18,16 +18,16 @@
   /**
    * Looks for a reason why a job can never run.
    *
-   * @param flavors all machine types by their name
+   * @param machineTypes all machine types by their name
    * @return the first reason found, or nothing if the job may run
    */
   public static Optional<Rejection> reject(
-      JobSpec spec, Settings settings, Map<String, Flavor> flavors) {
+      JobSpec spec, Settings settings, Map<String, MachineType> machineTypes) {
     Team team = settings.teams().get(spec.team());
     if (team == null) {
       return Optional.of(Rejection.UNKNOWN_TEAM);
     }
-    if (!fitsAnyType(spec, flavors.values())) {
+    if (!fitsAnyType(spec, machineTypes.values())) {
       return Optional.of(Rejection.NO_MACHINE_TYPE);
     }
     int tasksAtOnce = tasksAtOnce(spec);
@@ -59,13 +59,13 @@
     return Optional.empty();
   }
 
-  private static boolean fitsAnyType(JobSpec spec, Collection<Flavor> flavors) {
-    return flavors.stream().anyMatch(flavor -> fitsType(spec, flavor));
+  private static boolean fitsAnyType(JobSpec spec, Collection<MachineType> machineTypes) {
+    return machineTypes.stream().anyMatch(machineType -> fitsType(spec, machineType));
   }
 
-  private static boolean fitsType(JobSpec spec, Flavor flavor) {
-    return spec.allowsType(flavor.name())
-        && (spec.zone() == null || flavor.zones().contains(spec.zone()))
-        && spec.need().fitsIn(flavor.capacity());
+  private static boolean fitsType(JobSpec spec, MachineType machineType) {
+    return spec.allowsType(machineType.name())
+        && (spec.zone() == null || machineType.zones().contains(spec.zone()))
+        && spec.need().fitsIn(machineType.capacity());
   }
 }
--- a/src/main/java/org/ternhinge/cloud/Cloud.java
+++ b/src/main/java/org/ternhinge/cloud/Cloud.java
@@ -5,7 +5,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.RentalRequest;
 
@@ -13,7 +13,7 @@
 public interface Cloud {
 
   /** The machine types and their present prices. */
-  CompletableFuture<Outcome<List<Flavor>>> flavors();
+  CompletableFuture<Outcome<List<MachineType>>> machineTypes();
 
   /** Rents machines. A request that got no answer may be sent again: its name makes it one. */
   CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request);
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.RentalRequest;
@@ -68,8 +68,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<List<Flavor>>> flavors() {
-    return send("GET", "/flavors", null, RequestPriority.QUERY, Flavor::readAll);
+  public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
+    return send("GET", "/flavors", null, RequestPriority.QUERY, MachineType::readAll);
   }
 
   /** A CONFLICT stands for "no capacity", REFUSED for an outage. */
--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/controller/AttemptObserver.java
@@ -12,7 +12,7 @@
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskReport;
 import org.ternhinge.wire.TaskState;
@@ -28,7 +28,7 @@
   private final AttemptLifecycle attempts;
   private final Authority authority;
   private final Ledger ledger;
-  private final Map<String, Flavor> flavors;
+  private final Map<String, MachineType> machineTypes;
   private final TaskFailures failures;
   private final Metrics metrics;
 
@@ -36,13 +36,13 @@
       AttemptLifecycle attempts,
       Authority authority,
       Ledger ledger,
-      Map<String, Flavor> flavors,
+      Map<String, MachineType> machineTypes,
       TaskFailures failures,
       Metrics metrics) {
     this.attempts = attempts;
     this.authority = authority;
     this.ledger = ledger;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.failures = failures;
     this.metrics = metrics;
   }
@@ -95,8 +95,8 @@
   }
 
   private void hasImage(Machine machine, JobSpec spec) {
-    Flavor flavor = flavors.get(machine.type);
-    double cacheGb = flavor == null ? Double.MAX_VALUE : flavor.cacheGb();
+    MachineType machineType = machineTypes.get(machine.type);
+    double cacheGb = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
     machine.hasImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
--- a/src/main/java/org/ternhinge/controller/BootTimes.java
+++ b/src/main/java/org/ternhinge/controller/BootTimes.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * How long machines take to come up, as lately seen, and which of those that were rented are late
@@ -74,29 +74,29 @@
   }
 
   private final MachineRegistry machines;
-  private final Map<String, Flavor> flavors;
+  private final Map<String, MachineType> machineTypes;
   private final SteadyTime electedAt;
   private final Map<String, Seen> seenByPlace = new HashMap<>();
 
   /**
    * Creates a part that has seen no machine come up.
    *
-   * @param flavors the machine types by name, as a live view
+   * @param machineTypes the machine types by name, as a live view
    */
-  BootTimes(MachineRegistry machines, Map<String, Flavor> flavors, SteadyTime electedAt) {
+  BootTimes(MachineRegistry machines, Map<String, MachineType> machineTypes, SteadyTime electedAt) {
     this.machines = machines;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.electedAt = electedAt;
   }
 
   /** A machine has reported for the first time in this leadership. */
   void cameUp(Machine machine, SteadyTime now) {
-    Flavor flavor = flavor(machine);
-    if (flavor == null || machine.rentedAt.isBefore(electedAt)) {
+    MachineType machineType = machineType(machine);
+    if (machineType == null || machine.rentedAt.isBefore(electedAt)) {
       // When it came up is not known here.
       return;
     }
-    double ratio = now.secondsSince(machine.rentedAt) / flavor.bootS();
+    double ratio = now.secondsSince(machine.rentedAt) / machineType.bootS();
     seen(machine).cameUp.addLast(new CameUp(machine.rentedAt, now, ratio));
   }
 
@@ -117,8 +117,8 @@
       seen.forgetBefore(now.plusSeconds(-REMEMBERED_S));
     }
     for (Machine machine : machines.all()) {
-      Flavor flavor = flavor(machine);
-      if (flavor != null && isBooting(machine) && takes(machine, flavor, now) > USUAL_SPREAD) {
+      MachineType machineType = machineType(machine);
+      if (machineType != null && isBooting(machine) && takes(machine, machineType, now) > USUAL_SPREAD) {
         seen(machine).overdue.add(machine);
       }
     }
@@ -131,7 +131,7 @@
   private void addLate(Seen seen, SteadyTime now, Set<MachineId> late) {
     List<Machine> overdue = new ArrayList<>();
     for (Machine machine : seen.overdue) {
-      if (takes(machine, flavor(machine), now) > USUAL_SPREAD * seen.usualRatio) {
+      if (takes(machine, machineType(machine), now) > USUAL_SPREAD * seen.usualRatio) {
         late.add(machine.id);
       } else {
         overdue.add(machine);
@@ -152,8 +152,8 @@
     ratios.add(ASSUMED_RATIO);
     SteadyTime comparedSince = null;
     for (Machine machine : seen.overdue) {
-      ratios.add(takes(machine, flavor(machine), now));
-      SteadyTime since = machine.rentedAt.plusSeconds(-flavor(machine).bootS());
+      ratios.add(takes(machine, machineType(machine), now));
+      SteadyTime since = machine.rentedAt.plusSeconds(-machineType(machine).bootS());
       comparedSince =
           comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
     }
@@ -168,28 +168,28 @@
   }
 
   /** How many times the usual time a machine has taken so far. */
-  private static double takes(Machine machine, Flavor flavor, SteadyTime now) {
-    return (now.secondsSince(machine.rentedAt) - REPORT_MARGIN_S) / flavor.bootS();
+  private static double takes(Machine machine, MachineType machineType, SteadyTime now) {
+    return (now.secondsSince(machine.rentedAt) - REPORT_MARGIN_S) / machineType.bootS();
   }
 
   /** Whether a machine that has not come up is to be returned as one that never will. */
   boolean isGivenUp(Machine machine, SteadyTime now) {
-    Flavor flavor = flavor(machine);
-    if (flavor == null || !isBooting(machine)) {
+    MachineType machineType = machineType(machine);
+    if (machineType == null || !isBooting(machine)) {
       return false;
     }
     double allowedS =
         seen(machine).usualRatio > USUAL_SPREAD
-            ? GIVE_UP_FACTOR_WHERE_SLOW * flavor.bootS()
-            : GIVE_UP_FACTOR * flavor.bootS();
+            ? GIVE_UP_FACTOR_WHERE_SLOW * machineType.bootS()
+            : GIVE_UP_FACTOR * machineType.bootS();
     return now.secondsSince(machine.rentedAt)
-        > Math.max(allowedS, flavor.bootS() + GIVE_UP_MARGIN_S);
+        > Math.max(allowedS, machineType.bootS() + GIVE_UP_MARGIN_S);
   }
 
   /** Seconds that a machine of a type takes to come up in a zone, as lately seen. */
-  double expectedS(Flavor flavor, String zone) {
-    Seen seen = seenByPlace.get(place(flavor.name(), zone));
-    return flavor.bootS() * (seen == null ? 1 : seen.usualRatio);
+  double expectedS(MachineType machineType, String zone) {
+    Seen seen = seenByPlace.get(place(machineType.name(), zone));
+    return machineType.bootS() * (seen == null ? 1 : seen.usualRatio);
   }
 
   private Seen seen(Machine machine) {
@@ -200,7 +200,7 @@
     return type + " " + zone;
   }
 
-  private Flavor flavor(Machine machine) {
-    return machine.type == null ? null : flavors.get(machine.type);
+  private MachineType machineType(Machine machine) {
+    return machine.type == null ? null : machineTypes.get(machine.type);
   }
 }
--- a/src/main/java/org/ternhinge/controller/InitialMachineTypes.java
+++ b/src/main/java/org/ternhinge/controller/BootstrapMachineTypes.java
@@ -20,33 +20,33 @@
 import org.ternhinge.state.Change;
 import org.ternhinge.state.StateStore;
 import org.ternhinge.state.Txn;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
 /**
  * The machine types that a node knows from its start on, whether it leads or not. No submission can
  * be judged before, so a copy is kept in the state service: a node that starts while the cloud is
- * down need not wait for it. A leadership keeps its own, later list in {@link MachineTypes}. All
+ * down need not wait for it. A leadership keeps its own, later list in {@link MachineTypeCatalog}. All
  * methods run under the controller's lock.
  */
-final class InitialMachineTypes {
-  private static final Logger LOG = LoggerFactory.getLogger(InitialMachineTypes.class);
+final class BootstrapMachineTypes {
+  private static final Logger LOG = LoggerFactory.getLogger(BootstrapMachineTypes.class);
   private static final double RETRY_S = 1;
 
   private final StateStore store;
   private final Cloud cloud;
   private final Clock clock;
   private final LockedExecutor locked;
-  private final Consumer<List<Flavor>> learned;
-  private final Map<String, Flavor> byName = new LinkedHashMap<>();
+  private final Consumer<List<MachineType>> learned;
+  private final Map<String, MachineType> byName = new LinkedHashMap<>();
 
   /**
    * Creates an empty set of types.
    *
    * @param learned hears of the types once they are known
    */
-  InitialMachineTypes(
-      StateStore store, Cloud cloud, Clock clock, Lock lock, Consumer<List<Flavor>> learned) {
+  BootstrapMachineTypes(
+      StateStore store, Cloud cloud, Clock clock, Lock lock, Consumer<List<MachineType>> learned) {
     this.store = store;
     this.cloud = cloud;
     this.clock = clock;
@@ -56,18 +56,18 @@
 
   /** Loads the types, and tries again until it has them. */
   void load() {
-    locked.whenAnswered(store.get(Keys.FLAVORS, RequestPriority.BOOKKEEPING), this::storeAnswered);
+    locked.whenAnswered(store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
   }
 
   boolean isEmpty() {
     return byName.isEmpty();
   }
 
-  Map<String, Flavor> byName() {
+  Map<String, MachineType> byName() {
     return Collections.unmodifiableMap(byName);
   }
 
-  Collection<Flavor> all() {
+  Collection<MachineType> all() {
     return byName().values();
   }
 
@@ -75,17 +75,17 @@
     if (outcome instanceof Outcome.Applied<StateStore.Read> read
         && read.value().entry().isPresent()) {
       try {
-        learn(Flavor.readAll(read.value().entry().get().value()));
+        learn(MachineType.readAll(read.value().entry().get().value()));
         return;
       } catch (WireException e) {
         LOG.warn("machine types in the state service: {}", e.getMessage());
       }
     }
-    locked.whenAnswered(cloud.flavors(), this::cloudAnswered);
+    locked.whenAnswered(cloud.machineTypes(), this::cloudAnswered);
   }
 
-  private void cloudAnswered(Outcome<List<Flavor>> outcome) {
-    if (outcome instanceof Outcome.Applied<List<Flavor>> applied) {
+  private void cloudAnswered(Outcome<List<MachineType>> outcome) {
+    if (outcome instanceof Outcome.Applied<List<MachineType>> applied) {
       learn(applied.value());
       keepCopy(applied.value());
     } else {
@@ -93,15 +93,15 @@
     }
   }
 
-  private void learn(List<Flavor> types) {
+  private void learn(List<MachineType> types) {
     types.forEach(type -> byName.put(type.name(), type));
     learned.accept(types);
   }
 
   /** Another node's copy is as good, so a failure of the write does not matter. */
-  private void keepCopy(List<Flavor> types) {
-    Change copy = new Change.Put(Keys.FLAVORS, Flavor.writeAll(types), 0);
-    Txn txn = new Txn(Map.of(Keys.FLAVORS, Revision.NONE), List.of(copy));
+  private void keepCopy(List<MachineType> types) {
+    Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
+    Txn txn = new Txn(Map.of(Keys.MACHINE_TYPES, Revision.NONE), List.of(copy));
     AsyncCalls.ignore(store.txn(txn, RequestPriority.BOOKKEEPING));
   }
 }
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -56,7 +56,7 @@
   private final Share share;
   private final LeadershipRole role;
   private final NodeConnectivity connectivity;
-  private final InitialMachineTypes machineTypes;
+  private final BootstrapMachineTypes machineTypes;
   private final SubmissionHandler submissions;
   private final JobQueries queries;
   private final JobCancellations cancellations;
@@ -81,7 +81,7 @@
     this.role = new LeadershipRole(settings.node(), election);
     this.connectivity = new NodeConnectivity(store, peers, others, clock, lock);
     this.machineTypes =
-        new InitialMachineTypes(
+        new BootstrapMachineTypes(
             store,
             services.cloud(),
             clock,
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/controller/Leadership.java
@@ -21,7 +21,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.WorkerReport;
 
@@ -47,7 +47,7 @@
   private final Ledger ledger;
   private final LedgerWriter writer;
   private final MachineRegistry machines;
-  private final MachineTypes machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final AttemptLifecycle attempts;
   private final ReportProcessor reports;
   private final LeaseMonitor leaseMonitor;
@@ -72,7 +72,7 @@
    * @param authority the term that this leadership acts under
    * @param knownTypes the machine types that the node knows already
    */
-  Leadership(ControllerServices services, Authority authority, Collection<Flavor> knownTypes) {
+  Leadership(ControllerServices services, Authority authority, Collection<MachineType> knownTypes) {
     this.tuning = services.tuning();
     this.clock = services.clock();
     this.metrics = services.metrics();
@@ -82,7 +82,7 @@
     this.ledger = ledger(services.settings());
     this.writer = writer(services);
     this.machines = new MachineRegistry(initialLeaseEnd(services.settings(), tuning, electedAt));
-    this.machineTypes = new MachineTypes(services.cloud(), executor, knownTypes);
+    this.machineTypes = new MachineTypeCatalog(services.cloud(), executor, knownTypes);
     LeadershipContext context = context(services);
     FleetParts fleet = new FleetParts(context);
     this.attempts = fleet.attempts;
@@ -259,7 +259,7 @@
   // ---- what the node asks ---------------------------------------------------------------------
 
   /** Adds machine types that the node has read. */
-  void learn(List<Flavor> types) {
+  void learn(List<MachineType> types) {
     machineTypes.learn(types);
     requestRound();
   }
--- a/src/main/java/org/ternhinge/controller/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipContext.java
@@ -25,7 +25,7 @@
     Ledger ledger,
     LedgerWriter writer,
     MachineRegistry machines,
-    MachineTypes machineTypes,
+    MachineTypeCatalog machineTypes,
     RoundTrigger rounds,
     SteadyTime electedAt) {
 
--- a/src/main/java/org/ternhinge/controller/MachineTypes.java
+++ b/src/main/java/org/ternhinge/controller/MachineTypeCatalog.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * The machine types that the cloud offers, read again and again, since a site may add types while a
  * leadership lasts. Guarded by the controller's lock.
  */
-final class MachineTypes {
+final class MachineTypeCatalog {
   /** Seconds between two readings; types change by hand, a few times a year. */
   private static final double REFRESH_S = 60;
 
@@ -22,31 +22,31 @@
 
   private final Cloud cloud;
   private final LeadershipExecutor executor;
-  private final Map<String, Flavor> byName = new LinkedHashMap<>();
+  private final Map<String, MachineType> byName = new LinkedHashMap<>();
 
   /**
    * Creates a list of machine types that begins with those that are known.
    *
    * @param known the types that the node knew before this leadership
    */
-  MachineTypes(Cloud cloud, LeadershipExecutor executor, Collection<Flavor> known) {
+  MachineTypeCatalog(Cloud cloud, LeadershipExecutor executor, Collection<MachineType> known) {
     this.cloud = cloud;
     this.executor = executor;
     learn(known);
   }
 
   /** Adds types, or replaces those of the same names. */
-  void learn(Collection<Flavor> known) {
-    known.forEach(flavor -> byName.put(flavor.name(), flavor));
+  void learn(Collection<MachineType> known) {
+    known.forEach(machineType -> byName.put(machineType.name(), machineType));
   }
 
   /** Reads the types from the cloud, and goes on doing so. */
   void refresh() {
-    executor.whenAnswered(cloud.flavors(), this::refreshed);
+    executor.whenAnswered(cloud.machineTypes(), this::refreshed);
   }
 
-  private void refreshed(Outcome<List<Flavor>> outcome) {
-    if (outcome instanceof Outcome.Applied<List<Flavor>> applied) {
+  private void refreshed(Outcome<List<MachineType>> outcome) {
+    if (outcome instanceof Outcome.Applied<List<MachineType>> applied) {
       learn(applied.value());
       executor.later(REFRESH_S, this::refresh);
     } else {
@@ -55,12 +55,12 @@
   }
 
   /** The type of this name, or null. */
-  Flavor find(String name) {
+  MachineType find(String name) {
     return byName.get(name);
   }
 
   /** All types by name, as a live view that can't be changed. */
-  Map<String, Flavor> byName() {
+  Map<String, MachineType> byName() {
     return Collections.unmodifiableMap(byName);
   }
 }
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * The machines that the planner may count on. A machine's view is kept until something on the
@@ -26,7 +26,7 @@
   private final Settings settings;
   private final Authority authority;
   private final Ledger ledger;
-  private final Map<String, Flavor> flavors;
+  private final Map<String, MachineType> machineTypes;
   private final MachineRegistry machines;
   private final BootTimes bootTimes;
 
@@ -34,13 +34,13 @@
       Settings settings,
       Authority authority,
       Ledger ledger,
-      Map<String, Flavor> flavors,
+      Map<String, MachineType> machineTypes,
       MachineRegistry machines,
       BootTimes bootTimes) {
     this.settings = settings;
     this.authority = authority;
     this.ledger = ledger;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.machines = machines;
     this.bootTimes = bootTimes;
   }
@@ -74,7 +74,7 @@
         && machine.noticeAt == null
         && machine.zone >= 0
         && machine.type != null
-        && flavors.containsKey(machine.type)
+        && machineTypes.containsKey(machine.type)
         && !machine.sick(now)
         && !machine.reachability.unreachable();
   }
@@ -121,14 +121,14 @@
   }
 
   private Snapshot.MachineView view(Machine machine, boolean ready) {
-    Flavor flavor = flavors.get(machine.type);
+    MachineType machineType = machineTypes.get(machine.type);
     return new Snapshot.MachineView(
         machine.id,
-        flavor,
+        machineType,
         machine.zone,
         machine.zoneName,
         machine.spot,
-        flavor.capacity().minus(ledger.machineUse(machine.id)),
+        machineType.capacity().minus(ledger.machineUse(machine.id)),
         ready,
         Set.copyOf(machine.images.keySet()),
         machine.idleSince,
--- a/src/main/java/org/ternhinge/controller/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/controller/PlanExecutor.java
@@ -39,7 +39,7 @@
   private final Ledger ledger;
   private final LedgerWriter writer;
   private final MachineRegistry machines;
-  private final MachineTypes machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final SnapshotCache snapshots;
   private final ReportedTasks reportedTasks;
   private final AttemptLifecycle attempts;
@@ -51,7 +51,7 @@
       Ledger ledger,
       LedgerWriter writer,
       MachineRegistry machines,
-      MachineTypes machineTypes,
+      MachineTypeCatalog machineTypes,
       SnapshotCache snapshots,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
--- a/src/main/java/org/ternhinge/controller/Rentals.java
+++ b/src/main/java/org/ternhinge/controller/Rentals.java
@@ -21,7 +21,7 @@
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.state.Entry;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.RentalRequest;
 import org.ternhinge.wire.WireException;
 
@@ -248,9 +248,9 @@
   }
 
   /** What may be asked for now: all but the offers that lately had no room. */
-  List<Snapshot.Offer> offers(Collection<Flavor> types, BootTimes bootTimes, SteadyTime now) {
+  List<Snapshot.Offer> offers(Collection<MachineType> types, BootTimes bootTimes, SteadyTime now) {
     List<Snapshot.Offer> offers = new ArrayList<>();
-    for (Flavor type : types) {
+    for (MachineType type : types) {
       for (String zone : type.zones()) {
         if (zones.contains(zone)) {
           addOffer(type, zone, true, bootTimes, now, offers);
@@ -262,7 +262,7 @@
   }
 
   private void addOffer(
-      Flavor type,
+      MachineType type,
       String zone,
       boolean spot,
       BootTimes bootTimes,
@@ -277,11 +277,11 @@
   }
 
   /** Machines asked for whose names are not known yet: as good as coming. */
-  List<Snapshot.Coming> coming(Map<String, Flavor> types) {
+  List<Snapshot.Coming> coming(Map<String, MachineType> types) {
     List<Snapshot.Coming> coming = new ArrayList<>();
     for (Rental rental : openRentals.values()) {
       RentalRequest request = rental.request;
-      Flavor type = types.get(request.type());
+      MachineType type = types.get(request.type());
       int zone = zones.indexOf(request.zone());
       if (!rental.answered() && type != null && zone >= 0) {
         int count = request.count();
--- a/src/main/java/org/ternhinge/controller/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/controller/SchedulingRounds.java
@@ -37,7 +37,7 @@
   private final Metrics metrics;
   private final Authority authority;
   private final LeadershipExecutor executor;
-  private final MachineTypes machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final SnapshotCache snapshots;
   private final PlanExecutor planExecutor;
   private final ZoneControl zones;
@@ -52,7 +52,7 @@
       ControllerServices services,
       Authority authority,
       LeadershipExecutor executor,
-      MachineTypes machineTypes,
+      MachineTypeCatalog machineTypes,
       SnapshotCache snapshots,
       PlanExecutor planExecutor,
       ZoneControl zones) {
--- a/src/main/java/org/ternhinge/controller/SnapshotCache.java
+++ b/src/main/java/org/ternhinge/controller/SnapshotCache.java
@@ -10,7 +10,7 @@
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * What the planner is shown. A machine's view is kept until something on the machine changes, so
@@ -20,7 +20,7 @@
   private final Settings settings;
   private final Tuning tuning;
   private final Ledger ledger;
-  private final Map<String, Flavor> flavors;
+  private final Map<String, MachineType> machineTypes;
   private final MachineRegistry machines;
   private final ArrivalRates arrivalRates;
   private final Rentals rentals;
@@ -33,7 +33,7 @@
       ControllerServices services,
       Authority authority,
       Ledger ledger,
-      Map<String, Flavor> flavors,
+      Map<String, MachineType> machineTypes,
       TaskFailures failures,
       MachineRegistry machines,
       ArrivalRates arrivalRates,
@@ -43,13 +43,13 @@
     this.settings = services.settings();
     this.tuning = services.tuning();
     this.ledger = ledger;
-    this.flavors = flavors;
+    this.machineTypes = machineTypes;
     this.machines = machines;
     this.arrivalRates = arrivalRates;
     this.rentals = rentals;
     this.bootTimes = bootTimes;
     this.electedAt = electedAt;
-    this.machineViews = new MachineViews(settings, authority, ledger, flavors, machines, bootTimes);
+    this.machineViews = new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
     this.jobViews = new JobViews(settings, services.clock(), ledger, failures);
   }
 
@@ -67,8 +67,8 @@
         arrivalRates.spares(now, settings.zones().size()),
         settings.teams(),
         teamUse(),
-        rentals.offers(flavors.values(), bootTimes, now),
-        rentals.coming(flavors),
+        rentals.offers(machineTypes.values(), bootTimes, now),
+        rentals.coming(machineTypes),
         jobViews.startedLate(now),
         settled(now),
         tuning.idleS(),
--- a/src/main/java/org/ternhinge/controller/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/controller/SubmissionHandler.java
@@ -23,7 +23,7 @@
 final class SubmissionHandler {
   private final Settings settings;
   private final LeadershipRole role;
-  private final InitialMachineTypes machineTypes;
+  private final BootstrapMachineTypes machineTypes;
   private final SubmissionWriter writer;
   private final SubmissionRelay relay;
   private final NodeConnectivity connectivity;
@@ -31,7 +31,7 @@
   SubmissionHandler(
       Settings settings,
       LeadershipRole role,
-      InitialMachineTypes machineTypes,
+      BootstrapMachineTypes machineTypes,
       SubmissionWriter writer,
       SubmissionRelay relay,
       NodeConnectivity connectivity) {
--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
@@ -6,7 +6,7 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * Returns idle machines that are of no use: they never came up, went silent, don't get what they
@@ -44,7 +44,7 @@
 
   private final Settings settings;
   private final MachineRegistry machines;
-  private final MachineTypes machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final Ledger ledger;
   private final MachineReleases releases;
   private final BootTimes bootTimes;
@@ -53,7 +53,7 @@
   UnusableMachineCheck(
       Settings settings,
       MachineRegistry machines,
-      MachineTypes machineTypes,
+      MachineTypeCatalog machineTypes,
       Ledger ledger,
       MachineReleases releases,
       BootTimes bootTimes,
@@ -71,7 +71,7 @@
   void check(SteadyTime now) {
     boolean[] mostlySilent = mostlySilentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
-      Flavor type = machine.type == null ? null : machineTypes.find(machine.type);
+      MachineType type = machine.type == null ? null : machineTypes.find(machine.type);
       if (type == null
           || machine.releasing
           || machine.gone
@@ -105,7 +105,7 @@
   }
 
   /** Why a machine is of no use, or null. */
-  private String fault(Machine machine, Flavor type, boolean zoneSilent, SteadyTime now) {
+  private String fault(Machine machine, MachineType type, boolean zoneSilent, SteadyTime now) {
     if (neverCameUp(machine, type, now)) {
       return "never up";
     }
@@ -124,7 +124,7 @@
    * Whether a machine has not come up in the time that it may take. That counts from its rental,
    * whichever leader rented it; but one that is up has to find a new leader first.
    */
-  private boolean neverCameUp(Machine machine, Flavor type, SteadyTime now) {
+  private boolean neverCameUp(Machine machine, MachineType type, SteadyTime now) {
     if (machine.reported) {
       return false;
     }
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -11,7 +11,7 @@
   public static final String LEADER = "leader";
 
   /** Machine types of the cloud as they were last read from it. */
-  public static final String FLAVORS = "flavors";
+  public static final String MACHINE_TYPES = "flavors";
 
   /** Prefix of unfinished jobs' records. */
   public static final String JOBS = "j/";
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -39,7 +39,7 @@
 
   /** How many tasks with accelerators lose their place on a machine to this one. */
   int lost(JobSpec spec, MachineCapacity machine) {
-    Resources capacity = machine.flavor.capacity();
+    Resources capacity = machine.machineType.capacity();
     if (capacity.gpus() == 0 || spec.need().gpus() > 0) {
       return 0;
     }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -71,7 +71,7 @@
   }
 
   private static double price(MachineCapacity machine) {
-    return machine.flavor.price(machine.spot);
+    return machine.machineType.price(machine.spot);
   }
 
   /** What one replica costs on a machine that holds nothing else. */
@@ -82,7 +82,7 @@
   private boolean movable(MachineCapacity machine) {
     if (!machine.ready()
         || machine.used()
-        || machine.flavor.capacity().gpus() == 0
+        || machine.machineType.capacity().gpus() == 0
         || machine.view.attempts().isEmpty()
         || !machine.view.reservations().isEmpty()) {
       return false;
@@ -210,8 +210,8 @@
 
   /** What a place costs: nothing more on a machine that services keep anyhow. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
-    double whole = price(machine) / Math.max(1, spec.need().timesIn(machine.flavor.capacity()));
-    if (machine.flavor.capacity().gpus() == 0) {
+    double whole = price(machine) / Math.max(1, spec.need().timesIn(machine.machineType.capacity()));
+    if (machine.machineType.capacity().gpus() == 0) {
       return whole;
     }
     int services = 0;
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -175,7 +175,7 @@
           List<MachineCapacity> out = new ArrayList<>();
           for (MachineCapacity machine : builder.machines) {
             builder.countEvaluation();
-            if (machine.ready() && need.fitsIn(machine.flavor.capacity())) {
+            if (machine.ready() && need.fitsIn(machine.machineType.capacity())) {
               out.add(machine);
             }
           }
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -10,7 +10,7 @@
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.schedule.Snapshot.Reservation;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
@@ -24,7 +24,7 @@
   private static final double SIBLING_S = 4;
 
   final MachineView view;
-  final Flavor flavor;
+  final MachineType machineType;
   final int zone;
   final String zoneName;
   final boolean spot;
@@ -55,13 +55,13 @@
 
   MachineCapacity(MachineView view) {
     this.view = view;
-    this.flavor = view.flavor();
+    this.machineType = view.machineType();
     this.zone = view.zone();
     this.zoneName = view.zoneName();
     this.spot = view.spot();
     this.reservations = view.reservations();
     setRoom(view.free());
-    boolean accelerated = flavor.capacity().gpus() > 0;
+    boolean accelerated = machineType.capacity().gpus() > 0;
     for (AttemptView attempt : view.attempts()) {
       JobSpec spec = attempt.spec();
       if (lowestPriority == null || spec.priority().compareTo(lowestPriority) > 0) {
@@ -75,12 +75,12 @@
 
   MachineCapacity(Offer offer) {
     this.view = null;
-    this.flavor = offer.flavor();
+    this.machineType = offer.machineType();
     this.zone = offer.zone();
     this.zoneName = offer.zoneName();
     this.spot = offer.spot();
     this.reservations = List.of();
-    setRoom(flavor.capacity());
+    setRoom(machineType.capacity());
   }
 
   private void setRoom(Resources room) {
@@ -131,7 +131,7 @@
   boolean allows(JobSpec spec) {
     return (!spot || spec.spotAllowed())
         && (spec.zone() == null || spec.zone().equals(zoneName))
-        && spec.allowsType(flavor.name());
+        && spec.allowsType(machineType.name());
   }
 
   boolean hasImage(String image) {
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -136,7 +136,7 @@
   }
 
   double fetchSeconds(JobSpec spec, MachineCapacity machine) {
-    return machine.hasImage(spec.image()) ? 0 : machine.flavor.fetchSeconds(spec.imageGb());
+    return machine.hasImage(spec.image()) ? 0 : machine.machineType.fetchSeconds(spec.imageGb());
   }
 
   /** Seconds of waiting and waste, as far as they can be told; the least is the best. */
@@ -145,7 +145,7 @@
     int lost = accelerated.lost(spec, machine);
     if (lost > 0) {
       score += ACCELERATOR_S * lost;
-    } else if (machine.flavor.capacity().gpus() > 0) {
+    } else if (machine.machineType.capacity().gpus() > 0) {
       score += IN_THE_WAY_S * accelerated.inTheWay(spec, machine);
     }
     if (spec.spotAllowed() && !machine.spot) {
@@ -154,7 +154,7 @@
     if (spec.isService()) {
       score += machine.siblingSeconds(spec);
     }
-    long cap = Math.max(1, machine.flavor.capacity().cpus());
+    long cap = Math.max(1, machine.machineType.capacity().cpus());
     return score + 2.0 * (machine.freeCpus() - spec.need().cpus()) / cap;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/RentalPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/RentalPlanner.java
@@ -108,7 +108,7 @@
     for (int i = 0; i < rented.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
-      int fits = spec.need().timesIn(offer.flavor().capacity());
+      int fits = spec.need().timesIn(offer.machineType().capacity());
       if (fits == 0
           || !PlanBuilder.zoneFits(spec, zones, offer.zone())
           || rented[i] >= offer.most()) {
@@ -120,8 +120,8 @@
               && builder.accelerated.lost(spec, machine) > 0)) {
         continue;
       }
-      double price = offer.flavor().price(offer.spot()) / Math.min(fits, Math.max(1, wanted));
-      double waits = offer.bootS() + offer.flavor().fetchSeconds(spec.imageGb());
+      double price = offer.machineType().price(offer.spot()) / Math.min(fits, Math.max(1, wanted));
+      double waits = offer.bootS() + offer.machineType().fetchSeconds(spec.imageGb());
       double cost = price * (1 + waits / 120);
       if (cost < least) {
         least = cost;
@@ -222,7 +222,7 @@
         builder
             .plan
             .rents()
-            .add(new Plan.Rent(offer.flavor().name(), offer.zoneName(), offer.spot(), rented[i]));
+            .add(new Plan.Rent(offer.machineType().name(), offer.zoneName(), offer.spot(), rented[i]));
       }
     }
     for (MachineCapacity machine : builder.machines) {
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -10,7 +10,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
 
 /**
@@ -42,7 +42,7 @@
    */
   public record MachineView(
       MachineId id,
-      Flavor flavor,
+      MachineType machineType,
       int zone,
       String zoneName,
       boolean spot,
@@ -58,7 +58,7 @@
     public MachineView notReady() {
       return new MachineView(
           id,
-          flavor,
+          machineType,
           zone,
           zoneName,
           spot,
@@ -140,11 +140,11 @@
    * @param bootS how long such a machine takes to come up there, in seconds
    */
   public record Offer(
-      Flavor flavor, int zone, String zoneName, boolean spot, int most, double bootS) {
+      MachineType machineType, int zone, String zoneName, boolean spot, int most, double bootS) {
 
     /** An offer of machines that come up in their type's usual time. */
-    public Offer(Flavor flavor, int zone, String zoneName, boolean spot, int most) {
-      this(flavor, zone, zoneName, spot, most, flavor.bootS());
+    public Offer(MachineType machineType, int zone, String zoneName, boolean spot, int most) {
+      this(machineType, zone, zoneName, spot, most, machineType.bootS());
     }
   }
 }
--- a/src/main/java/org/ternhinge/wire/Flavor.java
+++ b/src/main/java/org/ternhinge/wire/MachineType.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.Resources;
 
 /** A machine type as the cloud offers it. */
-public record Flavor(
+public record MachineType(
     String name,
     Resources capacity,
     double cpus,
@@ -22,8 +22,8 @@
     List<String> zones) {
 
   /** Reads the cloud's list of machine types. */
-  public static List<Flavor> readAll(JsonNode body) throws WireException {
-    List<Flavor> out = new ArrayList<>();
+  public static List<MachineType> readAll(JsonNode body) throws WireException {
+    List<MachineType> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "velagerdir")) {
       List<String> zones = new ArrayList<>();
       for (JsonNode zone : Json.list(item, "svaedin")) {
@@ -33,7 +33,7 @@
       double gpus = Json.amount(item, "accelerators");
       double memory = Json.amount(item, "memory_gb");
       out.add(
-          new Flavor(
+          new MachineType(
               Json.text(item, "name"),
               Resources.offer(cpus, gpus, memory),
               cpus,
@@ -50,10 +50,10 @@
   }
 
   /** Writes machine types as the cloud does. */
-  public static ObjectNode writeAll(List<Flavor> flavors) {
+  public static ObjectNode writeAll(List<MachineType> machineTypes) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("velagerdir");
-    for (Flavor f : flavors) {
+    for (MachineType f : machineTypes) {
       ObjectNode item = list.addObject().put("name", f.name);
       item.put("cpus", f.cpus).put("accelerators", f.gpus).put("memory_gb", f.memoryGb);
       item.put("cache_gb", f.cacheGb).put("pull_gb_per_s", f.fetchGbPerS);
--- a/src/test/java/org/ternhinge/api/SubmissionsTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionsTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimFlavors;
+import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 
 /** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
 class SubmissionsTest {
   private final SimCluster world = new SimCluster(1, 0);
 
-  private static Map<String, Flavor> flavors() {
-    Map<String, Flavor> out = new LinkedHashMap<>();
-    SimFlavors.ALL.forEach(flavor -> out.put(flavor.name(), flavor));
+  private static Map<String, MachineType> machineTypes() {
+    Map<String, MachineType> out = new LinkedHashMap<>();
+    SimMachineTypes.ALL.forEach(machineType -> out.put(machineType.name(), machineType));
     return out;
   }
 
@@ -57,6 +57,6 @@
     }
     assertEquals(
         Optional.ofNullable(expected),
-        Submissions.reject(Specs.of(body), world.settings("node-0"), flavors()));
+        Submissions.reject(Specs.of(body), world.settings("node-0"), machineTypes()));
   }
 }
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -23,13 +23,13 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.SimFlavors;
+import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
 import org.ternhinge.state.StateStore;
 import org.ternhinge.state.Txn;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -141,7 +141,7 @@
     String path = exchange.getRequestURI().getPath();
     Map<String, String> query = query(exchange);
     if (path.equals("/flavors")) {
-      reply(exchange, 200, Flavor.writeAll(SimFlavors.in(zones)));
+      reply(exchange, 200, MachineType.writeAll(SimMachineTypes.in(zones)));
     } else if (path.equals("/hosts") && exchange.getRequestMethod().equals("GET")) {
       ObjectNode none = Json.object().put("more", false);
       none.putArray("velar");
--- a/src/test/java/org/ternhinge/controller/InitialMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
@@ -18,35 +18,35 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.SimFlavors;
+import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Txn;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.RentalRequest;
 
 /** Where the machine types come from. */
-class InitialMachineTypesTest {
+class BootstrapMachineTypesTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
   private final DirectStore store = new DirectStore(core);
-  private final FlavorCloud cloud = new FlavorCloud();
-  private final List<List<Flavor>> learned = new ArrayList<>();
-  private final InitialMachineTypes types =
-      new InitialMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add);
+  private final MachineTypeCloud cloud = new MachineTypeCloud();
+  private final List<List<MachineType>> learned = new ArrayList<>();
+  private final BootstrapMachineTypes types =
+      new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add);
 
   /** A cloud that only tells its machine types, or is down. */
-  private static final class FlavorCloud implements Cloud {
+  private static final class MachineTypeCloud implements Cloud {
     private boolean down;
     private int calls;
 
     @Override
-    public CompletableFuture<Outcome<List<Flavor>>> flavors() {
+    public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
       calls++;
       return CompletableFuture.completedFuture(
-          down ? Outcome.notApplied(Reason.REFUSED, "503") : Outcome.applied(SimFlavors.ALL));
+          down ? Outcome.notApplied(Reason.REFUSED, "503") : Outcome.applied(SimMachineTypes.ALL));
     }
 
     @Override
@@ -67,8 +67,8 @@
   }
 
   private void assertKnown() {
-    assertEquals(List.of(SimFlavors.ALL), learned);
-    assertEquals(SimFlavors.ALL, List.copyOf(types.all()));
+    assertEquals(List.of(SimMachineTypes.ALL), learned);
+    assertEquals(SimMachineTypes.ALL, List.copyOf(types.all()));
   }
 
   @Test
@@ -77,8 +77,8 @@
     assertKnown();
     cloud.down = true;
     learned.clear();
-    new InitialMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add).load();
-    assertEquals(List.of(SimFlavors.ALL), learned);
+    new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add).load();
+    assertEquals(List.of(SimMachineTypes.ALL), learned);
     assertEquals(1, cloud.calls, "the second node reads the copy");
   }
 
@@ -96,7 +96,7 @@
 
   @Test
   void anUnreadableCopyIsNoReasonToFail() {
-    Change copy = new Change.Put(Keys.FLAVORS, Json.object().put("other", 1), 0);
+    Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
     AsyncCalls.ignore(store.txn(new Txn(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
     assertKnown();
--- a/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.RentalRequest;
 
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<List<Flavor>>> flavors() {
+    public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
       return new CompletableFuture<>();
     }
 
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.RentalRequest;
 import org.ternhinge.wire.WireException;
 
@@ -25,7 +25,7 @@
   }
 
   private static List<String> others() {
-    return List.of(Keys.RENTALS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.FLAVORS);
+    return List.of(Keys.RENTALS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.MACHINE_TYPES);
   }
 
   @Test
@@ -49,12 +49,12 @@
             + "\"cache_gb\":50.0,\"pull_gb_per_s\":1.5,\"hourly\":3.0,\"low_price\":1.0,"
             + "\"startup_s\":8.0,\"svaedin\":[\"west\"]}]}";
     List<String> both = List.of("east", "west");
-    List<Flavor> expected =
+    List<MachineType> expected =
         List.of(
-            new Flavor("small", Resources.offer(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, both),
-            new Flavor(
+            new MachineType("small", Resources.offer(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, both),
+            new MachineType(
                 "fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 1.5, 3, 1, 8, List.of("west")));
-    assertEquals(expected, Flavor.readAll(json(types)));
-    assertEquals(types, text(Flavor.writeAll(expected)));
+    assertEquals(expected, MachineType.readAll(json(types)));
+    assertEquals(types, text(MachineType.writeAll(expected)));
   }
 }
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -18,16 +18,16 @@
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
 
 /** A small fleet with jobs that a test builds up and has planned. */
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
-  static final Flavor PLAIN =
-      new Flavor("plain", Resources.offer(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
-  static final Flavor FAST =
-      new Flavor("fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
+  static final MachineType PLAIN =
+      new MachineType("plain", Resources.offer(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
+  static final MachineType FAST =
+      new MachineType("fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
 
   static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
 
@@ -40,8 +40,8 @@
   final Map<String, Resources> use = new HashMap<>();
 
   MachineView machine(
-      String name, Flavor flavor, int zone, Set<String> images, AttemptView... there) {
-    Resources free = flavor.capacity();
+      String name, MachineType machineType, int zone, Set<String> images, AttemptView... there) {
+    Resources free = machineType.capacity();
     for (AttemptView a : there) {
       free = free.minus(a.spec().need());
       use.merge(a.spec().team(), a.spec().need(), Resources::plus);
@@ -49,7 +49,7 @@
     MachineView machine =
         new MachineView(
             new MachineId(name),
-            flavor,
+            machineType,
             zone,
             ZONES.get(zone),
             false,
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -39,7 +39,7 @@
   }
 
   private static boolean permits(JobSpec spec, SimWorker machine) {
-    boolean type = spec.allowsType(machine.flavor.name());
+    boolean type = spec.allowsType(machine.machineType.name());
     boolean zone = spec.zone() == null || spec.zone().equals(machine.zone);
     boolean kind = !machine.spot || spec.spotAllowed();
     return type && zone && kind;
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -6,7 +6,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.RentalRequest;
 
@@ -28,14 +28,14 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<List<Flavor>>> flavors() {
+  public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
     return owner.guard(
-        cluster.networkFaults.<List<Flavor>>call(
+        cluster.networkFaults.<List<MachineType>>call(
             NetworkFaults.zoneOf(node),
             null,
             () -> false,
             5,
-            to -> to.accept(Outcome.applied(SimFlavors.in(cluster.settings.zones())))));
+            to -> to.accept(Outcome.applied(SimMachineTypes.in(cluster.settings.zones())))));
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.RentalRequest;
 
 /** What the cloud has rented out, to whomever. */
 final class SimStock {
   /** A machine that was rented and is not up yet. */
-  private record Booting(RentalRequest request, Flavor flavor) {}
+  private record Booting(RentalRequest request, MachineType machineType) {}
 
   private final SimCluster cluster;
   private final Map<String, List<MachineId>> rentals = new HashMap<>();
@@ -44,7 +44,7 @@
       count += isOffer(request, other.type(), other.zone(), other.spot()) ? 1 : 0;
     }
     for (SimWorker worker : cluster.workers.values()) {
-      count += isOffer(request, worker.flavor.name(), worker.zone, worker.spot) ? 1 : 0;
+      count += isOffer(request, worker.machineType.name(), worker.zone, worker.spot) ? 1 : 0;
     }
     return count;
   }
@@ -69,10 +69,10 @@
 
   private MachineId rentOne(RentalRequest request) {
     MachineId id = new MachineId(String.format("n-%06d", machinesMade++));
-    Flavor flavor = SimFlavors.ALL.get(request.type().equals("small") ? 0 : 1);
-    booting.put(id, new Booting(request, flavor));
+    MachineType machineType = SimMachineTypes.ALL.get(request.type().equals("small") ? 0 : 1);
+    booting.put(id, new Booting(request, machineType));
     rentedAt.put(id, cluster.clock.now());
-    double usualS = flavor.bootS() * (0.6 + cluster.random.nextDouble());
+    double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
     double bootS = usualS * cluster.bootFaults.factor(request);
     if (!cluster.bootFaults.neverComesUp(machinesMade - 1)) {
       cluster.clock.after(bootS, () -> comesUp(id));
@@ -84,7 +84,7 @@
     Booting machine = booting.remove(id);
     if (machine != null) {
       RentalRequest request = machine.request;
-      SimWorker worker = new SimWorker(cluster, id, machine.flavor, request.zone(), request.spot());
+      SimWorker worker = new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
       cluster.workers.put(id, worker);
       cluster.machineFaults.cameUp(worker);
     }
@@ -120,7 +120,7 @@
                 new HostInfo(
                     id,
                     worker.endpoint(),
-                    worker.flavor.name(),
+                    worker.machineType.name(),
                     worker.zone,
                     worker.spot,
                     worker.startedAt.isBefore(then) || worker.startedAt.equals(then)
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Flavor;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.TaskReport;
@@ -37,7 +37,7 @@
 
   private final SimCluster cluster;
   private final MachineId id;
-  final Flavor flavor;
+  final MachineType machineType;
   final String zone;
   final boolean spot;
   private final Map<String, SimTask> tasks = new LinkedHashMap<>();
@@ -63,10 +63,10 @@
   /** Until then its reports reach nobody, while commands reach it. */
   SteadyTime muteUntil;
 
-  SimWorker(SimCluster cluster, MachineId id, Flavor flavor, String zone, boolean spot) {
+  SimWorker(SimCluster cluster, MachineId id, MachineType machineType, String zone, boolean spot) {
     this.cluster = cluster;
     this.id = id;
-    this.flavor = flavor;
+    this.machineType = machineType;
     this.zone = zone;
     this.spot = spot;
     this.hang = new MachineHang(cluster.clock);
@@ -202,7 +202,7 @@
     return new WorkerReport(
         id,
         endpoint(),
-        flavor.name(),
+        machineType.name(),
         zone,
         spot,
         new Session(session),
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -92,7 +92,7 @@
 
   /** Whether a job permits a machine, within a zone or any where that is null. */
   private static boolean allowed(JobSpec spec, SimWorker worker, String zone) {
-    return spec.allowsType(worker.flavor.name())
+    return spec.allowsType(worker.machineType.name())
         && (spec.zone() == null || spec.zone().equals(worker.zone))
         && (zone == null || zone.equals(worker.zone))
         && (!worker.spot || spec.spotAllowed());
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -152,7 +152,7 @@
 
   /** What a machine has left beside the tasks that run on it. */
   Resources free(SimWorker machine) {
-    Resources left = machine.flavor.capacity();
+    Resources left = machine.machineType.capacity();
     for (var e : running.entrySet()) {
       if (e.getValue().contains(machine.id())) {
         JobSpec spec = jobs.spec(e.getKey().job());
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.sim.SimFlavors;
+import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
 
@@ -189,7 +189,7 @@
     List<Snapshot.Offer> offers = new ArrayList<>();
     for (int zone = 0; zone < ZONES.size(); zone++) {
       machines.add(machine(zone));
-      offers.add(new Snapshot.Offer(SimFlavors.ALL.get(0), zone, ZONES.get(zone), false, 10));
+      offers.add(new Snapshot.Offer(SimMachineTypes.ALL.get(0), zone, ZONES.get(zone), false, 10));
     }
     List<Snapshot.JobView> views = new ArrayList<>();
     for (JobSpec job : jobs) {
@@ -214,11 +214,11 @@
   private static Snapshot.MachineView machine(int zone) {
     return new Snapshot.MachineView(
         new MachineId("n-" + zone * MACHINES),
-        SimFlavors.ALL.get(0),
+        SimMachineTypes.ALL.get(0),
         zone,
         ZONES.get(zone),
         false,
-        SimFlavors.ALL.get(0).capacity(),
+        SimMachineTypes.ALL.get(0).capacity(),
         true,
         Set.of(),
         new SteadyTime(0),
