--- a/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
@@ -51,7 +51,7 @@
     Set<Machine> addressed = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
       Machine machine = machines.find(attempt.machine());
-      if (machine == null || !attempt.session().equals(machine.session)) {
+      if (machine == null || !attempt.epoch().equals(machine.epoch)) {
         continue;
       }
       if (attempt.stopping() || attempt.job().cancelled()) {
--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/controller/AttemptObserver.java
@@ -55,7 +55,7 @@
       if (attempt != null
           && attempt.number().equals(task.attempt())
           && attempt.machine().equals(machine.id)
-          && attempt.session().equals(report.session())) {
+          && attempt.epoch().equals(report.epoch())) {
         attempt.shownIn(machine.shownIn);
         observe(machine, attempt, task, now);
       }
@@ -108,7 +108,7 @@
   boolean settleUnshown(Machine machine, WorkerReport report, boolean isReport) {
     List<Attempt> unshown = null;
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
-      if (attempt.shownIn() != machine.shownIn && attempt.session().equals(report.session())) {
+      if (attempt.shownIn() != machine.shownIn && attempt.epoch().equals(report.epoch())) {
         unshown = unshown == null ? new ArrayList<>() : unshown;
         unshown.add(attempt);
       }
--- a/src/main/java/org/ternhinge/controller/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/controller/CommandDispatcher.java
@@ -16,7 +16,7 @@
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.WorkerReport;
@@ -137,7 +137,7 @@
   }
 
   private static boolean mayStart(Attempt attempt, Machine machine) {
-    return !attempt.stopping() && attempt.durable() && attempt.session().equals(machine.session);
+    return !attempt.stopping() && attempt.durable() && attempt.epoch().equals(machine.epoch);
   }
 
   private Attempt openAttempt(Command command) {
@@ -148,20 +148,20 @@
 
   private void sendCommands(Machine machine, List<Command> commands, SteadyTime now) {
     machine.commandsInFlight = true;
-    Session session = machine.session;
+    AgentEpoch epoch = machine.epoch;
     send(
         machine.endpoint,
-        session,
+        epoch,
         commands,
-        outcome -> answered(machine, session, commands, outcome, now));
+        outcome -> answered(machine, epoch, commands, outcome, now));
   }
 
   /** The one way out to a worker, so that what is under way is counted. */
   private void send(
-      Endpoint to, Session session, List<Command> commands, Consumer<Outcome<Answer>> then) {
+      Endpoint to, AgentEpoch epoch, List<Command> commands, Consumer<Outcome<Answer>> then) {
     underWay++;
     executor.whenAnswered(
-        workers.command(to, authority.term(), session, commands, this::mayStillSend),
+        workers.command(to, authority.term(), epoch, commands, this::mayStillSend),
         outcome -> cameBack(outcome, then));
   }
 
@@ -190,8 +190,8 @@
   }
 
   /** Tells a worker of this term, whatever is known of it; the answer may say that it refuses. */
-  void announceTerm(Endpoint to, Session session, Consumer<Outcome<Answer>> then) {
-    send(to, session, List.of(), then);
+  void announceTerm(Endpoint to, AgentEpoch epoch, Consumer<Outcome<Answer>> then) {
+    send(to, epoch, List.of(), then);
   }
 
   /** Asks a worker that seems unreachable for a report; a message without commands brings one. */
@@ -201,7 +201,7 @@
 
   private void answered(
       Machine machine,
-      Session session,
+      AgentEpoch epoch,
       List<Command> commands,
       Outcome<Answer> outcome,
       SteadyTime sent) {
@@ -213,24 +213,24 @@
         authority.lost("a worker has seen term " + report.token());
         return;
       }
-      settleOutstandingStarts(machine, session, commands);
+      settleOutstandingStarts(machine, epoch, commands);
       machine.reachability.probeAnswered();
       metrics.commandAnswered(now.secondsSince(sent));
       reports.take(machine, report, false, now);
     } else {
       if (outcome instanceof Outcome.NotApplied<Answer> not
           && not.reason() != Reason.NO_CONNECTION) {
-        settleOutstandingStarts(machine, session, commands);
+        settleOutstandingStarts(machine, epoch, commands);
       }
-      // Otherwise the message may yet arrive: its starts stay outstanding until the session ends.
+      // Otherwise the message may yet arrive: its starts stay outstanding until the epoch ends.
       machine.directAfter = now.plusSeconds(settings.workers().reportS());
     }
     dispatch(machine);
   }
 
   private static void settleOutstandingStarts(
-      Machine machine, Session session, List<Command> commands) {
-    if (!session.equals(machine.session)) {
+      Machine machine, AgentEpoch epoch, List<Command> commands) {
+    if (!epoch.equals(machine.epoch)) {
       return;
     }
     for (Command command : commands) {
--- a/src/main/java/org/ternhinge/controller/CommandReachability.java
+++ b/src/main/java/org/ternhinge/controller/CommandReachability.java
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Its session ended although it was being answered. */
+  /** Its epoch ended although it was being answered. */
   void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     answerMissed(now, othersReachable);
--- a/src/main/java/org/ternhinge/controller/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/controller/LeaseMonitor.java
@@ -8,7 +8,7 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.TaskReport;
 import org.ternhinge.wire.WorkerReport;
@@ -112,14 +112,14 @@
   /** The worker has killed what it ran; nothing that it showed before is there any more. */
   private void leaseOver(Machine machine, List<Attempt> open) {
     LOG.info("machine {} has been silent past its lease", machine.id);
-    Session lastSession = machine.session;
+    AgentEpoch lastEpoch = machine.epoch;
     for (Attempt attempt : open) {
-      if (attempt.session().compareTo(lastSession) > 0) {
-        lastSession = attempt.session();
+      if (attempt.epoch().compareTo(lastEpoch) > 0) {
+        lastEpoch = attempt.epoch();
       }
       attempts.close(attempt, false, "lease over");
     }
-    machine.deadSession = lastSession;
+    machine.lastEndedEpoch = lastEpoch;
     machine.forgetOutstandingStarts();
     machine.outbox.clear();
     // Otherwise its tasks would count as still shown, and could not start elsewhere.
--- a/src/main/java/org/ternhinge/controller/Machine.java
+++ b/src/main/java/org/ternhinge/controller/Machine.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
@@ -52,12 +52,12 @@
 
   // ---- its worker, by its messages ----------------------------------------------------------
 
-  Session session = Session.NONE;
+  AgentEpoch epoch = AgentEpoch.NONE;
 
-  /** Sessions up to this one have ended for certain. */
-  Session deadSession = Session.NONE;
+  /** Epochs up to this one have ended for certain. */
+  AgentEpoch lastEndedEpoch = AgentEpoch.NONE;
 
-  /** Number of its newest message in this session. */
+  /** Number of its newest message in this epoch. */
   long sequence = -1;
 
   /** The highest term that the worker has shown. */
@@ -198,7 +198,7 @@
     fencedStarts.clear();
   }
 
-  /** Nothing sent to an earlier session can have an effect any more. */
+  /** Nothing sent to an earlier epoch can have an effect any more. */
   void forgetOutstandingStarts() {
     outstandingStarts.clear();
     fencedStarts.clear();
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -53,7 +53,7 @@
   private boolean isReady(Machine machine, SteadyTime now) {
     return machine.reported
         && machine.endpoint != null
-        && machine.session.compareTo(machine.deadSession) > 0
+        && machine.epoch.compareTo(machine.lastEndedEpoch) > 0
         && (machine.noRoomUntil == null || machine.noRoomUntil.isBefore(now))
         && machine.token.equals(authority.term())
         && !isOverdue(machine, settings.workers(), now);
--- a/src/main/java/org/ternhinge/controller/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/controller/PlanExecutor.java
@@ -137,7 +137,7 @@
   private MachineAttributes attributes(Machine machine) {
     return new MachineAttributes(
         machine.id,
-        machine.session,
+        machine.epoch,
         machine.type,
         machine.zone,
         machine.zoneName,
--- a/src/main/java/org/ternhinge/controller/ReportAnswers.java
+++ b/src/main/java/org/ternhinge/controller/ReportAnswers.java
@@ -32,7 +32,7 @@
     addUnheld(machine, report, stops, forgets);
     List<Command> starts = new ArrayList<>();
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
-      if (!attempt.session().equals(report.session())) {
+      if (!attempt.epoch().equals(report.epoch())) {
         continue;
       }
       if (attempt.stopping()) {
@@ -81,7 +81,7 @@
     List<Command> stops = new ArrayList<>();
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
       if (attempt.stopping()
-          && attempt.session().equals(machine.session)
+          && attempt.epoch().equals(machine.epoch)
           && stops.size() < MAX_COMMANDS) {
         addStop(attempt, stops);
       }
--- a/src/main/java/org/ternhinge/controller/ReportProcessor.java
+++ b/src/main/java/org/ternhinge/controller/ReportProcessor.java
@@ -11,7 +11,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobSpec;
@@ -26,7 +26,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ReportProcessor.class);
 
   /**
-   * A worker whose session ends at least so long before its lease was to end did not get the
+   * A worker whose epoch ends at least so long before its lease was to end did not get the
    * answers that renewed the lease.
    */
   private static final double LAPSE_S = 2;
@@ -99,7 +99,7 @@
     if (machine.gone) {
       return Optional.empty();
     }
-    if (report.session().compareTo(machine.session) < 0 || isOver(report.session(), machine)) {
+    if (report.epoch().compareTo(machine.epoch) < 0 || isOver(report.epoch(), machine)) {
       // Held back by a cut, as a rule: the machine may be about to return, so it is kept for
       // longer.
       machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
@@ -123,8 +123,8 @@
     return Optional.of(mayCommand ? answers.commands(machine, report) : List.of());
   }
 
-  private static boolean isOver(Session session, Machine machine) {
-    return session.compareTo(machine.deadSession) <= 0;
+  private static boolean isOver(AgentEpoch epoch, Machine machine) {
+    return epoch.compareTo(machine.lastEndedEpoch) <= 0;
   }
 
   private SteadyTime leaseFrom(SteadyTime answered) {
@@ -134,13 +134,13 @@
 
   @Override
   public boolean take(Machine machine, WorkerReport report, boolean isReport, SteadyTime now) {
-    int newer = report.session().compareTo(machine.session);
+    int newer = report.epoch().compareTo(machine.epoch);
     boolean old = newer < 0 || (newer == 0 && report.sequence() <= machine.sequence);
-    if (old || isOver(report.session(), machine)) {
+    if (old || isOver(report.epoch(), machine)) {
       return false;
     }
     if (newer > 0) {
-      beginSession(machine, report.session(), now);
+      beginEpoch(machine, report.epoch(), now);
     }
     machine.sequence = report.sequence();
     takeToken(machine, report);
@@ -164,21 +164,21 @@
     return true;
   }
 
-  /** The worker's lease ran out: everything of its earlier sessions is gone. */
-  private void beginSession(Machine machine, Session session, SteadyTime now) {
+  /** The worker's lease ran out: everything of its earlier epochs is gone. */
+  private void beginEpoch(Machine machine, AgentEpoch epoch, SteadyTime now) {
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
-      if (attempt.session().compareTo(session) < 0) {
-        attempts.close(attempt, false, "session over");
+      if (attempt.epoch().compareTo(epoch) < 0) {
+        attempts.close(attempt, false, "agent epoch over");
       }
     }
     machine.forgetOutstandingStarts();
     machine.outbox.clear();
-    machine.session = session;
+    machine.epoch = epoch;
     if (machine.answered != null && machine.leaseEnds.secondsSince(now) > LAPSE_S) {
       // It was answered lately, and its lease has ended for want of an answer.
       machine.reachability.leaseLapsed(now, this::othersReachable);
     }
-    // A session may have begun just now, and lasts a whole lease without any answer.
+    // An epoch may have begun just now, and lasts a whole lease without any answer.
     machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
   }
 
--- a/src/main/java/org/ternhinge/controller/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/controller/TermAnnouncer.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.WorkerReport;
 import org.ternhinge.worker.Workers;
@@ -19,7 +19,7 @@
 final class TermAnnouncer {
   private static final Logger LOG = LoggerFactory.getLogger(TermAnnouncer.class);
 
-  /** The first command may be refused for its session; the refusal names the right one. */
+  /** The first command may be refused for its epoch; the refusal names the right one. */
   private static final int MAX_TRIES = 2;
 
   private final Authority authority;
@@ -51,14 +51,14 @@
       LOG.warn("machine {} is listed without a usable endpoint", machine.id);
       return false;
     }
-    send(machine, endpoint, machine.session, MAX_TRIES);
+    send(machine, endpoint, machine.epoch, MAX_TRIES);
     return true;
   }
 
-  private void send(Machine machine, Endpoint endpoint, Session session, int triesLeft) {
+  private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int triesLeft) {
     if (authority.valid()) {
       dispatcher.announceTerm(
-          endpoint, session, outcome -> answered(machine, endpoint, outcome, triesLeft));
+          endpoint, epoch, outcome -> answered(machine, endpoint, outcome, triesLeft));
     }
   }
 
@@ -72,7 +72,7 @@
     if (applied.value() instanceof Workers.Answer.Refused
         && report.token().compareTo(authority.term()) <= 0
         && triesLeft > 1) {
-      send(machine, endpoint, report.session(), triesLeft - 1);
+      send(machine, endpoint, report.epoch(), triesLeft - 1);
     }
   }
 }
--- a/src/main/java/org/ternhinge/controller/TermFence.java
+++ b/src/main/java/org/ternhinge/controller/TermFence.java
@@ -11,7 +11,7 @@
  * Raises the own term where a start whose answer was lost may still arrive after its attempt was
  * stopped. Workers that have seen the higher term refuse commands of the lower one, so once a
  * worker shows it, the late start can do no harm and the attempt can be closed. Without this the
- * attempt would stay open until the worker's session ends. Guarded by the controller's lock.
+ * attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
  */
 final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -94,7 +94,7 @@
                     placement.index(),
                     job.highest().next(),
                     placement.site().machine(),
-                    placement.site().session()))
+                    placement.site().epoch()))
         .toList();
   }
 
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 
@@ -29,7 +29,7 @@
   private final TaskId task;
   private final AttemptNumber number;
   private final MachineId machine;
-  private final Session session;
+  private final AgentEpoch epoch;
   private final int zone;
   private final boolean recovered;
   private final SteadyTime openedAt;
@@ -48,7 +48,7 @@
       int index,
       AttemptNumber number,
       MachineId machine,
-      Session session,
+      AgentEpoch epoch,
       int zone,
       boolean recovered,
       SteadyTime openedAt) {
@@ -56,7 +56,7 @@
     this.task = new TaskId(job.spec().id(), index);
     this.number = number;
     this.machine = machine;
-    this.session = session;
+    this.epoch = epoch;
     this.zone = zone;
     this.recovered = recovered;
     this.durable = recovered;
@@ -84,8 +84,8 @@
   }
 
   /** The run of the machine's worker that it was opened for; none later may start it. */
-  public Session session() {
-    return session;
+  public AgentEpoch epoch() {
+    return epoch;
   }
 
   /** Index of the zone in the settings. */
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -205,7 +205,7 @@
       int index = placement.index();
       MachineAttributes site = placement.site();
       Attempt attempt =
-          new Attempt(job, index, number, site.machine(), site.session(), site.zone(), false, now);
+          new Attempt(job, index, number, site.machine(), site.epoch(), site.zone(), false, now);
       job.openMap().put(index, attempt);
       job.dirty().set(job.segmentOf(index));
       usage.add(attempt);
--- a/src/main/java/org/ternhinge/ledger/MachineAttributes.java
+++ b/src/main/java/org/ternhinge/ledger/MachineAttributes.java
@@ -2,12 +2,12 @@
 
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 
 /**
  * What admission needs to know of the machine that an attempt is to open on.
  *
- * @param session the worker's current run on the machine
+ * @param epoch the worker's current run on the machine
  * @param type name of the machine type in the settings
  * @param zone index of the zone in the settings, which records name it by
  * @param zoneName name of the zone, which jobs ask for it by
@@ -16,7 +16,7 @@
  */
 public record MachineAttributes(
     MachineId machine,
-    Session session,
+    AgentEpoch epoch,
     String type,
     int zone,
     String zoneName,
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskRanges;
 import org.ternhinge.wire.JobSpec;
@@ -54,7 +54,7 @@
   /** Ranges of tasks that are done. */
   private static final String DONE = "d";
 
-  /** Open attempts, each {@code attempt:machine:session:zone:ranges of tasks}. */
+  /** Open attempts, each {@code attempt:machine:epoch:zone:ranges of tasks}. */
   private static final String OPEN = "o";
 
   /** Parts of an open attempt's text. */
@@ -144,7 +144,7 @@
         + ":"
         + attempt.machine()
         + ":"
-        + attempt.session()
+        + attempt.epoch()
         + ":"
         + attempt.zone()
         + ":";
@@ -199,10 +199,10 @@
     }
     AttemptNumber number = new AttemptNumber(Long.parseLong(parts[0]));
     MachineId machine = new MachineId(parts[1]);
-    Session session = new Session(Long.parseLong(parts[2]));
+    AgentEpoch epoch = new AgentEpoch(Long.parseLong(parts[2]));
     int zone = Integer.parseInt(parts[3]);
     for (int i : TaskRanges.decode(parts[4])) {
-      job.openMap().put(i, new Attempt(job, i, number, machine, session, zone, true, now));
+      job.openMap().put(i, new Attempt(job, i, number, machine, epoch, zone, true, now));
     }
   }
 
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
@@ -88,10 +88,10 @@
   }
 
   /** Bytes of what stands before an open attempt's tasks, for each attempt and machine. */
-  static int headBytes(AttemptNumber number, MachineId machine, Session session) {
+  static int headBytes(AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     return machine.value().length()
         + Long.toString(number.value()).length()
-        + Long.toString(session.value()).length()
+        + Long.toString(epoch.value()).length()
         + HEAD_PUNCTUATION_BYTES;
   }
 }
--- a/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 
 /**
  * Room for more open attempts in the segments of one job's record. What is admitted here fits the
@@ -15,9 +15,9 @@
  */
 final class SegmentCapacity {
   /** What tasks of a segment share in the record where they have one attempt on one machine. */
-  private record Head(int segment, AttemptNumber number, MachineId machine, Session session) {
+  private record Head(int segment, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     int bytes() {
-      return RecordSize.headBytes(number, machine, session);
+      return RecordSize.headBytes(number, machine, epoch);
     }
   }
 
@@ -31,7 +31,7 @@
     this.job = job;
     this.valueBytes = valueBytes;
     for (Attempt attempt : job.openAttempts()) {
-      add(head(attempt.task().index(), attempt.number(), attempt.machine(), attempt.session()));
+      add(head(attempt.task().index(), attempt.number(), attempt.machine(), attempt.epoch()));
     }
   }
 
@@ -42,8 +42,8 @@
   }
 
   /** Takes room for an attempt that is to open; false where its segment has none. */
-  boolean take(int index, AttemptNumber number, MachineId machine, Session session) {
-    Head head = head(index, number, machine, session);
+  boolean take(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+    Head head = head(index, number, machine, epoch);
     if (heads.contains(head)) {
       return true;
     }
@@ -62,7 +62,7 @@
     }
   }
 
-  private Head head(int index, AttemptNumber number, MachineId machine, Session session) {
-    return new Head(job.segmentOf(index), number, machine, session);
+  private Head head(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+    return new Head(job.segmentOf(index), number, machine, epoch);
   }
 }
--- a/src/main/java/org/ternhinge/model/Session.java
+++ b/src/main/java/org/ternhinge/model/AgentEpoch.java
@@ -1,16 +1,16 @@
 package org.ternhinge.model;
 
-/** Counts a worker's leases: every lease that runs out begins the next session. */
-public record Session(long value) implements Comparable<Session> {
-  public static final Session NONE = new Session(0);
+/** Counts a worker's leases: every lease that runs out begins the next epoch. */
+public record AgentEpoch(long value) implements Comparable<AgentEpoch> {
+  public static final AgentEpoch NONE = new AgentEpoch(0);
 
-  /** The session after this one. */
-  public Session next() {
-    return new Session(value + 1);
+  /** The epoch after this one. */
+  public AgentEpoch next() {
+    return new AgentEpoch(value + 1);
   }
 
   @Override
-  public int compareTo(Session other) {
+  public int compareTo(AgentEpoch other) {
     return Long.compare(value, other.value);
   }
 
@@ -24,7 +24,7 @@
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
   public boolean equals(Object other) {
-    return other instanceof Session t && t.value == value;
+    return other instanceof AgentEpoch t && t.value == value;
   }
 
   @Override
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
@@ -35,11 +35,11 @@
   }
 
   /** The body of a message with direct commands. */
-  public static byte[] body(Term term, Session session, List<Command> commands) {
+  public static byte[] body(Term term, AgentEpoch epoch, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
     out.beginObject();
     out.field("valdmerki", term.value());
-    out.field("vakt", session.value());
+    out.field("vakt", epoch.value());
     writeList(out, commands);
     out.endObject();
     return out.bytes();
--- a/src/main/java/org/ternhinge/wire/WorkerReport.java
+++ b/src/main/java/org/ternhinge/wire/WorkerReport.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
@@ -22,7 +22,7 @@
     String type,
     String zone,
     boolean spot,
-    Session session,
+    AgentEpoch epoch,
     long sequence,
     Term token,
     Double noticeS,
@@ -56,7 +56,7 @@
     private String type;
     private String zone;
     private Boolean spot;
-    private long session = -1;
+    private long epoch = -1;
     private long sequence = -1;
     private long token = -1;
     private Double notice;
@@ -69,7 +69,7 @@
         case "velagerd" -> type = in.text(field);
         case "svaedi" -> zone = in.text(field);
         case "lanvelar" -> spot = in.flag(field);
-        case "vakt" -> session = in.count(field);
+        case "vakt" -> epoch = in.count(field);
         case "raodnumer" -> sequence = in.count(field);
         case "valdmerki" -> token = in.count(field);
         case "fyrirvari_s" -> notice = in.isNull() ? null : (Double) in.amount(field);
@@ -84,7 +84,7 @@
       need(type != null, "velagerd: a string is needed");
       need(zone != null, "svaedi: a string is needed");
       need(spot != null, "lanvelar: true or false is needed");
-      need(session >= 0, "vakt: an integer is needed");
+      need(epoch >= 0, "vakt: an integer is needed");
       need(sequence >= 0, "raodnumer: an integer is needed");
       need(token >= 0, "valdmerki: an integer is needed");
       need(tasks != null, "verkbitar: a list is needed");
@@ -97,7 +97,7 @@
           type,
           zone,
           spot,
-          new Session(session),
+          new AgentEpoch(epoch),
           sequence,
           new Term(token),
           notice,
@@ -150,7 +150,7 @@
   public ObjectNode write() {
     ObjectNode out = Json.object();
     out.put("vel", machine.value()).put("endpoint", endpoint).put("velagerd", type);
-    out.put("svaedi", zone).put("lanvelar", spot).put("vakt", session.value());
+    out.put("svaedi", zone).put("lanvelar", spot).put("vakt", epoch.value());
     out.put("raodnumer", sequence).put("valdmerki", token.value());
     if (noticeS != null) {
       out.put("fyrirvari_s", noticeS);
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.WireException;
@@ -29,10 +29,10 @@
   public CompletableFuture<Outcome<Answer>> command(
       Endpoint worker,
       Term term,
-      Session session,
+      AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
-    byte[] body = Command.body(term, session, commands);
+    byte[] body = Command.body(term, epoch, commands);
     return http.callIf(maySend, worker, "POST", "/commands", body, TIMEOUT_S)
         .thenApply(outcome -> outcome.flatMap(HttpWorkers::decode));
   }
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.WorkerReport;
@@ -21,7 +21,7 @@
     /** The commands were carried out; the report was made after them. */
     record Executed(WorkerReport report) implements Answer {}
 
-    /** Nothing was carried out: the token or the session did not fit. */
+    /** Nothing was carried out: the token or the epoch did not fit. */
     record Refused(WorkerReport report) implements Answer {}
   }
 
@@ -32,7 +32,7 @@
    *     stood still in between; called on any thread
    */
   CompletableFuture<Outcome<Answer>> command(
-      Endpoint worker, Term term, Session session, List<Command> commands, BooleanSupplier maySend);
+      Endpoint worker, Term term, AgentEpoch epoch, List<Command> commands, BooleanSupplier maySend);
 
   /** The worker at this address is of no more use. */
   void forget(Endpoint worker);
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
@@ -28,7 +28,7 @@
 import org.ternhinge.wire.WireException;
 import org.ternhinge.wire.WorkerReport;
 
-/** A machine with its worker on loopback sockets: sessions, tokens, leases and tasks. */
+/** A machine with its worker on loopback sockets: epochs, tokens, leases and tasks. */
 final class LoopbackWorker implements AutoCloseable {
   /**
    * What all workers share.
@@ -63,7 +63,7 @@
   private final HttpServer server;
   private final int port;
   private final Map<String, TaskReport> tasks = new LinkedHashMap<>();
-  private int session = 1;
+  private int epoch = 1;
   private long sequence;
   private long token;
   private double leaseFrom;
@@ -112,7 +112,7 @@
     }
     if (site.now() - leaseFrom > site.leaseS) {
       killAll();
-      session++;
+      epoch++;
       leaseFrom = site.now();
     }
     site.after(LEASE_CHECK_S, this::checkLease);
@@ -136,7 +136,7 @@
         "small",
         zone,
         false,
-        new Session(session),
+        new AgentEpoch(epoch),
         ++sequence,
         new Term(token),
         null,
@@ -144,13 +144,13 @@
   }
 
   private void report() {
-    int inSession;
+    int inEpoch;
     byte[] body;
     synchronized (this) {
       if (closed) {
         return;
       }
-      inSession = session;
+      inEpoch = epoch;
       body = Json.bytes(reportNow().write());
     }
     double sent = site.now();
@@ -163,14 +163,14 @@
     var unused =
         site.client
             .sendAsync(request, HttpResponse.BodyHandlers.ofByteArray())
-            .whenComplete((response, failure) -> answered(response, inSession, sent));
+            .whenComplete((response, failure) -> answered(response, inEpoch, sent));
   }
 
-  private synchronized void answered(HttpResponse<byte[]> response, int inSession, double sent) {
+  private synchronized void answered(HttpResponse<byte[]> response, int inEpoch, double sent) {
     double next = site.reportS;
     try {
       if (response != null && response.statusCode() == 200) {
-        if (inSession == session) {
+        if (inEpoch == epoch) {
           obey(Json.parse(response.body()), sent);
         }
       } else {
@@ -222,7 +222,7 @@
 
   private synchronized boolean command(JsonNode message) throws WireException {
     long term = Json.count(message, "valdmerki");
-    if (closed || term < token || Json.count(message, "vakt") != session) {
+    if (closed || term < token || Json.count(message, "vakt") != epoch) {
       return false;
     }
     token = term;
@@ -237,8 +237,8 @@
       case START -> {
         if (task == null) {
           set(key, command, TaskState.FETCHING, null);
-          int inSession = session;
-          site.after(FETCH_S, () -> begin(key, command, inSession));
+          int inEpoch = epoch;
+          site.after(FETCH_S, () -> begin(key, command, inEpoch));
         }
       }
       case STOP -> {
@@ -258,21 +258,21 @@
     tasks.put(key, new TaskReport(command.task(), command.attempt(), state, why, false));
   }
 
-  private boolean isIn(String key, TaskState state, int inSession) {
+  private boolean isIn(String key, TaskState state, int inEpoch) {
     TaskReport task = tasks.get(key);
-    return !closed && session == inSession && task != null && task.state() == state;
+    return !closed && epoch == inEpoch && task != null && task.state() == state;
   }
 
-  private synchronized void begin(String key, Command command, int inSession) {
-    if (isIn(key, TaskState.FETCHING, inSession)) {
+  private synchronized void begin(String key, Command command, int inEpoch) {
+    if (isIn(key, TaskState.FETCHING, inEpoch)) {
       set(key, command, TaskState.RUNNING, null);
       site.history.started(site.now(), command.task(), id.value(), zone);
-      site.after(site.runS, () -> complete(key, command, inSession));
+      site.after(site.runS, () -> complete(key, command, inEpoch));
     }
   }
 
-  private synchronized void complete(String key, Command command, int inSession) {
-    if (isIn(key, TaskState.RUNNING, inSession)) {
+  private synchronized void complete(String key, Command command, int inEpoch) {
+    if (isIn(key, TaskState.RUNNING, inEpoch)) {
       end(key, command, EndReason.DONE);
     }
   }
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -58,7 +58,7 @@
     submit("wk-1", "batch", 160, 1, 8);
     run(40);
     var deaf = world.machineFaults.deafenSomeWorker(200);
-    // Its session lapses while its reports arrive; whatever is placed there would wait for ever.
+    // Its epoch lapses while its reports arrive; whatever is placed there would wait for ever.
     submit("wk-2", "batch", 160, 1, 8);
     run(60);
     int sent = world.tasks.startsSentTo(deaf.id());
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
@@ -46,14 +46,14 @@
   }
 
   private static WorkerReport with(
-      WorkerReport report, Session session, long sequence, List<TaskReport> tasks) {
+      WorkerReport report, AgentEpoch epoch, long sequence, List<TaskReport> tasks) {
     return new WorkerReport(
         report.machine(),
         report.endpoint(),
         report.type(),
         report.zone(),
         report.spot(),
-        session,
+        epoch,
         sequence,
         report.token(),
         null,
@@ -75,18 +75,18 @@
     world.machineFaults.deafen(machine, 30);
     users.cancel(job);
     world.clock.runFor(2);
-    WorkerReport overtaken = with(last, last.session(), last.sequence() - 1, last.tasks());
+    WorkerReport overtaken = with(last, last.epoch(), last.sequence() - 1, last.tasks());
     List<Command> told = commands(world.answerTo(world.leader(), overtaken));
     assertTrue(
         told.stream().anyMatch(c -> c.op() == Command.Op.STOP && c.task().job().equals(job)),
         "told " + told);
   }
 
-  /** Sessions before the one known are over: whoever still waits for an answer must not get one. */
+  /** Epochs before the one known are over: whoever still waits for an answer must not get one. */
   @Test
-  void anEarlierSessionIsNotKeptAlive() {
+  void anEarlierEpochIsNotKeptAlive() {
     WorkerReport last = world.lastReport(machine);
-    WorkerReport next = with(last, new Session(last.session().value() + 1), 1000, List.of());
+    WorkerReport next = with(last, new AgentEpoch(last.epoch().value() + 1), 1000, List.of());
     assertEquals(200, world.answerTo(world.leader(), next).status());
     assertEquals(503, world.answerTo(world.leader(), last).status());
   }
@@ -105,7 +105,7 @@
       TaskId task = new TaskId(new JobId("wk-999"), 0);
       tasks.add(new TaskReport(task, new AttemptNumber(1), TaskState.RUNNING, null, false));
     }
-    WorkerReport now = with(last, last.session(), last.sequence() + 1, tasks);
+    WorkerReport now = with(last, last.epoch(), last.sequence() + 1, tasks);
     assertEquals(status, world.answerTo(leader, now).status());
   }
 
@@ -116,7 +116,7 @@
     world.networkFaults.cutOff(leader, 60);
     world.clock.runFor(10);
     WorkerReport last = world.lastReport(machine);
-    WorkerReport now = with(last, last.session(), last.sequence() + 1, last.tasks());
+    WorkerReport now = with(last, last.epoch(), last.sequence() + 1, last.tasks());
     assertEquals(503, world.answerTo(leader, now).status());
     assertEquals(2, world.tasks.runningTasks(job), "tasks that go on");
   }
--- a/src/test/java/org/ternhinge/controller/LeadershipParts.java
+++ b/src/test/java/org/ternhinge/controller/LeadershipParts.java
@@ -29,7 +29,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
@@ -136,7 +136,7 @@
   /** A machine that has reported and takes direct commands. */
   Machine machine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
-    machine.session = new Session(1);
+    machine.epoch = new AgentEpoch(1);
     machine.endpoint = new Endpoint("10.0.1.1", 9000);
     machine.reported = true;
     machine.lastReport = clock.now();
@@ -163,7 +163,7 @@
   Attempt open(Job job, int index, Machine machine) {
     MachineAttributes site =
         new MachineAttributes(
-            machine.id, machine.session, "small", 0, "east", false, Resources.offer(8, 0, 64));
+            machine.id, machine.epoch, "small", 0, "east", false, Resources.offer(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
     writer.pump();
     return job.open(index);
@@ -224,7 +224,7 @@
     public CompletableFuture<Outcome<Answer>> command(
         Endpoint worker,
         Term term,
-        Session session,
+        AgentEpoch epoch,
         List<Command> commands,
         BooleanSupplier maySend) {
       sent.addAll(commands);
--- a/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
@@ -65,7 +65,7 @@
     monitor.check(parts.now());
     assertEquals(open ? attempt : null, job.open(0));
     assertEquals(open, reportedTasks.isShown(attempt.task()));
-    assertEquals(open ? Session.NONE : new Session(1), machine.deadSession);
+    assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.lastEndedEpoch);
   }
 
   /** A late report may have shown tasks that nobody knows; they must not block starts for ever. */
@@ -115,7 +115,7 @@
             "small",
             "east",
             false,
-            machine.session,
+            machine.epoch,
             1,
             new Term(1),
             null,
@@ -125,10 +125,10 @@
 
   /** A machine with nothing on it and no lease costs nothing and loses nothing. */
   @Test
-  void anIdleMachineKeepsItsSession() {
+  void anIdleMachineKeepsItsEpoch() {
     parts.clock.runFor(60);
     monitor.check(parts.now());
-    assertEquals(Session.NONE, machine.deadSession);
+    assertEquals(AgentEpoch.NONE, machine.lastEndedEpoch);
     assertNull(job.open(0));
   }
 }
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -9,10 +9,10 @@
 
 /** Machines that cannot be reached or are not heard, over changes of leader, on virtual time. */
 class UnreachableMachinesTest extends CombinedFaultsFixture {
-  /** A report of an earlier session reaches a leader that has never heard of the machine. */
+  /** A report of an earlier epoch reaches a leader that has never heard of the machine. */
   @ParameterizedTest(name = "held for {0} s")
   @CsvSource({"9", "15", "25", "40"})
-  void aLateReportOfAnEarlierSessionAtANewLeader(double heldS) {
+  void aLateReportOfAnEarlierEpochAtANewLeader(double heldS) {
     begin(131, SimCluster.SMALL);
     JobId stays = submit(job("wk-1", "daemon", 4, 0));
     run(60);
--- a/src/test/java/org/ternhinge/ledger/DependenciesTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependenciesTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
@@ -130,7 +130,7 @@
       job.highest(number);
       MachineId machine = new MachineId("n-7");
       job.openMap()
-          .put(0, new Attempt(job, 0, number, machine, new Session(1), 0, true, clock.now()));
+          .put(0, new Attempt(job, 0, number, machine, new AgentEpoch(1), 0, true, clock.now()));
     }
     return job;
   }
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
@@ -40,7 +40,7 @@
   private static MachineAttributes site(String name, int zone, String type, boolean spot) {
     return new MachineAttributes(
         new MachineId(name),
-        new Session(1),
+        new AgentEpoch(1),
         type,
         zone,
         zone == 0 ? "east" : "west",
@@ -157,7 +157,7 @@
     for (int i = 0; i < 2 * size; i++) {
       MachineId machine = new MachineId(String.format("n-%06d", 990_000 + i));
       var number = new org.ternhinge.model.AttemptNumber(12_345 + i);
-      job.openMap().put(i, new Attempt(job, i, number, machine, new Session(12), 1, false, NOW));
+      job.openMap().put(i, new Attempt(job, i, number, machine, new AgentEpoch(12), 1, false, NOW));
     }
     job.highest(new org.ternhinge.model.AttemptNumber(99_999));
     for (int segment = 0; segment < 2; segment++) {
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -37,7 +37,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
@@ -80,7 +80,7 @@
       out.add(
           String.format(
               "%02d=%s@%s#%s/%d",
-              a.task().index(), a.number(), a.machine(), a.session(), a.zone()));
+              a.task().index(), a.number(), a.machine(), a.epoch(), a.zone()));
       assertTrue(a.durable() && a.recovered());
     }
     return String.join(" ", out);
@@ -299,13 +299,13 @@
     assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.end(job)));
   }
 
-  private void open(Job job, String machine, int session, int zone, int from, int to) {
+  private void open(Job job, String machine, int epoch, int zone, int from, int to) {
     List<Placement> places = new ArrayList<>();
     for (int i = from; i < to; i++) {
       MachineAttributes site =
           new MachineAttributes(
               new MachineId(machine),
-              new Session(session),
+              new AgentEpoch(epoch),
               "small",
               zone,
               zone == 0 ? "east" : "west",
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -113,7 +113,7 @@
               i,
               new AttemptNumber(1),
               machine.machine(),
-              machine.session(),
+              machine.epoch(),
               0,
               true,
               clock.now());
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -21,7 +21,7 @@
     for (int i = 0; i < 40; i++) {
       Attempt attempt =
           new Attempt(
-              job, i, new AttemptNumber(1), machine.machine(), machine.session(), 0, false, NOW);
+              job, i, new AttemptNumber(1), machine.machine(), machine.epoch(), 0, false, NOW);
       job.openMap().put(i, attempt);
     }
     List<Attempt> expected = new ArrayList<>();
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
@@ -130,7 +130,7 @@
       MachineAttributes machine =
           new MachineAttributes(
               new MachineId("n-000" + (200 + i)),
-              new Session(1),
+              new AgentEpoch(1),
               "small",
               0,
               "east",
@@ -187,7 +187,7 @@
               attempt.task().index(),
               attempt.number(),
               attempt.machine(),
-              attempt.session(),
+              attempt.epoch(),
               attempt.zone()));
     }
     return out;
--- a/src/test/java/org/ternhinge/ledger/TestMachines.java
+++ b/src/test/java/org/ternhinge/ledger/TestMachines.java
@@ -2,16 +2,16 @@
 
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 
 /** Where tests place tasks: a small ordinary machine in the first zone. */
 final class TestMachines {
   private TestMachines() {}
 
-  static MachineAttributes on(String machine, long session) {
+  static MachineAttributes on(String machine, long epoch) {
     return new MachineAttributes(
         new MachineId(machine),
-        new Session(session),
+        new AgentEpoch(epoch),
         "small",
         0,
         "east",
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ModelTest.java
@@ -65,7 +65,7 @@
       List<Object> all = new ArrayList<>();
       for (long n = 1; n < 4; n++) {
         all.add(new Term(n));
-        all.add(new Session(n));
+        all.add(new AgentEpoch(n));
         all.add(new AttemptNumber(n));
         all.add(new Revision(n));
         all.add(new JobId("wk-" + n));
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.worker.Workers;
@@ -29,19 +29,19 @@
   public CompletableFuture<Outcome<Answer>> command(
       Endpoint endpoint,
       Term term,
-      Session session,
+      AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
     cluster.counts.commandCallBegan();
     if (cluster.connectS == 0) {
-      return counted(send(endpoint, term, session, commands, maySend));
+      return counted(send(endpoint, term, epoch, commands, maySend));
     }
     CompletableFuture<Outcome<Answer>> answer = new CompletableFuture<>();
     owner.after(
         cluster.connectS,
         () ->
             AsyncCalls.whenAnswered(
-                send(endpoint, term, session, commands, maySend), answer::complete));
+                send(endpoint, term, epoch, commands, maySend), answer::complete));
     return counted(answer);
   }
 
@@ -58,7 +58,7 @@
   private CompletableFuture<Outcome<Answer>> send(
       Endpoint endpoint,
       Term term,
-      Session session,
+      AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
@@ -77,7 +77,7 @@
         TIMEOUT_S,
         to -> {
           if (worker != null) {
-            worker.command(term, session, commands, to);
+            worker.command(term, epoch, commands, to);
           }
         });
   }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.WorkerReport;
 import org.ternhinge.worker.Workers;
 
-/** A machine with its worker as the protocol has it: sessions, tokens, leases and tasks. */
+/** A machine with its worker as the protocol has it: epochs, tokens, leases and tasks. */
 public final class SimWorker {
   /** Time of an image fetch. */
   private static final double FETCH_S = 1;
@@ -42,7 +42,7 @@
   final boolean spot;
   private final Map<String, SimTask> tasks = new LinkedHashMap<>();
   private final MachineHang hang;
-  private int session = 1;
+  private int epoch = 1;
   private long sequence;
   private Term token = Term.NONE;
   final SteadyTime startedAt;
@@ -137,9 +137,9 @@
     tasks.clear();
   }
 
-  /** Its tasks are gone and its next session begins. */
+  /** Its tasks are gone and its next epoch begins. */
   void restart() {
-    beginSession();
+    beginEpoch();
     changed();
   }
 
@@ -168,14 +168,14 @@
 
   private void checkLease() {
     if (leaseOver()) {
-      beginSession();
+      beginEpoch();
     }
   }
 
-  private void beginSession() {
+  private void beginEpoch() {
     tasks.values().forEach(this::kill);
     tasks.clear();
-    session++;
+    epoch++;
     leaseFrom = cluster.clock.now();
   }
 
@@ -205,7 +205,7 @@
         machineType.name(),
         zone,
         spot,
-        new Session(session),
+        new AgentEpoch(epoch),
         ++sequence,
         token,
         null,
@@ -217,11 +217,11 @@
       return;
     }
     int number = ++reports;
-    int inSession = session;
+    int inEpoch = epoch;
     SteadyTime sent = cluster.clock.now();
     byte[] body = Json.bytes(reportNow().write());
     cluster.reportHistory.sent(id, body);
-    AsyncCalls.whenAnswered(send(body), outcome -> answered(outcome, inSession, sent, number));
+    AsyncCalls.whenAnswered(send(body), outcome -> answered(outcome, inEpoch, sent, number));
   }
 
   private CompletableFuture<Outcome<Response>> send(byte[] body) {
@@ -262,12 +262,12 @@
     }
   }
 
-  private void answered(Outcome<Response> outcome, int inSession, SteadyTime sent, int number) {
+  private void answered(Outcome<Response> outcome, int inEpoch, SteadyTime sent, int number) {
     if (dead) {
       return;
     }
     if (hung()) {
-      hang.defer(() -> answered(outcome, inSession, sent, number));
+      hang.defer(() -> answered(outcome, inEpoch, sent, number));
       return;
     }
     boolean late = cluster.clock.now().secondsSince(sent) > REPORT_TIMEOUT_S;
@@ -275,7 +275,7 @@
     Response response =
         !late && outcome instanceof Outcome.Applied<Response> applied ? applied.value() : null;
     if (response != null && response.status() == 200) {
-      if (inSession == session) {
+      if (inEpoch == epoch) {
         obey(response.body(), sent);
       }
     } else if (response != null && response.status() == 421) {
@@ -310,7 +310,7 @@
 
   /** A direct command arrives, perhaps long after it was sent. */
   void command(
-      Term term, Session to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
+      Term term, AgentEpoch to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
     if (dead) {
       return;
     }
@@ -318,7 +318,7 @@
       hang.defer(() -> command(term, to, commands, answer));
       return;
     }
-    if (term.compareTo(token) < 0 || to.value() != session) {
+    if (term.compareTo(token) < 0 || to.value() != epoch) {
       answer.accept(Outcome.applied(new Workers.Answer.Refused(reportNow())));
       return;
     }
--- a/src/test/java/org/ternhinge/wire/WorkerReportTest.java
+++ b/src/test/java/org/ternhinge/wire/WorkerReportTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Session;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
@@ -25,7 +25,7 @@
           "g8",
           "a",
           true,
-          new Session(2),
+          new AgentEpoch(2),
           88,
           new Term(41),
           7.5,
@@ -74,7 +74,7 @@
     assertEquals(Json.parse(bytes(json)), Json.parse(Command.answer(new Term(41), commands)));
     String order = json.replace("41,", "41,\"vakt\":7,");
     assertEquals(
-        Json.parse(bytes(order)), Json.parse(Command.body(new Term(41), new Session(7), commands)));
+        Json.parse(bytes(order)), Json.parse(Command.body(new Term(41), new AgentEpoch(7), commands)));
   }
 
   @Test
