--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * A short run of the service on loopback, with nothing behind it, so that the build can archive the
@@ -55,7 +55,7 @@
     Thread service = new Thread(() -> serve(settings), "training");
     service.setDaemon(true);
     service.start();
-    WorkerReport.read(REPORT.getBytes(StandardCharsets.UTF_8)).write();
+    Heartbeat.read(REPORT.getBytes(StandardCharsets.UTF_8)).write();
     TaskId task = new TaskId(new JobId("wk-1"), 0);
     Command.answer(
         new Term(1), List.of(new Command(Command.Op.START, task, new AttemptNumber(1), 0)));
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -33,13 +33,13 @@
 
   /** How workers report and how long they go on alone. */
   public record Workers(
-      double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {
-    /** A worker without a report for so long has missed two; the rest is their spread. */
+      double heartbeatIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {
+    /** A worker without a heartbeat for so long has missed two; the rest is their spread. */
     private static final double OVERDUE_INTERVALS = 2.2;
 
-    /** Seconds after its last report from which a worker counts as overdue. */
+    /** Seconds after its last heartbeat from which a worker counts as overdue. */
     public double overdueS() {
-      return reportS * OVERDUE_INTERVALS;
+      return heartbeatIntervalS * OVERDUE_INTERVALS;
     }
   }
 
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -35,7 +35,7 @@
    * The same for workers that are found out to be silent after so many seconds: a zone that settles
    * sooner would be taken for well before the next loss could show.
    */
-  public ZoneFailoverSettings forReports(double overdueS) {
+  public ZoneFailoverSettings forHeartbeats(double overdueS) {
     double settleS = Math.max(detection.settleS(), SETTLE_FACTOR * overdueS);
     return new ZoneFailoverSettings(detection.withSettleS(settleS), flaps, release, pace, tiers);
   }
--- a/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
@@ -161,7 +161,7 @@
 
   /**
    * Closes an unwanted attempt whose start was never sent, neither by a direct command nor in the
-   * answer to a report: nothing of it can arrive, so no worker has to show that it is gone. Starts
+   * answer to a heartbeat: nothing of it can arrive, so no worker has to show that it is gone. Starts
    * of an earlier leader's attempts may be on their way unknown to this one.
    */
   void closeIfNeverSent(Attempt attempt) {
--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/controller/AttemptObserver.java
@@ -14,9 +14,9 @@
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Settles open attempts by what a worker's newest message shows: what has ended, or is proven to be
@@ -48,21 +48,21 @@
   }
 
   /** Takes in the tasks that a message shows. */
-  void observeAll(Machine machine, WorkerReport report, SteadyTime now) {
-    for (TaskReport task : report.tasks()) {
+  void observeAll(Machine machine, Heartbeat heartbeat, SteadyTime now) {
+    for (TaskStatus task : heartbeat.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
       if (attempt != null
           && attempt.number().equals(task.attempt())
           && attempt.machine().equals(machine.id)
-          && attempt.epoch().equals(report.epoch())) {
+          && attempt.epoch().equals(heartbeat.epoch())) {
         attempt.shownIn(machine.shownIn);
         observe(machine, attempt, task, now);
       }
     }
   }
 
-  private void observe(Machine machine, Attempt attempt, TaskReport task, SteadyTime now) {
+  private void observe(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
     if (task.ended()) {
       ended(machine, attempt, task.why(), now);
       return;
@@ -105,10 +105,10 @@
    *
    * @return whether it lacks a start that an answer has carried before
    */
-  boolean settleUnshown(Machine machine, WorkerReport report, boolean isReport) {
+  boolean settleUnshown(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
     List<Attempt> unshown = null;
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
-      if (attempt.shownIn() != machine.shownIn && attempt.epoch().equals(report.epoch())) {
+      if (attempt.shownIn() != machine.shownIn && attempt.epoch().equals(heartbeat.epoch())) {
         unshown = unshown == null ? new ArrayList<>() : unshown;
         unshown.add(attempt);
       }
@@ -118,7 +118,7 @@
     }
     boolean missedStart = false;
     for (Attempt attempt : unshown) {
-      missedStart |= absent(machine, attempt, report, isReport);
+      missedStart |= absent(machine, attempt, heartbeat, isHeartbeat);
     }
     return missedStart;
   }
@@ -126,16 +126,16 @@
   /**
    * The worker does not show an open attempt. That proves it gone only if no start of it can still
    * arrive: an earlier leader's can't once the worker has seen this term; an own one can't once the
-   * worker has shown it, or if it went out in an answer alone and a later report has come.
+   * worker has shown it, or if it went out in an answer alone and a later heartbeat has come.
    *
    * @return whether the worker has missed the answer that carried the start
    */
-  private boolean absent(Machine machine, Attempt attempt, WorkerReport report, boolean isReport) {
+  private boolean absent(Machine machine, Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
     if (!attempt.durable()) {
       return false;
     }
     if (attempt.recovered()) {
-      if (report.token().compareTo(authority.term()) >= 0) {
+      if (heartbeat.token().compareTo(authority.term()) >= 0) {
         attempts.close(attempt, false, "never arrived or is gone");
       }
       return false;
@@ -145,9 +145,9 @@
       return false;
     }
     boolean inAnswer = attempt.startAnswered() >= 0;
-    boolean answerSettled = !inAnswer || (isReport && report.sequence() > attempt.startAnswered());
+    boolean answerSettled = !inAnswer || (isHeartbeat && heartbeat.sequence() > attempt.startAnswered());
     if (!attempt.stopping()) {
-      return isReport && inAnswer && answerSettled;
+      return isHeartbeat && inAnswer && answerSettled;
     }
     if (answerSettled && machine.outstandingStarts.getInt(Machine.key(attempt)) == 0) {
       attempts.close(attempt, false, "stopped before it started");
--- a/src/main/java/org/ternhinge/controller/BootTimes.java
+++ b/src/main/java/org/ternhinge/controller/BootTimes.java
@@ -28,7 +28,7 @@
   private static final double USUAL_SPREAD = 1.5;
 
   /** Until a machine that is up has reported. */
-  private static final double REPORT_MARGIN_S = 3;
+  private static final double HEARTBEAT_MARGIN_S = 3;
 
   /** Seconds for which it is remembered how long a machine took. */
   private static final double REMEMBERED_S = 300;
@@ -125,7 +125,7 @@
   }
 
   private static boolean isBooting(Machine machine) {
-    return !machine.reported && !machine.gone && !machine.releasing && !machine.listedUp;
+    return !machine.heartbeatReceived && !machine.gone && !machine.releasing && !machine.listedUp;
   }
 
   private void addLate(Seen seen, SteadyTime now, Set<MachineId> late) {
@@ -169,7 +169,7 @@
 
   /** How many times the usual time a machine has taken so far. */
   private static double takes(Machine machine, MachineType machineType, SteadyTime now) {
-    return (now.secondsSince(machine.rentedAt) - REPORT_MARGIN_S) / machineType.bootS();
+    return (now.secondsSince(machine.rentedAt) - HEARTBEAT_MARGIN_S) / machineType.bootS();
   }
 
   /** Whether a machine that has not come up is to be returned as one that never will. */
--- a/src/main/java/org/ternhinge/controller/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/controller/CommandDispatcher.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 import org.ternhinge.worker.Workers.Answer;
 
@@ -33,10 +33,10 @@
   static final int MAX_COMMANDS = 400;
 
   /** A machine that owes so many reports is not told anything directly. */
-  private static final double SILENT_REPORTS = 2.5;
+  private static final double SILENT_HEARTBEATS = 2.5;
 
   private final LeadershipExecutor executor;
-  private final ReportSink reports;
+  private final AgentStatusSink heartbeats;
   private final Settings settings;
   private final Workers workers;
   private final Clock clock;
@@ -55,12 +55,12 @@
 
   CommandDispatcher(
       LeadershipExecutor executor,
-      ReportSink reports,
+      AgentStatusSink heartbeats,
       ControllerServices services,
       Authority authority,
       Ledger ledger) {
     this.executor = executor;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.settings = services.settings();
     this.workers = services.workers();
     this.clock = services.clock();
@@ -103,15 +103,15 @@
 
   /**
    * Whether a machine may be told something directly. One that does not answer lately may not: its
-   * next report's answer carries the commands, and messages to a whole zone that is cut off would
+   * next heartbeat's answer carries the commands, and messages to a whole zone that is cut off would
    * keep all others waiting for their time-outs.
    */
   private boolean mayCommand(Machine machine, SteadyTime now) {
     if (!authority.valid() || machine.endpoint == null || machine.gone) {
       return false;
     }
-    double silentS = SILENT_REPORTS * settings.workers().reportS();
-    if (machine.lastReport == null || now.secondsSince(machine.lastReport) > silentS) {
+    double silentS = SILENT_HEARTBEATS * settings.workers().heartbeatIntervalS();
+    if (machine.lastHeartbeat == null || now.secondsSince(machine.lastHeartbeat) > silentS) {
       return false;
     }
     return machine.directAfter == null || !now.isBefore(machine.directAfter);
@@ -194,7 +194,7 @@
     send(to, epoch, List.of(), then);
   }
 
-  /** Asks a worker that seems unreachable for a report; a message without commands brings one. */
+  /** Asks a worker that seems unreachable for a heartbeat; a message without commands brings one. */
   void probe(Machine machine, SteadyTime now) {
     sendCommands(machine, List.of(), now);
   }
@@ -208,22 +208,22 @@
     machine.commandsInFlight = false;
     SteadyTime now = clock.now();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
-      WorkerReport report = applied.value().report();
-      if (report.token().compareTo(authority.term()) > 0) {
-        authority.lost("a worker has seen term " + report.token());
+      Heartbeat heartbeat = applied.value().heartbeat();
+      if (heartbeat.token().compareTo(authority.term()) > 0) {
+        authority.lost("a worker has seen term " + heartbeat.token());
         return;
       }
       settleOutstandingStarts(machine, epoch, commands);
       machine.reachability.probeAnswered();
       metrics.commandAnswered(now.secondsSince(sent));
-      reports.take(machine, report, false, now);
+      heartbeats.take(machine, heartbeat, false, now);
     } else {
       if (outcome instanceof Outcome.NotApplied<Answer> not
           && not.reason() != Reason.NO_CONNECTION) {
         settleOutstandingStarts(machine, epoch, commands);
       }
       // Otherwise the message may yet arrive: its starts stay outstanding until the epoch ends.
-      machine.directAfter = now.plusSeconds(settings.workers().reportS());
+      machine.directAfter = now.plusSeconds(settings.workers().heartbeatIntervalS());
     }
     dispatch(machine);
   }
--- a/src/main/java/org/ternhinge/controller/CommandReachability.java
+++ b/src/main/java/org/ternhinge/controller/CommandReachability.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Whether answers and commands reach a worker. Its reports may arrive while these don't: then the
+ * Whether answers and commands reach a worker. Its heartbeats may arrive while these don't: then the
  * leader would count its lease from answers that were lost, place tasks there and wait for starts
  * that never show.
  */
@@ -21,7 +21,7 @@
   private SteadyTime probedAt;
 
   /**
-   * A later report shows no trace of the last answer.
+   * A later heartbeat shows no trace of the last answer.
    *
    * @param othersReachable whether enough other workers are reached, so that the fault is not this
    *     node's own; asked only where it decides, since it looks at every machine
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -14,7 +14,7 @@
 import org.ternhinge.state.StateStore;
 
 /**
- * One controller: takes users' requests and workers' reports, and leads while it holds the lease.
+ * One controller: takes users' requests and workers' heartbeats, and leads while it holds the lease.
  * Any node accepts jobs by itself, straight into the state service; cancellations and progress are
  * the leader's, and what the leader can't be asked is read from the state service.
  *
@@ -60,7 +60,7 @@
   private final SubmissionHandler submissions;
   private final JobQueries queries;
   private final JobCancellations cancellations;
-  private final WorkerReports reports;
+  private final HeartbeatHandler heartbeats;
 
   /**
    * Puts the parts of a controller together.
@@ -104,7 +104,7 @@
     LeaderSearch search = new LeaderSearch(role, peerClient, connectivity, others, clock, lock);
     this.queries = new JobQueries(role, peerClient, search, lookup);
     this.cancellations = new JobCancellations(role, peerClient, search, lookup, clock);
-    this.reports = new WorkerReports(role, peerClient, clock);
+    this.heartbeats = new HeartbeatHandler(role, peerClient, clock);
   }
 
   /** Begins to load what is needed and to stand for election. */
@@ -153,7 +153,7 @@
   private void route(Request request, boolean fromPeer, Consumer<Response> answer) {
     String path = request.path();
     if (path.equals(WORKERS_PATH)) {
-      only("POST", request, answer, () -> reports.take(request, fromPeer, answer));
+      only("POST", request, answer, () -> heartbeats.take(request, fromPeer, answer));
     } else if (path.equals(SUBMISSIONS_PATH)) {
       only(
           "POST",
--- a/src/main/java/org/ternhinge/controller/FleetLog.java
+++ b/src/main/java/org/ternhinge/controller/FleetLog.java
@@ -55,7 +55,7 @@
         machine.zoneName,
         machine.spot ? " spot" : "",
         attemptsByClass,
-        machine.reported ? "" : "not up ",
+        machine.heartbeatReceived ? "" : "not up ",
         machine.releasing ? "releasing " : "",
         snapshots.placeable(machine, now) ? "" : "closed");
   }
--- a/src/main/java/org/ternhinge/controller/FleetParts.java
+++ b/src/main/java/org/ternhinge/controller/FleetParts.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /** Builds the parts of a leadership that deal with machines and their workers. */
 final class FleetParts {
@@ -16,10 +16,10 @@
 
   final ZoneControl zones;
 
-  final ShownTasks shownTasks = new ShownTasks();
+  final ReportedTaskCounts reportedTaskCounts = new ReportedTaskCounts();
   final Rentals rentals;
   final AttemptLifecycle attempts;
-  final ReportProcessor reports;
+  final HeartbeatProcessor heartbeats;
   final MachineReleases releases;
   final MachineInventory inventory;
   final LeaseMonitor leaseMonitor;
@@ -35,25 +35,25 @@
     this.dispatcher =
         new CommandDispatcher(
             context.executor(),
-            this::takeReport,
+            this::takeHeartbeat,
             context.services(),
             context.authority(),
             context.ledger());
     this.attempts = attempts();
-    this.reports =
-        new ReportProcessor(
+    this.heartbeats =
+        new HeartbeatProcessor(
             context,
             observer(),
-            shownTasks,
+            reportedTaskCounts,
             attempts,
             rentals,
-            new ReportAnswers(context.ledger()),
+            new HeartbeatCommands(context.ledger()),
             bootTimes);
     this.removal =
         new MachineRemoval(
             context.machines(),
             context.ledger(),
-            shownTasks,
+            reportedTaskCounts,
             attempts,
             context.services().workers());
     this.releases = releases();
@@ -71,9 +71,9 @@
   }
 
   /** Answers to commands are reports too; the dispatcher is built before who takes them. */
-  private boolean takeReport(
-      Machine machine, WorkerReport report, boolean isReport, SteadyTime now) {
-    return reports.take(machine, report, isReport, now);
+  private boolean takeHeartbeat(
+      Machine machine, Heartbeat heartbeat, boolean isHeartbeat, SteadyTime now) {
+    return heartbeats.take(machine, heartbeat, isHeartbeat, now);
   }
 
   private TaskFailures failures() {
@@ -129,7 +129,7 @@
 
   private MachineInventory inventory() {
     TermAnnouncer announcer =
-        new TermAnnouncer(context.authority(), dispatcher, reports, context.services().clock());
+        new TermAnnouncer(context.authority(), dispatcher, heartbeats, context.services().clock());
     return new MachineInventory(
         context.services(),
         context.executor(),
@@ -149,7 +149,7 @@
         context.ledger(),
         context.machines(),
         attempts,
-        shownTasks,
+        reportedTaskCounts,
         dispatcher,
         new TermFence(context.authority(), context.writer(), context.machines()),
         context.rounds());
--- a/src/main/java/org/ternhinge/controller/ReportAnswers.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatCommands.java
@@ -6,40 +6,40 @@
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.TaskReport;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.wire.Heartbeat;
 
 /**
- * The commands that go with the answers to reports. A worker is told to forget an attempt only when
+ * The commands that go with the answers to heartbeats. A worker is told to forget an attempt only when
  * no start of it can come after: that would run the task again. Guarded by the controller's lock.
  */
-final class ReportAnswers {
+final class HeartbeatCommands {
   private static final int MAX_COMMANDS = CommandDispatcher.MAX_COMMANDS;
 
   private final Ledger ledger;
 
-  ReportAnswers(Ledger ledger) {
+  HeartbeatCommands(Ledger ledger) {
     this.ledger = ledger;
   }
 
   /**
-   * What a worker is to do, by its newest report. Stops come first: they are what must not be cut
+   * What a worker is to do, by its newest heartbeat. Stops come first: they are what must not be cut
    * off where there is more to tell than one answer carries.
    */
-  List<Command> commands(Machine machine, WorkerReport report) {
+  List<Command> commands(Machine machine, Heartbeat heartbeat) {
     List<Command> stops = new ArrayList<>();
     List<Command> forgets = new ArrayList<>();
-    addUnheld(machine, report, stops, forgets);
+    addUnheld(machine, heartbeat, stops, forgets);
     List<Command> starts = new ArrayList<>();
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
-      if (!attempt.epoch().equals(report.epoch())) {
+      if (!attempt.epoch().equals(heartbeat.epoch())) {
         continue;
       }
       if (attempt.stopping()) {
         addStop(attempt, stops);
       } else if (awaitsStart(attempt)
           && stops.size() + forgets.size() + starts.size() < MAX_COMMANDS) {
-        attempt.startAnswered(report.sequence());
+        attempt.startAnswered(heartbeat.sequence());
         starts.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
       }
     }
@@ -58,8 +58,8 @@
    * would run it.
    */
   private void addUnheld(
-      Machine machine, WorkerReport report, List<Command> stops, List<Command> forgets) {
-    for (TaskReport task : report.tasks()) {
+      Machine machine, Heartbeat heartbeat, List<Command> stops, List<Command> forgets) {
+    for (TaskStatus task : heartbeat.tasks()) {
       if (ledger.holds(task, machine.id)) {
         continue;
       }
@@ -71,12 +71,12 @@
     }
   }
 
-  private boolean isRecorded(TaskReport task) {
+  private boolean isRecorded(TaskStatus task) {
     Job job = ledger.job(task.task().job());
     return job == null || job.recorded(task.task().index());
   }
 
-  /** The stops that are due on a machine, whatever its report at hand shows. */
+  /** The stops that are due on a machine, whatever its heartbeat at hand shows. */
   List<Command> stops(Machine machine) {
     List<Command> stops = new ArrayList<>();
     for (Attempt attempt : ledger.attemptsOn(machine.id)) {
--- a/src/main/java/org/ternhinge/controller/WorkerReports.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatHandler.java
@@ -9,61 +9,61 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Redirect;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
- * Takes workers' reports. The leader answers them with commands; another node sends the worker
+ * Takes workers' heartbeats. The leader answers them with commands; another node sends the worker
  * there, or relays for one that can't reach the leader.
  */
-final class WorkerReports {
+final class HeartbeatHandler {
   /** Shorter than the time after which a worker drops the answer. */
   private static final double RELAY_TIMEOUT_S = 2.5;
 
   private final LeadershipRole role;
   private final PeerClient peers;
   private final Clock clock;
-  private final ReportRelay relay = new ReportRelay();
+  private final HeartbeatRelay relay = new HeartbeatRelay();
 
-  WorkerReports(LeadershipRole role, PeerClient peers, Clock clock) {
+  HeartbeatHandler(LeadershipRole role, PeerClient peers, Clock clock) {
     this.role = role;
     this.peers = peers;
     this.clock = clock;
   }
 
   /**
-   * Answers a report.
+   * Answers a heartbeat.
    *
    * @param fromPeer whether another node relays it; it is not relayed once more
    */
   void take(Request request, boolean fromPeer, Consumer<Response> answer) {
     try {
-      take(WorkerReport.read(request.body()), request, fromPeer, answer);
+      take(Heartbeat.read(request.body()), request, fromPeer, answer);
     } catch (WireException e) {
       answer.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
     }
   }
 
   private void take(
-      WorkerReport report, Request request, boolean fromPeer, Consumer<Response> answer) {
+      Heartbeat heartbeat, Request request, boolean fromPeer, Consumer<Response> answer) {
     Optional<Leadership> leadership = role.held();
     if (leadership.isPresent() && !leadership.get().ready()) {
       // Without the ledger a lease must not be renewed: a cancelled task might live on by it.
-      leadership.get().whenReady(() -> take(report, request, fromPeer, answer));
+      leadership.get().whenReady(() -> take(heartbeat, request, fromPeer, answer));
       return;
     }
-    if (leadership.isEmpty() || !answerAsLeader(leadership.get(), report, answer)) {
-      sendToLeader(report, request, fromPeer, answer);
+    if (leadership.isEmpty() || !answerAsLeader(leadership.get(), heartbeat, answer)) {
+      sendToLeader(heartbeat, request, fromPeer, answer);
     }
   }
 
   /** Answers with this leadership's commands; false where it may not, or has just ended. */
   private boolean answerAsLeader(
-      Leadership leadership, WorkerReport report, Consumer<Response> answer) {
+      Leadership leadership, Heartbeat heartbeat, Consumer<Response> answer) {
     boolean valid = role.isValid();
-    if (!role.mayAnswerWorkers() || !(valid || leadership.mayKeepAlive(report))) {
+    if (!role.mayAnswerWorkers() || !(valid || leadership.mayKeepAlive(heartbeat))) {
       return false;
     }
-    Optional<List<Command>> commands = leadership.report(report, valid);
+    Optional<List<Command>> commands = leadership.heartbeat(heartbeat, valid);
     if (role.held().isEmpty()) {
       // The report showed a higher term, which has ended the leadership.
       return false;
@@ -77,11 +77,11 @@
   }
 
   private void sendToLeader(
-      WorkerReport report, Request request, boolean fromPeer, Consumer<Response> answer) {
+      Heartbeat heartbeat, Request request, boolean fromPeer, Consumer<Response> answer) {
     Optional<String> leader = role.otherLeader();
     if (leader.isEmpty() || fromPeer) {
       answer.accept(Responses.busy());
-    } else if (relay.relays(report.machine(), clock.now())) {
+    } else if (relay.relays(heartbeat.machine(), clock.now())) {
       peers.askOrBusy(leader.get(), request, RELAY_TIMEOUT_S, answer);
     } else {
       Redirect redirect = new Redirect(leader.get());
--- a/src/main/java/org/ternhinge/controller/ReportProcessor.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
@@ -15,15 +15,15 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Takes in what workers report, in the order in which they sent it, and says what they are told. A
  * report that is older than what is known changes nothing, and one that shows the same tasks as the
  * last costs one comparison. Guarded by the controller's lock.
  */
-final class ReportProcessor implements ReportSink {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportProcessor.class);
+final class HeartbeatProcessor implements AgentStatusSink {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /**
    * A worker whose epoch ends at least so long before its lease was to end did not get the
@@ -53,16 +53,16 @@
   private final Authority authority;
   private final Ledger ledger;
   private final Rentals rentals;
-  private final ReportAnswers answers;
+  private final HeartbeatCommands answers;
   private final BootTimes bootTimes;
 
-  ReportProcessor(
+  HeartbeatProcessor(
       LeadershipContext context,
       AttemptObserver observer,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
       Rentals rentals,
-      ReportAnswers answers,
+      HeartbeatCommands answers,
       BootTimes bootTimes) {
     this.observer = observer;
     this.reportedTasks = reportedTasks;
@@ -80,47 +80,47 @@
   }
 
   /**
-   * Takes in a report and says what the worker is to do; empty where it must not be answered. An
+   * Takes in a heartbeat and says what the worker is to do; empty where it must not be answered. An
    * answer renews the lease of a worker that hears it, so there is none for what is held to be
-   * gone: such a report is a late copy, which nobody waits for, or shows that the evidence was
+   * gone: such a heartbeat is a late copy, which nobody waits for, or shows that the evidence was
    * wrong, and then the lease's end is what stops the tasks.
    */
-  Optional<List<Command>> report(WorkerReport report, boolean mayCommand) {
+  Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
     SteadyTime now = clock.now();
-    if (report.token().compareTo(authority.term()) > 0) {
-      authority.lost("a worker has seen term " + report.token());
+    if (heartbeat.token().compareTo(authority.term()) > 0) {
+      authority.lost("a worker has seen term " + heartbeat.token());
       return Optional.empty();
     }
-    if (machines.wasRemoved(report.machine())) {
+    if (machines.wasRemoved(heartbeat.machine())) {
       // A late copy: what is certainly gone must not come back to life by it.
       return Optional.empty();
     }
-    Machine machine = machines.findOrAdd(report.machine(), now);
+    Machine machine = machines.findOrAdd(heartbeat.machine(), now);
     if (machine.gone) {
       return Optional.empty();
     }
-    if (report.epoch().compareTo(machine.epoch) < 0 || isOver(report.epoch(), machine)) {
+    if (heartbeat.epoch().compareTo(machine.epoch) < 0 || isOver(heartbeat.epoch(), machine)) {
       // Held back by a cut, as a rule: the machine may be about to return, so it is kept for
       // longer.
       machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
       return Optional.empty();
     }
-    boolean fresh = take(machine, report, true, now);
+    boolean fresh = take(machine, heartbeat, true, now);
     if (!fresh) {
       // It was overtaken by an answer to a command, or is a copy: it was sent before that answer
       // was
       // taken in. What it shows is old, but a worker that hears this must not miss a stop by it.
-      machine.leaseEnds = leaseFrom(machine.lastReport).max(machine.leaseEnds);
+      machine.leaseEnds = leaseFrom(machine.lastHeartbeat).max(machine.leaseEnds);
       return Optional.of(mayCommand ? answers.stops(machine) : List.of());
     }
-    if (report.token().compareTo(authority.term()) < 0
+    if (heartbeat.token().compareTo(authority.term()) < 0
         && authority.term().equals(machine.answered)) {
       missedAnswer(machine, now);
     }
     machine.answered = authority.term();
     // The report was sent before now, so a lease counted from now ends no sooner than the worker's.
     machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
-    return Optional.of(mayCommand ? answers.commands(machine, report) : List.of());
+    return Optional.of(mayCommand ? answers.commands(machine, heartbeat) : List.of());
   }
 
   private static boolean isOver(AgentEpoch epoch, Machine machine) {
@@ -133,32 +133,32 @@
   }
 
   @Override
-  public boolean take(Machine machine, WorkerReport report, boolean isReport, SteadyTime now) {
-    int newer = report.epoch().compareTo(machine.epoch);
-    boolean old = newer < 0 || (newer == 0 && report.sequence() <= machine.sequence);
-    if (old || isOver(report.epoch(), machine)) {
+  public boolean take(Machine machine, Heartbeat heartbeat, boolean isHeartbeat, SteadyTime now) {
+    int newer = heartbeat.epoch().compareTo(machine.epoch);
+    boolean old = newer < 0 || (newer == 0 && heartbeat.sequence() <= machine.sequence);
+    if (old || isOver(heartbeat.epoch(), machine)) {
       return false;
     }
     if (newer > 0) {
-      beginEpoch(machine, report.epoch(), now);
+      beginEpoch(machine, heartbeat.epoch(), now);
     }
-    machine.sequence = report.sequence();
-    takeToken(machine, report);
-    takeAttributes(machine, report);
-    machine.lastReport = now;
-    if (!machine.reported) {
-      firstReport(machine, now);
+    machine.sequence = heartbeat.sequence();
+    takeToken(machine, heartbeat);
+    takeAttributes(machine, heartbeat);
+    machine.lastHeartbeat = now;
+    if (!machine.heartbeatReceived) {
+      firstHeartbeat(machine, now);
     }
-    takeEndpoint(machine, report);
-    if (report.noticeS() != null && machine.noticeAt == null) {
-      machine.noticeAt = now.plusSeconds(report.noticeS());
-      stopBeforeLoss(machine, report.noticeS());
+    takeEndpoint(machine, heartbeat);
+    if (heartbeat.noticeS() != null && machine.noticeAt == null) {
+      machine.noticeAt = now.plusSeconds(heartbeat.noticeS());
+      stopBeforeLoss(machine, heartbeat.noticeS());
     }
-    if (!machine.tasks.equals(report.tasks())) {
-      reportedTasks.show(machine, report.tasks());
-      observer.observeAll(machine, report, now);
+    if (!machine.tasks.equals(heartbeat.tasks())) {
+      reportedTasks.show(machine, heartbeat.tasks());
+      observer.observeAll(machine, heartbeat, now);
     }
-    if (observer.settleUnshown(machine, report, isReport)) {
+    if (observer.settleUnshown(machine, heartbeat, isHeartbeat)) {
       missedAnswer(machine, now);
     }
     return true;
@@ -182,28 +182,28 @@
     machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
   }
 
-  private static void takeToken(Machine machine, WorkerReport report) {
-    if (report.token().compareTo(machine.token) > 0) {
-      machine.token = report.token();
+  private static void takeToken(Machine machine, Heartbeat heartbeat) {
+    if (heartbeat.token().compareTo(machine.token) > 0) {
+      machine.token = heartbeat.token();
     }
-    machine.sawToken(report.token());
+    machine.sawToken(heartbeat.token());
   }
 
-  private void takeAttributes(Machine machine, WorkerReport report) {
-    if (report.type().equals(machine.type)
-        && report.zone().equals(machine.zoneName)
-        && machine.spot == report.spot()) {
+  private void takeAttributes(Machine machine, Heartbeat heartbeat) {
+    if (heartbeat.type().equals(machine.type)
+        && heartbeat.zone().equals(machine.zoneName)
+        && machine.spot == heartbeat.spot()) {
       return;
     }
-    machine.type = report.type();
-    machine.zoneName = report.zone();
-    machine.zone = settings.zones().indexOf(report.zone());
-    machine.spot = report.spot();
+    machine.type = heartbeat.type();
+    machine.zoneName = heartbeat.zone();
+    machine.zone = settings.zones().indexOf(heartbeat.zone());
+    machine.spot = heartbeat.spot();
     machine.view = null;
   }
 
-  private void firstReport(Machine machine, SteadyTime now) {
-    machine.reported = true;
+  private void firstHeartbeat(Machine machine, SteadyTime now) {
+    machine.heartbeatReceived = true;
     machine.view = null;
     if (machine.rentedAt != null && ledger.attemptsOn(machine.id).isEmpty()) {
       machine.idleSince = now;
@@ -213,19 +213,19 @@
     rounds.requestRound();
   }
 
-  private static void takeEndpoint(Machine machine, WorkerReport report) {
-    if (machine.endpoint != null && machine.endpointText.equals(report.endpoint())) {
+  private static void takeEndpoint(Machine machine, Heartbeat heartbeat) {
+    if (machine.endpoint != null && machine.endpointText.equals(heartbeat.endpoint())) {
       return;
     }
     try {
-      machine.endpoint = Endpoint.parse(report.endpoint());
-      machine.endpointText = report.endpoint();
+      machine.endpoint = Endpoint.parse(heartbeat.endpoint());
+      machine.endpointText = heartbeat.endpoint();
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {} reports no usable endpoint", machine.id);
+      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id);
     }
   }
 
-  /** A report shows no trace of what an answer before it has told. */
+  /** A heartbeat shows no trace of what an answer before it has told. */
   private void missedAnswer(Machine machine, SteadyTime now) {
     machine.reachability.answerMissed(now, this::othersReachable);
     if (machine.reachability.unreachable()) {
--- a/src/main/java/org/ternhinge/controller/ReportRelay.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatRelay.java
@@ -7,10 +7,10 @@
 
 /**
  * Tells which workers can't reach the leader. A worker that was sent there and is back soon found
- * nobody; its reports are relayed for a while, so that a cut between two zones does not cost it its
+ * nobody; its heartbeats are relayed for a while, so that a cut between two zones does not cost it its
  * lease while a third can reach both. Then it is sent to the leader again.
  */
-final class ReportRelay {
+final class HeartbeatRelay {
   /** A worker waits 4 s for an answer and 1 s before it tries the next node, of which few exist. */
   private static final double BACK_S = 12;
 
@@ -21,7 +21,7 @@
 
   private final Map<MachineId, Redirection> redirections = new HashMap<>();
 
-  /** Whether this report is to be relayed; otherwise the worker is taken to be redirected. */
+  /** Whether this heartbeat is to be relayed; otherwise the worker is taken to be redirected. */
   boolean relays(MachineId worker, SteadyTime now) {
     Redirection redirection = redirections.get(worker);
     if (redirection != null
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/controller/Leadership.java
@@ -23,7 +23,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * One leadership, from election to its end: builds the parts that schedule, starts them once the
@@ -49,7 +49,7 @@
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
   private final AttemptLifecycle attempts;
-  private final ReportProcessor reports;
+  private final HeartbeatProcessor heartbeats;
   private final LeaseMonitor leaseMonitor;
   private final UnusableMachineCheck unusableMachines;
   private final MachineInventory inventory;
@@ -86,7 +86,7 @@
     LeadershipContext context = context(services);
     FleetParts fleet = new FleetParts(context);
     this.attempts = fleet.attempts;
-    this.reports = fleet.reports;
+    this.heartbeats = fleet.heartbeats;
     this.inventory = fleet.inventory;
     this.leaseMonitor = fleet.leaseMonitor;
     this.unusableMachines = fleet.unusableMachines;
@@ -293,12 +293,12 @@
   }
 
   /** Whether a worker's lease may be renewed while no commands may be given. */
-  boolean mayKeepAlive(WorkerReport report) {
-    return leaseMonitor.mayRenewWithoutCommands(report);
+  boolean mayKeepAlive(Heartbeat heartbeat) {
+    return leaseMonitor.mayRenewWithoutCommands(heartbeat);
   }
 
-  /** Takes in a report and says what the worker is to do; empty where it must not be answered. */
-  Optional<List<Command>> report(WorkerReport report, boolean mayCommand) {
-    return reports.report(report, mayCommand);
+  /** Takes in a heartbeat and says what the worker is to do; empty where it must not be answered. */
+  Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
+    return heartbeats.heartbeat(heartbeat, mayCommand);
   }
 }
--- a/src/main/java/org/ternhinge/controller/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/controller/LeaseMonitor.java
@@ -10,8 +10,8 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskReport;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Watches what runs out: workers' leases, reservations of machines, and the time that stopped
@@ -54,14 +54,14 @@
    * it has to be stopped, for the lease's end is then what stops it. That is so for every open
    * attempt that is unwanted, and for every task shown that the ledger does not hold there.
    */
-  boolean mayRenewWithoutCommands(WorkerReport report) {
-    for (Attempt attempt : ledger.attemptsOn(report.machine())) {
+  boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
+    for (Attempt attempt : ledger.attemptsOn(heartbeat.machine())) {
       if (attempt.stopping() || attempt.job().cancelled()) {
         return false;
       }
     }
-    for (TaskReport task : report.tasks()) {
-      if (!task.ended() && !ledger.holds(task, report.machine())) {
+    for (TaskStatus task : heartbeat.tasks()) {
+      if (!task.ended() && !ledger.holds(task, heartbeat.machine())) {
         return false;
       }
     }
@@ -79,7 +79,7 @@
         continue;
       }
       if (machine.leaseEnds.isBefore(now)) {
-        // Also where only tasks without an attempt are shown: a report that was held back for long
+        // Also where only tasks without an attempt are shown: a heartbeat that was held back for long
         // may show them, and while they are shown they may start nowhere else.
         leaseOver(machine, List.copyOf(open));
       } else {
@@ -155,10 +155,10 @@
 
   /**
    * Whether a stop with time to save was not obeyed in time. Until a gang's tasks know that their
-   * peers are saving and a report shows it, some time more may pass.
+   * peers are saving and a heartbeat shows it, some time more may pass.
    */
   private boolean isOverdue(Attempt attempt, SteadyTime now) {
-    double allowedS = attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.reportS();
+    double allowedS = attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
     return attempt.stopping()
         && attempt.stopGraceS() > 0
         && now.secondsSince(attempt.stopAt()) > allowedS;
--- a/src/main/java/org/ternhinge/controller/Machine.java
+++ b/src/main/java/org/ternhinge/controller/Machine.java
@@ -18,10 +18,10 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 
 /**
- * What the leader knows of one machine: from its reports, from the cloud's lists, and of what it
+ * What the leader knows of one machine: from its heartbeats, from the cloud's lists, and of what it
  * was told. Attempts are not among it, they are the ledger's. Guarded by the controller's lock.
  *
  * <p>Whoever changes anything that the planner is shown sets {@link #view} to null.
@@ -44,7 +44,7 @@
   String zoneName;
   boolean spot;
 
-  /** Where it takes direct commands, or null before its first report. */
+  /** Where it takes direct commands, or null before its first heartbeat. */
   Endpoint endpoint;
 
   /** The endpoint as reported, to be compared without reading it again. */
@@ -64,9 +64,9 @@
   Term token = Term.NONE;
 
   /** Whether any message of it has come in this leadership. */
-  boolean reported;
+  boolean heartbeatReceived;
 
-  SteadyTime lastReport;
+  SteadyTime lastHeartbeat;
 
   /** Past this time the worker has killed what it ran, unless it was answered since. */
   SteadyTime leaseEnds;
@@ -100,11 +100,11 @@
   /** Whether what it is told reaches it. */
   final CommandReachability reachability = new CommandReachability();
 
-  /** The term that a report of it was last answered in, or null. */
+  /** The term that a heartbeat of it was last answered in, or null. */
   Term answered;
 
   /** Its tasks by its newest message. */
-  List<TaskReport> tasks = List.of();
+  List<TaskStatus> tasks = List.of();
 
   /** Counts its messages that were newer than all before. */
   long messages;
@@ -159,8 +159,8 @@
   }
 
   /** Key of an attempt among the outstanding starts. */
-  static String key(TaskReport report) {
-    return key(report.task(), report.attempt());
+  static String key(TaskStatus heartbeat) {
+    return key(heartbeat.task(), heartbeat.attempt());
   }
 
   /** Key of an attempt among the outstanding starts. */
--- a/src/main/java/org/ternhinge/controller/MachineInventory.java
+++ b/src/main/java/org/ternhinge/controller/MachineInventory.java
@@ -41,8 +41,8 @@
   /** Of the commands that may still go out, one in so many may tell workers of the term. */
   private static final int ANNOUNCEMENT_SHARE = 2;
 
-  /** Reports that a worker may owe a new leader before it is told of the term. */
-  private static final int REPORTS_AWAITED = 2;
+  /** Heartbeats that a worker may owe a new leader before it is told of the term. */
+  private static final int HEARTBEATS_AWAITED = 2;
 
   private final Settings settings;
   private final Tuning tuning;
@@ -165,7 +165,7 @@
   /**
    * Tells a worker of the term, if that is due. One in each zone is told as soon as it is listed:
    * an earlier leader that can't renew its lease goes on answering reports for a while, and its
-   * workers then stay with it. It steps down at the first report that shows this term.
+   * workers then stay with it. It steps down at the first heartbeat that shows this term.
    *
    * @param due whether workers may be told that have not found their way by themselves
    * @return whether it was told
@@ -186,7 +186,7 @@
    * to call hundreds of machines.
    */
   private int announcementsNow(SteadyTime now) {
-    double awaitedS = REPORTS_AWAITED * settings.workers().reportS();
+    double awaitedS = HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS();
     return now.secondsSince(electedAt) < awaitedS ? 0 : dispatcher.spare() / ANNOUNCEMENT_SHARE;
   }
 
--- a/src/main/java/org/ternhinge/controller/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/controller/MachineRegistry.java
@@ -10,7 +10,7 @@
 
 /**
  * The machines that one leadership knows, and the names of those that are certainly gone. A name
- * never comes back, so a late report or list that shows a removed machine can be told from a new
+ * never comes back, so a late heartbeat or list that shows a removed machine can be told from a new
  * one. Guarded by the controller's lock.
  */
 final class MachineRegistry {
--- a/src/main/java/org/ternhinge/controller/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/controller/MachineRemoval.java
@@ -7,7 +7,7 @@
 
 /**
  * Ends what ran on machines that are gone. The cloud's word is proof: nothing runs on a machine
- * that it calls failed or no longer lists, so its attempts may be closed without a report. Guarded
+ * that it calls failed or no longer lists, so its attempts may be closed without a heartbeat. Guarded
  * by the controller's lock.
  */
 final class MachineRemoval {
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -20,7 +20,7 @@
  * machine changes. Guarded by the controller's lock.
  */
 final class MachineViews {
-  /** A machine without a report for so long is not counted on. */
+  /** A machine without a heartbeat for so long is not counted on. */
   private static final double SILENT_S = 15;
 
   private final Settings settings;
@@ -51,7 +51,7 @@
   }
 
   private boolean isReady(Machine machine, SteadyTime now) {
-    return machine.reported
+    return machine.heartbeatReceived
         && machine.endpoint != null
         && machine.epoch.compareTo(machine.lastEndedEpoch) > 0
         && (machine.noRoomUntil == null || machine.noRoomUntil.isBefore(now))
@@ -59,9 +59,9 @@
         && !isOverdue(machine, settings.workers(), now);
   }
 
-  /** Whether a machine that has reported has missed reports since. */
+  /** Whether a machine that has reported has missed heartbeats since. */
   static boolean isOverdue(Machine machine, Settings.Workers workers, SteadyTime now) {
-    return now.secondsSince(machine.lastReport) >= workers.overdueS();
+    return now.secondsSince(machine.lastHeartbeat) >= workers.overdueS();
   }
 
   /**
@@ -97,8 +97,8 @@
 
   /** Whether a machine that is not ready is likely to be so before long. */
   private static boolean isExpected(Machine machine, Set<MachineId> late, SteadyTime now) {
-    return machine.reported
-        ? now.secondsSince(machine.lastReport) <= SILENT_S
+    return machine.heartbeatReceived
+        ? now.secondsSince(machine.lastHeartbeat) <= SILENT_S
         : !late.contains(machine.id);
   }
 
--- a/src/main/java/org/ternhinge/controller/PlanningParts.java
+++ b/src/main/java/org/ternhinge/controller/PlanningParts.java
@@ -42,7 +42,7 @@
         context.machines(),
         context.machineTypes(),
         snapshots,
-        fleet.shownTasks,
+        fleet.reportedTaskCounts,
         fleet.attempts,
         fleet.rentals,
         fleet.releases);
--- a/src/main/java/org/ternhinge/controller/Rentals.java
+++ b/src/main/java/org/ternhinge/controller/Rentals.java
@@ -204,7 +204,7 @@
       machine.spot = request.spot();
       machine.rentedAt = now;
     }
-    if (!machine.reported && machine.listedAt == null) {
+    if (!machine.heartbeatReceived && machine.listedAt == null) {
       rental.unseen.add(id);
     }
   }
--- a/src/main/java/org/ternhinge/controller/ShownTasks.java
+++ b/src/main/java/org/ternhinge/controller/ReportedTaskCounts.java
@@ -3,13 +3,13 @@
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.List;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * Counts on how many machines each task shows, by the difference between a machine's messages, so
- * that a report costs by what it changes. Guarded by the controller's lock.
+ * that a heartbeat costs by what it changes. Guarded by the controller's lock.
  */
-final class ShownTasks implements ReportedTasks {
+final class ReportedTaskCounts implements ReportedTasks {
   private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
 
   @Override
@@ -18,13 +18,13 @@
   }
 
   @Override
-  public void show(Machine machine, List<TaskReport> tasks) {
-    for (TaskReport task : machine.tasks) {
+  public void show(Machine machine, List<TaskStatus> tasks) {
+    for (TaskStatus task : machine.tasks) {
       if (!task.ended() && machinesByTask.addTo(task.task(), -1) <= 1) {
         machinesByTask.removeInt(task.task());
       }
     }
-    for (TaskReport task : tasks) {
+    for (TaskStatus task : tasks) {
       if (!task.ended()) {
         machinesByTask.addTo(task.task(), 1);
       }
--- a/src/main/java/org/ternhinge/controller/ReportedTasks.java
+++ b/src/main/java/org/ternhinge/controller/ReportedTasks.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * The tasks that machines say they run. A task that shows on a machine without an open attempt may
@@ -13,5 +13,5 @@
   boolean isShown(TaskId task);
 
   /** Replaces what a machine shows. */
-  void show(Machine machine, List<TaskReport> tasks);
+  void show(Machine machine, List<TaskStatus> tasks);
 }
--- a/src/main/java/org/ternhinge/controller/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/controller/SchedulingRounds.java
@@ -15,14 +15,14 @@
 
 /**
  * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans on it without the
- * lock, and carries the plan out under the lock. Planning takes too long to hold up reports and the
+ * lock, and carries the plan out under the lock. Planning takes too long to hold up heartbeats and the
  * renewal of the leadership. State is guarded by the controller's lock.
  */
 final class SchedulingRounds implements RoundTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /**
-   * A round is followed by a pause so many times as long: reports and the renewal of the leadership
+   * A round is followed by a pause so many times as long: heartbeats and the renewal of the leadership
    * come first. Planning then takes about one part in so many of the time, however large the fleet.
    */
   private static final double PAUSE_FACTOR = 15;
--- a/src/main/java/org/ternhinge/controller/SnapshotCache.java
+++ b/src/main/java/org/ternhinge/controller/SnapshotCache.java
@@ -86,13 +86,13 @@
    * time to. Before, work would be sent to places of last resort beside others not yet in sight.
    */
   private boolean settled(SteadyTime now) {
-    if (now.secondsSince(electedAt) > 2 * settings.workers().reportS()) {
+    if (now.secondsSince(electedAt) > 2 * settings.workers().heartbeatIntervalS()) {
       return true;
     }
     boolean listed = false;
     for (Machine machine : machines.all()) {
       listed |= machine.listedAt != null;
-      if (!machine.reported && (machine.listedUp || !ledger.attemptsOn(machine.id).isEmpty())) {
+      if (!machine.heartbeatReceived && (machine.listedUp || !ledger.attemptsOn(machine.id).isEmpty())) {
         return false;
       }
     }
--- a/src/main/java/org/ternhinge/controller/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/controller/TermAnnouncer.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.wire.HostInfo;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
 /**
@@ -24,14 +24,14 @@
 
   private final Authority authority;
   private final CommandDispatcher dispatcher;
-  private final ReportSink reports;
+  private final AgentStatusSink heartbeats;
   private final Clock clock;
 
   TermAnnouncer(
-      Authority authority, CommandDispatcher dispatcher, ReportSink reports, Clock clock) {
+      Authority authority, CommandDispatcher dispatcher, AgentStatusSink heartbeats, Clock clock) {
     this.authority = authority;
     this.dispatcher = dispatcher;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.clock = clock;
   }
 
@@ -41,7 +41,7 @@
    * @return whether it was told
    */
   boolean announce(Machine machine, HostInfo host) {
-    if (machine.reported || host.state() != HostInfo.State.RUNNING || host.endpoint() == null) {
+    if (machine.heartbeatReceived || host.state() != HostInfo.State.RUNNING || host.endpoint() == null) {
       return false;
     }
     Endpoint endpoint;
@@ -67,12 +67,12 @@
     if (!(outcome instanceof Outcome.Applied<Workers.Answer> applied)) {
       return;
     }
-    WorkerReport report = applied.value().report();
-    reports.take(machine, report, false, clock.now());
+    Heartbeat heartbeat = applied.value().heartbeat();
+    heartbeats.take(machine, heartbeat, false, clock.now());
     if (applied.value() instanceof Workers.Answer.Refused
-        && report.token().compareTo(authority.term()) <= 0
+        && heartbeat.token().compareTo(authority.term()) <= 0
         && triesLeft > 1) {
-      send(machine, endpoint, report.epoch(), triesLeft - 1);
+      send(machine, endpoint, heartbeat.epoch(), triesLeft - 1);
     }
   }
 }
--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
@@ -36,8 +36,8 @@
 
   private static final double UNHEARD_MARGIN_S = 45;
 
-  /** Reports that a worker may owe a new leader. */
-  private static final int REPORTS_AWAITED = 2;
+  /** Heartbeats that a worker may owe a new leader. */
+  private static final int HEARTBEATS_AWAITED = 2;
 
   /** Leases for which a machine may go without getting what it is told. */
   private static final double UNREACHABLE_LEASES = 2;
@@ -94,7 +94,7 @@
             machines.all(),
             settings.zones().size(),
             machine -> machine.zone,
-            machine -> machine.reported && !machine.gone,
+            machine -> machine.heartbeatReceived && !machine.gone,
             machine -> machine.leaseEnds.isBefore(now));
     boolean[] mostlySilent = new boolean[census.size()];
     for (int zone = 0; zone < mostlySilent.length; zone++) {
@@ -111,7 +111,7 @@
     }
     double leaseS = settings.workers().leaseS();
     double silenceAllowedS = leaseS * (zoneSilent ? ZONE_LEASES : 1);
-    if (machine.reported && machine.leaseEnds.plusSeconds(silenceAllowedS).isBefore(now)) {
+    if (machine.heartbeatReceived && machine.leaseEnds.plusSeconds(silenceAllowedS).isBefore(now)) {
       return "silent";
     }
     if (machine.reachability.unreachableFor(now) > UNREACHABLE_LEASES * leaseS) {
@@ -125,14 +125,14 @@
    * whichever leader rented it; but one that is up has to find a new leader first.
    */
   private boolean neverCameUp(Machine machine, MachineType type, SteadyTime now) {
-    if (machine.reported) {
+    if (machine.heartbeatReceived) {
       return false;
     }
     if (machine.listedUp) {
       double allowedS = Math.max(UNHEARD_FACTOR * type.bootS(), type.bootS() + UNHEARD_MARGIN_S);
       return now.secondsSince(machine.rentedAt.max(electedAt)) > allowedS;
     }
-    return now.secondsSince(electedAt) > REPORTS_AWAITED * settings.workers().reportS()
+    return now.secondsSince(electedAt) > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
         && bootTimes.isGivenUp(machine, now);
   }
 }
--- a/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
@@ -39,8 +39,8 @@
 final class ZoneCoordinator implements ZoneControl {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneCoordinator.class);
 
-  /** Reports that a worker may owe a new leader before it counts as impaired. */
-  private static final double FIRST_REPORTS_AWAITED = 4;
+  /** Heartbeats that a worker may owe a new leader before it counts as impaired. */
+  private static final double FIRST_HEARTBEATS_AWAITED = 4;
 
   /** Seconds for which nothing is placed while the record is still being read. */
   private static final double RECORD_AWAITED_S = 2;
@@ -78,7 +78,7 @@
     this.metricsLogged = clock.now();
     this.failover =
         new ZoneFailover(
-            failoverSettings.forReports(settings.workers().overdueS()),
+            failoverSettings.forHeartbeats(settings.workers().overdueS()),
             settings.zones(),
             settings.workers().leaseS(),
             settings.stateLimits().writeRps(),
@@ -220,12 +220,12 @@
 
     /** Whether a machine should report: one that the cloud takes away soon may fall silent. */
     private boolean isExpected(Machine machine) {
-      return stays(machine) && (machine.reported || (isFirstReportOverdue() && isInUse(machine)));
+      return stays(machine) && (machine.heartbeatReceived || (isFirstHeartbeatOverdue() && isInUse(machine)));
     }
 
     /** Whether a machine is up by all that is known and has not found this leader yet. */
     private boolean isUnheard(Machine machine) {
-      return stays(machine) && !machine.reported && !isFirstReportOverdue() && isInUse(machine);
+      return stays(machine) && !machine.heartbeatReceived && !isFirstHeartbeatOverdue() && isInUse(machine);
     }
 
     private boolean isInUse(Machine machine) {
@@ -236,13 +236,13 @@
       return !machine.gone && !machine.releasing && machine.noticeAt == null;
     }
 
-    private boolean isFirstReportOverdue() {
-      double awaitedS = FIRST_REPORTS_AWAITED * settings.workers().reportS();
+    private boolean isFirstHeartbeatOverdue() {
+      double awaitedS = FIRST_HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS();
       return now.secondsSince(context.electedAt()) > awaitedS;
     }
 
     private boolean isImpaired(Machine machine) {
-      return !machine.reported
+      return !machine.heartbeatReceived
           || MachineViews.isOverdue(machine, settings.workers(), now)
           || machine.reachability.unreachable();
     }
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -92,7 +92,7 @@
    * Creates a candidate that does not take part yet.
    *
    * @param node this node's name
-   * @param graceS how long reports may be answered past the end of validity, by {@link #grace}
+   * @param graceS how long heartbeats may be answered past the end of validity, by {@link #grace}
    * @param lock taken whenever an answer comes
    * @param random spreads the nodes' attempts, and tells this process from others of the same node
    */
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Whether a worker's report may be answered. An outage of the state service stops renewals while
+   * Whether a worker's heartbeat may be answered. An outage of the state service stops renewals while
    * nobody else can take over either; answering a while longer keeps running tasks alive. A new
    * leader adds the same while to its wait for silent workers, and workers that have heard a higher
    * term drop the answer.
@@ -152,9 +152,9 @@
   }
 
   /**
-   * How long reports may be answered past the end of validity. Nobody else can confirm a
+   * How long heartbeats may be answered past the end of validity. Nobody else can confirm a
    * cancellation before this leadership's lease has ended in the state service, which is after its
-   * validity has ended here; and a worker's tasks end a lease after the sending of the last report
+   * validity has ended here; and a worker's tasks end a lease after the sending of the last heartbeat
    * that was answered. So they are gone in time, whatever happens to the state service in between,
    * if
    *
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -165,12 +165,12 @@
     shownIn = message;
   }
 
-  /** Sequence of the report whose answer carried the start, or -1. */
+  /** Sequence of the heartbeat whose answer carried the start, or -1. */
   public long startAnswered() {
     return startAnswered;
   }
 
-  /** Notes the report whose answer carried the start. */
+  /** Notes the heartbeat whose answer carried the start. */
   public void startAnswered(long sequence) {
     startAnswered = sequence;
   }
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -18,7 +18,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * Jobs and their attempts: the only place where an attempt opens or closes. Whatever a policy asks,
@@ -107,7 +107,7 @@
   }
 
   /** Whether a task that a machine shows is an attempt open there. */
-  public boolean holds(TaskReport shown, MachineId machine) {
+  public boolean holds(TaskStatus shown, MachineId machine) {
     Job job = jobs.get(shown.task().job());
     Attempt attempt = job == null ? null : job.open(shown.task().index());
     return attempt != null
--- a/src/main/java/org/ternhinge/model/JobId.java
+++ b/src/main/java/org/ternhinge/model/JobId.java
@@ -6,7 +6,7 @@
   private static final int MOST_DIGITS = 20;
 
   /**
-   * {@code wk-} and one to twenty digits; by hand, for it is asked for each task of each report.
+   * {@code wk-} and one to twenty digits; by hand, for it is asked for each task of each heartbeat.
    */
   public static boolean isValid(String text) {
     if (text == null
@@ -34,7 +34,7 @@
     return value;
   }
 
-  // By hand, as in the other small types that are compared and looked up for each report: what the
+  // By hand, as in the other small types that are compared and looked up for each heartbeat: what the
   // compiler makes for a record goes through method handles, which the quick compiler that these
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -24,7 +24,7 @@
     }
   }
 
-  /** The answer to a report. */
+  /** The answer to a heartbeat. */
   public static byte[] answer(Term term, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
     out.beginObject();
--- a/src/main/java/org/ternhinge/wire/WorkerReport.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -12,11 +12,11 @@
 import org.ternhinge.model.Term;
 
 /**
- * A worker's report.
+ * A worker's heartbeat.
  *
  * @param noticeS seconds until the cloud takes the machine, or null
  */
-public record WorkerReport(
+public record Heartbeat(
     MachineId machine,
     String endpoint,
     String type,
@@ -26,30 +26,30 @@
     long sequence,
     Term token,
     Double noticeS,
-    List<TaskReport> tasks) {
+    List<TaskStatus> tasks) {
 
-  /** Reads a report. */
-  public static WorkerReport read(byte[] body) throws WireException {
+  /** Reads a heartbeat. */
+  public static Heartbeat read(byte[] body) throws WireException {
     try (JsonStreamReader in = new JsonStreamReader(body)) {
       in.beginObject();
-      WorkerReport report = read(in);
+      Heartbeat heartbeat = read(in);
       in.end();
-      return report;
+      return heartbeat;
     } catch (IOException e) {
       throw new WireException("not JSON");
     }
   }
 
-  private static WorkerReport read(JsonStreamReader in) throws IOException, WireException {
+  private static Heartbeat read(JsonStreamReader in) throws IOException, WireException {
     Fields fields = new Fields();
     for (String field = in.nextField(); field != null; field = in.nextField()) {
       fields.read(field, in);
     }
     fields.check();
-    return fields.report();
+    return fields.heartbeat();
   }
 
-  /** The fields of a report as they are read, in any order. */
+  /** The fields of a heartbeat as they are read, in any order. */
   private static final class Fields {
     private String machine;
     private String endpoint;
@@ -60,7 +60,7 @@
     private long sequence = -1;
     private long token = -1;
     private Double notice;
-    private List<TaskReport> tasks;
+    private List<TaskStatus> tasks;
 
     void read(String field, JsonStreamReader in) throws IOException, WireException {
       switch (field) {
@@ -90,8 +90,8 @@
       need(tasks != null, "verkbitar: a list is needed");
     }
 
-    WorkerReport report() {
-      return new WorkerReport(
+    Heartbeat heartbeat() {
+      return new Heartbeat(
           new MachineId(machine),
           endpoint,
           type,
@@ -105,16 +105,16 @@
     }
   }
 
-  private static List<TaskReport> tasks(JsonStreamReader in) throws IOException, WireException {
+  private static List<TaskStatus> tasks(JsonStreamReader in) throws IOException, WireException {
     in.beginList("verkbitar");
-    List<TaskReport> out = new ArrayList<>();
+    List<TaskStatus> out = new ArrayList<>();
     while (in.nextObject()) {
       out.add(task(in));
     }
     return List.copyOf(out);
   }
 
-  private static TaskReport task(JsonStreamReader in) throws IOException, WireException {
+  private static TaskStatus task(JsonStreamReader in) throws IOException, WireException {
     TaskId task = null;
     TaskState state = null;
     EndReason why = null;
@@ -137,7 +137,7 @@
     need(attempt >= 0, "tilraun: an integer is needed");
     need(state != null, "astand: a string is needed");
     need(state != TaskState.ENDED || why != null, "astaeda: needed for an ended task");
-    return new TaskReport(task, new AttemptNumber(attempt), state, why, saved);
+    return new TaskStatus(task, new AttemptNumber(attempt), state, why, saved);
   }
 
   private static void need(boolean holds, String otherwise) throws WireException {
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Writes the report as a worker does. */
+  /** Writes the heartbeat as a worker does. */
   public ObjectNode write() {
     ObjectNode out = Json.object();
     out.put("vel", machine.value()).put("endpoint", endpoint).put("velagerd", type);
@@ -156,14 +156,14 @@
       out.put("fyrirvari_s", noticeS);
     }
     ArrayNode list = out.putArray("verkbitar");
-    for (TaskReport report : tasks) {
+    for (TaskStatus heartbeat : tasks) {
       ObjectNode item = list.addObject();
-      item.put("verkbiti", report.task().toString()).put("tilraun", report.attempt().value());
-      item.put("astand", report.state().word());
-      if (report.why() != null) {
-        item.put("astaeda", report.why().word());
+      item.put("verkbiti", heartbeat.task().toString()).put("tilraun", heartbeat.attempt().value());
+      item.put("astand", heartbeat.state().word());
+      if (heartbeat.why() != null) {
+        item.put("astaeda", heartbeat.why().word());
       }
-      if (report.saved()) {
+      if (heartbeat.saved()) {
         item.put("saved", true);
       }
     }
--- a/src/main/java/org/ternhinge/wire/JsonStreamReader.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamReader.java
@@ -6,7 +6,7 @@
 
 /**
  * Reads a message token by token, for those that come by the hundred a second: building a tree of
- * each report first cost more than all that was then done with it.
+ * each heartbeat first cost more than all that was then done with it.
  */
 final class JsonStreamReader implements AutoCloseable {
   private final JsonParser parser;
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -6,7 +6,7 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Answers to reports
+ * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Answers to heartbeats
  * are written by the hundred a second; a tree of each would only be built to be thrown away.
  */
 final class JsonStreamWriter {
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -8,7 +8,7 @@
   SAVING("flushing"),
   ENDED("ended");
 
-  /** Kept, for {@link #values()} makes a new array each time and reports ask for each task. */
+  /** Kept, for {@link #values()} makes a new array each time and heartbeats ask for each task. */
   private static final TaskState[] ALL = values();
 
   private final String word;
--- a/src/main/java/org/ternhinge/wire/TaskReport.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -4,11 +4,11 @@
 import org.ternhinge.model.TaskId;
 
 /**
- * One task in a worker's report.
+ * One task in a worker's heartbeat.
  *
  * @param why null until the task has ended
  */
-public record TaskReport(
+public record TaskStatus(
     TaskId task, AttemptNumber attempt, TaskState state, EndReason why, boolean saved) {
 
   /** Whether the task has ended. */
@@ -16,12 +16,12 @@
     return state == TaskState.ENDED;
   }
 
-  // By hand, as in the other small types that are compared and looked up for each report: what the
+  // By hand, as in the other small types that are compared and looked up for each heartbeat: what the
   // compiler makes for a record goes through method handles, which the quick compiler that these
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
   public boolean equals(Object other) {
-    return other instanceof TaskReport t
+    return other instanceof TaskStatus t
         && t.state == state
         && t.why == why
         && t.saved == saved
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /** Direct commands over HTTP. */
 public final class HttpWorkers implements Workers {
@@ -40,8 +40,8 @@
   private static Outcome<Answer> decode(Reply reply) {
     try {
       return switch (reply.status()) {
-        case 200 -> Outcome.applied(new Answer.Executed(WorkerReport.read(reply.body())));
-        case 409 -> Outcome.applied(new Answer.Refused(WorkerReport.read(reply.body())));
+        case 200 -> Outcome.applied(new Answer.Executed(Heartbeat.read(reply.body())));
+        case 409 -> Outcome.applied(new Answer.Refused(Heartbeat.read(reply.body())));
         case 400 -> Outcome.notApplied(Reason.INVALID, "400");
         default -> Outcome.unknown("status " + reply.status());
       };
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -8,25 +8,25 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /** Direct commands to workers. */
 public interface Workers {
 
   /** What a worker said to commands. */
   sealed interface Answer {
-    /** The worker's report after the commands. */
-    WorkerReport report();
+    /** The worker's heartbeat after the commands. */
+    Heartbeat heartbeat();
 
-    /** The commands were carried out; the report was made after them. */
-    record Executed(WorkerReport report) implements Answer {}
+    /** The commands were carried out; the heartbeat was made after them. */
+    record Executed(Heartbeat heartbeat) implements Answer {}
 
     /** Nothing was carried out: the token or the epoch did not fit. */
-    record Refused(WorkerReport report) implements Answer {}
+    record Refused(Heartbeat heartbeat) implements Answer {}
   }
 
   /**
-   * Sends commands to a worker; none at all asks for a report only.
+   * Sends commands to a worker; none at all asks for a heartbeat only.
    *
    * @param maySend asked once more right before the commands leave, since the process may have
    *     stood still in between; called on any thread
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -4,7 +4,7 @@
  * What is seen of a zone's machines at one time.
  *
  * @param expected machines that should report
- * @param impaired of these, how many have missed reports or are not reached by commands
+ * @param impaired of these, how many have missed heartbeats or are not reached by commands
  * @param unheard machines that are in use and still have time for their first report to this leader
  */
 public record ZoneObservation(int expected, int impaired, int unheard) {
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -31,7 +31,7 @@
    *
    * @param teamCpus the limit of the only team
    */
-  record Site(List<String> zones, double reportS, double leaseS, double cancelS, double teamCpus) {
+  record Site(List<String> zones, double heartbeatIntervalS, double leaseS, double cancelS, double teamCpus) {
     /** Two zones and times as users have them. */
     static final Site USUAL = new Site(List.of("east", "west"), 3, 24, 44, 8);
   }
@@ -176,7 +176,7 @@
         .put("cpus", 4)
         .put("cpus_max", site.teamCpus());
     ObjectNode workers = deployment.putObject("workers");
-    workers.put("report_s", site.reportS()).put("lease_s", site.leaseS());
+    workers.put("report_s", site.heartbeatIntervalS()).put("lease_s", site.leaseS());
     workers.put("gang_wait_s", 30).put("gang_peer_s", 5).put("cancel_s", site.cancelS());
     deployment
         .putObject("state")
--- a/src/test/java/org/ternhinge/cli/LoopbackFleet.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackFleet.java
@@ -43,7 +43,7 @@
               site.timers(),
               site.history(),
               ports,
-              site.reportS(),
+              site.heartbeatIntervalS(),
               site.leaseS(),
               site.runS()));
     }
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -23,10 +23,10 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /** A machine with its worker on loopback sockets: epochs, tokens, leases and tasks. */
 final class LoopbackWorker implements AutoCloseable {
@@ -41,7 +41,7 @@
       ScheduledExecutorService timers,
       TaskHistory history,
       List<Integer> controllers,
-      double reportS,
+      double heartbeatIntervalS,
       double leaseS,
       double runS) {
     double now() {
@@ -62,7 +62,7 @@
   private final String zone;
   private final HttpServer server;
   private final int port;
-  private final Map<String, TaskReport> tasks = new LinkedHashMap<>();
+  private final Map<String, TaskStatus> tasks = new LinkedHashMap<>();
   private int epoch = 1;
   private long sequence;
   private long token;
@@ -81,7 +81,7 @@
     server.start();
     this.port = relay.forwardTo(server.getAddress().getPort());
     this.leaseFrom = site.now();
-    site.after(0, this::report);
+    site.after(0, this::heartbeat);
     site.after(LEASE_CHECK_S, this::checkLease);
   }
 
@@ -119,7 +119,7 @@
   }
 
   private void killAll() {
-    for (TaskReport task : List.copyOf(tasks.values())) {
+    for (TaskStatus task : List.copyOf(tasks.values())) {
       if (task.state() == TaskState.RUNNING) {
         site.history.left(task.task(), id.value(), false);
       }
@@ -129,8 +129,8 @@
 
   // ---- reports ----------------------------------------------------------------------------------
 
-  private synchronized WorkerReport reportNow() {
-    return new WorkerReport(
+  private synchronized Heartbeat heartbeatNow() {
+    return new Heartbeat(
         id,
         endpoint(),
         "small",
@@ -143,7 +143,7 @@
         List.copyOf(tasks.values()));
   }
 
-  private void report() {
+  private void heartbeat() {
     int inEpoch;
     byte[] body;
     synchronized (this) {
@@ -151,7 +151,7 @@
         return;
       }
       inEpoch = epoch;
-      body = Json.bytes(reportNow().write());
+      body = Json.bytes(heartbeatNow().write());
     }
     double sent = site.now();
     URI uri = URI.create("http://127.0.0.1:" + site.controllers.get(controller) + "/agent/beat");
@@ -167,7 +167,7 @@
   }
 
   private synchronized void answered(HttpResponse<byte[]> response, int inEpoch, double sent) {
-    double next = site.reportS;
+    double next = site.heartbeatIntervalS;
     try {
       if (response != null && response.statusCode() == 200) {
         if (inEpoch == epoch) {
@@ -179,7 +179,7 @@
     } catch (WireException e) {
       throw new IllegalStateException(e);
     }
-    site.after(next, this::report);
+    site.after(next, this::heartbeat);
   }
 
   /** Turns to the controller that an answer names, else to the next one. */
@@ -190,7 +190,7 @@
     }
     int next = (controller + 1) % site.controllers.size();
     controller = named.isEmpty() ? next : Integer.parseInt(named.substring(5));
-    return site.reportS / 4;
+    return site.heartbeatIntervalS / 4;
   }
 
   private void obey(JsonNode answer, double sent) throws WireException {
@@ -210,7 +210,7 @@
     byte[] answer;
     try {
       status = command(Json.parse(body)) ? 200 : 409;
-      answer = Json.bytes(reportNow().write());
+      answer = Json.bytes(heartbeatNow().write());
     } catch (WireException e) {
       throw new IOException(e);
     }
@@ -232,7 +232,7 @@
 
   private void run(Command command) {
     String key = command.task() + "#" + command.attempt();
-    TaskReport task = tasks.get(key);
+    TaskStatus task = tasks.get(key);
     switch (command.op()) {
       case START -> {
         if (task == null) {
@@ -255,11 +255,11 @@
   }
 
   private void set(String key, Command command, TaskState state, EndReason why) {
-    tasks.put(key, new TaskReport(command.task(), command.attempt(), state, why, false));
+    tasks.put(key, new TaskStatus(command.task(), command.attempt(), state, why, false));
   }
 
   private boolean isIn(String key, TaskState state, int inEpoch) {
-    TaskReport task = tasks.get(key);
+    TaskStatus task = tasks.get(key);
     return !closed && epoch == inEpoch && task != null && task.state() == state;
   }
 
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -82,14 +82,14 @@
   }
 
   /** A zone would be taken for well before its silent workers are found out. */
-  @ParameterizedTest(name = "{0} s where reports come every {1} s")
+  @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
-  void theTimeToSettleOutlastsTwoReports(double settleS, double reportS, double expected)
+  void theTimeToSettleOutlastsTwoHeartbeats(double settleS, double heartbeatIntervalS, double expected)
       throws SettingsException {
     ZoneFailoverSettings read =
         Tuning.read("zone_failover {\n settle_s = " + settleS + "\n}").zoneFailover().orElseThrow();
-    Settings.Workers workers = new Settings.Workers(reportS, 24, 30, 5, 44);
-    double used = read.forReports(workers.overdueS()).detection().settleS();
+    Settings.Workers workers = new Settings.Workers(heartbeatIntervalS, 24, 30, 5, 44);
+    double used = read.forHeartbeats(workers.overdueS()).detection().settleS();
     assertEquals(expected, used, 1e-9);
   }
 
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -18,7 +18,7 @@
    * the service is out for everybody for longer than a cancelled task may last, and workers hold to
    * one node.
    */
-  @ParameterizedTest(name = "{0} s refused, cancelled {1} s on, {2} s out, reports to {3}")
+  @ParameterizedTest(name = "{0} s refused, cancelled {1} s on, {2} s out, heartbeats to {3}")
   @CsvSource({
     "2, 0.05, 50, old",
     "2, 1, 50, follower",
@@ -68,7 +68,7 @@
     "20, 10, 70, new"
   })
   void theLeaderIsRefusedAloneAndThenEverybody(
-      double refusedS, double cancelledS, double outageS, String reportsTo) {
+      double refusedS, double cancelledS, double outageS, String heartbeatsTo) {
     for (long seed = 101; seed < 104; seed++) {
       begin(seed, MEDIUM);
       List<JobId> cancelled = submitJobsToCancel();
@@ -78,7 +78,7 @@
         assertTrue(cluster.tasks.runningTasks(id) > 0, id + " does not run");
       }
       double from = cluster.clock.seconds();
-      refuseTheLeader(refusedS, outageS, reportsTo);
+      refuseTheLeader(refusedS, outageS, heartbeatsTo);
       cluster.clock.after(cancelledS, () -> cancelled.forEach(users::cancel));
       double refusedFor = cluster.clock.seconds() - from;
       cluster.clock.after(
@@ -105,18 +105,18 @@
   }
 
   /** Has the leader refused and the workers reach one controller, until another one leads. */
-  private void refuseTheLeader(double refusedS, double outageS, String reportsTo) {
+  private void refuseTheLeader(double refusedS, double outageS, String heartbeatsTo) {
     int old = cluster.leader();
     double from = cluster.clock.seconds();
     cluster.stateFaults.refuse(old, refusedS);
     // The node that leads next is known only then; until then the workers keep to the old one.
     int follower = (old + 1) % cluster.nodeCount();
-    letWorkersReachOnly(reportsTo.equals("follower") ? follower : old, refusedS + outageS);
+    letWorkersReachOnly(heartbeatsTo.equals("follower") ? follower : old, refusedS + outageS);
     while (!anotherLeads(old) && cluster.clock.seconds() - from < refusedS) {
       cluster.clock.runFor(0.05);
     }
     assertTrue(refusedS < LONGEST_ELECTION_S || anotherLeads(old), "nobody else took over");
-    if (reportsTo.equals("new") && anotherLeads(old)) {
+    if (heartbeatsTo.equals("new") && anotherLeads(old)) {
       letWorkersReachOnly(cluster.leader(), refusedS + outageS);
     }
   }
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -58,7 +58,7 @@
     submit("wk-1", "batch", 160, 1, 8);
     run(40);
     var deaf = world.machineFaults.deafenSomeWorker(200);
-    // Its epoch lapses while its reports arrive; whatever is placed there would wait for ever.
+    // Its epoch lapses while its heartbeats arrive; whatever is placed there would wait for ever.
     submit("wk-2", "batch", 160, 1, 8);
     run(60);
     int sent = world.tasks.startsSentTo(deaf.id());
@@ -79,7 +79,7 @@
     JobId stays = submit("wk-1", "daemon", 4, 2, 0);
     run(60);
     assertEquals(4, world.tasks.runningTasks(stays));
-    // A report that is held back and comes late counts as a sign of life, and rightly so: the
+    // A heartbeat that is held back and comes late counts as a sign of life, and rightly so: the
     // answer
     // to it may have been heard in time. Whether one comes is the seed's luck, so here none does.
     world.networkFaults.cutsLose();
@@ -97,7 +97,7 @@
     run(120);
     List<MachineId> gone = world.goneMachines();
     assertTrue(!gone.isEmpty(), "idle machines are returned");
-    gone.forEach(world.machineFaults::repeatReport);
+    gone.forEach(world.machineFaults::repeatHeartbeat);
     // A service may not run on spot machines; the copies are of ordinary ones and of spot ones.
     JobId next = submit("wk-2", "batch", 4, 2, 5);
     double took = untilDone(next, 120);
@@ -172,7 +172,7 @@
     JobId stays = submit("wk-1", "daemon", 3, 2, 0);
     JobId array = submit("wk-2", "batch", 30, 1, 10);
     run(20);
-    world.machineFaults.copyReports(0.5, 40);
+    world.machineFaults.copyHeartbeats(0.5, 40);
     for (int i = 0; i < 12; i++) {
       for (int n = 0; n < 3; n++) {
         world.crash(n, 0.05 + world.nextInt(6) / 20.0);
@@ -232,7 +232,7 @@
     assertTrue(world.machinesMade() > 200, "only " + world.machinesMade() + " machines");
     long changes = world.counts.stateChanges();
     long orders = world.counts.commandCalls();
-    long reports = world.counts.reports();
+    long heartbeats = world.counts.heartbeats();
     run(60);
     assertTrue(
         world.counts.commandCalls() - orders < 60,
@@ -240,7 +240,7 @@
     assertTrue(
         world.counts.stateChanges() - changes < 400,
         "quiet, yet changes " + (world.counts.stateChanges() - changes));
-    assertTrue(world.counts.reports() - reports > 2000, "machines report");
+    assertTrue(world.counts.heartbeats() - heartbeats > 2000, "machines report");
     assertTrue(
         world.metrics.mostEvaluations() < 200_000, "a round of " + world.metrics.mostEvaluations());
     int starts = world.tasks.starts();
--- a/src/test/java/org/ternhinge/controller/FaultKind.java
+++ b/src/test/java/org/ternhinge/controller/FaultKind.java
@@ -10,9 +10,9 @@
   CONNECTION_CUTS,
   /** The state service refuses everybody for a while. */
   STATE_OUTAGES,
-  /** Machines' reports arrive, while nothing reaches them. */
+  /** Machines' heartbeats arrive, while nothing reaches them. */
   LOST_COMMANDS,
-  /** Reports arrive once more, late. */
+  /** Heartbeats arrive once more, late. */
   REPORT_COPIES,
   /** Controllers reach their workers only, neither the state service nor each other. */
   ISOLATED_CONTROLLERS,
@@ -20,14 +20,14 @@
   BASIC,
   /** Transactions without an answer are carried out seconds later. */
   LATE_WRITES,
-  /** Machines' reports are lost, while commands reach them. */
+  /** Machines' heartbeats are lost, while commands reach them. */
   LOST_REPORTS,
   /** Machines execute nothing for a while. */
   MACHINE_HANGS,
   /** The state service answers slowly. */
   SLOW_STATE_SERVICE,
-  /** Reports are held back and reach whoever leads by then. */
-  HELD_REPORTS,
+  /** Heartbeats are held back and reach whoever leads by then. */
+  HELD_HEARTBEATS,
   /** A zone with its controllers is cut off. */
   ZONE_CUTS,
   /** The state service refuses one leader after another. */
--- a/src/test/java/org/ternhinge/controller/GuestJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/GuestJobsTest.java
@@ -55,7 +55,7 @@
     cluster.run(25);
     long changes = cluster.world.counts.stateChanges();
     long commands = cluster.world.counts.commandCalls();
-    long reports = cluster.world.counts.reports();
+    long heartbeats = cluster.world.counts.heartbeats();
     JobId low = submit("wk-5", tasks, 0.25, runsS, "low");
     double start = cluster.world.clock.seconds();
     while (cluster.world.completedTasks(low) < tasks && cluster.world.clock.seconds() < 400) {
@@ -65,14 +65,14 @@
     assertEquals(tasks, cluster.world.completedTasks(low));
     double changesEach = (cluster.world.counts.stateChanges() - changes) / (double) tasks;
     double commandsEach = (cluster.world.counts.commandCalls() - commands) / (double) tasks;
-    double reportsEach = (cluster.world.counts.reports() - reports) / (double) tasks;
+    double heartbeatsEach = (cluster.world.counts.heartbeats() - heartbeats) / (double) tasks;
     String cost =
         String.format(
-            "a task costs %.3f changes, %.3f direct messages, %.3f reports; %.0f s for %d",
-            changesEach, commandsEach, reportsEach, seconds, tasks);
+            "a task costs %.3f changes, %.3f direct messages, %.3f heartbeats; %.0f s for %d",
+            changesEach, commandsEach, heartbeatsEach, seconds, tasks);
     assertTrue(changesEach < 0.4, cost);
     assertTrue(commandsEach < 1, cost);
-    assertTrue(reportsEach < 2, cost);
+    assertTrue(heartbeatsEach < 2, cost);
     cluster.nothingBroken();
   }
 }
--- a/src/test/java/org/ternhinge/controller/ReportRelayTest.java
+++ b/src/test/java/org/ternhinge/controller/HeartbeatRelayTest.java
@@ -7,8 +7,8 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** When a worker's report is relayed to the leader. */
-class ReportRelayTest {
+/** When a worker's heartbeat is relayed to the leader. */
+class HeartbeatRelayTest {
   private static final MachineId WORKER = new MachineId("n-1");
 
   @ParameterizedTest
@@ -18,10 +18,10 @@
     "'0 6 9 35', R---", // relayed for a while
     "'0 6 37', R-R", // then sent to the leader again
     "'0 6 37 43', R-R-", // still cut
-    "'0 60', RR" // a report much later says nothing of the leader
+    "'0 60', RR" // a heartbeat much later says nothing of the leader
   })
   void aWorkerThatComesBackSoonIsRelayed(String times, String expected) {
-    ReportRelay detours = new ReportRelay();
+    HeartbeatRelay detours = new HeartbeatRelay();
     StringBuilder seen = new StringBuilder();
     for (String t : times.split(" ", -1)) {
       SteadyTime at = new SteadyTime(0).plusSeconds(Double.parseDouble(t));
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -20,13 +20,13 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
- * An answer to a report renews the lease of the worker that hears it. None may go to a worker whose
+ * An answer to a heartbeat renews the lease of the worker that hears it. None may go to a worker whose
  * tasks are to end unless it carries the stop.
  */
 class KeepAliveTest {
@@ -45,17 +45,17 @@
     machine = world.tasks.machinesOf(job).get(0);
   }
 
-  private static WorkerReport with(
-      WorkerReport report, AgentEpoch epoch, long sequence, List<TaskReport> tasks) {
-    return new WorkerReport(
-        report.machine(),
-        report.endpoint(),
-        report.type(),
-        report.zone(),
-        report.spot(),
+  private static Heartbeat with(
+      Heartbeat heartbeat, AgentEpoch epoch, long sequence, List<TaskStatus> tasks) {
+    return new Heartbeat(
+        heartbeat.machine(),
+        heartbeat.endpoint(),
+        heartbeat.type(),
+        heartbeat.zone(),
+        heartbeat.spot(),
         epoch,
         sequence,
-        report.token(),
+        heartbeat.token(),
         null,
         tasks);
   }
@@ -66,16 +66,16 @@
   }
 
   /**
-   * A direct order's answer may overtake a report; the worker hears the report's answer all the
+   * A direct order's answer may overtake a heartbeat; the worker hears the heartbeat's answer all the
    * same.
    */
   @Test
-  void anAnswerToAnOvertakenReportCarriesTheStops() throws WireException {
-    WorkerReport last = world.lastReport(machine);
+  void anAnswerToAnOvertakenHeartbeatCarriesTheStops() throws WireException {
+    Heartbeat last = world.lastHeartbeat(machine);
     world.machineFaults.deafen(machine, 30);
     users.cancel(job);
     world.clock.runFor(2);
-    WorkerReport overtaken = with(last, last.epoch(), last.sequence() - 1, last.tasks());
+    Heartbeat overtaken = with(last, last.epoch(), last.sequence() - 1, last.tasks());
     List<Command> told = commands(world.answerTo(world.leader(), overtaken));
     assertTrue(
         told.stream().anyMatch(c -> c.op() == Command.Op.STOP && c.task().job().equals(job)),
@@ -85,8 +85,8 @@
   /** Epochs before the one known are over: whoever still waits for an answer must not get one. */
   @Test
   void anEarlierEpochIsNotKeptAlive() {
-    WorkerReport last = world.lastReport(machine);
-    WorkerReport next = with(last, new AgentEpoch(last.epoch().value() + 1), 1000, List.of());
+    Heartbeat last = world.lastHeartbeat(machine);
+    Heartbeat next = with(last, new AgentEpoch(last.epoch().value() + 1), 1000, List.of());
     assertEquals(200, world.answerTo(world.leader(), next).status());
     assertEquals(503, world.answerTo(world.leader(), last).status());
   }
@@ -99,13 +99,13 @@
     // Nobody can take over; a next leader would have it step down by the first worker it tells.
     world.stateFaults.outage(60);
     world.clock.runFor(8);
-    WorkerReport last = world.lastReport(machine);
-    List<TaskReport> tasks = new ArrayList<>(last.tasks());
+    Heartbeat last = world.lastHeartbeat(machine);
+    List<TaskStatus> tasks = new ArrayList<>(last.tasks());
     if (unknown) {
       TaskId task = new TaskId(new JobId("wk-999"), 0);
-      tasks.add(new TaskReport(task, new AttemptNumber(1), TaskState.RUNNING, null, false));
+      tasks.add(new TaskStatus(task, new AttemptNumber(1), TaskState.RUNNING, null, false));
     }
-    WorkerReport now = with(last, last.epoch(), last.sequence() + 1, tasks);
+    Heartbeat now = with(last, last.epoch(), last.sequence() + 1, tasks);
     assertEquals(status, world.answerTo(leader, now).status());
   }
 
@@ -115,8 +115,8 @@
     int leader = world.leader();
     world.networkFaults.cutOff(leader, 60);
     world.clock.runFor(10);
-    WorkerReport last = world.lastReport(machine);
-    WorkerReport now = with(last, last.epoch(), last.sequence() + 1, last.tasks());
+    Heartbeat last = world.lastHeartbeat(machine);
+    Heartbeat now = with(last, last.epoch(), last.sequence() + 1, last.tasks());
     assertEquals(503, world.answerTo(leader, now).status());
     assertEquals(2, world.tasks.runningTasks(job), "tasks that go on");
   }
--- a/src/test/java/org/ternhinge/controller/LeadershipParts.java
+++ b/src/test/java/org/ternhinge/controller/LeadershipParts.java
@@ -42,7 +42,7 @@
 import org.ternhinge.state.Txn;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.WireException;
 import org.ternhinge.worker.Workers;
 
@@ -83,7 +83,7 @@
     ControllerServices services = services(null);
     dispatcher =
         new CommandDispatcher(
-            executor, (machine, report, isReport, now) -> true, services, authority, ledger);
+            executor, (machine, heartbeat, isHeartbeat, now) -> true, services, authority, ledger);
     attempts =
         new AttemptLifecycle(
             ledger, writer, machines, dispatcher, () -> roundsRequested++, clock, ZoneControl.NONE);
@@ -138,8 +138,8 @@
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
     machine.epoch = new AgentEpoch(1);
     machine.endpoint = new Endpoint("10.0.1.1", 9000);
-    machine.reported = true;
-    machine.lastReport = clock.now();
+    machine.heartbeatReceived = true;
+    machine.lastHeartbeat = clock.now();
     machine.leaseEnds = clock.now().plusSeconds(WORKER_SETTINGS.leaseS());
     return machine;
   }
@@ -178,7 +178,7 @@
       }
 
       @Override
-      public void show(Machine machine, List<TaskReport> tasks) {
+      public void show(Machine machine, List<TaskStatus> tasks) {
         machine.tasks.forEach(task -> shown.remove(task.task()));
         tasks.forEach(task -> shown.put(task.task(), 1));
         machine.tasks = tasks;
--- a/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
@@ -17,9 +17,9 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /** Leases that run out, and whom an answer may keep alive. */
 class LeaseMonitorTest {
@@ -38,8 +38,8 @@
   private final Machine machine = parts.machine("n-1");
   private final Job job = parts.job(Specs.json("wk-1", "batch", 2));
 
-  private TaskReport running(TaskId task, AttemptNumber number) {
-    return new TaskReport(task, number, TaskState.RUNNING, null, false);
+  private TaskStatus running(TaskId task, AttemptNumber number) {
+    return new TaskStatus(task, number, TaskState.RUNNING, null, false);
   }
 
   /** Room that was kept for a job which went elsewhere must come back, and be planned with. */
@@ -68,7 +68,7 @@
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.lastEndedEpoch);
   }
 
-  /** A late report may have shown tasks that nobody knows; they must not block starts for ever. */
+  /** A late heartbeat may have shown tasks that nobody knows; they must not block starts for ever. */
   @Test
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
@@ -78,7 +78,7 @@
     assertFalse(reportedTasks.isShown(unknown));
   }
 
-  /** Time to save, to learn of the peers' saving, and to report: 3 + 5 + 2 seconds. */
+  /** Time to save, to learn of the peers' saving, and to heartbeat: 3 + 5 + 2 seconds. */
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
   void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
@@ -108,8 +108,8 @@
       parts.ledger.cancel(job);
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
-    WorkerReport report =
-        new WorkerReport(
+    Heartbeat heartbeat =
+        new Heartbeat(
             machine.id,
             "10.0.1.1:9000",
             "small",
@@ -120,7 +120,7 @@
             new Term(1),
             null,
             List.of(running(task, attempt.number())));
-    assertEquals(mayRenew, monitor.mayRenewWithoutCommands(report));
+    assertEquals(mayRenew, monitor.mayRenewWithoutCommands(heartbeat));
   }
 
   /** A machine with nothing on it and no lease costs nothing and loses nothing. */
--- a/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
@@ -108,7 +108,7 @@
         removal,
         parts.dispatcher,
         new TermAnnouncer(
-            parts.authority, parts.dispatcher, (m, report, isReport, now) -> true, parts.clock),
+            parts.authority, parts.dispatcher, (m, heartbeat, isHeartbeat, now) -> true, parts.clock),
         rounds,
         parts.now());
   }
--- a/src/test/java/org/ternhinge/controller/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/controller/MachineRegistryTest.java
@@ -28,7 +28,7 @@
     assertEquals(leaseEnd, first.leaseEnds);
   }
 
-  /** A late copy of a report must not bring a machine back that is certainly gone. */
+  /** A late copy of a heartbeat must not bring a machine back that is certainly gone. */
   @Test
   void aRemovedMachineIsRemembered() {
     registry.findOrAdd(FIRST, NOW);
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -26,10 +26,10 @@
       basic(FaultKind.BASIC);
     }
     lateWrites();
-    lostReports();
+    lostHeartbeats();
     hangs();
     slowStateService();
-    heldReports();
+    heldHeartbeats();
     zoneCuts();
     refusedLeaders(step);
     partedZones();
@@ -61,7 +61,7 @@
       cluster.machineFaults.deafenSomeWorker(seconds(5, 50));
     }
     if (which.includesBasic(FaultKind.REPORT_COPIES) && oneIn(10)) {
-      cluster.machineFaults.copyReports(0.3, seconds(5, 20));
+      cluster.machineFaults.copyHeartbeats(0.3, seconds(5, 20));
     }
     if (which.includesBasic(FaultKind.ISOLATED_CONTROLLERS) && oneIn(10)) {
       cluster.networkFaults.cutOff(someController(), seconds(5, 50));
@@ -91,7 +91,7 @@
     }
   }
 
-  private void lostReports() {
+  private void lostHeartbeats() {
     if (kind.includes(FaultKind.LOST_REPORTS) && oneIn(6)) {
       cluster.machineFaults.muteSomeWorker(seconds(5, 50));
     }
@@ -117,11 +117,11 @@
     }
   }
 
-  private void heldReports() {
-    if (kind.includes(FaultKind.HELD_REPORTS) && oneIn(4)) {
-      cluster.machineFaults.holdReport(seconds(3, 50));
+  private void heldHeartbeats() {
+    if (kind.includes(FaultKind.HELD_HEARTBEATS) && oneIn(4)) {
+      cluster.machineFaults.holdHeartbeat(seconds(3, 50));
     }
-    boolean refusesLeader = kind == FaultKind.HELD_REPORTS || kind == FaultKind.SLOW_STATE_SERVICE;
+    boolean refusesLeader = kind == FaultKind.HELD_HEARTBEATS || kind == FaultKind.SLOW_STATE_SERVICE;
     if (refusesLeader && oneIn(15)) {
       cluster.stateFaults.refuse(Math.max(0, cluster.leader()), 8);
     }
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -9,15 +9,15 @@
 
 /** Machines that cannot be reached or are not heard, over changes of leader, on virtual time. */
 class UnreachableMachinesTest extends CombinedFaultsFixture {
-  /** A report of an earlier epoch reaches a leader that has never heard of the machine. */
+  /** A heartbeat of an earlier epoch reaches a leader that has never heard of the machine. */
   @ParameterizedTest(name = "held for {0} s")
   @CsvSource({"9", "15", "25", "40"})
-  void aLateReportOfAnEarlierEpochAtANewLeader(double heldS) {
+  void aLateHeartbeatOfAnEarlierEpochAtANewLeader(double heldS) {
     begin(131, SimCluster.SMALL);
     JobId stays = submit(job("wk-1", "daemon", 4, 0));
     run(60);
     for (SimWorker worker : cluster.workersOf(stays)) {
-      cluster.machineFaults.holdReport(worker.id(), heldS);
+      cluster.machineFaults.holdHeartbeat(worker.id(), heldS);
     }
     cluster.clock.runFor(4);
     cluster.machineFaults.cutSomeWorkerWith(stays, 35);
@@ -27,7 +27,7 @@
     assertRunning(4, stays);
   }
 
-  /** Reports get nowhere, commands get in; a cancelled task must not live on. */
+  /** Heartbeats get nowhere, commands get in; a cancelled task must not live on. */
   @ParameterizedTest(name = "mute {0} s, cancelled after {1} s, leader crashes: {2}")
   @CsvSource({
     "20, 1, false",
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -114,7 +114,7 @@
     }
     run(40);
     if (!trouble.equals("leader")) {
-      cluster.machineFaults.copyReports(trouble.equals("none") ? 0 : 0.5, 80);
+      cluster.machineFaults.copyHeartbeats(trouble.equals("none") ? 0 : 0.5, 80);
     }
     cutFirst(30);
     cluster.clock.runFor(endsAfterS);
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -96,7 +96,7 @@
       case 3 -> cluster.networkFaults.cutZone(ZONES.get(1 + cluster.nextInt(2)), seconds);
       case 4 -> cluster.crash(Math.max(0, cluster.leader()), oneIn(2) ? 0.3 : 5);
       case 5 -> cluster.networkFaults.cutWorkers(cluster.nextInt(3), seconds);
-      case 6 -> cluster.machineFaults.copyReports(0.3, seconds);
+      case 6 -> cluster.machineFaults.copyHeartbeats(0.3, seconds);
       case 7 -> cluster.stateFaults.lateWrites(0.3, seconds);
       case 8 -> cluster.stateFaults.slowState(seconds, 0.8);
       case 9 -> cluster.stateFaults.refuse(Math.max(0, cluster.leader()), seconds);
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ModelTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
 
 /** The small types: what they parse, how they compare, what they refuse. */
@@ -76,8 +76,8 @@
         for (int index = 0; index < 2; index++) {
           TaskId task = new TaskId(new JobId("wk-" + n), index);
           all.add(task);
-          all.addAll(reports(task, false));
-          all.addAll(reports(task, true));
+          all.addAll(heartbeats(task, false));
+          all.addAll(heartbeats(task, true));
         }
       }
       alike.add(all);
@@ -94,11 +94,11 @@
     }
   }
 
-  private static List<TaskReport> reports(TaskId task, boolean saved) {
+  private static List<TaskStatus> heartbeats(TaskId task, boolean saved) {
     return List.of(
-        new TaskReport(task, new AttemptNumber(5), TaskState.RUNNING, null, saved),
-        new TaskReport(task, new AttemptNumber(6), TaskState.RUNNING, null, saved),
-        new TaskReport(task, new AttemptNumber(5), TaskState.ENDED, EndReason.DONE, saved),
-        new TaskReport(task, new AttemptNumber(5), TaskState.ENDED, EndReason.ERROR, saved));
+        new TaskStatus(task, new AttemptNumber(5), TaskState.RUNNING, null, saved),
+        new TaskStatus(task, new AttemptNumber(6), TaskState.RUNNING, null, saved),
+        new TaskStatus(task, new AttemptNumber(5), TaskState.ENDED, EndReason.DONE, saved),
+        new TaskStatus(task, new AttemptNumber(5), TaskState.ENDED, EndReason.ERROR, saved));
   }
 }
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -16,7 +16,7 @@
   /** How long a worker's tasks outlive its last answered report, in seconds. */
   static final double LEASE_S = 24;
 
-  /** Interval of a worker's reports, in seconds. */
+  /** Interval of a worker's heartbeats, in seconds. */
   static final double REPORT_S = 3;
 
   /** A cancelled job's tasks have to be gone after so many seconds. */
--- a/src/test/java/org/ternhinge/sim/ReportHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -7,10 +7,10 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
-/** The last report of each machine, and the late copies of reports that the network delivers. */
-final class ReportHistory {
+/** The last heartbeat of each machine, and the late copies of heartbeats that the network delivers. */
+final class HeartbeatHistory {
   /** Copies are from one second to one second and so many leases late. */
   private static final double LATEST_LEASES = 2.5;
 
@@ -19,7 +19,7 @@
   private double copyShare;
   private SteadyTime copyUntil;
 
-  ReportHistory(SimCluster cluster) {
+  HeartbeatHistory(SimCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -29,28 +29,28 @@
     copyUntil = cluster.clock.now().plusSeconds(seconds);
   }
 
-  /** A machine sends a report, of which a copy may arrive later. */
-  void sent(MachineId from, byte[] report) {
-    cluster.counts.report();
-    last.put(from, report);
+  /** A machine sends a heartbeat, of which a copy may arrive later. */
+  void sent(MachineId from, byte[] heartbeat) {
+    cluster.counts.heartbeat();
+    last.put(from, heartbeat);
     boolean copies = copyUntil != null && !copyUntil.isBefore(cluster.clock.now());
     if (copies && cluster.random.nextDouble() < copyShare) {
       double late = 1 + cluster.random.nextDouble() * LATEST_LEASES * ClusterSettings.LEASE_S;
       int to = cluster.random.nextInt(cluster.nodeCount());
-      cluster.clock.after(late, () -> cluster.deliver(to, request(report), answer -> {}));
+      cluster.clock.after(late, () -> cluster.deliver(to, request(heartbeat), answer -> {}));
     }
   }
 
-  /** A copy of a machine's last report reaches every controller. */
+  /** A copy of a machine's last heartbeat reaches every controller. */
   void repeatLast(MachineId id) {
     for (int i = 0; i < cluster.nodeCount(); i++) {
       cluster.deliver(i, request(last.get(id)), answer -> {});
     }
   }
 
-  WorkerReport last(MachineId id) {
+  Heartbeat last(MachineId id) {
     try {
-      return WorkerReport.read(last.get(id));
+      return Heartbeat.read(last.get(id));
     } catch (WireException e) {
       throw new IllegalStateException(e);
     }
@@ -62,7 +62,7 @@
   }
 
   /** The request that brings a report to a controller. */
-  static Request request(byte[] report) {
-    return new Request("POST", "/agent/beat", report);
+  static Request request(byte[] heartbeat) {
+    return new Request("POST", "/agent/beat", heartbeat);
   }
 }
--- a/src/test/java/org/ternhinge/sim/ReportResponses.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
@@ -8,11 +8,11 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Reads what controllers answer to a worker's report; an unreadable answer is a failed test. */
-final class ReportResponses {
+/** Reads what controllers answer to a worker's heartbeat; an unreadable answer is a failed test. */
+final class HeartbeatResponses {
   private static final String NODE_PREFIX = "node-";
 
-  private ReportResponses() {}
+  private HeartbeatResponses() {}
 
   /** The number of the controller that a redirect names, if it names one. */
   static OptionalInt redirectedTo(byte[] redirect) {
--- a/src/test/java/org/ternhinge/sim/ReportTarget.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
@@ -1,14 +1,14 @@
 package org.ternhinge.sim;
 
 /** The controller that a worker reports to, and how answers move it on to another. */
-final class ReportTarget {
+final class HeartbeatTarget {
   private static final double NEXT_NODE_S = 1;
   private static final double REDIRECT_S = 0.2;
 
   private final int controllers;
   private int controller;
 
-  ReportTarget(int controllers, int first) {
+  HeartbeatTarget(int controllers, int first) {
     this.controllers = controllers;
     this.controller = first;
   }
@@ -17,15 +17,15 @@
     return controller;
   }
 
-  /** Turns to the next controller, and gives the seconds to the next report. */
+  /** Turns to the next controller, and gives the seconds to the next heartbeat. */
   double next() {
     controller = (controller + 1) % controllers;
     return NEXT_NODE_S;
   }
 
-  /** Turns to the controller that a redirect names, and gives the seconds to the next report. */
+  /** Turns to the controller that a redirect names, and gives the seconds to the next heartbeat. */
   double follow(byte[] redirect) {
-    int named = ReportResponses.redirectedTo(redirect).orElse(controller);
+    int named = HeartbeatResponses.redirectedTo(redirect).orElse(controller);
     if (named == controller) {
       return next();
     }
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -11,7 +11,7 @@
 
 /**
  * Faults of machines and of the ways to and from them: cuts, lost commands, lost reports, hangs,
- * restarts, and reports that arrive late or once more.
+ * restarts, and heartbeats that arrive late or once more.
  */
 public final class MachineFaults {
   private final SimCluster cluster;
@@ -19,7 +19,7 @@
   /** Apart from the cluster's own, so that a seed means the same days with and without faults. */
   private final RandomGenerator random;
 
-  /** Machines whose next report is held back, and for how long. */
+  /** Machines whose next heartbeat is held back, and for how long. */
   private final Map<MachineId, Double> toHold = new HashMap<>();
 
   private final Map<String, SteadyTime> zonesCutUntil = new HashMap<>();
@@ -114,7 +114,7 @@
 
   // ---- lost commands and lost reports ---------------------------------------------------------
 
-  /** Some machine's reports arrive, while nothing reaches it. */
+  /** Some machine's heartbeats arrive, while nothing reaches it. */
   public SimWorker deafenSomeWorker(double seconds) {
     SimWorker worker = someWorker(cluster.random);
     if (worker != null) {
@@ -123,19 +123,19 @@
     return worker;
   }
 
-  /** A machine's reports arrive, while nothing reaches it. */
+  /** A machine's heartbeats arrive, while nothing reaches it. */
   public void deafen(MachineId id, double seconds) {
     cluster.workers.get(id).deafUntil = in(seconds);
   }
 
-  /** Reports of all machines of a job reach no controller, while direct commands reach them. */
+  /** Heartbeats of all machines of a job reach no controller, while direct commands reach them. */
   public void muteWorkersOf(JobId id, double seconds) {
     for (SimWorker worker : cluster.workersOf(id)) {
       worker.muteUntil = in(seconds);
     }
   }
 
-  /** Reports of a share of all machines reach no controller. */
+  /** Heartbeats of a share of all machines reach no controller. */
   public void muteWorkers(double share, double seconds) {
     for (SimWorker worker : cluster.liveWorkers()) {
       if (random.nextDouble() < share) {
@@ -174,44 +174,44 @@
     return hung;
   }
 
-  // ---- late reports and copies ----------------------------------------------------------------
+  // ---- late heartbeats and copies ----------------------------------------------------------------
 
-  /** Some machine's next report is held back and then reaches whoever leads by then. */
-  public void holdReport(double seconds) {
+  /** Some machine's next heartbeat is held back and then reaches whoever leads by then. */
+  public void holdHeartbeat(double seconds) {
     SimWorker worker = someWorker(random);
     if (worker != null) {
-      holdReport(worker.id(), seconds);
+      holdHeartbeat(worker.id(), seconds);
     }
   }
 
-  /** A machine's next report is held back and then reaches whoever leads by then. */
-  public void holdReport(MachineId id, double seconds) {
+  /** A machine's next heartbeat is held back and then reaches whoever leads by then. */
+  public void holdHeartbeat(MachineId id, double seconds) {
     toHold.put(id, seconds);
   }
 
-  /** Whether a report is held back; it is delivered when its time has come. */
-  boolean heldBack(MachineId id, byte[] report) {
+  /** Whether a heartbeat is held back; it is delivered when its time has come. */
+  boolean heldBack(MachineId id, byte[] heartbeat) {
     Double seconds = toHold.remove(id);
     if (seconds == null) {
       return false;
     }
-    cluster.clock.after(seconds, () -> deliverLate(report));
+    cluster.clock.after(seconds, () -> deliverLate(heartbeat));
     return true;
   }
 
-  private void deliverLate(byte[] report) {
+  private void deliverLate(byte[] heartbeat) {
     int leader = cluster.leader();
     int to = leader >= 0 ? leader : random.nextInt(cluster.nodeCount());
-    cluster.deliver(to, ReportHistory.request(report), answer -> {});
+    cluster.deliver(to, HeartbeatHistory.request(heartbeat), answer -> {});
   }
 
   /** For a while a share of all reports arrives once more, from a second to leases late. */
-  public void copyReports(double share, double seconds) {
-    cluster.reportHistory.copy(share, seconds);
+  public void copyHeartbeats(double share, double seconds) {
+    cluster.heartbeatHistory.copy(share, seconds);
   }
 
-  /** A copy of a machine's last report reaches every controller. */
-  public void repeatReport(MachineId id) {
-    cluster.reportHistory.repeatLast(id);
+  /** A copy of a machine's last heartbeat reaches every controller. */
+  public void repeatHeartbeat(MachineId id) {
+    cluster.heartbeatHistory.repeatLast(id);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -6,7 +6,7 @@
 
 /** Counts of messages and calls since the cluster began, by which tests bound the work done. */
 public final class MessageCounts {
-  private long reports;
+  private long heartbeats;
   private long commandCalls;
   private long commandCallsUnderWay;
   private long mostCommandCallsAtOnce;
@@ -18,8 +18,8 @@
   private int leaderships;
   private long commandsOfOldTerms;
 
-  void report() {
-    reports++;
+  void heartbeat() {
+    heartbeats++;
   }
 
   void commandCallBegan() {
@@ -72,9 +72,9 @@
     return stateReads;
   }
 
-  /** Reports that workers sent. */
-  public long reports() {
-    return reports;
+  /** Heartbeats that workers sent. */
+  public long heartbeats() {
+    return heartbeats;
   }
 
   /** Direct commands that controllers sent to workers. */
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -21,7 +21,7 @@
 import org.ternhinge.state.Change;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Controllers with simulated machines, cloud, state service and network around them, in virtual
@@ -99,7 +99,7 @@
   final SimNetwork network;
   final TreeMap<MachineId, SimWorker> workers = new TreeMap<>();
   final SimStock stock = new SimStock(this);
-  final ReportHistory reportHistory = new ReportHistory(this);
+  final HeartbeatHistory heartbeatHistory = new HeartbeatHistory(this);
   final JobCatalog jobs = new JobCatalog();
   final RuleViolations violations = new RuleViolations();
   final QuotaCheck quota;
@@ -284,8 +284,8 @@
   }
 
   /** Brings a report to a controller; the answer is null where none comes within a second. */
-  public Response answerTo(int index, WorkerReport report) {
-    return answerTo(index, "POST", "/agent/beat", Json.bytes(report.write()));
+  public Response answerTo(int index, Heartbeat heartbeat) {
+    return answerTo(index, "POST", "/agent/beat", Json.bytes(heartbeat.write()));
   }
 
   /** Brings a request to a controller; the answer is null where none comes within a second. */
@@ -385,12 +385,12 @@
 
   /** Machines that have reported and are gone. */
   public List<MachineId> goneMachines() {
-    return reportHistory.machines().stream().filter(id -> !isLive(id)).toList();
+    return heartbeatHistory.machines().stream().filter(id -> !isLive(id)).toList();
   }
 
   /** What a machine has reported last. */
-  public WorkerReport lastReport(MachineId id) {
-    return reportHistory.last(id);
+  public Heartbeat lastHeartbeat(MachineId id) {
+    return heartbeatHistory.last(id);
   }
 
   // ---- rules ----------------------------------------------------------------------------------
--- a/src/test/java/org/ternhinge/sim/SimTask.java
+++ b/src/test/java/org/ternhinge/sim/SimTask.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.TaskReport;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
 
 /** One attempt of a task on a simulated machine, until it is cleared. */
@@ -50,7 +50,7 @@
     why = reason;
   }
 
-  TaskReport report() {
-    return new TaskReport(id, attempt, state, why, false);
+  TaskStatus heartbeat() {
+    return new TaskStatus(id, attempt, state, why, false);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -17,8 +17,8 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskReport;
-import org.ternhinge.wire.WorkerReport;
+import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
 /** A machine with its worker as the protocol has it: epochs, tokens, leases and tasks. */
@@ -26,7 +26,7 @@
   /** Time of an image fetch. */
   private static final double FETCH_S = 1;
 
-  /** Reports go out at most once in so long upon changes. */
+  /** Heartbeats go out at most once in so long upon changes. */
   private static final double REPORT_GAP_S = 0.5;
 
   private static final double REPORT_TIMEOUT_S = 4;
@@ -47,8 +47,8 @@
   private Term token = Term.NONE;
   final SteadyTime startedAt;
   private SteadyTime leaseFrom;
-  private final ReportTarget target;
-  private int reports;
+  private final HeartbeatTarget target;
+  private int heartbeats;
   private boolean dead;
 
   /** Whether every task fails here. */
@@ -57,10 +57,10 @@
   /** Until then nothing passes in either direction. */
   SteadyTime cutUntil;
 
-  /** Until then its reports arrive, but no answer and no command reaches it. */
+  /** Until then its heartbeats arrive, but no answer and no command reaches it. */
   SteadyTime deafUntil;
 
-  /** Until then its reports reach nobody, while commands reach it. */
+  /** Until then its heartbeats reach nobody, while commands reach it. */
   SteadyTime muteUntil;
 
   SimWorker(SimCluster cluster, MachineId id, MachineType machineType, String zone, boolean spot) {
@@ -71,11 +71,11 @@
     this.spot = spot;
     this.hang = new MachineHang(cluster.clock);
     this.target =
-        new ReportTarget(cluster.nodeCount(), cluster.random.nextInt(cluster.nodeCount()));
+        new HeartbeatTarget(cluster.nodeCount(), cluster.random.nextInt(cluster.nodeCount()));
     this.startedAt = cluster.clock.now();
     this.leaseFrom = startedAt;
     watchLease();
-    report();
+    heartbeat();
   }
 
   /** The name of its machine. */
@@ -127,7 +127,7 @@
     hang.end();
     checkLease();
     hang.runDeferred();
-    report();
+    heartbeat();
   }
 
   /** The machine is gone for good. */
@@ -187,19 +187,19 @@
   // ---- reports --------------------------------------------------------------------------------
 
   private void changed() {
-    int before = reports;
+    int before = heartbeats;
     cluster.clock.after(
         REPORT_GAP_S,
         () -> {
-          if (!dead && !hung() && reports == before) {
-            report();
+          if (!dead && !hung() && heartbeats == before) {
+            heartbeat();
           }
         });
   }
 
-  private WorkerReport reportNow() {
-    List<TaskReport> shown = tasks.values().stream().map(SimTask::report).toList();
-    return new WorkerReport(
+  private Heartbeat heartbeatNow() {
+    List<TaskStatus> shown = tasks.values().stream().map(SimTask::heartbeat).toList();
+    return new Heartbeat(
         id,
         endpoint(),
         machineType.name(),
@@ -212,15 +212,15 @@
         shown);
   }
 
-  private void report() {
+  private void heartbeat() {
     if (dead || hung()) {
       return;
     }
-    int number = ++reports;
+    int number = ++heartbeats;
     int inEpoch = epoch;
     SteadyTime sent = cluster.clock.now();
-    byte[] body = Json.bytes(reportNow().write());
-    cluster.reportHistory.sent(id, body);
+    byte[] body = Json.bytes(heartbeatNow().write());
+    cluster.heartbeatHistory.sent(id, body);
     AsyncCalls.whenAnswered(send(body), outcome -> answered(outcome, inEpoch, sent, number));
   }
 
@@ -241,7 +241,7 @@
         to ->
             cluster.deliver(
                 controller,
-                ReportHistory.request(body),
+                HeartbeatHistory.request(body),
                 response -> {
                   answerLeaves(response, answerIsLost);
                   if (!answerIsLost) {
@@ -250,12 +250,12 @@
                 }));
   }
 
-  /** A controller has answered a report; a lost answer's commands were sent all the same. */
+  /** A controller has answered a heartbeat; a lost answer's commands were sent all the same. */
   private void answerLeaves(Response response, boolean lost) {
     if (response.status() != 200) {
       return;
     }
-    List<Command> commands = ReportResponses.commands(response.body());
+    List<Command> commands = HeartbeatResponses.commands(response.body());
     cluster.events.commandsLeave(id, commands);
     if (lost) {
       cluster.tasks.sent(id, commands);
@@ -286,17 +286,17 @@
     cluster.clock.after(
         next,
         () -> {
-          if (reports == number) {
-            report();
+          if (heartbeats == number) {
+            heartbeat();
           }
         });
   }
 
   // ---- commands -------------------------------------------------------------------------------
 
-  /** Takes in an answer to a report: its token, its renewal of the lease and its commands. */
+  /** Takes in an answer to a heartbeat: its token, its renewal of the lease and its commands. */
   private void obey(byte[] body, SteadyTime sent) {
-    Term answered = ReportResponses.token(body);
+    Term answered = HeartbeatResponses.token(body);
     if (answered.compareTo(token) < 0) {
       return;
     }
@@ -305,7 +305,7 @@
       changed();
     }
     leaseFrom = sent;
-    ReportResponses.commands(body).forEach(this::run);
+    HeartbeatResponses.commands(body).forEach(this::run);
   }
 
   /** A direct command arrives, perhaps long after it was sent. */
@@ -319,12 +319,12 @@
       return;
     }
     if (term.compareTo(token) < 0 || to.value() != epoch) {
-      answer.accept(Outcome.applied(new Workers.Answer.Refused(reportNow())));
+      answer.accept(Outcome.applied(new Workers.Answer.Refused(heartbeatNow())));
       return;
     }
     token = term;
     commands.forEach(this::run);
-    answer.accept(Outcome.applied(new Workers.Answer.Executed(reportNow())));
+    answer.accept(Outcome.applied(new Workers.Answer.Executed(heartbeatNow())));
   }
 
   private void run(Command command) {
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -31,7 +31,7 @@
     this.checks = checks;
   }
 
-  /** Commands leave a controller, as a direct message or in an answer to a report. */
+  /** Commands leave a controller, as a direct message or in an answer to a heartbeat. */
   void commandsLeave(MachineId to, List<Command> commands) {
     cancellations.sent(to, commands);
     dependencyCheck.sent(commands);
--- a/src/test/java/org/ternhinge/wire/WorkerReportTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -16,10 +16,10 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-/** Reports: what is read, what is refused, and how they are written. */
-class WorkerReportTest {
-  private static final WorkerReport FULL =
-      new WorkerReport(
+/** Heartbeats: what is read, what is refused, and how they are written. */
+class HeartbeatTest {
+  private static final Heartbeat FULL =
+      new Heartbeat(
           new MachineId("n-000231"),
           "10.1.0.232:9000",
           "g8",
@@ -34,9 +34,9 @@
               task(4, TaskState.ENDED, EndReason.NO_ROOM, false),
               task(5, TaskState.ENDED, EndReason.STOPPED, true)));
 
-  private static TaskReport task(int index, TaskState state, EndReason why, boolean saved) {
+  private static TaskStatus task(int index, TaskState state, EndReason why, boolean saved) {
     TaskId id = TaskId.parse("wk-000412/" + index);
-    return new TaskReport(id, new AttemptNumber(2), state, why, saved);
+    return new TaskStatus(id, new AttemptNumber(2), state, why, saved);
   }
 
   private static ObjectNode change(ObjectNode in, String field, String value) throws WireException {
@@ -79,7 +79,7 @@
 
   @Test
   void readsWhatItWrites() throws WireException {
-    assertEquals(FULL, WorkerReport.read(Json.bytes(FULL.write())));
+    assertEquals(FULL, Heartbeat.read(Json.bytes(FULL.write())));
   }
 
   @Test
@@ -88,9 +88,9 @@
     change(json, "new", "{\"verkbitar\":[{\"vel\":1}],\"vakt\":[[]]}");
     change((ObjectNode) json.get("verkbitar").get(0), "new", "[1,{\"astand\":\"x\"}]");
     change((ObjectNode) json.get("verkbitar").get(0), "astaeda", "null");
-    assertEquals(FULL, WorkerReport.read(Json.bytes(json)));
+    assertEquals(FULL, Heartbeat.read(Json.bytes(json)));
     change(json, "fyrirvari_s", "null");
-    assertEquals(null, WorkerReport.read(Json.bytes(json)).noticeS());
+    assertEquals(null, Heartbeat.read(Json.bytes(json)).noticeS());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
@@ -118,7 +118,7 @@
   void saysWhatIsWrong(String field, String value, String why) throws WireException {
     byte[] body = Json.bytes(change(FULL.write(), field, value));
     assertEquals(
-        why, assertThrows(WireException.class, () -> WorkerReport.read(body)).getMessage());
+        why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
@@ -134,23 +134,23 @@
         "astaeda | null | astaeda: needed for an ended task"
       })
   void saysWhatIsWrongWithATask(String field, String value, String why) throws WireException {
-    ObjectNode report = FULL.write();
-    change((ObjectNode) report.get("verkbitar").get(1), field, value);
-    byte[] body = Json.bytes(report);
+    ObjectNode heartbeat = FULL.write();
+    change((ObjectNode) heartbeat.get("verkbitar").get(1), field, value);
+    byte[] body = Json.bytes(heartbeat);
     assertEquals(
-        why, assertThrows(WireException.class, () -> WorkerReport.read(body)).getMessage());
+        why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", " ", "[]", "3", "null", "{", "{\"vel\"", "{\"vel\":\"n\",}", "{]"})
-  void whatIsNoReportIsRefused(String text) {
+  void whatIsNoHeartbeatIsRefused(String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    assertThrows(WireException.class, () -> WorkerReport.read(body));
+    assertThrows(WireException.class, () -> Heartbeat.read(body));
   }
 
   @Test
   void nothingMayFollow() {
     byte[] body = (FULL.write() + " {}").getBytes(StandardCharsets.UTF_8);
-    assertThrows(WireException.class, () -> WorkerReport.read(body));
+    assertThrows(WireException.class, () -> Heartbeat.read(body));
   }
 }
