--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/controller/AttemptObserver.java
@@ -135,7 +135,7 @@
       return false;
     }
     if (attempt.recovered()) {
-      if (heartbeat.token().compareTo(authority.term()) >= 0) {
+      if (heartbeat.fencingToken().compareTo(authority.term()) >= 0) {
         attempts.close(attempt, false, "never arrived or is gone");
       }
       return false;
--- a/src/main/java/org/ternhinge/controller/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/controller/CommandDispatcher.java
@@ -209,8 +209,8 @@
     SteadyTime now = clock.now();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
       Heartbeat heartbeat = applied.value().heartbeat();
-      if (heartbeat.token().compareTo(authority.term()) > 0) {
-        authority.lost("a worker has seen term " + heartbeat.token());
+      if (heartbeat.fencingToken().compareTo(authority.term()) > 0) {
+        authority.lost("a worker has seen term " + heartbeat.fencingToken());
         return;
       }
       settleOutstandingStarts(machine, epoch, commands);
--- a/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
@@ -87,8 +87,8 @@
    */
   Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
     SteadyTime now = clock.now();
-    if (heartbeat.token().compareTo(authority.term()) > 0) {
-      authority.lost("a worker has seen term " + heartbeat.token());
+    if (heartbeat.fencingToken().compareTo(authority.term()) > 0) {
+      authority.lost("a worker has seen term " + heartbeat.fencingToken());
       return Optional.empty();
     }
     if (machines.wasRemoved(heartbeat.machine())) {
@@ -113,7 +113,7 @@
       machine.leaseEnds = leaseFrom(machine.lastHeartbeat).max(machine.leaseEnds);
       return Optional.of(mayCommand ? answers.stops(machine) : List.of());
     }
-    if (heartbeat.token().compareTo(authority.term()) < 0
+    if (heartbeat.fencingToken().compareTo(authority.term()) < 0
         && authority.term().equals(machine.answered)) {
       missedAnswer(machine, now);
     }
@@ -143,7 +143,7 @@
       beginEpoch(machine, heartbeat.epoch(), now);
     }
     machine.sequence = heartbeat.sequence();
-    takeToken(machine, heartbeat);
+    takeFencingToken(machine, heartbeat);
     takeAttributes(machine, heartbeat);
     machine.lastHeartbeat = now;
     if (!machine.heartbeatReceived) {
@@ -182,11 +182,11 @@
     machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
   }
 
-  private static void takeToken(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.token().compareTo(machine.token) > 0) {
-      machine.token = heartbeat.token();
+  private static void takeFencingToken(Machine machine, Heartbeat heartbeat) {
+    if (heartbeat.fencingToken().compareTo(machine.fencingToken) > 0) {
+      machine.fencingToken = heartbeat.fencingToken();
     }
-    machine.sawToken(heartbeat.token());
+    machine.observeFencingToken(heartbeat.fencingToken());
   }
 
   private void takeAttributes(Machine machine, Heartbeat heartbeat) {
--- a/src/main/java/org/ternhinge/controller/Machine.java
+++ b/src/main/java/org/ternhinge/controller/Machine.java
@@ -61,7 +61,7 @@
   long sequence = -1;
 
   /** The highest term that the worker has shown. */
-  Term token = Term.NONE;
+  Term fencingToken = Term.NONE;
 
   /** Whether any message of it has come in this leadership. */
   boolean heartbeatReceived;
@@ -184,8 +184,8 @@
     fence = raised;
   }
 
-  /** The worker has shown a token: starts that it refuses from now on are outstanding no more. */
-  void sawToken(Term shown) {
+  /** The worker has shown a fencing token: starts that it refuses from now on are outstanding no more. */
+  void observeFencingToken(Term shown) {
     if (fencedStarts.isEmpty() || shown.compareTo(fence) < 0) {
       return;
     }
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -55,7 +55,7 @@
         && machine.endpoint != null
         && machine.epoch.compareTo(machine.lastEndedEpoch) > 0
         && (machine.noRoomUntil == null || machine.noRoomUntil.isBefore(now))
-        && machine.token.equals(authority.term())
+        && machine.fencingToken.equals(authority.term())
         && !isOverdue(machine, settings.workers(), now);
   }
 
--- a/src/main/java/org/ternhinge/controller/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/controller/TermAnnouncer.java
@@ -70,7 +70,7 @@
     Heartbeat heartbeat = applied.value().heartbeat();
     heartbeats.take(machine, heartbeat, false, clock.now());
     if (applied.value() instanceof Workers.Answer.Refused
-        && heartbeat.token().compareTo(authority.term()) <= 0
+        && heartbeat.fencingToken().compareTo(authority.term()) <= 0
         && triesLeft > 1) {
       send(machine, endpoint, heartbeat.epoch(), triesLeft - 1);
     }
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -24,7 +24,7 @@
     boolean spot,
     AgentEpoch epoch,
     long sequence,
-    Term token,
+    Term fencingToken,
     Double noticeS,
     List<TaskStatus> tasks) {
 
@@ -58,7 +58,7 @@
     private Boolean spot;
     private long epoch = -1;
     private long sequence = -1;
-    private long token = -1;
+    private long fencingToken = -1;
     private Double notice;
     private List<TaskStatus> tasks;
 
@@ -71,7 +71,7 @@
         case "lanvelar" -> spot = in.flag(field);
         case "vakt" -> epoch = in.count(field);
         case "raodnumer" -> sequence = in.count(field);
-        case "valdmerki" -> token = in.count(field);
+        case "valdmerki" -> fencingToken = in.count(field);
         case "fyrirvari_s" -> notice = in.isNull() ? null : (Double) in.amount(field);
         case "verkbitar" -> tasks = tasks(in);
         default -> in.skip();
@@ -86,7 +86,7 @@
       need(spot != null, "lanvelar: true or false is needed");
       need(epoch >= 0, "vakt: an integer is needed");
       need(sequence >= 0, "raodnumer: an integer is needed");
-      need(token >= 0, "valdmerki: an integer is needed");
+      need(fencingToken >= 0, "valdmerki: an integer is needed");
       need(tasks != null, "verkbitar: a list is needed");
     }
 
@@ -99,7 +99,7 @@
           spot,
           new AgentEpoch(epoch),
           sequence,
-          new Term(token),
+          new Term(fencingToken),
           notice,
           tasks);
     }
@@ -151,7 +151,7 @@
     ObjectNode out = Json.object();
     out.put("vel", machine.value()).put("endpoint", endpoint).put("velagerd", type);
     out.put("svaedi", zone).put("lanvelar", spot).put("vakt", epoch.value());
-    out.put("raodnumer", sequence).put("valdmerki", token.value());
+    out.put("raodnumer", sequence).put("valdmerki", fencingToken.value());
     if (noticeS != null) {
       out.put("fyrirvari_s", noticeS);
     }
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -21,7 +21,7 @@
     /** The commands were carried out; the heartbeat was made after them. */
     record Executed(Heartbeat heartbeat) implements Answer {}
 
-    /** Nothing was carried out: the token or the epoch did not fit. */
+    /** Nothing was carried out: the fencing token or the epoch did not fit. */
     record Refused(Heartbeat heartbeat) implements Answer {}
   }
 
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -65,7 +65,7 @@
   private final Map<String, TaskStatus> tasks = new LinkedHashMap<>();
   private int epoch = 1;
   private long sequence;
-  private long token;
+  private long fencingToken;
   private double leaseFrom;
   private int controller;
   private boolean closed;
@@ -138,7 +138,7 @@
         false,
         new AgentEpoch(epoch),
         ++sequence,
-        new Term(token),
+        new Term(fencingToken),
         null,
         List.copyOf(tasks.values()));
   }
@@ -195,8 +195,8 @@
 
   private void obey(JsonNode answer, double sent) throws WireException {
     long term = Json.count(answer, "valdmerki");
-    if (term >= token) {
-      token = term;
+    if (term >= fencingToken) {
+      fencingToken = term;
       leaseFrom = sent;
       Command.read(answer).forEach(this::run);
     }
@@ -222,10 +222,10 @@
 
   private synchronized boolean command(JsonNode message) throws WireException {
     long term = Json.count(message, "valdmerki");
-    if (closed || term < token || Json.count(message, "vakt") != epoch) {
+    if (closed || term < fencingToken || Json.count(message, "vakt") != epoch) {
       return false;
     }
-    token = term;
+    fencingToken = term;
     Command.read(message).forEach(this::run);
     return true;
   }
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -55,7 +55,7 @@
         heartbeat.spot(),
         epoch,
         sequence,
-        heartbeat.token(),
+        heartbeat.fencingToken(),
         null,
         tasks);
   }
--- a/src/test/java/org/ternhinge/controller/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/controller/TermFenceTest.java
@@ -73,7 +73,7 @@
     machine.outstandingStarts.put(Machine.key(attempt), 1);
     fence.raise(parts.now());
     parts.clock.runFor(0.1);
-    machine.sawToken(new Term(shown));
+    machine.observeFencingToken(new Term(shown));
     assertEquals(outstanding, machine.outstandingStarts.getInt(Machine.key(attempt)));
   }
 }
--- a/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
@@ -23,7 +23,7 @@
   }
 
   /** The term that an answer carries. */
-  static Term token(byte[] answer) {
+  static Term fencingToken(byte[] answer) {
     try {
       return new Term(Json.count(parse(answer), "valdmerki"));
     } catch (WireException e) {
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -44,7 +44,7 @@
   private final MachineHang hang;
   private int epoch = 1;
   private long sequence;
-  private Term token = Term.NONE;
+  private Term fencingToken = Term.NONE;
   final SteadyTime startedAt;
   private SteadyTime leaseFrom;
   private final HeartbeatTarget target;
@@ -207,7 +207,7 @@
         spot,
         new AgentEpoch(epoch),
         ++sequence,
-        token,
+        fencingToken,
         null,
         shown);
   }
@@ -296,12 +296,12 @@
 
   /** Takes in an answer to a heartbeat: its token, its renewal of the lease and its commands. */
   private void obey(byte[] body, SteadyTime sent) {
-    Term answered = HeartbeatResponses.token(body);
-    if (answered.compareTo(token) < 0) {
+    Term answered = HeartbeatResponses.fencingToken(body);
+    if (answered.compareTo(fencingToken) < 0) {
       return;
     }
-    if (answered.compareTo(token) > 0) {
-      token = answered;
+    if (answered.compareTo(fencingToken) > 0) {
+      fencingToken = answered;
       changed();
     }
     leaseFrom = sent;
@@ -318,11 +318,11 @@
       hang.defer(() -> command(term, to, commands, answer));
       return;
     }
-    if (term.compareTo(token) < 0 || to.value() != epoch) {
+    if (term.compareTo(fencingToken) < 0 || to.value() != epoch) {
       answer.accept(Outcome.applied(new Workers.Answer.Refused(heartbeatNow())));
       return;
     }
-    token = term;
+    fencingToken = term;
     commands.forEach(this::run);
     answer.accept(Outcome.applied(new Workers.Answer.Executed(heartbeatNow())));
   }
