--- a/src/main/java/org/ternhinge/api/Submissions.java
+++ b/src/main/java/org/ternhinge/api/Submissions.java
@@ -37,7 +37,7 @@
     if (spec.dependencies().contains(spec.id())) {
       return Optional.of(Rejection.DEPENDS_ON_ITSELF);
     }
-    if (!RecordSize.fits(spec, settings.stateLimits().valueBytes())) {
+    if (!RecordSize.fits(spec, settings.storeLimits().valueBytes())) {
       return Optional.of(Rejection.DESCRIPTION_TOO_LONG);
     }
     return rejectZones(spec, tasksAtOnce);
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -48,7 +48,7 @@
             Map.of(),
             List.of(),
             new Settings.Workers(3, 24, 30, 5, 44),
-            new Settings.StateLimits(80, 30, 8, 16),
+            new Settings.StoreLimits(80, 30, 8, 16),
             new Settings.CloudLimits(4, 10),
             100,
             0.025);
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -23,12 +23,12 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 import org.ternhinge.http.SocketShares;
-import org.ternhinge.limit.StateServiceBudget;
+import org.ternhinge.limit.KeyValueStoreBudget;
 import org.ternhinge.limit.TokenBucket;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
 import org.ternhinge.peer.PeerLink;
-import org.ternhinge.state.HttpStateStore;
+import org.ternhinge.state.HttpKeyValueStore;
 import org.ternhinge.state.ResponseTimeouts;
 import org.ternhinge.worker.HttpWorkers;
 
@@ -48,7 +48,7 @@
   private final Lock lock = new ReentrantLock();
   private final SocketShares sockets;
   private final HttpCaller http;
-  private final StateServiceBudget budget;
+  private final KeyValueStoreBudget budget;
   private final ControllerServices services;
 
   private Service(Settings settings, Tuning tuning) {
@@ -57,10 +57,10 @@
     this.sockets = SocketShares.of(settings.maxSockets());
     this.http = new HttpCaller(loop, sockets);
     this.budget =
-        new StateServiceBudget(
+        new KeyValueStoreBudget(
             clock,
-            settings.stateLimits().rps(),
-            settings.stateLimits().writeRps(),
+            settings.storeLimits().rps(),
+            settings.storeLimits().writeRps(),
             settings.peers().size());
     this.services = services();
   }
@@ -86,7 +86,7 @@
     return new ControllerServices(
         settings,
         tuning,
-        new HttpStateStore(
+        new HttpKeyValueStore(
             http,
             settings.state(),
             budget.requests(),
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -23,7 +23,7 @@
     Map<String, Team> teams,
     List<Objective> objectives,
     Workers workers,
-    StateLimits stateLimits,
+    StoreLimits storeLimits,
     CloudLimits cloudLimits,
     int maxSockets,
     double clockErrorS) {
@@ -43,8 +43,8 @@
     }
   }
 
-  /** What the state service takes, now and once it has lowered its limits as announced. */
-  public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
+  /** What the key-value store takes, now and once it has lowered its limits as announced. */
+  public record StoreLimits(double rps, double writeRps, double valueKb, int maxChangesPerSwap) {
     /** The largest value of a key, in bytes. */
     public int valueBytes() {
       return (int) (valueKb * 1024);
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.ternhinge.config.Settings.CloudLimits;
-import org.ternhinge.config.Settings.StateLimits;
+import org.ternhinge.config.Settings.StoreLimits;
 import org.ternhinge.config.Settings.Workers;
 import org.ternhinge.model.Endpoint;
 
@@ -53,7 +53,7 @@
         teams(deployment),
         objectives(deployment),
         workers(object(deployment, "workers", DEPLOYMENT)),
-        stateLimits(object(deployment, "state", DEPLOYMENT)),
+        storeLimits(object(deployment, "state", DEPLOYMENT)),
         cloudLimits(object(deployment, "cloud", DEPLOYMENT)),
         deployment.path("machine_limits").path("max_sockets").asInt(DEFAULT_MAX_SOCKETS),
         deployment.path("clock_error_ms").asDouble(DEFAULT_CLOCK_ERROR_MS) / MILLIS_PER_S);
@@ -126,12 +126,12 @@
    * The limits that hold now, or the ones announced where these are smaller: they come without
    * notice, and what was written before has to be rewritten under them.
    */
-  private static StateLimits stateLimits(JsonNode node) throws SettingsException {
+  private static StoreLimits storeLimits(JsonNode node) throws SettingsException {
     JsonNode next = node.get("next");
     if (next != null && !next.isNull() && !next.isObject()) {
       throw new SettingsException(STATE + "next: an object is needed");
     }
-    return new StateLimits(
+    return new StoreLimits(
         lesser(node, next, "rps"),
         lesser(node, next, "write_rps"),
         lesser(node, next, "value_kb"),
--- a/src/main/java/org/ternhinge/controller/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/controller/AnswerDeadline.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Clock;
 
 /**
- * Gives users an answer before they drop the request: a slow state service is waited for longer
+ * Gives users an answer before they drop the request: a slow key-value store is waited for longer
  * than users wait. Only the first answer goes out. What was begun goes on all the same, and a
  * repeat of the request finds its result.
  */
--- a/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
@@ -14,7 +14,7 @@
 
 /**
  * Takes attempts from their durable record to their end: sends their starts, stops them, and closes
- * them on proof that they are gone. A start goes out only after the state service holds the
+ * them on proof that they are gone. A start goes out only after the key-value store holds the
  * attempt, so that the next leader knows of everything that may run. Guarded by the controller's
  * lock.
  */
@@ -46,7 +46,7 @@
     this.zones = zones;
   }
 
-  /** Sends the starts of attempts that the state service now holds, unless they are unwanted. */
+  /** Sends the starts of attempts that the key-value store now holds, unless they are unwanted. */
   void startDurable(List<Attempt> attempts) {
     Set<Machine> addressed = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
--- a/src/main/java/org/ternhinge/controller/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/controller/BootstrapMachineTypes.java
@@ -18,14 +18,14 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
 /**
  * The machine types that a node knows from its start on, whether it leads or not. No submission can
- * be judged before, so a copy is kept in the state service: a node that starts while the cloud is
+ * be judged before, so a copy is kept in the key-value store: a node that starts while the cloud is
  * down need not wait for it. A leadership keeps its own, later list in {@link MachineTypeCatalog}. All
  * methods run under the controller's lock.
  */
@@ -33,7 +33,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(BootstrapMachineTypes.class);
   private static final double RETRY_S = 1;
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Cloud cloud;
   private final Clock clock;
   private final LockedExecutor locked;
@@ -46,7 +46,7 @@
    * @param learned hears of the types once they are known
    */
   BootstrapMachineTypes(
-      StateStore store, Cloud cloud, Clock clock, Lock lock, Consumer<List<MachineType>> learned) {
+      KeyValueStore store, Cloud cloud, Clock clock, Lock lock, Consumer<List<MachineType>> learned) {
     this.store = store;
     this.cloud = cloud;
     this.clock = clock;
@@ -71,14 +71,14 @@
     return byName().values();
   }
 
-  private void storeAnswered(Outcome<StateStore.Read> outcome) {
-    if (outcome instanceof Outcome.Applied<StateStore.Read> read
+  private void storeAnswered(Outcome<KeyValueStore.Read> outcome) {
+    if (outcome instanceof Outcome.Applied<KeyValueStore.Read> read
         && read.value().entry().isPresent()) {
       try {
         learn(MachineType.readAll(read.value().entry().get().value()));
         return;
       } catch (WireException e) {
-        LOG.warn("machine types in the state service: {}", e.getMessage());
+        LOG.warn("stored machine types are unreadable: {}", e.getMessage());
       }
     }
     locked.whenAnswered(cloud.machineTypes(), this::cloudAnswered);
@@ -101,7 +101,7 @@
   /** Another node's copy is as good, so a failure of the write does not matter. */
   private void keepCopy(List<MachineType> types) {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
-    Txn txn = new Txn(Map.of(Keys.MACHINE_TYPES, Revision.NONE), List.of(copy));
-    AsyncCalls.ignore(store.txn(txn, RequestPriority.BOOKKEEPING));
+    CompareAndSwap compareAndSwap = new CompareAndSwap(Map.of(Keys.MACHINE_TYPES, Revision.NONE), List.of(copy));
+    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
   }
 }
--- a/src/main/java/org/ternhinge/controller/Cancellations.java
+++ b/src/main/java/org/ternhinge/controller/Cancellations.java
@@ -12,7 +12,7 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Cancels jobs for users. A user is told only what the state service holds: an answer before that
+ * Cancels jobs for users. A user is told only what the key-value store holds: an answer before that
  * could be contradicted by the next leader, which would run the job on. Guarded by the controller's
  * lock.
  */
@@ -33,7 +33,7 @@
   /**
    * Cancels a job that the ledger holds, and stops its attempts.
    *
-   * @param listener gets the job's state once the state service holds it, and not before
+   * @param listener gets the job's state once the key-value store holds it, and not before
    */
   void cancel(Job job, Consumer<JobState> listener) {
     waiting.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
@@ -43,7 +43,7 @@
     answerDurable();
   }
 
-  /** Answers those whose job's fate the state service now holds; called after each write. */
+  /** Answers those whose job's fate the key-value store now holds; called after each write. */
   void answerDurable() {
     Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = waiting.entrySet().iterator();
     while (entries.hasNext()) {
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -11,12 +11,12 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
  * One controller: takes users' requests and workers' heartbeats, and leads while it holds the lease.
- * Any node accepts jobs by itself, straight into the state service; cancellations and progress are
- * the leader's, and what the leader can't be asked is read from the state service.
+ * Any node accepts jobs by itself, straight into the key-value store; cancellations and progress are
+ * the leader's, and what the leader can't be asked is read from the key-value store.
  *
  * <p>This class starts the parts and hands each request to the one whose job it is. All parts run
  * under one lock, which is taken here for each request.
@@ -44,7 +44,7 @@
     void reset(String node);
   }
 
-  /** Hears when this node's share of the state service's limits changes. */
+  /** Hears when this node's share of the key-value store's limits changes. */
   public interface Share {
     /** This node leads, or does so no longer. */
     void leads(boolean leading);
@@ -75,7 +75,7 @@
     this.election = election;
     this.share = share;
     Settings settings = services.settings();
-    StateStore store = services.store();
+    KeyValueStore store = services.store();
     Clock clock = services.clock();
     List<String> others = List.copyOf(settings.peers().keySet());
     this.role = new LeadershipRole(settings.node(), election);
@@ -97,7 +97,7 @@
             role,
             clock,
             lock,
-            settings.stateLimits().valueBytes());
+            settings.storeLimits().valueBytes());
     SubmissionRelay relay = new SubmissionRelay(peerClient, others, clock);
     this.submissions =
         new SubmissionHandler(settings, role, machineTypes, writer, relay, connectivity);
--- a/src/main/java/org/ternhinge/controller/ControllerServices.java
+++ b/src/main/java/org/ternhinge/controller/ControllerServices.java
@@ -7,7 +7,7 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.worker.Workers;
 
 /**
@@ -16,7 +16,7 @@
  *
  * @param settings what the site's configuration says
  * @param tuning intervals and margins of this controller
- * @param store client of the state service
+ * @param store client of the key-value store
  * @param cloud client of the cloud that rents machines out
  * @param workers client of the workers' command endpoints
  * @param clock source of time and of timers
@@ -27,7 +27,7 @@
 public record ControllerServices(
     Settings settings,
     Tuning tuning,
-    StateStore store,
+    KeyValueStore store,
     Cloud cloud,
     Workers workers,
     Clock clock,
--- a/src/main/java/org/ternhinge/controller/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/controller/DependencyResolver.java
@@ -9,12 +9,12 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
  * Reads how jobs ended that others wait for and that ended before this leadership, or too long ago
  * to be remembered. Each is read once however many wait for it, and only a few at a time, so that a
- * takeover with many waiting jobs leaves the state service's rate to urgent writes. Guarded by the
+ * takeover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by the
  * controller's lock.
  */
 final class DependencyResolver {
@@ -27,7 +27,7 @@
    */
   private static final double RETRY_S = 0.5;
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Ledger ledger;
   private final LeadershipExecutor executor;
   private final Runnable onResolved;
@@ -39,7 +39,7 @@
    * @param onResolved runs after the end of a job has become known
    */
   DependencyResolver(
-      StateStore store, Ledger ledger, LeadershipExecutor executor, Runnable onResolved) {
+      KeyValueStore store, Ledger ledger, LeadershipExecutor executor, Runnable onResolved) {
     this.store = store;
     this.ledger = ledger;
     this.executor = executor;
@@ -60,9 +60,9 @@
     }
   }
 
-  private void answered(JobId id, Outcome<StateStore.Read> outcome) {
+  private void answered(JobId id, Outcome<KeyValueStore.Read> outcome) {
     Optional<Entry> end =
-        outcome instanceof Outcome.Applied<StateStore.Read> read
+        outcome instanceof Outcome.Applied<KeyValueStore.Read> read
             ? read.value().entry()
             : Optional.empty();
     if (end.isPresent()) {
--- a/src/main/java/org/ternhinge/controller/FleetParts.java
+++ b/src/main/java/org/ternhinge/controller/FleetParts.java
@@ -80,7 +80,7 @@
     return new TaskFailures(
         context.ledger(),
         context.machines(),
-        context.services().settings().stateLimits().writeRps(),
+        context.services().settings().storeLimits().writeRps(),
         context.electedAt());
   }
 
--- a/src/main/java/org/ternhinge/controller/JobLookup.java
+++ b/src/main/java/org/ternhinge/controller/JobLookup.java
@@ -15,11 +15,11 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.wire.JobState;
 
 /**
- * Reads a job's state from the state service, which any node may ask. A job that waits for others
+ * Reads a job's state from the key-value store, which any node may ask. A job that waits for others
  * is cancelled as soon as one before it is, whatever its own record still says, so those before it
  * are read too; where they can't be, nothing is told.
  */
@@ -43,7 +43,7 @@
   /** No such job was ever accepted. */
   record Absent() implements Result {}
 
-  /** The state service can't be asked now, or the chain of dependencies is too long to read. */
+  /** The key-value store can't be asked now, or the chain of dependencies is too long to read. */
   record Unavailable() implements Result {}
 
   static final Result ABSENT = new Absent();
@@ -52,10 +52,10 @@
   /** What the record or the end of one job says, without a look at the jobs before it. */
   private record StoredJob(Found found, List<JobId> waitsFor) {}
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final SharedLookups shared = new SharedLookups(this::search);
 
-  JobLookup(StateStore store) {
+  JobLookup(KeyValueStore store) {
     this.store = store;
   }
 
@@ -135,8 +135,8 @@
     }
 
     private void recordRead(
-        JobId job, Outcome<StateStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
-      if (!(outcome instanceof Outcome.Applied<StateStore.Read> read)) {
+        JobId job, Outcome<KeyValueStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
+      if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
         LOG.debug("{} can't be looked up: {}", job, outcome);
         then.accept(UNAVAILABLE);
       } else if (read.value().entry().isPresent()) {
@@ -148,8 +148,8 @@
     }
 
     private void endRead(
-        JobId job, Outcome<StateStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
-      if (!(outcome instanceof Outcome.Applied<StateStore.Read> read)) {
+        JobId job, Outcome<KeyValueStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
+      if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
         LOG.debug("{} can't be looked up: {}", job, outcome);
         then.accept(UNAVAILABLE);
       } else if (read.value().entry().isPresent()) {
--- a/src/main/java/org/ternhinge/controller/JobQueries.java
+++ b/src/main/java/org/ternhinge/controller/JobQueries.java
@@ -9,10 +9,10 @@
 
 /**
  * Answers users' questions about jobs. The leader answers from memory; other nodes ask it, and read
- * the state service where it can't be asked.
+ * the key-value store where it can't be asked.
  */
 final class JobQueries {
-  /** Leaves time to read the state service within the 2 s that users wait. */
+  /** Leaves time to read the key-value store within the 2 s that users wait. */
   private static final double LEADER_TIMEOUT_S = 0.8;
 
   private final JobLookup lookup;
--- a/src/main/java/org/ternhinge/controller/JobWatch.java
+++ b/src/main/java/org/ternhinge/controller/JobWatch.java
@@ -16,24 +16,24 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.wire.WireException;
 
 /**
- * Takes new jobs into the ledger: those that other nodes accepted, which come by the state
- * service's watch, and those that this node accepted. A job is taken in once, whichever way it
+ * Takes new jobs into the ledger: those that other nodes accepted, which come by the key-value
+ * store's watch, and those that this node accepted. A job is taken in once, whichever way it
  * comes first. Guarded by the controller's lock.
  */
 final class JobWatch {
   private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
 
-  /** Seconds that the state service may hold a watch request back while there is nothing new. */
+  /** Seconds that the key-value store may hold a watch request back while there is nothing new. */
   private static final double WATCH_S = 20;
 
   /** Seconds until a watch request that failed is made again. */
   private static final double RETRY_S = 0.3;
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Authority authority;
   private final LeadershipExecutor executor;
   private final Clock clock;
@@ -78,24 +78,24 @@
   }
 
   /** Follows the changes after the load, and goes on doing so. */
-  void follow() {
-    executor.whenAnswered(store.follow(Keys.JOBS, watchedTo, WATCH_S), this::answered);
+  void watch() {
+    executor.whenAnswered(store.watch(Keys.JOBS, watchedTo, WATCH_S), this::answered);
   }
 
-  private void answered(Outcome<StateStore.Changes> outcome) {
-    if (outcome instanceof Outcome.Applied<StateStore.Changes> applied) {
+  private void answered(Outcome<KeyValueStore.Changes> outcome) {
+    if (outcome instanceof Outcome.Applied<KeyValueStore.Changes> applied) {
       takeIn(applied.value());
-      follow();
+      watch();
     } else if (outcome != null
         && (outcome.isBecause(Reason.TOO_OLD) || outcome.isBecause(Reason.TOO_LARGE))) {
       // The next leadership's recovery reads all that was missed, page by page.
       authority.lost("the watch fell behind");
     } else {
-      executor.later(RETRY_S, this::follow);
+      executor.later(RETRY_S, this::watch);
     }
   }
 
-  private void takeIn(StateStore.Changes changes) {
+  private void takeIn(KeyValueStore.Changes changes) {
     for (Change.Seen change : changes.changes()) {
       takeIn(change);
     }
--- a/src/main/java/org/ternhinge/controller/LeaderFirst.java
+++ b/src/main/java/org/ternhinge/controller/LeaderFirst.java
@@ -8,7 +8,7 @@
 
 /**
  * Has requests about a job answered by the leader, here or on another node, and otherwise by what
- * the state service holds. Where neither can be had, the other nodes are asked for the leader.
+ * the key-value store holds. Where neither can be had, the other nodes are asked for the leader.
  * Guarded by the controller's lock.
  */
 final class LeaderFirst {
@@ -72,13 +72,13 @@
   }
 
   /**
-   * Answers by what the state service holds, or by a leader that this node does not know.
+   * Answers by what the key-value store holds, or by a leader that this node does not know.
    *
    * @param asked the node that has been asked as the leader already
    */
   private void answerWithoutLeader(
       JobId id, Request request, Optional<String> asked, Consumer<Response> answer) {
-    if (search.isStateSilent()) {
+    if (search.isStoreSilent()) {
       search.ask(request, asked, leaderTimeoutS, orElse(answer, () -> fromStore.give(id, answer)));
     } else {
       fromStore.give(id, orElse(answer, () -> search.ask(request, asked, leaderTimeoutS, answer)));
--- a/src/main/java/org/ternhinge/controller/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/controller/LeaderSearch.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Finds the leader by asking all other controllers. A node that the state service refuses, or that
+ * Finds the leader by asking all other controllers. A node that the key-value store refuses, or that
  * is cut off from it, can't read who leads, and would answer its users 503 for as long as that
  * lasts while the leader could serve them. Guarded by the controller's lock.
  */
@@ -29,7 +29,7 @@
   private final Clock clock;
   private final LockedExecutor locked;
 
-  /** The node that answered as the leader last, when, and who led by the state service then. */
+  /** The node that answered as the leader last, when, and who led by the key-value store then. */
   private record Found(String node, SteadyTime at, Optional<String> knownLeader) {}
 
   private Found found;
@@ -51,7 +51,7 @@
     this.nobodyUntil = clock.now();
   }
 
-  /** The other node that leads: the one found lately, else the one that the state service names. */
+  /** The other node that leads: the one found lately, else the one that the key-value store names. */
   Optional<String> leader() {
     Optional<String> known = role.otherLeader();
     boolean holds =
@@ -61,9 +61,9 @@
     return holds ? Optional.of(found.node()) : known;
   }
 
-  /** Whether to ask the other nodes before the state service, which owes answers for long. */
-  boolean isStateSilent() {
-    return connectivity.stateSilent();
+  /** Whether to ask the other nodes before the key-value store, which owes answers for long. */
+  boolean isStoreSilent() {
+    return connectivity.storeSilent();
   }
 
   /**
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/controller/Leadership.java
@@ -28,7 +28,7 @@
 /**
  * One leadership, from election to its end: builds the parts that schedule, starts them once the
  * ledger has been recovered, and stops them. Everything that they know dies with it, and the next
- * leadership starts from the state service, so nothing is carried over that another leader may have
+ * leadership starts from the key-value store, so nothing is carried over that another leader may have
  * changed in between. All methods run under the controller's lock.
  */
 public final class Leadership {
@@ -104,7 +104,7 @@
   }
 
   private Ledger ledger(Settings settings) {
-    return new Ledger(settings.teams(), settings.stateLimits().valueBytes(), clock);
+    return new Ledger(settings.teams(), settings.storeLimits().valueBytes(), clock);
   }
 
   private LedgerWriter writer(ControllerServices services) {
@@ -114,7 +114,7 @@
         authority,
         clock,
         services.lock(),
-        services.settings().stateLimits().txnOps(),
+        services.settings().storeLimits().maxChangesPerSwap(),
         this::written);
   }
 
@@ -175,7 +175,7 @@
         machines.all().size());
     runWaiting();
     zones.recover();
-    jobWatch.follow();
+    jobWatch.watch();
     inventory.list();
     machineTypes.refresh();
     dependencyResolver.pump();
@@ -239,7 +239,7 @@
 
   // ---- what the parts tell each other ---------------------------------------------------------
 
-  /** The state service holds a transaction: what waited for that goes on. */
+  /** The key-value store holds a transaction: what waited for that goes on. */
   private void written(List<Attempt> opened) {
     cancellations.answerDurable();
     if (ledger.dependencies().takeReady()) {
@@ -275,7 +275,7 @@
   }
 
   /**
-   * The state of a job, or null where only the state service can tell: a write whose answer is
+   * The state of a job, or null where only the key-value store can tell: a write whose answer is
    * still out may be carried out already, and another node may have told a user so.
    */
   JobState stateOf(JobId id) {
@@ -286,7 +286,7 @@
   /**
    * Cancels a job that this ledger holds.
    *
-   * @param listener gets the state once the state service holds it, and not before
+   * @param listener gets the state once the key-value store holds it, and not before
    */
   void cancel(Job job, Consumer<JobState> listener) {
     cancellations.cancel(job, listener);
--- a/src/main/java/org/ternhinge/controller/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipContext.java
@@ -12,7 +12,7 @@
  * @param authority the term that the leadership acts under
  * @param executor runs actions under the lock until the leadership ends
  * @param ledger jobs and attempts
- * @param writer brings the ledger's changes to the state service
+ * @param writer brings the ledger's changes to the key-value store
  * @param machines all machines that are known
  * @param machineTypes what the cloud rents
  * @param rounds asks for a scheduling round
@@ -29,8 +29,8 @@
     RoundTrigger rounds,
     SteadyTime electedAt) {
 
-  /** Records of the state service under a prefix that hold many small entries each. */
+  /** Records of the key-value store under a prefix that hold many small entries each. */
   PackedRecords packedRecords(String prefix) {
-    return new PackedRecords(writer, prefix, services.settings().stateLimits().valueBytes());
+    return new PackedRecords(writer, prefix, services.settings().storeLimits().valueBytes());
   }
 }
--- a/src/main/java/org/ternhinge/controller/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/controller/NodeConnectivity.java
@@ -11,12 +11,12 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
- * Whether this node can answer users at all. One that reaches neither the state service nor any
+ * Whether this node can answer users at all. One that reaches neither the key-value store nor any
  * other controller can only say 503; users whose connections it holds would hear nothing else for
- * as long as that lasts, so it must not count as healthy. An outage of the state service alone is
+ * as long as that lasts, so it must not count as healthy. An outage of the key-value store alone is
  * no reason: it meets all nodes, and while all are unhealthy nobody is served.
  */
 final class NodeConnectivity {
@@ -28,23 +28,23 @@
   /** As long without any answer before this node takes itself for cut off. */
   private static final double ALONE_S = 5;
 
-  /** Longer than the time between two answers of a state service that is asked once it is quiet. */
-  private static final double STATE_SILENT_S = QUIET_S + CHECK_INTERVAL_S + 0.5;
+  /** Longer than the time between two answers of a key-value store that is asked once it is quiet. */
+  private static final double STORE_SILENT_S = QUIET_S + CHECK_INTERVAL_S + 0.5;
 
   private static final double PEER_TIMEOUT_S = 0.8;
   private static final Request PROBE = new Request("GET", "/healthz", new byte[0]);
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final ControllerNode.Peers peers;
   private final List<String> otherNodes;
   private final Clock clock;
   private final LockedExecutor locked;
-  private SteadyTime stateAnsweredAt;
+  private SteadyTime storeAnsweredAt;
   private SteadyTime peerAnsweredAt;
   private int nextProbed;
 
   NodeConnectivity(
-      StateStore store,
+      KeyValueStore store,
       ControllerNode.Peers peers,
       List<String> otherNodes,
       Clock clock,
@@ -54,7 +54,7 @@
     this.otherNodes = otherNodes;
     this.clock = clock;
     this.locked = new LockedExecutor(lock);
-    this.stateAnsweredAt = clock.now();
+    this.storeAnsweredAt = clock.now();
     this.peerAnsweredAt = clock.now();
   }
 
@@ -67,15 +67,15 @@
     peerAnsweredAt = clock.now();
   }
 
-  /** Whether the state service owes this node an answer for longer than it ever takes. */
-  boolean stateSilent() {
-    return silentFor(stateAnsweredAt) > STATE_SILENT_S;
+  /** Whether the key-value store owes this node an answer for longer than it ever takes. */
+  boolean storeSilent() {
+    return silentFor(storeAnsweredAt) > STORE_SILENT_S;
   }
 
-  /** Whether neither the state service nor any other controller has answered for long. */
+  /** Whether neither the key-value store nor any other controller has answered for long. */
   boolean alone() {
     return !otherNodes.isEmpty()
-        && silentFor(stateAnsweredAt) > ALONE_S
+        && silentFor(storeAnsweredAt) > ALONE_S
         && silentFor(peerAnsweredAt) > ALONE_S;
   }
 
@@ -88,23 +88,23 @@
     clock.after(CHECK_INTERVAL_S, this::check);
   }
 
-  /** Other controllers matter only while the state service is quiet. */
+  /** Other controllers matter only while the key-value store is quiet. */
   private void probeWhatIsQuiet() {
-    if (silentFor(stateAnsweredAt) <= QUIET_S) {
+    if (silentFor(storeAnsweredAt) <= QUIET_S) {
       return;
     }
-    locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::stateAnswered);
+    locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::storeAnswered);
     if (silentFor(peerAnsweredAt) > QUIET_S && !otherNodes.isEmpty()) {
       String node = otherNodes.get(nextProbed++ % otherNodes.size());
       peers.ask(node, PROBE, PEER_TIMEOUT_S, response -> probed(node, response));
     }
   }
 
-  private void stateAnswered(Outcome<StateStore.Read> outcome) {
+  private void storeAnswered(Outcome<KeyValueStore.Read> outcome) {
     // Held back by our own bucket: others of our calls are being answered.
     if (outcome instanceof Outcome.Applied
         || (outcome != null && outcome.isBecause(Reason.HELD_BACK))) {
-      stateAnsweredAt = clock.now();
+      storeAnsweredAt = clock.now();
     }
   }
 
--- a/src/main/java/org/ternhinge/controller/PackedRecords.java
+++ b/src/main/java/org/ternhinge/controller/PackedRecords.java
@@ -15,7 +15,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Many small facts in few records. A change of a record costs one of the state service's scarce
+ * Many small facts in few records. A change of a record costs one of the key-value store's scarce
  * changes however much of it is new: with a record for each, the rentals of a start from nothing
  * took the changes that hundreds of services were waiting for.
  */
@@ -100,7 +100,7 @@
     return slots.get(index);
   }
 
-  /** Notes a fact; the action follows once the state service holds it. */
+  /** Notes a fact; the action follows once the key-value store holds it. */
   void put(String name, JsonNode value, Runnable durable) {
     Slot free = null;
     for (int i = 0; free == null; i++) {
--- a/src/main/java/org/ternhinge/controller/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/controller/SubmissionHandler.java
@@ -101,7 +101,7 @@
     Optional<String> leader = dependent ? role.otherLeaderWithDependencies() : role.otherLeader();
     SubmissionFallback everyone =
         (verdict, then) -> relay.offer(leader, request, dependent, verdict, then);
-    if (connectivity.stateSilent()) {
+    if (connectivity.storeSilent()) {
       offerFirst(spec, everyone, answer);
     } else if (dependent && leader.isPresent() && !relay.isSilent(leader.get())) {
       askLeaderFirst(spec, leader.get(), request, answer);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** An own write would only wait for its time-out; others may still reach the state service. */
+  /** An own write would only wait for its time-out; others may still reach the key-value store. */
   private void offerFirst(JobSpec spec, SubmissionFallback everyone, Consumer<Response> answer) {
     everyone.offer(
         Optional.empty(),
--- a/src/main/java/org/ternhinge/controller/SubmissionRelay.java
+++ b/src/main/java/org/ternhinge/controller/SubmissionRelay.java
@@ -15,9 +15,9 @@
 
 /**
  * Offers a submission that this node can't write itself to other controllers, one after the other,
- * until one takes it. Each node has a small fixed part of the state service's limits, so while
+ * until one takes it. Each node has a small fixed part of the key-value store's limits, so while
  * nobody leads one node may be out of tokens when its neighbours have some; and a node that the
- * state service alone refuses or can't be reached from has neighbours that are served.
+ * key-value store alone refuses or can't be reached from has neighbours that are served.
  *
  * <p>A node whose answer was lost may have written the job; that is safe, since the write of the
  * next one is conditional on the job's absence and then finds it. All methods run under the node's
--- a/src/main/java/org/ternhinge/controller/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/controller/SubmissionWriter.java
@@ -20,8 +20,8 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
@@ -36,7 +36,7 @@
   /** Each try after the first follows a lost answer, which has taken the store's whole time-out. */
   private static final int MAX_TRIES = 3;
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final JobLookup lookup;
   private final DependencyCheck dependencies;
   private final LeadershipRole role;
@@ -47,10 +47,10 @@
   /**
    * Creates a writer.
    *
-   * @param valueBytes the largest value that the state service takes
+   * @param valueBytes the largest value that the key-value store takes
    */
   SubmissionWriter(
-      StateStore store,
+      KeyValueStore store,
       JobLookup lookup,
       DependencyCheck dependencies,
       LeadershipRole role,
@@ -101,7 +101,7 @@
     return result instanceof JobLookup.Absent ? otherwise : Responses.busy();
   }
 
-  /** One job on its way into the state service. */
+  /** One job on its way into the key-value store. */
   private final class Acceptance {
     private final JobSpec spec;
     private final SubmissionFallback fallback;
@@ -140,7 +140,7 @@
       absent.put(Keys.end(spec.id()), Revision.NONE);
       Change put = new Change.Put(Keys.job(spec.id()), record, 0);
       locked.whenAnswered(
-          store.txn(new Txn(absent, List.of(put)), RequestPriority.ACCEPT), this::written);
+          store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT), this::written);
     }
 
     private void written(Outcome<Revision> outcome) {
--- a/src/main/java/org/ternhinge/controller/TaskFailures.java
+++ b/src/main/java/org/ternhinge/controller/TaskFailures.java
@@ -58,10 +58,10 @@
    */
   private static final double RUNS_WELL_S = 20;
 
-  /** Changes of the state service that one retry costs: its attempt opens and closes. */
+  /** Changes of the key-value store that one retry costs: its attempt opens and closes. */
   private static final double CHANGES_PER_RETRY = 2;
 
-  /** The part of the state service's changes that all retries of failing jobs may take. */
+  /** The part of the key-value store's changes that all retries of failing jobs may take. */
   private static final double RETRY_SHARE = 0.1;
 
   private final Ledger ledger;
@@ -75,7 +75,7 @@
   /**
    * Creates a part that knows of no failures.
    *
-   * @param changesPerS changes a second that the state service takes
+   * @param changesPerS changes a second that the key-value store takes
    */
   TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
     this.ledger = ledger;
--- a/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
@@ -24,7 +24,7 @@
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.zone.PlacementFacts;
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneFailover;
@@ -33,7 +33,7 @@
 
 /**
  * Connects a leadership to the decisions of {@link ZoneFailover}: shows it machines and jobs, logs
- * what it decides, and keeps its record in the state service. Guarded by the controller's lock, but
+ * what it decides, and keeps its record in the key-value store. Guarded by the controller's lock, but
  * for {@link #filter}.
  */
 final class ZoneCoordinator implements ZoneControl {
@@ -81,7 +81,7 @@
             failoverSettings.forHeartbeats(settings.workers().overdueS()),
             settings.zones(),
             settings.workers().leaseS(),
-            settings.stateLimits().writeRps(),
+            settings.storeLimits().writeRps(),
             metricsLogged);
   }
 
@@ -101,8 +101,8 @@
             this::recordRead);
   }
 
-  private void recordRead(Outcome<StateStore.Read> outcome) {
-    if (!(outcome instanceof Outcome.Applied<StateStore.Read> read)) {
+  private void recordRead(Outcome<KeyValueStore.Read> outcome) {
+    if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
       context.executor().later(READ_RETRY_S, this::readRecord);
       return;
     }
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -21,11 +21,11 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 
 /**
- * Elects one leader among the nodes, by the state service. The leader's key hangs on a lease; the
+ * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
  * term's key does not, and grows with every take-over, so that anything sent under an older term is
  * refused wherever it arrives. Whether the leadership holds is judged from the sending of the last
  * renewal that succeeded, never from a refusal: a node can't tell an outage from its own exclusion.
@@ -51,7 +51,7 @@
   private static final double SPREAD_S = 0.1;
 
   /** How long a watch of the leader's key lasts. */
-  private static final double FOLLOW_S = 15;
+  private static final double WATCH_S = 15;
 
   /** Hears of this node's leaderships; called under the lock. */
   public interface Listener {
@@ -71,7 +71,7 @@
 
   private final String node;
   private final String incarnation;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Clock clock;
   private final Tuning tuning;
   private final double graceS;
@@ -98,7 +98,7 @@
    */
   public Election(
       String node,
-      StateStore store,
+      KeyValueStore store,
       Clock clock,
       Tuning tuning,
       double graceS,
@@ -142,7 +142,7 @@
   }
 
   /**
-   * Whether a worker's heartbeat may be answered. An outage of the state service stops renewals while
+   * Whether a worker's heartbeat may be answered. An outage of the key-value store stops renewals while
    * nobody else can take over either; answering a while longer keeps running tasks alive. A new
    * leader adds the same while to its wait for silent workers, and workers that have heard a higher
    * term drop the answer.
@@ -153,9 +153,9 @@
 
   /**
    * How long heartbeats may be answered past the end of validity. Nobody else can confirm a
-   * cancellation before this leadership's lease has ended in the state service, which is after its
+   * cancellation before this leadership's lease has ended in the key-value store, which is after its
    * validity has ended here; and a worker's tasks end a lease after the sending of the last heartbeat
-   * that was answered. So they are gone in time, whatever happens to the state service in between,
+   * that was answered. So they are gone in time, whatever happens to the key-value store in between,
    * if
    *
    * <pre>grace + lease, by the slower of two clocks, + margins &lt;= cancel</pre>
@@ -179,11 +179,11 @@
     locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.RENEWAL), this::leaderRead);
   }
 
-  private void leaderRead(Outcome<StateStore.Read> outcome) {
+  private void leaderRead(Outcome<KeyValueStore.Read> outcome) {
     if (held != null) {
       return;
     }
-    if (!(outcome instanceof Outcome.Applied<StateStore.Read> read)) {
+    if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
       later(RETRY_S, this::readLeader);
       return;
     }
@@ -199,7 +199,7 @@
       return;
     }
     noteLeader(found);
-    follow(entry.revision());
+    watch(entry.revision());
   }
 
   /**
@@ -218,16 +218,16 @@
 
   // ---- while another node leads ---------------------------------------------------------------
 
-  private void follow(Revision from) {
+  private void watch(Revision from) {
     locked.whenAnswered(
-        store.follow(Keys.LEADER, from, FOLLOW_S), outcome -> followed(from, outcome));
+        store.watch(Keys.LEADER, from, WATCH_S), outcome -> watched(from, outcome));
   }
 
-  private void followed(Revision from, Outcome<StateStore.Changes> outcome) {
+  private void watched(Revision from, Outcome<KeyValueStore.Changes> outcome) {
     if (held != null) {
       return;
     }
-    if (!(outcome instanceof Outcome.Applied<StateStore.Changes> seen)) {
+    if (!(outcome instanceof Outcome.Applied<KeyValueStore.Changes> seen)) {
       later(RETRY_S, this::readLeader);
       return;
     }
@@ -242,7 +242,7 @@
       later(random.nextDouble() * SPREAD_S, this::readLeader);
     } else {
       Revision now = seen.value().revision();
-      follow(now.compareTo(from) > 0 ? now : from);
+      watch(now.compareTo(from) > 0 ? now : from);
     }
   }
 
@@ -254,8 +254,8 @@
         outcome -> termRead(leaderRevision, outcome));
   }
 
-  private void termRead(Revision leaderRevision, Outcome<StateStore.Read> outcome) {
-    if (outcome instanceof Outcome.Applied<StateStore.Read> read) {
+  private void termRead(Revision leaderRevision, Outcome<KeyValueStore.Read> outcome) {
+    if (outcome instanceof Outcome.Applied<KeyValueStore.Read> read) {
       TermRecord last = TermRecord.of(read.value().entry().orElse(null));
       requestLease(new Candidacy(leaderRevision, last));
     } else {
@@ -295,7 +295,7 @@
             new Change.Put(Keys.TERM, TermRecord.claim(term, incarnation), 0),
             new Change.Put(Keys.LEADER, claimed.toJson(), lease.id()));
     locked.whenAnswered(
-        store.txn(new Txn(conditions, changes), RequestPriority.RENEWAL),
+        store.compareAndSwap(new CompareAndSwap(conditions, changes), RequestPriority.RENEWAL),
         outcome -> claimAnswered(term, lease, outcome));
   }
 
--- a/src/main/java/org/ternhinge/election/LeaderRecord.java
+++ b/src/main/java/org/ternhinge/election/LeaderRecord.java
@@ -6,7 +6,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The leader's record in the state service. It hangs on the leader's lease, so that it vanishes
+ * The leader's record in the key-value store. It hangs on the leader's lease, so that it vanishes
  * with it.
  *
  * @param node the leading node
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -7,10 +7,10 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
- * A lease of the state service that is kept alive until it is released or has ended. All methods
+ * A lease of the key-value store that is kept alive until it is released or has ended. All methods
  * run under the lock.
  *
  * <p>The next renewal doesn't wait for the answer to the one before: where answers take seconds,
@@ -23,7 +23,7 @@
   private static final double RETRY_S = 0.4;
 
   private final long id;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Clock clock;
   private final Tuning tuning;
   private final LockedExecutor locked;
@@ -44,13 +44,13 @@
    * Takes over a lease that was just granted.
    *
    * @param requested when the lease was asked for
-   * @param onEnded runs under the lock when the state service holds the lease no more, unless it
+   * @param onEnded runs under the lock when the key-value store holds the lease no more, unless it
    *     was released before
    */
   LeadershipLease(
       long id,
       SteadyTime requested,
-      StateStore store,
+      KeyValueStore store,
       Clock clock,
       Tuning tuning,
       LockedExecutor locked,
@@ -79,7 +79,7 @@
     return validUntil;
   }
 
-  /** Whether the state service has said that it holds the lease no more. */
+  /** Whether the key-value store has said that it holds the lease no more. */
   boolean ended() {
     return ended;
   }
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -7,7 +7,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The highest term so far, as the state service holds it.
+ * The highest term so far, as the key-value store holds it.
  *
  * @param term 0 before the first leadership
  * @param revision of the record, {@link Revision#NONE} where there is none
--- a/src/main/java/org/ternhinge/election/package-info.java
+++ b/src/main/java/org/ternhinge/election/package-info.java
@@ -1,2 +1,2 @@
-/** Elects the one leading controller by the state service, and keeps its lease alive. */
+/** Elects the one leading controller by the key-value store, and keeps its lease alive. */
 package org.ternhinge.election;
--- a/src/main/java/org/ternhinge/http/HttpCaller.java
+++ b/src/main/java/org/ternhinge/http/HttpCaller.java
@@ -40,7 +40,7 @@
  */
 public final class HttpCaller {
   /**
-   * Several of the state service's largest pages. Only a watch's answer has no bound of its own;
+   * Several of the key-value store's largest pages. Only a watch's answer has no bound of its own;
    * one of 16 MB, as a tree, would be more than the whole heap.
    */
   private static final int MAX_REPLY = 2 * 1024 * 1024;
--- a/src/main/java/org/ternhinge/http/SocketShares.java
+++ b/src/main/java/org/ternhinge/http/SocketShares.java
@@ -3,7 +3,7 @@
 /**
  * How a process shares out its sockets. Without shares, the connections of a large fleet's workers,
  * or a burst of commands to them, take the last socket, and then users, probes, other controllers
- * and the state service are refused as if the process were dead.
+ * and the key-value store are refused as if the process were dead.
  *
  * @param kept idle connections to other systems, as long as no more is free
  * @param calls connections to workers in use at once
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -27,7 +27,7 @@
   /**
    * Creates an admission by the limits of the teams.
    *
-   * @param valueBytes the most that the state service takes as one value
+   * @param valueBytes the most that the key-value store takes as one value
    */
   Admission(Map<String, Team> teams, int valueBytes, ResourceUsage usage) {
     this.teams = teams;
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -103,12 +103,12 @@
     return openedAt;
   }
 
-  /** Whether the state service holds it; until then no start may be sent. */
+  /** Whether the key-value store holds it; until then no start may be sent. */
   public boolean durable() {
     return durable;
   }
 
-  /** The state service holds it. */
+  /** The key-value store holds it. */
   void markDurable() {
     durable = true;
   }
--- a/src/main/java/org/ternhinge/ledger/Authority.java
+++ b/src/main/java/org/ternhinge/ledger/Authority.java
@@ -17,6 +17,6 @@
   /** The term's key was raised by this leadership itself, to fence its own late commands. */
   void raised(Term term, Revision revision);
 
-  /** The state service has shown that the leadership is over. */
+  /** The key-value store has shown that the leadership is over. */
   void lost(String why);
 }
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
@@ -9,6 +9,6 @@
  *
  * @param value asked for only when a transaction is built, so that several requests for a key
  *     before that make one change
- * @param onDurable run in their order once the state service holds the value
+ * @param onDurable run in their order once the key-value store holds the value
  */
 record AuxiliaryWrite(String key, Supplier<JsonNode> value, List<Runnable> onDurable) {}
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -31,7 +31,7 @@
   /**
    * Asks for a key to be set; joins a request for the same key that still waits.
    *
-   * @param onDurable runs once the state service holds the value; may be null
+   * @param onDurable runs once the key-value store holds the value; may be null
    */
   void request(String key, Supplier<JsonNode> value, Runnable onDurable) {
     AuxiliaryWrite write =
@@ -70,7 +70,7 @@
   }
 
   /**
-   * The state service holds these writes at a version. All versions are noted before anything
+   * The key-value store holds these writes at a version. All versions are noted before anything
    * follows from the writes: that may write at once, and a version that is out of date would make
    * its transaction a conflict, which ends the leadership.
    */
--- a/src/main/java/org/ternhinge/ledger/Dependencies.java
+++ b/src/main/java/org/ternhinge/ledger/Dependencies.java
@@ -18,8 +18,8 @@
 
 /**
  * Which jobs wait for which. What a waiting job's state is follows from durable facts alone: it is
- * cancelled at the instant at which the state service holds that one before it is, directly or
- * through others, and it may start once the state service holds that all before it are done. Its
+ * cancelled at the instant at which the key-value store holds that one before it is, directly or
+ * through others, and it may start once the key-value store holds that all before it are done. Its
  * own record follows when writes allow, and whoever leads next derives the same.
  */
 public final class Dependencies {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** The state service holds that a job is cancelled: so is every one that depends on it. */
+  /** The key-value store holds that a job is cancelled: so is every one that depends on it. */
   void cancelDependents(JobId id) {
     cancel(dependents.getOrDefault(id, Set.of()));
   }
@@ -127,7 +127,7 @@
     job.unmet().clear();
   }
 
-  /** The state service holds a job's end. */
+  /** The key-value store holds a job's end. */
   void ended(JobState state) {
     unresolved.remove(state.id());
     if (state.phase() == JobState.Phase.CANCELLED) {
@@ -167,7 +167,7 @@
     return out;
   }
 
-  /** A job whose fate has to be read from the state service, or null; it is given out once. */
+  /** A job whose fate has to be read from the key-value store, or null; it is given out once. */
   public JobId nextUnresolved() {
     Iterator<JobId> it = unresolved.iterator();
     if (!it.hasNext()) {
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A job that is not yet over, with its open attempts. Its record in the state service is split into
+ * A job that is not yet over, with its open attempts. Its record in the key-value store is split into
  * segments of a fixed number of tasks, so that a large array fits the limit on values; only the
  * segments that changed are written. Everything here is changed by the {@link Ledger} alone.
  */
@@ -254,7 +254,7 @@
     cancelDurable |= alreadyDurable;
   }
 
-  /** Whether the state service holds the cancellation, so that users may be told. */
+  /** Whether the key-value store holds the cancellation, so that users may be told. */
   public boolean cancelDurable() {
     return cancelDurable;
   }
@@ -272,7 +272,7 @@
     over = true;
   }
 
-  /** Whether the state service holds its final state. */
+  /** Whether the key-value store holds its final state. */
   public boolean finalDurable() {
     return finalDurable;
   }
@@ -311,7 +311,7 @@
     return merged;
   }
 
-  /** Whether what is known of this task is what the state service holds. */
+  /** Whether what is known of this task is what the key-value store holds. */
   public boolean recorded(int index) {
     int segment = segmentOf(index);
     return !dirty.get(segment) && !inFlight.get(segment);
--- a/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
@@ -65,7 +65,7 @@
     if (bytes > ledger.valueBytes()) {
       // Only a segment written under a larger limit gets here: admission lets no other grow so
       // far. It can be written once enough of its attempts have ended, or when repartitioned.
-      // Until then the state service holds more attempts than there are, which is the safe side.
+      // Until then the key-value store holds more attempts than there are, which is the safe side.
       repartitioner.request(job);
       return Added.TOO_LARGE;
     }
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -49,7 +49,7 @@
   /**
    * Creates a ledger without jobs.
    *
-   * @param valueBytes the most that the state service takes as one value
+   * @param valueBytes the most that the key-value store takes as one value
    */
   public Ledger(Map<String, Team> teams, int valueBytes, Clock clock) {
     this.valueBytes = valueBytes;
@@ -58,7 +58,7 @@
     this.dependencies = new Dependencies(this, clock);
   }
 
-  /** The most that the state service takes as one value. */
+  /** The most that the key-value store takes as one value. */
   int valueBytes() {
     return valueBytes;
   }
@@ -120,7 +120,7 @@
     return usage.machines();
   }
 
-  /** Takes in a job that the state service holds. */
+  /** Takes in a job that the key-value store holds. */
   public void adopt(Job job) {
     if (jobs.putIfAbsent(job.spec().id(), job) != null) {
       return;
@@ -244,7 +244,7 @@
 
   /**
    * The job's user has cancelled it; starts end at this instant. A job that is over stays what it
-   * is: the record that says so may be on its way to the state service already.
+   * is: the record that says so may be on its way to the key-value store already.
    */
   public void cancel(Job job) {
     if (!job.cancelled() && !job.over()) {
@@ -271,7 +271,7 @@
     settle(job);
   }
 
-  /** The state service holds a job's cancellation. */
+  /** The key-value store holds a job's cancellation. */
   void cancelIsDurable(Job job) {
     job.cancelIsDurable();
     dependencies.cancelDependents(job.spec().id());
@@ -334,7 +334,7 @@
     job.opening(false);
   }
 
-  /** The state service holds a job's end. */
+  /** The key-value store holds a job's end. */
   void ended(Job job) {
     jobs.remove(job.spec().id());
     writeQueue.remove(job);
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.wire.WireException;
 
 /**
@@ -29,14 +29,14 @@
 public final class LedgerLoader {
   private static final Logger LOG = LoggerFactory.getLogger(LedgerLoader.class);
 
-  /** Keys asked for at once: within the state service's page of 1000 items and 512 KiB. */
+  /** Keys asked for at once: within the key-value store's page of 1000 items and 512 KiB. */
   private static final int PAGE_KEYS = 500;
 
   /** Seconds until a page that wasn't answered is asked for again. */
   private static final double RETRY_S = 0.3;
 
   /**
-   * What the state service holds.
+   * What the key-value store holds.
    *
    * @param revision changes after this one come by the watch
    */
@@ -55,7 +55,7 @@
     }
   }
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Clock clock;
   private final LockedExecutor locked;
   private final Range jobs = new Range(Keys.JOBS);
@@ -71,7 +71,7 @@
    *
    * @param lock taken whenever an answer comes
    */
-  public LedgerLoader(StateStore store, Clock clock, Lock lock) {
+  public LedgerLoader(KeyValueStore store, Clock clock, Lock lock) {
     this.store = store;
     this.clock = clock;
     this.locked = new LockedExecutor(lock);
@@ -89,8 +89,8 @@
         outcome -> answered(range, outcome, onLoaded));
   }
 
-  private void answered(Range range, Outcome<StateStore.Page> outcome, Consumer<Loaded> onLoaded) {
-    if (outcome instanceof Outcome.Applied<StateStore.Page> applied) {
+  private void answered(Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
+    if (outcome instanceof Outcome.Applied<KeyValueStore.Page> applied) {
       take(range, applied.value());
       load(onLoaded);
     } else {
@@ -98,7 +98,7 @@
     }
   }
 
-  private void take(Range range, StateStore.Page page) {
+  private void take(Range range, KeyValueStore.Page page) {
     if (revision == null) {
       revision = page.revision();
     }
--- a/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 
 /**
  * A transaction of the ledger, with what its changes mean to the ledger. It can't be changed any
@@ -10,9 +10,9 @@
  * copy can ever be applied.
  */
 record LedgerTransaction(
-    Txn request, List<RecordWrite> recordWrites, List<AuxiliaryWrite> auxiliaryWrites) {
+    CompareAndSwap request, List<RecordWrite> recordWrites, List<AuxiliaryWrite> auxiliaryWrites) {
 
-  /** The number of changes, which is what the state service charges for. */
+  /** The number of changes, which is what the key-value store charges for. */
   int size() {
     return request.changes().size();
   }
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -13,11 +13,11 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 import org.ternhinge.wire.Json;
 
 /**
- * Writes the ledger's changes to the state service, many records to a transaction.
+ * Writes the ledger's changes to the key-value store, many records to a transaction.
  *
  * <p>It guarantees:
  *
@@ -50,7 +50,7 @@
   private static final double TOKEN_MARGIN_S = 0.005;
 
   private final Ledger ledger;
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Authority authority;
   private final Clock clock;
   private final LockedExecutor locked;
@@ -76,13 +76,13 @@
    * Creates a writer with nothing to write.
    *
    * @param lock guards the ledger; taken whenever an answer comes
-   * @param maxChanges the most changes that the state service takes in a transaction
+   * @param maxChanges the most changes that the key-value store takes in a transaction
    * @param onDurable hears of the attempts that may now be started; called under the lock, also
    *     with an empty list, after every write
    */
   public LedgerWriter(
       Ledger ledger,
-      StateStore store,
+      KeyValueStore store,
       Authority authority,
       Clock clock,
       Lock lock,
@@ -118,7 +118,7 @@
    * change.
    *
    * @param value asked for when the key is written
-   * @param onDurable runs once the state service holds it; may be null
+   * @param onDurable runs once the key-value store holds it; may be null
    */
   public void write(String key, Supplier<JsonNode> value, Runnable onDurable) {
     auxiliaryWrites.request(key, value, onDurable);
@@ -165,14 +165,14 @@
       retryAfter(RETRY_S);
       return;
     }
-    double wait = store.secondsUntilTxn(pending.size(), RequestPriority.ATTEMPT);
+    double wait = store.secondsUntilSwapAllowed(pending.size(), RequestPriority.ATTEMPT);
     if (wait > 0) {
       // Only what is sent again has to wait: a new transaction is built for the tokens at hand.
       retryAfter(wait + TOKEN_MARGIN_S);
       return;
     }
     busy = true;
-    locked.whenAnswered(store.txn(pending.request(), RequestPriority.ATTEMPT), this::answered);
+    locked.whenAnswered(store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::answered);
   }
 
   private void schedulePoll() {
@@ -225,7 +225,7 @@
     } else if (refusal.reason() == Reason.CONFLICT) {
       authority.lost("conflict on" + refusal.detail());
     } else if (refusal.reason() == Reason.INVALID) {
-      LOG.error("state service calls a transaction invalid: {}", refusal.detail());
+      LOG.error("key-value store rejected a transaction as invalid: {}", refusal.detail());
       authority.lost("invalid transaction");
     } else {
       retryAfter(RETRY_S);
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -20,7 +20,7 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The layout of records in the state service. Other versions read and write the same records, so
+ * The layout of records in the key-value store. Other versions read and write the same records, so
  * the names of fields are a contract; they are short because values are limited in size.
  *
  * <p>A record's first segment describes the job; every segment, the first included, lists the done
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -20,7 +20,7 @@
   /**
    * Creates a repartitioner for records of a largest size.
    *
-   * @param maxChanges the most changes that the state service takes in a transaction
+   * @param maxChanges the most changes that the key-value store takes in a transaction
    */
   RecordRepartitioner(Ledger ledger, int maxChanges) {
     this.ledger = ledger;
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -9,7 +9,7 @@
 
 /**
  * How many bytes the segments of a record take at most, and how many tasks a segment is for so that
- * it fits the state service's limit on values.
+ * it fits the key-value store's limit on values.
  */
 public final class RecordSize {
   /** Names, numbers and punctuation of a segment, beside what is counted apart. */
--- a/src/main/java/org/ternhinge/ledger/TransactionDraft.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionDraft.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 
 /**
  * A transaction that is being put together. It is conditional on the term from the start, and with
@@ -16,7 +16,7 @@
  */
 final class TransactionDraft {
   /**
-   * Segments in one transaction, in bytes: well inside the state service's 64 KiB for all of it.
+   * Segments in one transaction, in bytes: well inside the key-value store's 64 KiB for all of it.
    */
   private static final int MAX_SEGMENT_BYTES = 48 * 1024;
 
@@ -96,7 +96,7 @@
     return isEmpty()
         ? Optional.empty()
         : Optional.of(
-            new LedgerTransaction(new Txn(conditions, changes), recordWrites, auxiliaryWrites));
+            new LedgerTransaction(new CompareAndSwap(conditions, changes), recordWrites, auxiliaryWrites));
   }
 
   private static int requestBytes(String key, int valueBytes) {
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.ternhinge.model.Revision;
 
-/** Brings the ledger up to date once the state service holds a transaction. */
+/** Brings the ledger up to date once the key-value store holds a transaction. */
 final class TransactionSettlement {
   private final Ledger ledger;
   private final AuxiliaryWrites auxiliaryWrites;
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
  * Finds out by reading back whether an earlier copy of a transaction was applied, where its answer
@@ -23,7 +23,7 @@
   /** Seconds until a read that failed is tried again. */
   private static final double RETRY_S = 0.2;
 
-  /** What the state service shows of a transaction. */
+  /** What the key-value store shows of a transaction. */
   sealed interface Verdict {}
 
   /** An earlier copy was applied at this version. */
@@ -32,13 +32,13 @@
   /** No copy was or will be applied: another leader has written meanwhile. */
   record Overtaken(String reason) implements Verdict {}
 
-  private final StateStore store;
+  private final KeyValueStore store;
   private final Authority authority;
   private final Clock clock;
   private final LockedExecutor locked;
   private boolean stopped;
 
-  TransactionVerifier(StateStore store, Authority authority, Clock clock, LockedExecutor locked) {
+  TransactionVerifier(KeyValueStore store, Authority authority, Clock clock, LockedExecutor locked) {
     this.store = store;
     this.authority = authority;
     this.clock = clock;
@@ -50,7 +50,7 @@
     stopped = true;
   }
 
-  /** Reads until the state service has answered, then gives the verdict once, under the lock. */
+  /** Reads until the key-value store has answered, then gives the verdict once, under the lock. */
   void verify(LedgerTransaction transaction, Consumer<Verdict> onVerdict) {
     read(Keys.TERM, transaction, onVerdict, term -> termRead(transaction, term, onVerdict));
   }
@@ -90,7 +90,7 @@
           if (stopped) {
             return;
           }
-          if (outcome instanceof Outcome.Applied<StateStore.Read> read) {
+          if (outcome instanceof Outcome.Applied<KeyValueStore.Read> read) {
             then.accept(read.value().entry());
           } else {
             clock.after(RETRY_S, locked.guarded(() -> verify(transaction, onVerdict)));
--- a/src/main/java/org/ternhinge/limit/StateServiceBudget.java
+++ b/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
@@ -3,12 +3,12 @@
 import org.ternhinge.model.Clock;
 
 /**
- * This controller's part of what the state service takes, for requests and for changes. The leader
+ * This controller's part of what the key-value store takes, for requests and for changes. The leader
  * uses a fixed share and the other controllers divide the rest evenly, so that all controllers
  * together never exceed the limits, in rate or in bursts, whoever leads. Shares are fixed rather
  * than negotiated: a controller that can't reach the others still knows its own.
  */
-public final class StateServiceBudget {
+public final class KeyValueStoreBudget {
   /** The leader's share; it writes all attempts and ends, the others only acceptances. */
   private static final double LEADER_SHARE = 0.7;
 
@@ -21,11 +21,11 @@
   /**
    * Creates the budget of a controller that does not lead.
    *
-   * @param requestsPerS requests a second that the state service takes from all controllers
+   * @param requestsPerS requests a second that the key-value store takes from all controllers
    * @param changesPerS puts and deletes a second that it takes from all controllers
    * @param otherControllers how many other controllers there are
    */
-  public StateServiceBudget(
+  public KeyValueStoreBudget(
       Clock clock, double requestsPerS, double changesPerS, int otherControllers) {
     this.requestsPerS = requestsPerS;
     this.changesPerS = changesPerS;
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -29,7 +29,7 @@
 
 /**
  * The framed link between controllers: a node hands users' requests to the leader over it. Nothing
- * rests on its delivery; whoever hears nothing in time goes to the state service instead.
+ * rests on its delivery; whoever hears nothing in time goes to the key-value store instead.
  */
 public final class PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
--- a/src/main/java/org/ternhinge/state/Txn.java
+++ b/src/main/java/org/ternhinge/state/CompareAndSwap.java
@@ -8,7 +8,7 @@
 import org.ternhinge.wire.Json;
 
 /** Changes that happen together if every key has the stated version. */
-public record Txn(Map<String, Revision> conditions, List<Change> changes) {
+public record CompareAndSwap(Map<String, Revision> conditions, List<Change> changes) {
 
   /** The transaction as JSON. */
   public byte[] write() {
--- a/src/main/java/org/ternhinge/state/HttpStateStore.java
+++ b/src/main/java/org/ternhinge/state/HttpKeyValueStore.java
@@ -18,13 +18,13 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** The state service over HTTP, within its published limits. */
-public final class HttpStateStore implements StateStore {
+/** The key-value store over HTTP, within its published limits. */
+public final class HttpKeyValueStore implements KeyValueStore {
   /** Time-out of a page of keys, which may be large. */
   private static final double LIST_S = 5;
 
   /** How much later than its own end a watch may be answered. */
-  private static final double FOLLOW_SLACK_S = 5;
+  private static final double WATCH_SLACK_S = 5;
 
   private static final byte[] EMPTY_OBJECT = {'{', '}'};
 
@@ -35,13 +35,13 @@
   private final ResponseTimeouts timeouts;
 
   /**
-   * Creates a client of a state service.
+   * Creates a client of a key-value store.
    *
    * @param requests limits the calls
    * @param writes limits the changes that they make
    * @param timeouts of calls, by how quickly the service answers
    */
-  public HttpStateStore(
+  public HttpKeyValueStore(
       HttpCaller http,
       Endpoint endpoint,
       TokenBucket requests,
@@ -112,7 +112,7 @@
         .measure(
             Kind.ofRead(priority),
             limitS -> send("GET", "/keys/" + key, null, limitS, priority, reader))
-        .thenApply(HttpStateStore::emptyIfNotFound);
+        .thenApply(HttpKeyValueStore::emptyIfNotFound);
   }
 
   private static Outcome<Read> emptyIfNotFound(Outcome<Read> outcome) {
@@ -144,12 +144,12 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-    int changes = txn.changes().size();
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writes.tryTake(priority, changes)) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, "no tokens"));
     }
-    byte[] body = txn.write();
+    byte[] body = compareAndSwap.write();
     Reader<Revision> reader = answer -> new Revision(Json.count(answer, "breytingatal"));
     return timeouts
         .measure(
@@ -189,13 +189,13 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+  public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
     String path = "/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + (int) (waitS * 1000);
     return send(
         "GET",
         path,
         null,
-        waitS + FOLLOW_SLACK_S,
+        waitS + WATCH_SLACK_S,
         RequestPriority.BOOKKEEPING,
         body -> {
           List<Change.Seen> changes = new ArrayList<>();
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public double secondsUntilTxn(int changes, RequestPriority priority) {
+  public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
     return Math.max(requests.secondsUntil(priority, 1), writes.secondsUntil(priority, changes));
   }
 }
--- a/src/main/java/org/ternhinge/state/StateStore.java
+++ b/src/main/java/org/ternhinge/state/KeyValueStore.java
@@ -7,8 +7,8 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
 
-/** The state service as the rest of the program sees it. */
-public interface StateStore {
+/** The key-value store as the rest of the program sees it. */
+public interface KeyValueStore {
 
   /** A page of keys; the revision is that of the whole store as it was read. */
   record Page(List<Entry> entries, boolean more, Revision revision) {}
@@ -27,7 +27,7 @@
       String prefix, String after, int limit, RequestPriority priority);
 
   /** Applies all changes of a transaction, or none, if its conditions hold. */
-  CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority);
+  CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority);
 
   /** Asks for a lease that lasts so many milliseconds. */
   CompletableFuture<Outcome<Long>> grant(long millis);
@@ -43,11 +43,11 @@
   CompletableFuture<Outcome<Long>> revoke(long lease);
 
   /** Waits for changes of the keys with a prefix after a revision. */
-  CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS);
+  CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS);
 
   /** How many changes a transaction may carry now; 0 while none may be sent. */
   int changesNow(RequestPriority priority);
 
   /** Seconds until a transaction of so many changes would find tokens. */
-  double secondsUntilTxn(int changes, RequestPriority priority);
+  double secondsUntilSwapAllowed(int changes, RequestPriority priority);
 }
--- a/src/main/java/org/ternhinge/state/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/state/ResponseTimeouts.java
@@ -10,7 +10,7 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * How long to wait for the state service's answers, by how long they have taken lately. Like TCP's
+ * How long to wait for the key-value store's answers, by how long they have taken lately. Like TCP's
  * retransmission timer it follows a smoothed mean and deviation of the response times and backs off
  * when no answer comes, so that a slow service is waited for and a quick one is not. A fixed
  * time-out below the response time would give up every call, and nobody could lead.
--- a/src/main/java/org/ternhinge/state/package-info.java
+++ b/src/main/java/org/ternhinge/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Client of the state service: keys, transactions, leases and watches, with outcomes that are
+ * Client of the key-value store: keys, transactions, leases and watches, with outcomes that are
  * applied, not applied or unknown.
  */
 package org.ternhinge.state;
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -8,7 +8,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The state of all zones as the state service holds it, so that a new leader does not start over.
+ * The state of all zones as the key-value store holds it, so that a new leader does not start over.
  * Versions without zone failover never read this key. A field that is missing or of another type
  * makes its zone an available one: the record is a hint, and heartbeats tell the rest.
  */
--- a/src/test/java/org/ternhinge/cli/LoopbackIT.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackIT.java
@@ -76,7 +76,7 @@
     assertEquals(
         400, cluster.status(0, "POST", "/submissions", "{".getBytes(StandardCharsets.UTF_8)));
     assertEquals(400, cluster.status(1, "POST", "/submissions", new byte[80_000]));
-    // Both ask the state service first, whose tokens a start uses up for a moment.
+    // Both ask the key-value store first, whose tokens a start uses up for a moment.
     LoopbackCluster.until(
         "422", () -> cluster.status(1, "POST", "/submissions", Json.bytes(stranger)) == 422);
     LoopbackCluster.until(
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -27,13 +27,13 @@
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** A state service and a cloud over HTTP on loopback; the cloud rents nothing out. */
+/** A key-value store and a cloud over HTTP on loopback; the cloud rents nothing out. */
 final class LoopbackServices implements AutoCloseable {
   private static final String NODE_PREFIX = "node-";
 
@@ -152,7 +152,7 @@
     } else if (path.equals("/hosts")) {
       reply(exchange, 503, Json.object().put("error", "no capacity"));
     } else if (path.equals("/follow")) {
-      follow(exchange, query);
+      watch(exchange, query);
     } else {
       synchronized (this) {
         state(exchange, path, query, body);
@@ -173,7 +173,7 @@
   private void state(HttpExchange exchange, String path, Map<String, String> query, byte[] body)
       throws IOException, WireException {
     if (path.equals("/keys")) {
-      StateStore.Page page =
+      KeyValueStore.Page page =
           store.list(query.get("prefix"), query.get("from"), Integer.parseInt(query.get("page")));
       ObjectNode out = Json.object().put("more", page.more());
       ArrayNode rows = out.putArray("rows");
@@ -186,7 +186,7 @@
           found.isPresent() ? 200 : 404,
           found.map(LoopbackServices::entry).orElse(Json.object()));
     } else if (path.equals("/txn")) {
-      outcome(exchange, store.txn(readTxn(Json.parse(body))).map(Revision::value), "breytingatal");
+      outcome(exchange, store.compareAndSwap(readCompareAndSwap(Json.parse(body))).map(Revision::value), "breytingatal");
     } else if (path.equals("/holds")) {
       long life = Json.count(Json.parse(body), "life_ms");
       reply(exchange, 200, Json.object().put("leiga", store.grant(life)));
@@ -211,7 +211,7 @@
     }
   }
 
-  private static Txn readTxn(JsonNode json) throws WireException {
+  private static CompareAndSwap readCompareAndSwap(JsonNode json) throws WireException {
     Map<String, Revision> conditions = new LinkedHashMap<>();
     for (JsonNode c : json.path("if")) {
       conditions.put(Json.text(c, "path"), new Revision(Json.count(c, "utgafunumer")));
@@ -224,14 +224,14 @@
               ? new Change.Delete(Json.text(c, "remove"))
               : new Change.Put(set, c.get("v"), c.path("leiga").asLong()));
     }
-    return new Txn(conditions, changes);
+    return new CompareAndSwap(conditions, changes);
   }
 
-  private void follow(HttpExchange exchange, Map<String, String> query) throws IOException {
-    List<StateStore.Changes> seen = new ArrayList<>();
+  private void watch(HttpExchange exchange, Map<String, String> query) throws IOException {
+    List<KeyValueStore.Changes> seen = new ArrayList<>();
     Object arrived = new Object();
     synchronized (this) {
-      store.follow(
+      store.watch(
           query.get("prefix"),
           Long.parseLong(query.get("from")),
           Integer.parseInt(query.get("wait_ms")) / 1000.0,
--- a/src/test/java/org/ternhinge/controller/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/controller/AttemptLifecycleTest.java
@@ -19,7 +19,7 @@
 
   /** A start that went out before its record could run without any leader knowing of it. */
   @Test
-  void aStartGoesOutOnceTheStateServiceHoldsTheAttempt() {
+  void aStartGoesOutOnceTheStoreHoldsTheAttempt() {
     parts.store.hold();
     Attempt attempt = parts.open(job, 0, machine);
     parts.clock.runFor(1);
--- a/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.HostInfo;
 import org.ternhinge.wire.Json;
@@ -97,7 +97,7 @@
   @Test
   void anUnreadableCopyIsNoReasonToFail() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
-    AsyncCalls.ignore(store.txn(new Txn(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
+    AsyncCalls.ignore(store.compareAndSwap(new CompareAndSwap(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
     assertKnown();
   }
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -8,13 +8,13 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
-/** Cancellations just before the state service or all controllers are out, on virtual time. */
+/** Cancellations just before the key-value store or all controllers are out, on virtual time. */
 class CancellationAndOutageTest extends CombinedFaultsFixture {
   /** Another controller has taken over after at most so long a refusal of the leader alone. */
   private static final double LONGEST_ELECTION_S = 7;
 
   /**
-   * The state service refuses the leader alone; another takes over and confirms cancellations; then
+   * The key-value store refuses the leader alone; another takes over and confirms cancellations; then
    * the service is out for everybody for longer than a cancelled task may last, and workers hold to
    * one node.
    */
@@ -131,7 +131,7 @@
     }
   }
 
-  /** The state service answers slowly, then refuses the leader, then everybody. */
+  /** The key-value store answers slowly, then refuses the leader, then everybody. */
   @ParameterizedTest(name = "seed {0}, latency {1} s")
   @CsvSource({"201, 0.4", "202, 0.8", "203, 1.2"})
   void slowThenRefusedThenOut(long seed, double latencyS) {
--- a/src/test/java/org/ternhinge/controller/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationsTest.java
@@ -29,7 +29,7 @@
 
   /** An answer before the write could be contradicted by the next leader. */
   @Test
-  void usersHearOfItOnceTheStateServiceHoldsIt() {
+  void usersHearOfItOnceTheStoreHoldsIt() {
     parts.store.hold();
     cancellations.cancel(job, state -> answers.add(state.phase()));
     cancellations.cancel(job, state -> answers.add(state.phase()));
--- a/src/test/java/org/ternhinge/controller/DependencyStartTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyStartTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.sim.SimCluster;
 
 /**
- * When a job that waits starts: never before the state service holds the end of each job that it
+ * When a job that waits starts: never before the key-value store holds the end of each job that it
  * depends on, and as soon as it does; until then it takes nothing from others.
  */
 class DependencyStartTest {
--- a/src/test/java/org/ternhinge/controller/DependentJobs.java
+++ b/src/test/java/org/ternhinge/controller/DependentJobs.java
@@ -37,7 +37,7 @@
     this(seed, 0, new SimCluster.Size(3, 4, 60, 30));
   }
 
-  /** A cluster whose settings name no coming limits of the state service. */
+  /** A cluster whose settings name no coming limits of the key-value store. */
   static DependentJobs withoutComingLimits(long seed, SimCluster.Size size) {
     return new DependentJobs(new SimCluster(seed, 0, size));
   }
@@ -94,7 +94,7 @@
     }
   }
 
-  /** No rule was broken, and nothing was sent that the state service finds too large. */
+  /** No rule was broken, and nothing was sent that the key-value store finds too large. */
   void nothingBroken() {
     assertEquals(List.of(), world.violations());
     assertEquals(0, world.state.tooLarge(), "transactions beyond the limit on size");
--- a/src/test/java/org/ternhinge/controller/FaultKind.java
+++ b/src/test/java/org/ternhinge/controller/FaultKind.java
@@ -6,15 +6,15 @@
   NONE,
   /** Controller processes end and come back. */
   CONTROLLER_CRASHES,
-  /** Controllers lose workers or the state service, machines are cut off or end. */
+  /** Controllers lose workers or the key-value store, machines are cut off or end. */
   CONNECTION_CUTS,
-  /** The state service refuses everybody for a while. */
+  /** The key-value store refuses everybody for a while. */
   STATE_OUTAGES,
   /** Machines' heartbeats arrive, while nothing reaches them. */
   LOST_COMMANDS,
   /** Heartbeats arrive once more, late. */
   REPORT_COPIES,
-  /** Controllers reach their workers only, neither the state service nor each other. */
+  /** Controllers reach their workers only, neither the key-value store nor each other. */
   ISOLATED_CONTROLLERS,
   /** All kinds before this one. */
   BASIC,
@@ -24,13 +24,13 @@
   LOST_REPORTS,
   /** Machines execute nothing for a while. */
   MACHINE_HANGS,
-  /** The state service answers slowly. */
+  /** The key-value store answers slowly. */
   SLOW_STATE_SERVICE,
   /** Heartbeats are held back and reach whoever leads by then. */
   HELD_HEARTBEATS,
   /** A zone with its controllers is cut off. */
   ZONE_CUTS,
-  /** The state service refuses one leader after another. */
+  /** The key-value store refuses one leader after another. */
   REFUSED_LEADERS,
   /** Users send invalid requests, and cancel jobs at the very end of their last task. */
   INVALID_REQUESTS,
--- a/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
@@ -105,7 +105,7 @@
     cluster.nothingBroken();
   }
 
-  /** All retries together cost a bounded part of the state service's changes. */
+  /** All retries together cost a bounded part of the key-value store's changes. */
   @Test
   void retriesHaveABoundedRate() {
     List<JobId> faulty = new ArrayList<>();
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -59,7 +59,7 @@
   /**
    * More work than room, urgent and not, while each message takes long: places are freed by stops
    * that arrive late, for starts that arrive late, and some of both are cancelled on the way.
-   * Slower still, calls of the state service end before their answers and nobody leads.
+   * Slower still, calls of the key-value store end before their answers and nobody leads.
    */
   @ParameterizedTest(name = "seed {0}, {1} s each way")
   @CsvSource({"141, 0.1", "142, 0.3", "143, 0.5", "144, 0.8"})
--- a/src/test/java/org/ternhinge/controller/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/controller/JobLookupTest.java
@@ -23,10 +23,10 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What a node that does not lead finds of jobs in the state service. */
+/** What a node that does not lead finds of jobs in the key-value store. */
 class JobLookupTest {
   private static final int VALUE_BYTES = 8 * 1024;
 
@@ -37,8 +37,8 @@
   private DependencyCheck.Result checked;
 
   private void put(String key, ObjectNode value) {
-    Txn txn = new Txn(Map.of(), List.of(new Change.Put(key, value, 0)));
-    AsyncCalls.ignore(store.txn(txn, RequestPriority.ACCEPT));
+    CompareAndSwap compareAndSwap = new CompareAndSwap(Map.of(), List.of(new Change.Put(key, value, 0)));
+    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
   }
 
   /** Stores jobs such as {@code 1:batch 2:done 3:cancelled 4:batch<1.3}. */
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
 /** How a node that does not lead answers questions and cancellations. */
@@ -62,11 +62,11 @@
   private final JobLookup lookup = new JobLookup(store);
 
   private void put(Change change) {
-    AsyncCalls.ignore(store.txn(new Txn(Map.of(), List.of(change)), RequestPriority.ACCEPT));
+    AsyncCalls.ignore(store.compareAndSwap(new CompareAndSwap(Map.of(), List.of(change)), RequestPriority.ACCEPT));
   }
 
-  /** Another node leads, or the state service can't say who does. */
-  private void follow(boolean leaderKnown) {
+  /** Another node leads, or the key-value store can't say who does. */
+  private void watch(boolean leaderKnown) {
     if (!leaderKnown) {
       return;
     }
@@ -117,7 +117,7 @@
       boolean fromPeer,
       int nodesAsked,
       int expected) {
-    follow(leaderKnown);
+    watch(leaderKnown);
     storeJob(stored);
     leaderStatus = status;
     JobQueries queries = new JobQueries(role, client, search, lookup);
@@ -151,7 +151,7 @@
       boolean fromPeer,
       int nodesAsked,
       int expected) {
-    follow(leaderKnown);
+    watch(leaderKnown);
     storeJob(stored);
     leaderStatus = status;
     JobCancellations cancellations = new JobCancellations(role, client, search, lookup, clock);
--- a/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Users expect an answer within a second also while nobody leads, or while the state service
+ * Users expect an answer within a second also while nobody leads, or while the key-value store
  * refuses just the node that they have met.
  */
 class LeaderlessSubmissionTest {
@@ -95,7 +95,7 @@
     "false, 0.5, false",
     "false, 10,  true",
   })
-  void aNodeThatTheStateServiceRefusesHandsItsSubmissionsOn(
+  void aNodeThatTheStoreRefusesHandsItsSubmissionsOn(
       boolean leading, double before, boolean dependent) {
     int node = leading ? world.leader() : (world.leader() + 1) % 5;
     world.stateFaults.refuse(node, 30);
@@ -105,7 +105,7 @@
     assertEquals(List.of(201), answers);
   }
 
-  /** In an outage of the state service nobody can accept: the answer comes at once. */
+  /** In an outage of the key-value store nobody can accept: the answer comes at once. */
   @ParameterizedTest(name = "dependent {0}")
   @CsvSource({"false", "true"})
   void anOutageIsToldAtOnce(boolean dependent) {
--- a/src/test/java/org/ternhinge/controller/LeadershipParts.java
+++ b/src/test/java/org/ternhinge/controller/LeadershipParts.java
@@ -38,8 +38,8 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.TaskStatus;
@@ -47,8 +47,8 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * The parts of a leadership around the one under test: a real ledger and writer over a state
- * service at hand, workers that never answer, and a count of the rounds asked for.
+ * The parts of a leadership around the one under test: a real ledger and writer over a key-value
+ * store at hand, workers that never answer, and a count of the rounds asked for.
  */
 final class LeadershipParts {
   static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
@@ -74,7 +74,7 @@
   Runnable onWritten = () -> {};
 
   LeadershipParts() {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     authority.revision = core.get(Keys.TERM).entry().orElseThrow().revision();
     executor = new LeadershipExecutor(clock, lock);
     ledger = new Ledger(teams, VALUE_BYTES, clock);
@@ -122,7 +122,7 @@
         teams,
         List.of(),
         WORKER_SETTINGS,
-        new Settings.StateLimits(80, 20, 8, 16),
+        new Settings.StoreLimits(80, 20, 8, 16),
         new Settings.CloudLimits(4, 10),
         1000,
         0.025);
@@ -144,11 +144,11 @@
     return machine;
   }
 
-  /** A job that the state service and the ledger hold. */
+  /** A job that the key-value store and the ledger hold. */
   Job job(ObjectNode json) {
     ObjectNode record = RecordCodec.fresh(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(key, record, 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(key, record, 0))));
     Revision revision = core.get(key).entry().orElseThrow().revision();
     try {
       Job job = LedgerLoader.read(record, revision, clock.now());
@@ -236,13 +236,13 @@
   }
 
   /** Carries transactions out at once, or not before it is let go on. */
-  static final class HeldStore implements StateStore {
-    private final StateStore store;
+  static final class HeldStore implements KeyValueStore {
+    private final KeyValueStore store;
     private final List<Runnable> heldBack = new ArrayList<>();
     private boolean holding;
     private boolean holdingReads;
 
-    HeldStore(StateStore store) {
+    HeldStore(KeyValueStore store) {
       this.store = store;
     }
 
@@ -264,12 +264,12 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
       if (!holding) {
-        return store.txn(txn, priority);
+        return store.compareAndSwap(compareAndSwap, priority);
       }
       CompletableFuture<Outcome<Revision>> answer = new CompletableFuture<>();
-      heldBack.add(() -> AsyncCalls.whenAnswered(store.txn(txn, priority), answer::complete));
+      heldBack.add(() -> AsyncCalls.whenAnswered(store.compareAndSwap(compareAndSwap, priority), answer::complete));
       return answer;
     }
 
@@ -305,8 +305,8 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
-      return store.follow(prefix, from, waitS);
+    public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
+      return store.watch(prefix, from, waitS);
     }
 
     @Override
@@ -315,8 +315,8 @@
     }
 
     @Override
-    public double secondsUntilTxn(int changes, RequestPriority priority) {
-      return store.secondsUntilTxn(changes, priority);
+    public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
+      return store.secondsUntilSwapAllowed(changes, priority);
     }
   }
 
--- a/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
+++ b/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
@@ -15,7 +15,7 @@
 
 /**
  * Users who ask about their jobs eight times as often as they do as a rule, with the limits of the
- * state service on requests.
+ * key-value store on requests.
  */
 class ManyQuestionsTest {
   private static final double REQUESTS = 80;
--- a/src/test/java/org/ternhinge/controller/PackedRecordsTest.java
+++ b/src/test/java/org/ternhinge/controller/PackedRecordsTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.RentalRequest;
 
@@ -85,8 +85,8 @@
       throws Exception {
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
-    core.txn(
-        new Txn(
+    core.compareAndSwap(
+        new CompareAndSwap(
             Map.of(),
             List.of(
                 new Change.Put("term", Json.object().put("n", 1), 0),
@@ -126,7 +126,7 @@
       throws Exception {
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
-    core.txn(new Txn(Map.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
     PackedRecords written = packed(core, clock, prefix, valueBytes);
     for (int i = 1; i <= 5; i++) {
       if (prefix.equals("r/")) {
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The state service's limits become smaller without notice: records that were written under the
+ * The key-value store's limits become smaller without notice: records that were written under the
  * larger ones go on being used, nothing is sent that is too large, and no leadership is lost.
  */
 class RecordLimitsTest {
--- a/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
-/** A controller that the state service alone refuses, or that is cut off from others. */
+/** A controller that the key-value store alone refuses, or that is cut off from others. */
 class RefusedControllerTest {
   /** Six seconds of lease, and what the next leader takes to claim it and to load. */
   private static final double TAKE_OVER_S = 10;
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -28,7 +28,7 @@
     lateWrites();
     lostHeartbeats();
     hangs();
-    slowStateService();
+    slowStore();
     heldHeartbeats();
     zoneCuts();
     refusedLeaders(step);
@@ -111,7 +111,7 @@
     }
   }
 
-  private void slowStateService() {
+  private void slowStore() {
     if (kind.includes(FaultKind.SLOW_STATE_SERVICE) && oneIn(12)) {
       cluster.stateFaults.slowState(seconds(5, 40), 0.3 + cluster.nextInt(10) / 10.0);
     }
--- a/src/test/java/org/ternhinge/controller/SlowStateServiceTest.java
+++ b/src/test/java/org/ternhinge/controller/SlowStoreTest.java
@@ -16,10 +16,10 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The whole controller over a state service whose answers take long, on virtual time. Delays vary
+ * The whole controller over a key-value store whose answers take long, on virtual time. Delays vary
  * from a quarter of the given ones to all of them.
  */
-class SlowStateServiceTest {
+class SlowStoreTest {
   private static final double QUIET_S = 5;
 
   private SimCluster world;
@@ -162,7 +162,7 @@
     assertEquals(3, world.tasks.runningTasks(stays));
   }
 
-  /** Whatever the state service takes, a node answers users before they give up. */
+  /** Whatever the key-value store takes, a node answers users before they give up. */
   @ParameterizedTest(name = "{0} s each way")
   @CsvSource({"0.3", "0.8", "1.3", "1.8", "3"})
   void usersAreAnsweredInTime(double eachWayS) {
--- a/src/test/java/org/ternhinge/controller/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneCoordinatorTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 import org.ternhinge.zone.ZoneRecord;
 
@@ -46,7 +46,7 @@
 
   private void record(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
-    parts.core.txn(new Txn(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
+    parts.core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
   private Entry recorded() {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.sim.TaskObservations.Start;
 
 /**
- * A lost zone in the same moment as something else: a change of leader, a slow state service, the
+ * A lost zone in the same moment as something else: a change of leader, a slow key-value store, the
  * end of a task, a cancellation. On virtual time.
  */
 class ZoneFailoverRaceTest extends ZoneFailoverFixture {
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -20,8 +20,8 @@
 import org.ternhinge.state.ResponseTimeouts.Kind;
 
 /**
- * Elections over a state service that answers late. Whatever happens, a node takes its leadership
- * for valid only while the state service holds its key.
+ * Elections over a key-value store that answers late. Whatever happens, a node takes its leadership
+ * for valid only while the key-value store holds its key.
  */
 class DelayedElectionTest {
   private static final int NODES = 3;
--- a/src/test/java/org/ternhinge/election/GraceTest.java
+++ b/src/test/java/org/ternhinge/election/GraceTest.java
@@ -9,7 +9,7 @@
 import org.ternhinge.config.SettingsException;
 import org.ternhinge.config.Tuning;
 
-/** The inequality on which cancellations rest where the state service is gone for long. */
+/** The inequality on which cancellations rest where the key-value store is gone for long. */
 class GraceTest {
   private static final double DRIFT = 0.0005;
 
@@ -30,7 +30,7 @@
     Tuning tuning = Tuning.read("grace_s = " + graceS + "\nmargin_s = " + margin);
     double grace = Election.grace(tuning, workers);
     assertEquals(expected, grace, 0.001);
-    // From the sending of the last renewal that succeeded, by the state service's clock: the first
+    // From the sending of the last renewal that succeeded, by the key-value store's clock: the first
     // moment at which another may lead, and the last at which a worker of the old leader runs
     // tasks.
     // The leader's clock is the slowest and the worker's too.
--- a/src/test/java/org/ternhinge/http/HttpTest.java
+++ b/src/test/java/org/ternhinge/http/HttpTest.java
@@ -117,7 +117,7 @@
     assertEquals(null, ask(connect(), "/"), "beyond the limit: closed at once");
   }
 
-  /** The watch of the state service has no bound of its own. */
+  /** The watch of the key-value store has no bound of its own. */
   @Test
   void anAnswerTooLargeIsNoLostAnswer() throws Exception {
     serve(SocketShares.of(64), 3 << 20);
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -60,7 +60,7 @@
     assertEquals("r/1", next(1).request().changes().get(0).key());
   }
 
-  /** Written by a version that knew a larger limit: the state service would refuse it. */
+  /** Written by a version that knew a larger limit: the key-value store would refuse it. */
   @Test
   void aValueThatIsTooLargeWaitsUntilItHasShrunk() {
     int[] bytes = {VALUE_BYTES};
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -24,8 +24,8 @@
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -35,7 +35,7 @@
 
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
-  private final List<Txn> sent = new ArrayList<>();
+  private final List<CompareAndSwap> sent = new ArrayList<>();
   private Runnable afterEach = () -> {};
   private int budget = 16;
 
@@ -85,14 +85,14 @@
   }
 
   /** Only what the writer uses. */
-  private final class Store implements StateStore {
+  private final class Store implements KeyValueStore {
     @Override
-    public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-      sent.add(txn);
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+      sent.add(compareAndSwap);
       CompletableFuture<Outcome<Revision>> out = new CompletableFuture<>();
       boolean mute = unanswered-- > 0;
       Outcome<Revision> outcome =
-          mute && !carriedOut ? Outcome.unknown("no answer") : core.txn(txn);
+          mute && !carriedOut ? Outcome.unknown("no answer") : core.compareAndSwap(compareAndSwap);
       afterEach.run();
       clock.after(0.01, () -> out.complete(mute ? Outcome.unknown("no answer") : outcome));
       return out;
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public double secondsUntilTxn(int changes, RequestPriority priority) {
+    public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
       return 0;
     }
 
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+    public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
       throw new UnsupportedOperationException();
     }
   }
@@ -146,7 +146,7 @@
     ObjectNode record = RecordCodec.fresh(Specs.of(spec), 1, ledger.valueBytes());
     String key = Keys.job(Specs.of(spec).id());
     Map<String, Revision> none = Map.of(key, Revision.NONE);
-    Outcome<Revision> put = core.txn(new Txn(none, List.of(new Change.Put(key, record, 0))));
+    Outcome<Revision> put = core.compareAndSwap(new CompareAndSwap(none, List.of(new Change.Put(key, record, 0))));
     Revision at = ((Outcome.Applied<Revision>) put).value();
     try {
       Job job = LedgerLoader.read(record, at, clock.now());
@@ -188,7 +188,7 @@
 
   @Test
   void theEndOfALargeArrayIsSafeAtEveryStep() {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
     writer.pump();
@@ -217,7 +217,7 @@
   @ParameterizedTest(name = "carried out {0}, next leader writes the same {1}")
   @CsvSource({"true, false, true", "false, true, false"})
   void anEqualValueOfAnotherTermIsNotOurs(boolean applied, boolean another, boolean durable) {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     ledAt = termNow();
     Job cancelled = accept("wk-1", "batch", "normal", 3);
     open(cancelled, 0, 1);
@@ -234,7 +234,7 @@
       List<Change> same = new ArrayList<>();
       same.add(new Change.Put(Keys.TERM, Json.object().put("n", 2).put("inc", "b"), 0));
       sent.get(1).changes().stream().filter(c -> c.key().equals("j/wk-1")).forEach(same::add);
-      core.txn(new Txn(Map.of(), same));
+      core.compareAndSwap(new CompareAndSwap(Map.of(), same));
     }
     clock.runFor(5);
     assertEquals(durable ? 0 : 1, lost.size());
@@ -248,7 +248,7 @@
    */
   @Test
   void aSegmentThatIsMergedWhileItIsWrittenIsRemoved() {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
     writer.pump();
@@ -278,7 +278,7 @@
   /** What one key's write sets off may write another key of the same transaction at once. */
   @Test
   void everyVersionOfATransactionIsKnownBeforeAnythingFollowsFromIt() {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     ledAt = termNow();
     writer.write("r/1", Json::object, null);
     writer.write("r/0", Json::object, () -> writer.write("r/0", Json::object, null));
@@ -296,7 +296,7 @@
 
   @Test
   void whatUsersWaitForMostIsWrittenFirst() {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job array = accept("wk-1", "batch", "normal", 5);
     Job service = accept("wk-2", "daemon", "production", 2);
     Job cancelled = accept("wk-3", "daemon", "production", 1);
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -28,7 +28,7 @@
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -112,8 +112,8 @@
   }
 
   private Job adopt(ObjectNode record) throws WireException {
-    core.txn(
-        new Txn(
+    core.compareAndSwap(
+        new CompareAndSwap(
             Map.of(),
             List.of(
                 new Change.Put(Keys.TERM, Json.object().put("n", 1), 0),
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -22,7 +22,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Whatever is admitted fits the state service's limit on values, and goes on fitting as it ends.
+ * Whatever is admitted fits the key-value store's limit on values, and goes on fitting as it ends.
  */
 class SegmentCapacityTest {
   private static final SteadyTime NOW = new SteadyTime(0);
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
 /** What reading back proves of a transaction whose answer was lost. */
@@ -73,7 +73,7 @@
   }
 
   private Revision put(String key, ObjectNode value) {
-    core.txn(new Txn(Map.of(), List.of(new Change.Put(key, value, 0))));
+    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(key, value, 0))));
     return core.get(key).entry().orElseThrow().revision();
   }
 
@@ -86,7 +86,7 @@
   }
 
   private static LedgerTransaction transaction(Change... changes) {
-    return new LedgerTransaction(new Txn(Map.of(), List.of(changes)), List.of(), List.of());
+    return new LedgerTransaction(new CompareAndSwap(Map.of(), List.of(changes)), List.of(), List.of());
   }
 
   private String verdict() {
--- a/src/test/java/org/ternhinge/limit/StateServiceBudgetTest.java
+++ b/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.sim.SimClock;
 
-/** All controllers together keep to the state service's limits, whoever leads. */
-class StateServiceBudgetTest {
+/** All controllers together keep to the key-value store's limits, whoever leads. */
+class KeyValueStoreBudgetTest {
   private static final double REQUESTS_PER_S = 80;
   private static final double CHANGES_PER_S = 30;
   private static final double STEP_S = 0.05;
 
   private final SimClock clock = new SimClock();
 
-  /** What the state service takes: its rate, and bursts of one second's worth. */
+  /** What the key-value store takes: its rate, and bursts of one second's worth. */
   private final TokenBucket requestLimit = new TokenBucket(clock, REQUESTS_PER_S);
 
   private final TokenBucket changeLimit = new TokenBucket(clock, CHANGES_PER_S);
@@ -35,9 +35,9 @@
   @ParameterizedTest(name = "{0} controllers, another leads every {1} s, {2} s without any")
   @CsvSource({"1, 60, 0", "3, 60, 0", "5, 60, 0", "3, 7, 0.2", "5, 7, 0.2", "5, 7, 6"})
   void togetherTheyKeepToTheLimits(int controllers, double termS, double gapS) {
-    List<StateServiceBudget> budgets = new ArrayList<>();
+    List<KeyValueStoreBudget> budgets = new ArrayList<>();
     for (int i = 0; i < controllers; i++) {
-      budgets.add(new StateServiceBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1));
+      budgets.add(new KeyValueStoreBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1));
     }
     int leader = 0;
     budgets.get(0).setLeading(true);
@@ -50,7 +50,7 @@
         leader = led ? leader : (leader + 1) % controllers;
         changesAt = now + (led ? termS : gapS);
       }
-      for (StateServiceBudget budget : budgets) {
+      for (KeyValueStoreBudget budget : budgets) {
         sendAll(budget.requests(), requestLimit);
         sendAll(budget.changes(), changeLimit);
       }
@@ -74,8 +74,8 @@
   })
   void theSharesAreThoseOfProduction(
       int controllers, boolean leading, double requestsPerS, double changesPerS) {
-    StateServiceBudget budget =
-        new StateServiceBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1);
+    KeyValueStoreBudget budget =
+        new KeyValueStoreBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1);
     budget.setLeading(leading);
     assertEquals(requestsPerS, ratePerS(budget.requests()), 1e-6);
     assertEquals(changesPerS, ratePerS(budget.changes()), 1e-6);
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The settings with which simulated controllers start. They read the limits of the state service at
+ * The settings with which simulated controllers start. They read the limits of the key-value store at
  * each start, so a change that is announced holds for controllers that start after it.
  */
 final class ClusterSettings {
@@ -68,7 +68,7 @@
     limits = limits.lesser(coming);
   }
 
-  /** The limits of the state service that the settings name. */
+  /** The limits of the key-value store that the settings name. */
   SimCluster.Limits limits() {
     return limits;
   }
@@ -119,7 +119,7 @@
         teams(),
         List.of(),
         new Settings.Workers(REPORT_S, LEASE_S, 30, 5, CANCEL_S),
-        new Settings.StateLimits(80, named.writeRps(), named.valueKb(), named.txnOps()),
+        new Settings.StoreLimits(80, named.writeRps(), named.valueKb(), named.maxChangesPerSwap()),
         new Settings.CloudLimits(4, 10),
         1000,
         0.025);
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -9,12 +9,12 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.ResponseTimeouts;
 import org.ternhinge.state.ResponseTimeouts.Kind;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 
-/** One node's way to the state service, with a delay in each direction. */
-public final class DelayedStore implements StateStore {
-  private static final double FOLLOW_SLACK_S = 5;
+/** One node's way to the key-value store, with a delay in each direction. */
+public final class DelayedStore implements KeyValueStore {
+  private static final double WATCH_SLACK_S = 5;
 
   private final SimClock clock;
   private final StoreCore core;
@@ -77,8 +77,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-    return measured(Kind.ofWrite(priority), () -> core.txn(txn));
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    return measured(Kind.ofWrite(priority), () -> core.compareAndSwap(compareAndSwap));
   }
 
   @Override
@@ -102,13 +102,13 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+  public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<Changes>> result = new CompletableFuture<>();
-    clock.after(waitS + FOLLOW_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
+    clock.after(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
     clock.after(
         delayS.getAsDouble(),
         () ->
-            core.follow(
+            core.watch(
                 prefix,
                 from.value(),
                 waitS,
@@ -125,7 +125,7 @@
   }
 
   @Override
-  public double secondsUntilTxn(int changes, RequestPriority priority) {
+  public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
     return 0;
   }
 }
--- a/src/test/java/org/ternhinge/sim/DependencyCheck.java
+++ b/src/test/java/org/ternhinge/sim/DependencyCheck.java
@@ -19,7 +19,7 @@
   /**
    * Checks against what is known of the jobs.
    *
-   * @param stored gives the value of a key in the state service, or null
+   * @param stored gives the value of a key in the key-value store, or null
    */
   DependencyCheck(RuleViolations violations, JobCatalog jobs, Function<String, JsonNode> stored) {
     this.violations = violations;
@@ -50,7 +50,7 @@
   }
 
   /**
-   * A change was carried out. No start may be recorded before the state service holds the ends of
+   * A change was carried out. No start may be recorded before the key-value store holds the ends of
    * all that the job depends on: a later leader might see them otherwise.
    */
   void changed(Change change) {
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -4,11 +4,11 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 
-/** The state service at hand, without a network and without limits on rates. */
-public class DirectStore implements StateStore {
+/** The key-value store at hand, without a network and without limits on rates. */
+public class DirectStore implements KeyValueStore {
   private final StoreCore core;
 
   /** Creates a client that answers at once. */
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-    return now(core.txn(txn));
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    return now(core.compareAndSwap(compareAndSwap));
   }
 
   @Override
@@ -53,9 +53,9 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+  public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<Changes>> out = new CompletableFuture<>();
-    core.follow(prefix, from.value(), waitS, c -> out.complete(Outcome.applied(c)));
+    core.watch(prefix, from.value(), waitS, c -> out.complete(Outcome.applied(c)));
     return out;
   }
 
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public double secondsUntilTxn(int changes, RequestPriority priority) {
+  public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
     return 0;
   }
 }
--- a/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
@@ -24,7 +24,7 @@
   }
 
   /** Turns to the controller that a redirect names, and gives the seconds to the next heartbeat. */
-  double follow(byte[] redirect) {
+  double watch(byte[] redirect) {
     int named = HeartbeatResponses.redirectedTo(redirect).orElse(controller);
     if (named == controller) {
       return next();
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -67,7 +67,7 @@
     return commandsOfOldTerms;
   }
 
-  /** Reads of single keys from the state service. */
+  /** Reads of single keys from the key-value store. */
   public long stateReads() {
     return stateReads;
   }
@@ -87,7 +87,7 @@
     return mostCommandCallsAtOnce;
   }
 
-  /** Puts and deletes that controllers sent to the state service. */
+  /** Puts and deletes that controllers sent to the key-value store. */
   public long stateChanges() {
     return stateChanges;
   }
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -9,7 +9,7 @@
 
 /** Faults of the network between controllers, zones and the region, and slow links. */
 public final class NetworkFaults {
-  /** The place of users, the cloud and the state service, which lie in no zone. */
+  /** The place of users, the cloud and the key-value store, which lie in no zone. */
   static final String REGION = null;
 
   /** Longer than a cut itself, so that what it held arrives after it. */
@@ -19,7 +19,7 @@
 
   private final SimClock clock;
   private final SimNetwork network;
-  private final SimStateService state;
+  private final SimKeyValueStore state;
   private final RandomGenerator random;
   private final SteadyTime[] cutFromWorkersUntil;
   private final SteadyTime[] cutFromPeersUntil;
@@ -30,7 +30,7 @@
   NetworkFaults(
       SimClock clock,
       SimNetwork network,
-      SimStateService state,
+      SimKeyValueStore state,
       int controllers,
       RandomGenerator random) {
     this.clock = clock;
@@ -65,7 +65,7 @@
     return lastsThrough(cutFromWorkersUntil[controller]);
   }
 
-  /** Cuts a controller off from the state service and the other ones, not from its workers. */
+  /** Cuts a controller off from the key-value store and the other ones, not from its workers. */
   public void cutOff(int controller, double seconds) {
     state.refuse(controller, seconds);
     cutFromPeersUntil[controller] = in(seconds);
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -10,8 +10,8 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -73,8 +73,8 @@
     return change;
   }
 
-  /** The state service as that version reads and writes it. */
-  record Store(StateStore behind) implements StateStore {
+  /** The key-value store as that version reads and writes it. */
+  record Store(KeyValueStore behind) implements KeyValueStore {
     @Override
     public CompletableFuture<Outcome<Read>> get(String key, RequestPriority priority) {
       return behind
@@ -98,9 +98,9 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+    public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
       return behind
-          .follow(prefix, from, waitS)
+          .watch(prefix, from, waitS)
           .thenApply(
               outcome ->
                   outcome.map(
@@ -114,9 +114,9 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-      List<Change> changes = txn.changes().stream().map(OldVersion::change).toList();
-      return behind.txn(new Txn(txn.conditions(), changes), priority);
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+      List<Change> changes = compareAndSwap.changes().stream().map(OldVersion::change).toList();
+      return behind.compareAndSwap(new CompareAndSwap(compareAndSwap.conditions(), changes), priority);
     }
 
     @Override
@@ -140,8 +140,8 @@
     }
 
     @Override
-    public double secondsUntilTxn(int changes, RequestPriority priority) {
-      return behind.secondsUntilTxn(changes, priority);
+    public double secondsUntilSwapAllowed(int changes, RequestPriority priority) {
+      return behind.secondsUntilSwapAllowed(changes, priority);
     }
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -24,7 +24,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Controllers with simulated machines, cloud, state service and network around them, in virtual
+ * Controllers with simulated machines, cloud, key-value store and network around them, in virtual
  * time. The rules of the protocol are checked on what the simulated machines ran and on what users
  * were told, never on anything that the service believes.
  */
@@ -34,7 +34,7 @@
    *
    * @param machines that the cloud has of each type, zone and kind
    * @param teamCpus the limit of a team
-   * @param writeRps changes a second that the state service takes
+   * @param writeRps changes a second that the key-value store takes
    */
   public record Size(int nodes, int machines, double teamCpus, double writeRps) {}
 
@@ -49,12 +49,12 @@
     static final Site USUAL = new Site(ClusterSettings.ZONES, Tuning.DEFAULT);
   }
 
-  /** Limits of the state service on values, transactions and changes a second. */
-  public record Limits(double valueKb, int txnOps, double writeRps) {
+  /** Limits of the key-value store on values, transactions and changes a second. */
+  public record Limits(double valueKb, int maxChangesPerSwap, double writeRps) {
     Limits lesser(Limits other) {
       return new Limits(
           Math.min(valueKb, other.valueKb),
-          Math.min(txnOps, other.txnOps),
+          Math.min(maxChangesPerSwap, other.maxChangesPerSwap),
           Math.min(writeRps, other.writeRps));
     }
   }
@@ -62,7 +62,7 @@
   /** Three controllers and sixteen machines. */
   public static final Size SMALL = new Size(3, 2, 24, 30);
 
-  /** Limits that the state service is to have some day, as the settings name them. */
+  /** Limits that the key-value store is to have some day, as the settings name them. */
   public static final Limits COMING = new Limits(2, 5, 21);
 
   private static final double INITIAL_VALUE_KB = 8;
@@ -76,11 +76,11 @@
   /** Counts of messages and calls. */
   public final MessageCounts counts = new MessageCounts();
 
-  /** The state service. */
-  public final SimStateService state;
+  /** The key-value store. */
+  public final SimKeyValueStore state;
 
-  /** Faults of the state service. */
-  public final StateServiceFaults stateFaults;
+  /** Faults of the key-value store. */
+  public final StoreFaults stateFaults;
 
   /** Faults of machines that are rented. */
   public final BootFaults bootFaults = new BootFaults();
@@ -127,7 +127,7 @@
   }
 
   /**
-   * A cluster whose settings name coming limits of the state service; controllers keep to the
+   * A cluster whose settings name coming limits of the key-value store; controllers keep to the
    * lesser of both, since they come without notice.
    *
    * @param lossShare of messages that are late, and of answers that are lost
@@ -146,10 +146,10 @@
     random = new SplittableRandom(seed);
     network = new SimNetwork(clock, random.split());
     network.lossShare = lossShare;
-    state = new SimStateService(clock, size.nodes, first);
+    state = new SimKeyValueStore(clock, size.nodes, first);
     // A source of its own, so that a seed means the same days with and without faults.
     SplittableRandom faultRandom = new SplittableRandom(seed * 31 + 7);
-    stateFaults = new StateServiceFaults(clock, state, faultRandom);
+    stateFaults = new StoreFaults(clock, state, faultRandom);
     machineFaults = new MachineFaults(this, faultRandom);
     networkFaults = new NetworkFaults(clock, network, state, size.nodes, faultRandom);
     tasks = new TaskObservations(clock, jobs);
@@ -226,7 +226,7 @@
     return size.nodes;
   }
 
-  /** The controller that the state service holds for the leader, or -1. */
+  /** The controller that the key-value store holds for the leader, or -1. */
   public int leader() {
     return state.leader();
   }
@@ -308,7 +308,7 @@
     jobs.add(spec, named);
   }
 
-  /** Jobs that were done long ago: the state service holds their ends, nobody remembers them. */
+  /** Jobs that were done long ago: the key-value store holds their ends, nobody remembers them. */
   public void wasDone(List<JobSpec> specs) {
     List<Change> ends = new ArrayList<>();
     for (JobSpec spec : specs) {
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.StateStore;
+import org.ternhinge.state.KeyValueStore;
 
 /**
  * One process of a controller with everything around it simulated. Once it is killed, nothing
@@ -42,8 +42,8 @@
     // The version before dependent jobs knows nothing of coming limits either.
     Settings settings =
         oldVersion ? cluster.settings.underFirstLimits(name) : cluster.settings.of(name);
-    SimStateClient client = new SimStateClient(cluster, this);
-    StateStore state = oldVersion ? new OldVersion.Store(client) : client;
+    SimStoreClient client = new SimStoreClient(cluster, this);
+    KeyValueStore state = oldVersion ? new OldVersion.Store(client) : client;
     ControllerServices services =
         new ControllerServices(
             settings,
--- a/src/test/java/org/ternhinge/sim/SimStateService.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -12,13 +12,13 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 
 /**
- * The one state service of a simulated cluster: its contents, its limits, and whom it refuses at
- * present. Controllers reach it through a {@link SimStateClient} each.
+ * The one key-value store of a simulated cluster: its contents, its limits, and whom it refuses at
+ * present. Controllers reach it through a {@link SimStoreClient} each.
  */
-public final class SimStateService {
+public final class SimKeyValueStore {
   /** Longer than the refusal itself, so that a watch that is woken is no longer refused. */
   private static final double AFTER_S = 0.001;
 
@@ -31,15 +31,15 @@
 
   private final SimClock clock;
   private final StoreCore contents;
-  private final StateLimits limits;
+  private final StoreLimits limits;
   private final SteadyTime[] refusedUntil;
   private SteadyTime outageUntil;
   private Consumer<Change> carriedOut = change -> {};
 
-  SimStateService(SimClock clock, int controllers, SimCluster.Limits limits) {
+  SimKeyValueStore(SimClock clock, int controllers, SimCluster.Limits limits) {
     this.clock = clock;
     this.contents = new StoreCore(clock);
-    this.limits = new StateLimits(clock, limits);
+    this.limits = new StoreLimits(clock, limits);
     this.refusedUntil = new SteadyTime[controllers];
   }
 
@@ -102,23 +102,23 @@
   // ---- contents -------------------------------------------------------------------------------
 
   /** A transaction of a controller arrives. */
-  Outcome<Revision> txn(int controller, Txn txn) {
+  Outcome<Revision> compareAndSwap(int controller, CompareAndSwap compareAndSwap) {
     return refuses(controller)
         ? Outcome.notApplied(Reason.REFUSED, "503")
-        : limits.take(txn, this::carryOut);
+        : limits.take(compareAndSwap, this::carryOut);
   }
 
-  private Outcome<Revision> carryOut(Txn txn) {
-    Outcome<Revision> outcome = contents.txn(txn);
+  private Outcome<Revision> carryOut(CompareAndSwap compareAndSwap) {
+    Outcome<Revision> outcome = contents.compareAndSwap(compareAndSwap);
     if (outcome instanceof Outcome.Applied) {
-      txn.changes().forEach(carriedOut);
+      compareAndSwap.changes().forEach(carriedOut);
     }
     return outcome;
   }
 
   /** Writes whatever the limits are, as it was written under earlier ones. */
   public void put(List<Change> changes) {
-    contents.txn(new Txn(Map.of(), changes));
+    contents.compareAndSwap(new CompareAndSwap(Map.of(), changes));
   }
 
   /** The value of a key, or null. */
--- a/src/test/java/org/ternhinge/sim/SimStateClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -10,11 +10,11 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.ResponseTimeouts;
 import org.ternhinge.state.ResponseTimeouts.Kind;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 
-/** The state service as one controller process reaches it, with that process's share of limits. */
-final class SimStateClient implements StateStore {
+/** The key-value store as one controller process reaches it, with that process's share of limits. */
+final class SimStoreClient implements KeyValueStore {
   /** Of the limit on changes, what the leader uses; the others share the rest. */
   private static final double LEADER_SHARE = 0.7;
 
@@ -26,8 +26,8 @@
 
   private final SimCluster cluster;
   private final SimController owner;
-  private final SimStateService service;
-  private final StateServiceFaults faults;
+  private final SimKeyValueStore service;
+  private final StoreFaults faults;
   private final TokenBucket changes;
   private final ResponseTimeouts timeouts;
   private boolean isLeading;
@@ -35,7 +35,7 @@
   /** Tokens for requests, or null while they are not counted. */
   private TokenBucket requests;
 
-  SimStateClient(SimCluster cluster, SimController owner) {
+  SimStoreClient(SimCluster cluster, SimController owner) {
     this.cluster = cluster;
     this.owner = owner;
     this.service = cluster.state;
@@ -118,20 +118,20 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> txn(Txn txn, RequestPriority priority) {
-    if (!mayAsk(priority) || !changes.tryTake(priority, txn.changes().size())) {
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    if (!mayAsk(priority) || !changes.tryTake(priority, compareAndSwap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, ""));
     }
-    cluster.counts.stateChanges(txn.changes().size());
+    cluster.counts.stateChanges(compareAndSwap.changes().size());
     double late = faults.lateBy();
     if (late > 0) {
-      cluster.clock.after(late, () -> service.txn(owner.index(), txn));
+      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), compareAndSwap));
       return timeouts.measure(
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
     return timeouts
         .<Revision>measure(
-            Kind.ofWrite(priority), limitS -> send(limitS, () -> service.txn(owner.index(), txn)))
+            Kind.ofWrite(priority), limitS -> send(limitS, () -> service.compareAndSwap(owner.index(), compareAndSwap)))
         .thenApply(this::slowDownIfTooFast);
   }
 
@@ -165,7 +165,7 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Changes>> follow(String prefix, Revision from, double waitS) {
+  public CompletableFuture<Outcome<Changes>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<Changes>> call =
         cluster.networkFaults.call(
             owner.zone(),
@@ -179,7 +179,7 @@
               }
               service
                   .contents()
-                  .follow(
+                  .watch(
                       prefix,
                       from.value(),
                       waitS,
@@ -199,7 +199,7 @@
   }
 
   @Override
-  public double secondsUntilTxn(int count, RequestPriority priority) {
+  public double secondsUntilSwapAllowed(int count, RequestPriority priority) {
     return changes.secondsUntil(priority, count);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -279,7 +279,7 @@
         obey(response.body(), sent);
       }
     } else if (response != null && response.status() == 421) {
-      next = target.follow(response.body());
+      next = target.watch(response.body());
     } else {
       next = target.next();
     }
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -17,17 +17,17 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.state.Change;
 import org.ternhinge.state.Entry;
-import org.ternhinge.state.StateStore;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.state.CompareAndSwap;
 
-/** The state service's behaviour as its protocol page gives it, without a network. */
+/** The key-value store's behaviour as its protocol page gives it, without a network. */
 public final class StoreCore {
   private record Value(JsonNode value, long revision, long lease) {}
 
   private record Lease(double lifeS, SteadyTime ends) {}
 
   private record Watch(
-      String prefix, long from, BooleanSupplier held, Consumer<StateStore.Changes> to) {}
+      String prefix, long from, BooleanSupplier held, Consumer<KeyValueStore.Changes> to) {}
 
   private final Clock clock;
   private final TreeMap<String, Value> keys = new TreeMap<>();
@@ -43,16 +43,16 @@
   }
 
   /** Reads a key. */
-  public StateStore.Read get(String key) {
+  public KeyValueStore.Read get(String key) {
     Value value = keys.get(key);
-    return new StateStore.Read(
+    return new KeyValueStore.Read(
         value == null
             ? java.util.Optional.empty()
             : java.util.Optional.of(new Entry(key, value.value, new Revision(value.revision))));
   }
 
   /** Reads a page of keys. */
-  public StateStore.Page list(String prefix, String after, int limit) {
+  public KeyValueStore.Page list(String prefix, String after, int limit) {
     List<Entry> out = new ArrayList<>();
     boolean more = false;
     for (var e : keys.tailMap(after == null ? prefix : after, after == null).entrySet()) {
@@ -65,13 +65,13 @@
       }
       out.add(new Entry(e.getKey(), e.getValue().value, new Revision(e.getValue().revision)));
     }
-    return new StateStore.Page(out, more, new Revision(revision));
+    return new KeyValueStore.Page(out, more, new Revision(revision));
   }
 
   /** Applies a transaction if its conditions hold. */
-  public Outcome<Revision> txn(Txn txn) {
+  public Outcome<Revision> compareAndSwap(CompareAndSwap compareAndSwap) {
     StringBuilder failed = new StringBuilder(" ");
-    txn.conditions()
+    compareAndSwap.conditions()
         .forEach(
             (key, rev) -> {
               Value value = keys.get(key);
@@ -82,14 +82,14 @@
     if (failed.length() > 1) {
       return Outcome.notApplied(Reason.CONFLICT, failed.toString());
     }
-    for (Change c : txn.changes()) {
+    for (Change c : compareAndSwap.changes()) {
       if (c instanceof Change.Put put && put.lease() != 0 && !leases.containsKey(put.lease())) {
         return Outcome.notApplied(Reason.INVALID, "no such lease");
       }
     }
     revision++;
     Set<String> touched = new HashSet<>();
-    for (Change c : txn.changes()) {
+    for (Change c : compareAndSwap.changes()) {
       if (!touched.add(c.key())) {
         throw new IllegalStateException("a key stands twice in a transaction: " + c.key());
       }
@@ -163,17 +163,17 @@
   }
 
   /** Hands on the changes after a revision, as soon as there are any or the time is over. */
-  public void follow(String prefix, long from, double waitS, Consumer<StateStore.Changes> to) {
-    follow(prefix, from, waitS, () -> false, to);
+  public void watch(String prefix, long from, double waitS, Consumer<KeyValueStore.Changes> to) {
+    watch(prefix, from, waitS, () -> false, to);
   }
 
   /** A watch that stays silent while it is held, as in an outage, its end included. */
-  public void follow(
+  public void watch(
       String prefix,
       long from,
       double waitS,
       BooleanSupplier held,
-      Consumer<StateStore.Changes> to) {
+      Consumer<KeyValueStore.Changes> to) {
     Watch watch = new Watch(prefix, from, held, to);
     if (!answer(watch, false)) {
       watches.add(watch);
@@ -199,7 +199,7 @@
     if (out.isEmpty() && !anyway) {
       return false;
     }
-    watch.to.accept(new StateStore.Changes(new Revision(revision), out));
+    watch.to.accept(new KeyValueStore.Changes(new Revision(revision), out));
     return true;
   }
 
--- a/src/test/java/org/ternhinge/sim/StateServiceFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -4,22 +4,22 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Faults of the state service: outages, refusals of single controllers, late transactions, slow
+ * Faults of the key-value store: outages, refusals of single controllers, late transactions, slow
  * answers and lower limits.
  */
-public final class StateServiceFaults {
+public final class StoreFaults {
   private static final double LEAST_LATE_S = 2;
   private static final double MOST_MORE_LATE_S = 10;
 
   private final SimClock clock;
-  private final SimStateService service;
+  private final SimKeyValueStore service;
   private final RandomGenerator random;
   private double lateShare;
   private SteadyTime lateUntil;
   private double latencyS;
   private SteadyTime slowUntil;
 
-  StateServiceFaults(SimClock clock, SimStateService service, RandomGenerator random) {
+  StoreFaults(SimClock clock, SimKeyValueStore service, RandomGenerator random) {
     this.clock = clock;
     this.service = service;
     this.random = random;
@@ -84,8 +84,8 @@
    * From now on the service takes less, without notice; what it holds stays readable. Larger
    * transactions are answered 400, faster ones 429.
    */
-  public void lowerLimits(double valueKb, int txnOps, double writeRps) {
-    service.setLimits(new SimCluster.Limits(valueKb, txnOps, writeRps));
+  public void lowerLimits(double valueKb, int maxChangesPerSwap, double writeRps) {
+    service.setLimits(new SimCluster.Limits(valueKb, maxChangesPerSwap, writeRps));
   }
 
   /** The limits become those that the settings name as coming. */
--- a/src/test/java/org/ternhinge/sim/StateLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -9,11 +9,11 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.state.Change;
-import org.ternhinge.state.Txn;
+import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What the state service takes, as the protocol page gives it; it may become less at any time. */
-final class StateLimits {
+/** What the key-value store takes, as the protocol page gives it; it may become less at any time. */
+final class StoreLimits {
   private static final int MAX_BODY = 64 * 1024;
   private static final int CONDITIONS_TO_A_CHANGE = 4;
 
@@ -25,7 +25,7 @@
 
   int tooFast;
 
-  StateLimits(Clock clock, SimCluster.Limits first) {
+  StoreLimits(Clock clock, SimCluster.Limits first) {
     this.now = first;
     this.writes = new TokenBucket(clock, first.writeRps());
   }
@@ -37,29 +37,29 @@
   }
 
   /** Carries a transaction out where it keeps to the limits. */
-  Outcome<Revision> take(Txn txn, Function<Txn, Outcome<Revision>> carryOut) {
-    String against = against(txn);
+  Outcome<Revision> take(CompareAndSwap compareAndSwap, Function<CompareAndSwap, Outcome<Revision>> carryOut) {
+    String against = against(compareAndSwap);
     if (against != null) {
       tooLarge++;
       return Outcome.notApplied(Reason.INVALID, against);
     }
     // Counted before the conditions are looked at, and also if they fail.
-    int changes = txn.changes().size();
+    int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writes.tryTake(RequestPriority.RENEWAL, changes)) {
       tooFast++;
       return Outcome.notApplied(Reason.REFUSED, "429");
     }
-    return carryOut.apply(txn);
+    return carryOut.apply(compareAndSwap);
   }
 
-  private String against(Txn txn) {
-    if (txn.changes().size() > now.txnOps()) {
-      return txn.changes().size() + " changes, " + now.txnOps() + " are allowed";
+  private String against(CompareAndSwap compareAndSwap) {
+    if (compareAndSwap.changes().size() > now.maxChangesPerSwap()) {
+      return compareAndSwap.changes().size() + " changes, " + now.maxChangesPerSwap() + " are allowed";
     }
-    if (txn.conditions().size() > CONDITIONS_TO_A_CHANGE * now.txnOps()) {
-      return txn.conditions().size() + " conditions";
+    if (compareAndSwap.conditions().size() > CONDITIONS_TO_A_CHANGE * now.maxChangesPerSwap()) {
+      return compareAndSwap.conditions().size() + " conditions";
     }
-    for (Change c : txn.changes()) {
+    for (Change c : compareAndSwap.changes()) {
       if (c.key().getBytes(StandardCharsets.UTF_8).length > 200) {
         return "key too long: " + c.key();
       }
@@ -70,7 +70,7 @@
         }
       }
     }
-    int size = txn.write().length;
+    int size = compareAndSwap.write().length;
     return size > MAX_BODY ? "a body of " + size + " bytes" : null;
   }
 }
--- a/src/test/java/org/ternhinge/state/ResponseTimeoutsTest.java
+++ b/src/test/java/org/ternhinge/state/ResponseTimeoutsTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.state.ResponseTimeouts.Kind;
 
-/** The time-outs of calls to the state service, by what they see of it. */
+/** The time-outs of calls to the key-value store, by what they see of it. */
 class ResponseTimeoutsTest {
   private static final double QUICK_S = 0.01;
 
