--- a/src/main/java/org/ternhinge/cloud/Cloud.java
+++ b/src/main/java/org/ternhinge/cloud/Cloud.java
@@ -6,8 +6,8 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** The cloud as the rest of the program sees it. */
 public interface Cloud {
@@ -15,17 +15,17 @@
   /** The machine types and their present prices. */
   CompletableFuture<Outcome<List<MachineType>>> machineTypes();
 
-  /** Rents machines. A request that got no answer may be sent again: its name makes it one. */
-  CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request);
+  /** Provisions machines. A request that got no answer may be sent again: its name makes it one. */
+  CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request);
 
   /** Gives machines back; once applied, they and all that ran on them are gone. */
   CompletableFuture<Outcome<Integer>> release(List<MachineId> machines);
 
   /**
-   * A page of the machines that are rented, in the order of their names.
+   * A page of the machines that are provisioned, in the order of their names.
    *
    * @param after the machine that the page begins after, or null for the first page
    */
-  CompletableFuture<Outcome<HostInfo.Page>> list(
+  CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority);
 }
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -12,9 +12,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
+import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
 /** The cloud over HTTP, within its published limit. */
@@ -74,21 +74,21 @@
 
   /** A CONFLICT stands for "no capacity", REFUSED for an outage. */
   @Override
-  public CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request) {
+  public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
     byte[] body = Json.bytes(request.write());
-    return send("POST", "/hosts", body, RequestPriority.ATTEMPT, RentalRequest::readAnswer);
+    return send("POST", "/hosts", body, RequestPriority.ATTEMPT, ProvisionRequest::readAnswer);
   }
 
   @Override
   public CompletableFuture<Outcome<Integer>> release(List<MachineId> machines) {
-    byte[] body = RentalRequest.release(machines);
+    byte[] body = ProvisionRequest.release(machines);
     return send("POST", "/hosts/release", body, RequestPriority.BOOKKEEPING, b -> machines.size());
   }
 
   @Override
-  public CompletableFuture<Outcome<HostInfo.Page>> list(
+  public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
     String from = after == null ? "" : "from=" + after.value() + "&";
-    return send("GET", "/hosts?" + from + "page=" + limit, null, priority, HostInfo::readPage);
+    return send("GET", "/hosts?" + from + "page=" + limit, null, priority, ListedMachine::readPage);
   }
 }
--- a/src/main/java/org/ternhinge/controller/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/controller/ArrivalRates.java
@@ -19,7 +19,7 @@
   /** Seconds over which arrivals are counted; long against a boot, short against a day. */
   private static final double WINDOW_S = 180;
 
-  /** Seconds of arrivals that room is kept for: about the time that renting takes. */
+  /** Seconds of arrivals that room is kept for: about the time that provisioning takes. */
   private static final double AHEAD_S = 45;
 
   /** Seconds that a rate is taken over at least, or one early arrival would count as many. */
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Counts the arrival of a job, if jobs of its class can't wait for a machine to be rented. */
+  /** Counts the arrival of a job, if jobs of its class can't wait for a machine to be provisioned. */
   void saw(JobSpec spec, SteadyTime at) {
     Double aimS = waitAimS.get(spec.jobClass());
     if (aimS != null && aimS < AHEAD_S) {
--- a/src/main/java/org/ternhinge/controller/BootTimes.java
+++ b/src/main/java/org/ternhinge/controller/BootTimes.java
@@ -15,13 +15,13 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * How long machines take to come up, as lately seen, and which of those that were rented are late
+ * How long machines take to come up, as lately seen, and which of those that were provisioned are late
  * by that. Guarded by the controller's lock.
  *
  * <p>Times are kept by machine type and zone, as multiples of the type's usual time. A machine that
  * is not up yet counts with the time that it has taken so far. So where a few are late beside many
  * that came up, they stand out and their room is no longer counted on; where most of them are, the
- * type is slow in that zone as such, and renting all of them once more would only pay twice.
+ * type is slow in that zone as such, and provisioning all of them once more would only pay twice.
  */
 final class BootTimes {
   /** Machines come up within so many times the usual time, as a rule. */
@@ -54,7 +54,7 @@
   private static final double GIVE_UP_FACTOR_WHERE_SLOW = 8;
 
   /** A machine that came up, with the multiple of the usual time that it took. */
-  private record CameUp(SteadyTime rentedAt, SteadyTime at, double ratio) {}
+  private record CameUp(SteadyTime provisionedAt, SteadyTime at, double ratio) {}
 
   /** What is seen of one type in one zone. */
   private static final class Seen {
@@ -92,12 +92,12 @@
   /** A machine has reported for the first time in this leadership. */
   void cameUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
-    if (machineType == null || machine.rentedAt.isBefore(electedAt)) {
+    if (machineType == null || machine.provisionedAt.isBefore(electedAt)) {
       // When it came up is not known here.
       return;
     }
-    double ratio = now.secondsSince(machine.rentedAt) / machineType.bootS();
-    seen(machine).cameUp.addLast(new CameUp(machine.rentedAt, now, ratio));
+    double ratio = now.secondsSince(machine.provisionedAt) / machineType.bootS();
+    seen(machine).cameUp.addLast(new CameUp(machine.provisionedAt, now, ratio));
   }
 
   /** The machines that are not up although they should be; their room is not to be counted on. */
@@ -137,14 +137,14 @@
         overdue.add(machine);
       }
     }
-    overdue.sort(Comparator.comparing((Machine machine) -> machine.rentedAt));
+    overdue.sort(Comparator.comparing((Machine machine) -> machine.provisionedAt));
     int replaced = (int) Math.ceil(overdue.size() * REPLACED_WHERE_SLOW);
     overdue.subList(0, replaced).forEach(machine -> late.add(machine.id));
   }
 
   /**
    * The multiple of the usual time that a part of the machines is up in, those that are overdue
-   * counted as they stand, and at least one. Machines that were rented long before the ones that
+   * counted as they stand, and at least one. Machines that were provisioned long before the ones that
    * are overdue say nothing of these.
    */
   private double usualRatio(Seen seen, SteadyTime now) {
@@ -153,12 +153,12 @@
     SteadyTime comparedSince = null;
     for (Machine machine : seen.overdue) {
       ratios.add(takes(machine, machineType(machine), now));
-      SteadyTime since = machine.rentedAt.plusSeconds(-machineType(machine).bootS());
+      SteadyTime since = machine.provisionedAt.plusSeconds(-machineType(machine).bootS());
       comparedSince =
           comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
     }
     for (CameUp cameUp : seen.cameUp) {
-      if (comparedSince == null || !cameUp.rentedAt().isBefore(comparedSince)) {
+      if (comparedSince == null || !cameUp.provisionedAt().isBefore(comparedSince)) {
         ratios.add(cameUp.ratio());
       }
     }
@@ -169,7 +169,7 @@
 
   /** How many times the usual time a machine has taken so far. */
   private static double takes(Machine machine, MachineType machineType, SteadyTime now) {
-    return (now.secondsSince(machine.rentedAt) - HEARTBEAT_MARGIN_S) / machineType.bootS();
+    return (now.secondsSince(machine.provisionedAt) - HEARTBEAT_MARGIN_S) / machineType.bootS();
   }
 
   /** Whether a machine that has not come up is to be returned as one that never will. */
@@ -182,7 +182,7 @@
         seen(machine).usualRatio > USUAL_SPREAD
             ? GIVE_UP_FACTOR_WHERE_SLOW * machineType.bootS()
             : GIVE_UP_FACTOR * machineType.bootS();
-    return now.secondsSince(machine.rentedAt)
+    return now.secondsSince(machine.provisionedAt)
         > Math.max(allowedS, machineType.bootS() + GIVE_UP_MARGIN_S);
   }
 
--- a/src/main/java/org/ternhinge/controller/ControllerServices.java
+++ b/src/main/java/org/ternhinge/controller/ControllerServices.java
@@ -17,7 +17,7 @@
  * @param settings what the site's configuration says
  * @param tuning intervals and margins of this controller
  * @param store client of the key-value store
- * @param cloud client of the cloud that rents machines out
+ * @param cloud client of the cloud that provisions machines out
  * @param workers client of the workers' command endpoints
  * @param clock source of time and of timers
  * @param lock guards all shared state of the controller
--- a/src/main/java/org/ternhinge/controller/FleetParts.java
+++ b/src/main/java/org/ternhinge/controller/FleetParts.java
@@ -17,10 +17,10 @@
   final ZoneControl zones;
 
   final ReportedTaskCounts reportedTaskCounts = new ReportedTaskCounts();
-  final Rentals rentals;
+  final MachineProvisioner provisioner;
   final AttemptLifecycle attempts;
   final HeartbeatProcessor heartbeats;
-  final MachineReleases releases;
+  final MachineReleaser releaser;
   final MachineInventory inventory;
   final LeaseMonitor leaseMonitor;
   final UnusableMachineCheck unusableMachines;
@@ -31,7 +31,7 @@
     this.zones = ZoneControl.of(context, failures);
     this.bootTimes =
         new BootTimes(context.machines(), context.machineTypes().byName(), context.electedAt());
-    this.rentals = rentals();
+    this.provisioner = provisioner();
     this.dispatcher =
         new CommandDispatcher(
             context.executor(),
@@ -46,7 +46,7 @@
             observer(),
             reportedTaskCounts,
             attempts,
-            rentals,
+            provisioner,
             new HeartbeatCommands(context.ledger()),
             bootTimes);
     this.removal =
@@ -56,7 +56,7 @@
             reportedTaskCounts,
             attempts,
             context.services().workers());
-    this.releases = releases();
+    this.releaser = releaser();
     this.inventory = inventory();
     this.leaseMonitor = leaseMonitor();
     this.unusableMachines =
@@ -65,7 +65,7 @@
             context.machines(),
             context.machineTypes(),
             context.ledger(),
-            releases,
+            releaser,
             bootTimes,
             context.electedAt());
   }
@@ -84,14 +84,14 @@
         context.electedAt());
   }
 
-  private Rentals rentals() {
-    return new Rentals(
+  private MachineProvisioner provisioner() {
+    return new MachineProvisioner(
         context.services(),
         context.authority(),
         context.executor(),
         context.machines(),
         context.rounds(),
-        context.packedRecords(Keys.RENTALS));
+        context.packedRecords(Keys.PROVISIONS));
   }
 
   private AttemptLifecycle attempts() {
@@ -115,8 +115,8 @@
         context.services().metrics());
   }
 
-  private MachineReleases releases() {
-    return new MachineReleases(
+  private MachineReleaser releaser() {
+    return new MachineReleaser(
         removal,
         context.services(),
         context.authority(),
@@ -134,8 +134,8 @@
         context.services(),
         context.executor(),
         context.machines(),
-        rentals,
-        releases,
+        provisioner,
+        releaser,
         removal,
         dispatcher,
         announcer,
--- a/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
@@ -52,7 +52,7 @@
   private final Clock clock;
   private final Authority authority;
   private final Ledger ledger;
-  private final Rentals rentals;
+  private final MachineProvisioner provisioner;
   private final HeartbeatCommands answers;
   private final BootTimes bootTimes;
 
@@ -61,7 +61,7 @@
       AttemptObserver observer,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
-      Rentals rentals,
+      MachineProvisioner provisioner,
       HeartbeatCommands answers,
       BootTimes bootTimes) {
     this.observer = observer;
@@ -74,7 +74,7 @@
     this.clock = context.services().clock();
     this.authority = context.authority();
     this.ledger = context.ledger();
-    this.rentals = rentals;
+    this.provisioner = provisioner;
     this.answers = answers;
     this.bootTimes = bootTimes;
   }
@@ -205,11 +205,11 @@
   private void firstHeartbeat(Machine machine, SteadyTime now) {
     machine.heartbeatReceived = true;
     machine.view = null;
-    if (machine.rentedAt != null && ledger.attemptsOn(machine.id).isEmpty()) {
+    if (machine.provisionedAt != null && ledger.attemptsOn(machine.id).isEmpty()) {
       machine.idleSince = now;
     }
     bootTimes.cameUp(machine, now);
-    rentals.seen(machine.id);
+    provisioner.seen(machine.id);
     rounds.requestRound();
   }
 
--- a/src/main/java/org/ternhinge/controller/JobRanking.java
+++ b/src/main/java/org/ternhinge/controller/JobRanking.java
@@ -11,7 +11,7 @@
 final class JobRanking {
   /**
    * A job that has waited so long without a start is served like one within a guarantee, in
-   * seconds. Half of the four minutes in which users see the largest begin: renting, booting and
+   * seconds. Half of the four minutes in which users see the largest begin: provisioning, booting and
    * fetching the image come after it.
    */
   static final double LATE_S = 120;
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/controller/Leadership.java
@@ -100,7 +100,7 @@
     this.jobWatch = jobWatch(context, planning.arrivalRates);
     this.recovery =
         new LeadershipRecovery(
-            services, executor, ledger, machines, fleet.rentals, fleet.releases, fleet.failures);
+            services, executor, ledger, machines, fleet.provisions, fleet.releases, fleet.failures);
   }
 
   private Ledger ledger(Settings settings) {
--- a/src/main/java/org/ternhinge/controller/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipContext.java
@@ -14,7 +14,7 @@
  * @param ledger jobs and attempts
  * @param writer brings the ledger's changes to the key-value store
  * @param machines all machines that are known
- * @param machineTypes what the cloud rents
+ * @param machineTypes what the cloud provisions
  * @param rounds asks for a scheduling round
  * @param electedAt when the leadership began
  */
--- a/src/main/java/org/ternhinge/controller/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipRecovery.java
@@ -13,7 +13,7 @@
 
 /**
  * Starts a leadership from what earlier ones recorded: their jobs with all open attempts, the
- * rentals and returns whose fate is not known, and the stops that cancelled jobs still need.
+ * provision requests and returns whose fate is not known, and the stops that cancelled jobs still need.
  * Nothing may be decided before, for a double start or a lost stop would follow.
  */
 final class LeadershipRecovery {
@@ -21,8 +21,8 @@
   private final LeadershipExecutor executor;
   private final Ledger ledger;
   private final MachineRegistry machines;
-  private final Rentals rentals;
-  private final MachineReleases releases;
+  private final MachineProvisioner provisioner;
+  private final MachineReleaser releaser;
   private final TaskFailures failures;
 
   LeadershipRecovery(
@@ -30,15 +30,15 @@
       LeadershipExecutor executor,
       Ledger ledger,
       MachineRegistry machines,
-      Rentals rentals,
-      MachineReleases releases,
+      MachineProvisioner provisioner,
+      MachineReleaser releaser,
       TaskFailures failures) {
     this.services = services;
     this.executor = executor;
     this.ledger = ledger;
     this.machines = machines;
-    this.rentals = rentals;
-    this.releases = releases;
+    this.provisioner = provisioner;
+    this.releaser = releaser;
     this.failures = failures;
   }
 
@@ -64,11 +64,11 @@
     for (Job job : loaded.jobs()) {
       ledger.adopt(job);
     }
-    for (Entry entry : loaded.releases()) {
-      releases.resume(entry);
+    for (Entry entry : loaded.releaser()) {
+      releaser.resume(entry);
     }
-    for (Entry entry : loaded.rentals()) {
-      rentals.resume(entry);
+    for (Entry entry : loaded.provisioner()) {
+      provisioner.resume(entry);
     }
     for (MachineId id : ledger.machinesInUse()) {
       machines.findOrAdd(id, now);
--- a/src/main/java/org/ternhinge/controller/Machine.java
+++ b/src/main/java/org/ternhinge/controller/Machine.java
@@ -80,9 +80,9 @@
   /** Whether it is certainly gone: its name never comes back. */
   boolean gone;
 
-  SteadyTime rentedAt;
+  SteadyTime provisionedAt;
 
-  /** When this leadership first heard of it; it was rented before. */
+  /** When this leadership first heard of it; it was provisioned before. */
   final SteadyTime knownSince;
 
   /** When a list last showed it, or null. */
@@ -155,7 +155,7 @@
     this.leaseEnds = leaseEnds;
     this.knownSince = now;
     this.idleSince = now;
-    this.rentedAt = now;
+    this.provisionedAt = now;
   }
 
   /** Key of an attempt among the outstanding starts. */
--- a/src/main/java/org/ternhinge/controller/MachineInventory.java
+++ b/src/main/java/org/ternhinge/controller/MachineInventory.java
@@ -15,7 +15,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.HostInfo;
+import org.ternhinge.wire.ListedMachine;
 
 /**
  * Reads the cloud's list of machines again and again: machines nobody expected show in it, failed
@@ -32,8 +32,8 @@
   private static final double HELD_BACK_S = 0.3;
 
   /**
-   * Seconds after which a page that found the rate used up goes on a level with rentals. A list is
-   * what shows machines that are gone and those that nobody expected, so a long row of rentals must
+   * Seconds after which a page that found the rate used up goes on a level with provision requests. A list is
+   * what shows machines that are gone and those that nobody expected, so a long row of provision requests must
    * not keep it away.
    */
   private static final double PAGE_LATE_S = 2;
@@ -50,8 +50,8 @@
   private final Clock clock;
   private final LeadershipExecutor executor;
   private final MachineRegistry machines;
-  private final Rentals rentals;
-  private final MachineReleases releases;
+  private final MachineProvisioner provisioner;
+  private final MachineReleaser releaser;
   private final MachineRemoval removal;
   private final CommandDispatcher dispatcher;
   private final TermAnnouncer termAnnouncer;
@@ -62,7 +62,7 @@
   private final Set<Integer> zonesTold = new HashSet<>();
 
   /** The hosts of the reading under way, and when it began. */
-  private final List<HostInfo> hosts = new ArrayList<>();
+  private final List<ListedMachine> listedMachines = new ArrayList<>();
 
   private SteadyTime readingSince;
 
@@ -73,8 +73,8 @@
       ControllerServices services,
       LeadershipExecutor executor,
       MachineRegistry machines,
-      Rentals rentals,
-      MachineReleases releases,
+      MachineProvisioner provisioner,
+      MachineReleaser releaser,
       MachineRemoval removal,
       CommandDispatcher dispatcher,
       TermAnnouncer termAnnouncer,
@@ -86,8 +86,8 @@
     this.clock = services.clock();
     this.executor = executor;
     this.machines = machines;
-    this.rentals = rentals;
-    this.releases = releases;
+    this.provisioner = provisioner;
+    this.releaser = releaser;
     this.removal = removal;
     this.dispatcher = dispatcher;
     this.termAnnouncer = termAnnouncer;
@@ -97,7 +97,7 @@
 
   /** Reads the list, and goes on reading it. */
   void list() {
-    hosts.clear();
+    listedMachines.clear();
     readingSince = clock.now();
     nextPage(null);
   }
@@ -118,47 +118,47 @@
    * second there never is a token for the second page at once, and a list begun anew each time
    * would never come to its end. After any other failure the list is read anew.
    */
-  private void pageRead(MachineId after, Outcome<HostInfo.Page> outcome) {
+  private void pageRead(MachineId after, Outcome<ListedMachine.Page> outcome) {
     if (outcome != null && outcome.isBecause(Reason.HELD_BACK)) {
       executor.later(HELD_BACK_S, () -> readPage(after));
       return;
     }
-    if (outcome instanceof Outcome.Applied<HostInfo.Page> applied) {
-      HostInfo.Page page = applied.value();
-      hosts.addAll(page.hosts());
-      if (page.more() && !page.hosts().isEmpty()) {
-        nextPage(page.hosts().get(page.hosts().size() - 1).machine());
+    if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
+      ListedMachine.Page page = applied.value();
+      listedMachines.addAll(page.listedMachines());
+      if (page.more() && !page.listedMachines().isEmpty()) {
+        nextPage(page.listedMachines().get(page.listedMachines().size() - 1).machine());
         return;
       }
-      listed();
+      listComplete();
     }
     executor.later(settings.cloudLimits().listLagS() / 2, this::list);
   }
 
   /** The whole list has been read. */
-  private void listed() {
+  private void listComplete() {
     SteadyTime now = clock.now();
     Set<MachineId> shown = new HashSet<>();
     int announcements = announcementsNow(now);
-    for (HostInfo host : hosts) {
-      shown.add(host.machine());
-      if (machines.wasRemoved(host.machine())) {
+    for (ListedMachine listed : listedMachines) {
+      shown.add(listed.machine());
+      if (machines.wasRemoved(listed.machine())) {
         continue;
       }
-      Machine machine = machines.findOrAdd(host.machine(), now);
-      describe(machine, host, now);
-      if (announceTerm(machine, host, announcements > 0)) {
+      Machine machine = machines.findOrAdd(listed.machine(), now);
+      describe(machine, listed, now);
+      if (announceTerm(machine, listed, announcements > 0)) {
         announcements--;
       }
       machine.listedAt = now;
-      machine.listedUp = host.state() == HostInfo.State.RUNNING;
-      rentals.seen(machine.id);
-      if (host.state() == HostInfo.State.FAILED && !machine.gone) {
+      machine.listedUp = listed.state() == ListedMachine.State.RUNNING;
+      provisioner.seen(machine.id);
+      if (listed.state() == ListedMachine.State.FAILED && !machine.gone) {
         failed(machine);
       }
     }
     removeMissing(shown);
-    shown.forEach(rentals::seen);
+    shown.forEach(provisioner::seen);
     rounds.requestRound();
   }
 
@@ -170,9 +170,9 @@
    * @param due whether workers may be told that have not found their way by themselves
    * @return whether it was told
    */
-  private boolean announceTerm(Machine machine, HostInfo host, boolean due) {
+  private boolean announceTerm(Machine machine, ListedMachine listed, boolean due) {
     boolean first = !zonesTold.contains(machine.zone);
-    if (machine.termAnnounced || !(due || first) || !termAnnouncer.announce(machine, host)) {
+    if (machine.termAnnounced || !(due || first) || !termAnnouncer.announce(machine, listed)) {
       return false;
     }
     machine.termAnnounced = true;
@@ -190,17 +190,17 @@
     return now.secondsSince(electedAt) < awaitedS ? 0 : dispatcher.spare() / ANNOUNCEMENT_SHARE;
   }
 
-  private void describe(Machine machine, HostInfo host, SteadyTime now) {
+  private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
     if (machine.type == null) {
-      machine.type = host.type();
-      machine.zoneName = host.zone();
-      machine.zone = settings.zones().indexOf(host.zone());
-      machine.spot = host.spot();
+      machine.type = listed.type();
+      machine.zoneName = listed.zone();
+      machine.zone = settings.zones().indexOf(listed.zone());
+      machine.spot = listed.spot();
     }
-    SteadyTime rentedAt = now.plusSeconds(-host.ageS());
-    if (rentedAt.isBefore(machine.rentedAt)) {
+    SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
+    if (provisionedAt.isBefore(machine.provisionedAt)) {
       // The list lags, so it tells a machine's least age.
-      machine.rentedAt = rentedAt;
+      machine.provisionedAt = provisionedAt;
       machine.view = null;
     }
   }
@@ -209,7 +209,7 @@
     LOG.info("machine {} has failed", machine.id);
     removal.lost(machine, "machine failed");
     if (!machine.releasing) {
-      releases.release(machine);
+      releaser.release(machine);
     }
   }
 
@@ -217,7 +217,7 @@
    * Removes what is gone. A machine is listed until then, and no list is older than twice the lag:
    * one that was there earlier than that and is missing now is gone. It was there when a list
    * showed it; one that no list has shown was there when this leadership came to know of it, by a
-   * report, by the answer to a rental or by an attempt on it.
+   * report, by the answer to a provision request or by an attempt on it.
    */
   private void removeMissing(Set<MachineId> shown) {
     double oldestListS =
--- a/src/main/java/org/ternhinge/controller/Rentals.java
+++ b/src/main/java/org/ternhinge/controller/MachineProvisioner.java
@@ -22,22 +22,22 @@
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.state.Entry;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
 /**
- * Rents machines. A rental's name and content are recorded before it is sent; a lost answer is
+ * Provisions machines. A provision request's name and content are recorded before it is sent; a lost answer is
  * Unknown and settled by repeating the same name, which the cloud answers the same. The record is
- * kept until every machine of the rental has shown up, so that no leader forgets a machine that is
+ * kept until every machine of the provision request has shown up, so that no leader forgets a machine that is
  * being charged. Guarded by the controller's lock.
  */
-final class Rentals {
-  private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+final class MachineProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Seconds until a rental whose answer was lost, or that could not be sent, is sent again. */
+  /** Seconds until a provision request whose answer was lost, or that could not be sent, is sent again. */
   private static final double RETRY_S = 1.5;
 
-  /** Seconds until a rental that found the cloud's rate used up is sent again. */
+  /** Seconds until a provision request that found the cloud's rate used up is sent again. */
   private static final double HELD_BACK_S = 0.3;
 
   /** Seconds for which an offer that had no room is not asked for; doubled each time. */
@@ -45,8 +45,8 @@
 
   private static final double MAX_PAUSE_S = 30;
 
-  private static final class Rental {
-    private final RentalRequest request;
+  private static final class OpenProvision {
+    private final ProvisionRequest request;
 
     /** Whether the cloud may have carried the request out although no answer says so. */
     private boolean maybeSent;
@@ -54,7 +54,7 @@
     /** Its machines that have not shown up yet; null until their names are known. */
     private Set<MachineId> unseen;
 
-    Rental(RentalRequest request) {
+    OpenProvision(ProvisionRequest request) {
       this.request = request;
     }
 
@@ -82,16 +82,16 @@
   private final Authority authority;
   private final Clock clock;
   private final LockedExecutor locked;
-  private final Map<String, Rental> openRentals = new LinkedHashMap<>();
+  private final Map<String, OpenProvision> openProvisions = new LinkedHashMap<>();
   private final Map<String, Refusal> refusals = new HashMap<>();
-  private long rentalCount;
+  private long provisionCount;
 
   /**
-   * Creates a part that has nothing rented yet.
+   * Creates a part that has nothing provisioned yet.
    *
-   * @param records holds the rentals whose duty is not done
+   * @param records holds the provision requests whose duty is not done
    */
-  Rentals(
+  MachineProvisioner(
       ControllerServices services,
       Authority authority,
       LeadershipExecutor executor,
@@ -113,110 +113,110 @@
     return type + " " + zone + (spot ? " spot" : "");
   }
 
-  /** Rents machines, unless a rental of the same offer is still without an answer. */
-  void rent(Plan.Rent wanted) {
+  /** Provisions machines, unless a provision request of the same offer is still without an answer. */
+  void provision(Plan.ScaleOut wanted) {
     String offer = offerKey(wanted.type(), wanted.zone(), wanted.spot());
-    for (Rental rental : openRentals.values()) {
-      if (!rental.answered() && rental.offer().equals(offer)) {
+    for (OpenProvision provision : openProvisions.values()) {
+      if (!provision.answered() && provision.offer().equals(offer)) {
         return;
       }
     }
-    String name = "t" + authority.term() + "-" + ++rentalCount;
-    int count = Math.min(wanted.count(), RentalRequest.MAX_COUNT);
-    RentalRequest request =
-        new RentalRequest(name, wanted.type(), wanted.zone(), wanted.spot(), count);
-    Rental rental = new Rental(request);
-    openRentals.put(name, rental);
-    LOG.info("renting {} {}", count, offer);
-    records.put(name, request.write(), () -> send(rental));
+    String name = "t" + authority.term() + "-" + ++provisionCount;
+    int count = Math.min(wanted.count(), ProvisionRequest.MAX_COUNT);
+    ProvisionRequest request =
+        new ProvisionRequest(name, wanted.type(), wanted.zone(), wanted.spot(), count);
+    OpenProvision provision = new OpenProvision(request);
+    openProvisions.put(name, provision);
+    LOG.info("scale out: provisioning {} of {}", count, offer);
+    records.put(name, request.write(), () -> send(provision));
   }
 
-  /** Takes over earlier leaders' rentals, whose fate is not known here. */
+  /** Takes over earlier leaders' provision requests, whose fate is not known here. */
   void resume(Entry entry) {
     records.known(
         entry,
         (name, value) -> {
           try {
-            resume(RentalRequest.read(value));
+            resume(ProvisionRequest.read(value));
           } catch (WireException e) {
-            LOG.error("rental {} is unreadable: {}", name, e.getMessage());
+            LOG.error("provision request {} is unreadable: {}", name, e.getMessage());
           }
         });
   }
 
-  private void resume(RentalRequest request) {
-    Rental rental = new Rental(request);
-    rental.maybeSent = true;
-    openRentals.put(request.name(), rental);
-    send(rental);
+  private void resume(ProvisionRequest request) {
+    OpenProvision provision = new OpenProvision(request);
+    provision.maybeSent = true;
+    openProvisions.put(request.name(), provision);
+    send(provision);
   }
 
-  private void send(Rental rental) {
+  private void send(OpenProvision provision) {
     if (!authority.valid()) {
-      sendAfter(RETRY_S, rental);
+      sendAfter(RETRY_S, provision);
       return;
     }
-    locked.whenAnswered(cloud.rent(rental.request), outcome -> answered(rental, outcome));
+    locked.whenAnswered(cloud.provision(provision.request), outcome -> answered(provision, outcome));
   }
 
-  private void sendAfter(double seconds, Rental rental) {
-    executor.later(seconds, () -> send(rental));
+  private void sendAfter(double seconds, OpenProvision provision) {
+    executor.later(seconds, () -> send(provision));
   }
 
-  private void answered(Rental rental, Outcome<List<MachineId>> outcome) {
+  private void answered(OpenProvision provision, Outcome<List<MachineId>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineId>> applied) {
-      rented(rental, applied.value());
+      provisioned(provision, applied.value());
     } else if (outcome != null && outcome.isBecause(Reason.HELD_BACK)) {
       // The cloud's rate is used up; the recorded request only waits for its turn.
-      sendAfter(HELD_BACK_S, rental);
+      sendAfter(HELD_BACK_S, provision);
     } else if (outcome instanceof Outcome.NotApplied<List<MachineId>> notApplied) {
-      refused(rental, notApplied.reason());
+      refused(provision, notApplied.reason());
     } else {
-      rental.maybeSent = true;
-      sendAfter(RETRY_S, rental);
+      provision.maybeSent = true;
+      sendAfter(RETRY_S, provision);
     }
   }
 
-  private void rented(Rental rental, List<MachineId> names) {
+  private void provisioned(OpenProvision provision, List<MachineId> names) {
     SteadyTime now = clock.now();
-    rental.unseen = new HashSet<>();
+    provision.unseen = new HashSet<>();
     for (MachineId id : names) {
       if (!machines.wasRemoved(id)) {
-        addMachine(rental, id, now);
+        addMachine(provision, id, now);
       }
     }
-    if (names.size() < rental.request.count()) {
-      pauseOffer(rental.offer(), now);
+    if (names.size() < provision.request.count()) {
+      pauseOffer(provision.offer(), now);
     } else {
-      refusals.remove(rental.offer());
+      refusals.remove(provision.offer());
     }
-    forgetIfAllSeen(rental);
+    forgetIfAllSeen(provision);
     rounds.requestRound();
   }
 
-  private void addMachine(Rental rental, MachineId id, SteadyTime now) {
+  private void addMachine(OpenProvision provision, MachineId id, SteadyTime now) {
     Machine machine = machines.findOrAdd(id, now);
     if (machine.type == null) {
-      RentalRequest request = rental.request;
+      ProvisionRequest request = provision.request;
       machine.type = request.type();
       machine.zoneName = request.zone();
       machine.zone = zones.indexOf(request.zone());
       machine.spot = request.spot();
-      machine.rentedAt = now;
+      machine.provisionedAt = now;
     }
     if (!machine.heartbeatReceived && machine.listedAt == null) {
-      rental.unseen.add(id);
+      provision.unseen.add(id);
     }
   }
 
   /** The cloud says that it did nothing; an earlier copy of the same request may have. */
-  private void refused(Rental rental, Reason reason) {
+  private void refused(OpenProvision provision, Reason reason) {
     boolean isFinal = reason == Reason.CONFLICT || reason == Reason.INVALID;
-    if (isFinal || !rental.maybeSent) {
-      pauseOffer(rental.offer(), clock.now());
-      forget(rental);
+    if (isFinal || !provision.maybeSent) {
+      pauseOffer(provision.offer(), clock.now());
+      forget(provision);
     } else {
-      sendAfter(RETRY_S, rental);
+      sendAfter(RETRY_S, provision);
     }
   }
 
@@ -227,23 +227,23 @@
     refusal.until = now.plusSeconds(refusal.pauseS);
   }
 
-  private void forget(Rental rental) {
-    openRentals.remove(rental.request.name());
-    records.remove(rental.request.name());
+  private void forget(OpenProvision provision) {
+    openProvisions.remove(provision.request.name());
+    records.remove(provision.request.name());
   }
 
-  /** A machine has shown up by itself; its rental's record has done its duty. */
+  /** A machine has shown up by itself; its provision request's record has done its duty. */
   void seen(MachineId id) {
-    for (Rental rental : List.copyOf(openRentals.values())) {
-      if (rental.answered() && rental.unseen.remove(id)) {
-        forgetIfAllSeen(rental);
+    for (OpenProvision provision : List.copyOf(openProvisions.values())) {
+      if (provision.answered() && provision.unseen.remove(id)) {
+        forgetIfAllSeen(provision);
       }
     }
   }
 
-  private void forgetIfAllSeen(Rental rental) {
-    if (rental.unseen.isEmpty()) {
-      forget(rental);
+  private void forgetIfAllSeen(OpenProvision provision) {
+    if (provision.unseen.isEmpty()) {
+      forget(provision);
     }
   }
 
@@ -272,18 +272,18 @@
     if (refusal == null || refusal.until.isBefore(now)) {
       int zoneIndex = zones.indexOf(zone);
       double bootS = bootTimes.expectedS(type, zone);
-      offers.add(new Snapshot.Offer(type, zoneIndex, zone, spot, RentalRequest.MAX_COUNT, bootS));
+      offers.add(new Snapshot.Offer(type, zoneIndex, zone, spot, ProvisionRequest.MAX_COUNT, bootS));
     }
   }
 
   /** Machines asked for whose names are not known yet: as good as coming. */
   List<Snapshot.Coming> coming(Map<String, MachineType> types) {
     List<Snapshot.Coming> coming = new ArrayList<>();
-    for (Rental rental : openRentals.values()) {
-      RentalRequest request = rental.request;
+    for (OpenProvision provision : openProvisions.values()) {
+      ProvisionRequest request = provision.request;
       MachineType type = types.get(request.type());
       int zone = zones.indexOf(request.zone());
-      if (!rental.answered() && type != null && zone >= 0) {
+      if (!provision.answered() && type != null && zone >= 0) {
         int count = request.count();
         Snapshot.Offer offer =
             new Snapshot.Offer(type, zone, request.zone(), request.spot(), count);
--- a/src/main/java/org/ternhinge/controller/MachineReleases.java
+++ b/src/main/java/org/ternhinge/controller/MachineReleaser.java
@@ -17,7 +17,7 @@
  * leader places anything on a machine that may vanish at any moment. All that are due go in one
  * call, since the cloud takes few calls a second. Guarded by the controller's lock.
  */
-final class MachineReleases {
+final class MachineReleaser {
   /** Seconds until a call that failed, or that could not be made, is made again. */
   private static final double RETRY_S = 1.5;
 
@@ -48,7 +48,7 @@
    *
    * @param records holds the returns that are not answered
    */
-  MachineReleases(
+  MachineReleaser(
       MachineRemoval removal,
       ControllerServices services,
       Authority authority,
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -66,7 +66,7 @@
 
   /**
    * Whether a machine counts at all, if not now then soon. One that commands don't reach does not
-   * even count as one that is coming, or nothing would be rented in its place.
+   * even count as one that is coming, or nothing would be provisioned in its place.
    */
   private boolean mayEverTakeTasks(Machine machine, SteadyTime now) {
     return !machine.gone
@@ -132,7 +132,7 @@
         ready,
         Set.copyOf(machine.images.keySet()),
         machine.idleSince,
-        machine.rentedAt,
+        machine.provisionedAt,
         attempts(machine),
         reservations(machine));
   }
--- a/src/main/java/org/ternhinge/controller/PackedRecords.java
+++ b/src/main/java/org/ternhinge/controller/PackedRecords.java
@@ -16,7 +16,7 @@
 
 /**
  * Many small facts in few records. A change of a record costs one of the key-value store's scarce
- * changes however much of it is new: with a record for each, the rentals of a start from nothing
+ * changes however much of it is new: with a record for each, the provision requests of a start from nothing
  * took the changes that hundreds of services were waiting for.
  */
 final class PackedRecords {
--- a/src/main/java/org/ternhinge/controller/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/controller/PlanExecutor.java
@@ -43,8 +43,8 @@
   private final SnapshotCache snapshots;
   private final ReportedTasks reportedTasks;
   private final AttemptLifecycle attempts;
-  private final Rentals rentals;
-  private final MachineReleases releases;
+  private final MachineProvisioner provisioner;
+  private final MachineReleaser releaser;
 
   PlanExecutor(
       Clock clock,
@@ -55,8 +55,8 @@
       SnapshotCache snapshots,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
-      Rentals rentals,
-      MachineReleases releases) {
+      MachineProvisioner provisioner,
+      MachineReleaser releaser) {
     this.clock = clock;
     this.ledger = ledger;
     this.writer = writer;
@@ -65,8 +65,8 @@
     this.snapshots = snapshots;
     this.reportedTasks = reportedTasks;
     this.attempts = attempts;
-    this.rentals = rentals;
-    this.releases = releases;
+    this.provisioner = provisioner;
+    this.releaser = releaser;
   }
 
   /** Carries out what still holds; called under the lock while the leadership certainly holds. */
@@ -79,10 +79,10 @@
       makeRoom(stop, now);
     }
     writer.pump();
-    for (Plan.Rent rent : plan.rents()) {
-      rentals.rent(rent);
+    for (Plan.ScaleOut provision : plan.scaleOuts()) {
+      provisioner.provision(provision);
     }
-    for (MachineId id : plan.releases()) {
+    for (MachineId id : plan.releaser()) {
       release(id);
     }
   }
@@ -193,7 +193,7 @@
   private void release(MachineId id) {
     Machine machine = machines.find(id);
     if (machine != null && ledger.attemptsOn(id).isEmpty() && !machine.releasing) {
-      releases.release(machine);
+      releaser.release(machine);
     }
   }
 }
--- a/src/main/java/org/ternhinge/controller/PlanningParts.java
+++ b/src/main/java/org/ternhinge/controller/PlanningParts.java
@@ -17,7 +17,7 @@
             fleet.failures,
             context.machines(),
             arrivalRates,
-            fleet.rentals,
+            fleet.provisioner,
             fleet.bootTimes,
             context.electedAt());
     this.rounds =
@@ -44,7 +44,7 @@
         snapshots,
         fleet.reportedTaskCounts,
         fleet.attempts,
-        fleet.rentals,
-        fleet.releases);
+        fleet.provisioner,
+        fleet.releaser);
   }
 }
--- a/src/main/java/org/ternhinge/controller/SnapshotCache.java
+++ b/src/main/java/org/ternhinge/controller/SnapshotCache.java
@@ -23,7 +23,7 @@
   private final Map<String, MachineType> machineTypes;
   private final MachineRegistry machines;
   private final ArrivalRates arrivalRates;
-  private final Rentals rentals;
+  private final MachineProvisioner provisioner;
   private final BootTimes bootTimes;
   private final SteadyTime electedAt;
   private final MachineViews machineViews;
@@ -37,7 +37,7 @@
       TaskFailures failures,
       MachineRegistry machines,
       ArrivalRates arrivalRates,
-      Rentals rentals,
+      MachineProvisioner provisioner,
       BootTimes bootTimes,
       SteadyTime electedAt) {
     this.settings = services.settings();
@@ -46,7 +46,7 @@
     this.machineTypes = machineTypes;
     this.machines = machines;
     this.arrivalRates = arrivalRates;
-    this.rentals = rentals;
+    this.provisioner = provisioner;
     this.bootTimes = bootTimes;
     this.electedAt = electedAt;
     this.machineViews = new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
@@ -67,8 +67,8 @@
         arrivalRates.spares(now, settings.zones().size()),
         settings.teams(),
         teamUse(),
-        rentals.offers(machineTypes.values(), bootTimes, now),
-        rentals.coming(machineTypes),
+        provisioner.offers(machineTypes.values(), bootTimes, now),
+        provisioner.coming(machineTypes),
         jobViews.startedLate(now),
         settled(now),
         tuning.idleS(),
--- a/src/main/java/org/ternhinge/controller/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/controller/TermAnnouncer.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.HostInfo;
+import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
@@ -40,13 +40,13 @@
    *
    * @return whether it was told
    */
-  boolean announce(Machine machine, HostInfo host) {
-    if (machine.heartbeatReceived || host.state() != HostInfo.State.RUNNING || host.endpoint() == null) {
+  boolean announce(Machine machine, ListedMachine listed) {
+    if (machine.heartbeatReceived || listed.state() != ListedMachine.State.RUNNING || listed.endpoint() == null) {
       return false;
     }
     Endpoint endpoint;
     try {
-      endpoint = Endpoint.parse(host.endpoint());
+      endpoint = Endpoint.parse(listed.endpoint());
     } catch (IllegalArgumentException e) {
       LOG.warn("machine {} is listed without a usable endpoint", machine.id);
       return false;
--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
@@ -46,7 +46,7 @@
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
   private final Ledger ledger;
-  private final MachineReleases releases;
+  private final MachineReleaser releaser;
   private final BootTimes bootTimes;
   private final SteadyTime electedAt;
 
@@ -55,14 +55,14 @@
       MachineRegistry machines,
       MachineTypeCatalog machineTypes,
       Ledger ledger,
-      MachineReleases releases,
+      MachineReleaser releaser,
       BootTimes bootTimes,
       SteadyTime electedAt) {
     this.settings = settings;
     this.machines = machines;
     this.machineTypes = machineTypes;
     this.ledger = ledger;
-    this.releases = releases;
+    this.releaser = releaser;
     this.bootTimes = bootTimes;
     this.electedAt = electedAt;
   }
@@ -81,8 +81,8 @@
       boolean zoneSilent = machine.zone >= 0 && mostlySilent[machine.zone];
       String fault = fault(machine, type, zoneSilent, now);
       if (fault != null) {
-        LOG.info("returning {}: {}", machine.id, fault);
-        releases.release(machine);
+        LOG.info("scale in: releasing machine {}: {}", machine.id, fault);
+        releaser.release(machine);
       }
     }
   }
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Whether a machine has not come up in the time that it may take. That counts from its rental,
-   * whichever leader rented it; but one that is up has to find a new leader first.
+   * Whether a machine has not come up in the time that it may take. That counts from its provision request,
+   * whichever leader provisioned it; but one that is up has to find a new leader first.
    */
   private boolean neverCameUp(Machine machine, MachineType type, SteadyTime now) {
     if (machine.heartbeatReceived) {
@@ -130,7 +130,7 @@
     }
     if (machine.listedUp) {
       double allowedS = Math.max(UNHEARD_FACTOR * type.bootS(), type.bootS() + UNHEARD_MARGIN_S);
-      return now.secondsSince(machine.rentedAt.max(electedAt)) > allowedS;
+      return now.secondsSince(machine.provisionedAt.max(electedAt)) > allowedS;
     }
     return now.secondsSince(electedAt) > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
         && bootTimes.isGivenUp(machine, now);
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /**
- * A write to a key beside the jobs' records, such as the term or the rentals under way.
+ * A write to a key beside the jobs' records, such as the term or the provision requests under way.
  *
  * @param value asked for only when a transaction is built, so that several requests for a key
  *     before that make one change
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -19,8 +19,8 @@
   /** Prefix of final records of jobs that have ended, which are kept for ever. */
   public static final String FINALS = "f/";
 
-  /** Prefix of the records of rentals under way. */
-  public static final String RENTALS = "r/";
+  /** Prefix of the records of provision requests under way. */
+  public static final String PROVISIONS = "r/";
 
   /** Prefix of the records of machines being returned. */
   public static final String RELEASES = "x/";
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -23,7 +23,7 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Reads everything that a new leader starts from: all unfinished jobs, the rentals and the releases
+ * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and the releases
  * under way. A record that can't be read is left out and logged; it doesn't keep the others back.
  */
 public final class LedgerLoader {
@@ -41,7 +41,7 @@
    * @param revision changes after this one come by the watch
    */
   public record Loaded(
-      List<Job> jobs, List<Entry> rentals, List<Entry> releases, Revision revision) {}
+      List<Job> jobs, List<Entry> provisions, List<Entry> releases, Revision revision) {}
 
   /** All keys with a prefix, as far as they are read. */
   private record Range(String prefix, List<Entry> entries) {
@@ -59,9 +59,9 @@
   private final Clock clock;
   private final LockedExecutor locked;
   private final Range jobs = new Range(Keys.JOBS);
-  private final Range rentals = new Range(Keys.RENTALS);
+  private final Range provisions = new Range(Keys.PROVISIONS);
   private final Range releases = new Range(Keys.RELEASES);
-  private final Deque<Range> unread = new ArrayDeque<>(List.of(jobs, rentals, releases));
+  private final Deque<Range> unread = new ArrayDeque<>(List.of(jobs, provisions, releases));
 
   /** Of the first page: whatever changed after it may be missing in later ones. */
   private Revision revision;
@@ -119,7 +119,7 @@
       }
     }
     return new Loaded(
-        new ArrayList<>(found.values()), rentals.entries(), releases.entries(), revision);
+        new ArrayList<>(found.values()), provisions.entries(), releases.entries(), revision);
   }
 
   private static void read(Entry entry, Map<JobId, Job> found, SteadyTime now)
--- a/src/main/java/org/ternhinge/limit/RequestPriority.java
+++ b/src/main/java/org/ternhinge/limit/RequestPriority.java
@@ -15,7 +15,7 @@
   ATTEMPT(0.25),
   /** The end of a job or of a task, which its user waits to be told. */
   ENDING(0.3),
-  /** What can wait for a moment, such as records of rentals. */
+  /** What can wait for a moment, such as records of provision requests. */
   BOOKKEEPING(0.35),
   /** A user's question, which is repeated anyway. */
   QUERY(0.4);
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Moves what may move now. Nothing is rented for it: machines rented for replicas that had to
-   * wait for their move idled, were returned and were rented again.
+   * Moves what may move now. Nothing is provisioned for it: machines provisioned for replicas that had to
+   * wait for their move idled, were returned and were provisioned again.
    */
   void run() {
     List<MachineCapacity> sources = survey();
--- a/src/main/java/org/ternhinge/schedule/Plan.java
+++ b/src/main/java/org/ternhinge/schedule/Plan.java
@@ -17,12 +17,12 @@
   /** A task to stop; of a gang, every task is stopped. */
   public record Victim(JobId job, int index) {}
 
-  /** Machines to rent. */
-  public record Rent(String type, String zone, boolean spot, int count) {}
+  /** Machines to provision. */
+  public record ScaleOut(String type, String zone, boolean spot, int count) {}
 
   private final List<Place> places = new ArrayList<>();
   private final List<Stop> stops = new ArrayList<>();
-  private final List<Rent> rents = new ArrayList<>();
+  private final List<ScaleOut> scaleOuts = new ArrayList<>();
   private final List<MachineId> releases = new ArrayList<>();
   private long evaluations;
 
@@ -36,9 +36,9 @@
     return stops;
   }
 
-  /** Machines to rent. */
-  public List<Rent> rents() {
-    return rents;
+  /** Machines to provision. */
+  public List<ScaleOut> scaleOuts() {
+    return scaleOuts;
   }
 
   /** Machines to return. */
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -13,7 +13,7 @@
 /**
  * Decides what runs where. A pure function of the snapshot: in order of priority, guarantee and
  * arrival each job's tasks go where their image lies, else where they wait least and waste least;
- * what finds no room may have others stopped for it, and what still waits is rented for.
+ * what finds no room may have others stopped for it, and what still waits is provisioned for.
  */
 public final class Planner {
   /**
@@ -82,15 +82,15 @@
         }
       }
     }
-    RentalPlanner renting = new RentalPlanner(builder);
+    ScalingPlanner scaling = new ScalingPlanner(builder);
     for (Demand demand : unmet) {
-      renting.rentFor(demand.job, demand.tasks, demand.zones);
+      scaling.provisionFor(demand.job, demand.tasks, demand.zones);
     }
     if (builder.snapshot.settled()) {
       new Consolidation(builder).run();
     }
-    builder.snapshot.spares().forEach(renting::keepRoomFor);
-    renting.finish();
+    builder.snapshot.spares().forEach(scaling::keepRoomFor);
+    scaling.finish();
     builder.plan.evaluations(builder.evaluations());
     return builder.plan;
   }
--- a/src/main/java/org/ternhinge/schedule/RentalPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -16,23 +16,23 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-/** Rents for what found no room, keeps room for what may come, returns what is idle. */
-final class RentalPlanner {
+/** Provisions for what found no room, keeps room for what may come, returns what is idle. */
+final class ScalingPlanner {
   /** An array this long in the queue is worth a machine of its own for each task. */
   private static final double ARRAY_TURN_S = 60;
 
   private final PlanBuilder builder;
   private final List<MachineCapacity> coming = new ArrayList<>();
-  private final int[] rented;
+  private final int[] provisioned;
 
   /** What the least task asks for; machines with less are full. */
   private final long leastCpus;
 
   private final Map<Alike, ArrayDeque<MachineCapacity>> roomKeepersByKind = new HashMap<>();
 
-  RentalPlanner(PlanBuilder builder) {
+  ScalingPlanner(PlanBuilder builder) {
     this.builder = builder;
-    this.rented = new int[builder.snapshot.offers().size()];
+    this.provisioned = new int[builder.snapshot.offers().size()];
     long least = Long.MAX_VALUE;
     for (JobView job : builder.snapshot.jobs()) {
       least = Math.min(least, job.spec().need().cpus());
@@ -46,20 +46,20 @@
         coming.add(machine);
       }
     }
-    // Without these each round until the cloud's answer would rent for the same need once more.
-    for (Coming rented : builder.snapshot.coming()) {
-      for (int i = 0; i < rented.count(); i++) {
-        coming.add(new MachineCapacity(rented.of()));
+    // Without these each round until the cloud's answer would provision for the same need once more.
+    for (Coming provisioned : builder.snapshot.coming()) {
+      for (int i = 0; i < provisioned.count(); i++) {
+        coming.add(new MachineCapacity(provisioned.of()));
       }
     }
   }
 
   /**
-   * Sends what waits to machines that are coming, then rents for the rest.
+   * Sends what waits to machines that are coming, then provisions for the rest.
    *
    * @param has the job's tasks by zone
    */
-  void rentFor(JobView job, int tasks, IntList has) {
+  void provisionFor(JobView job, int tasks, IntList has) {
     JobSpec spec = job.spec();
     int left = tasks;
     if (spec.kind() == JobKind.ARRAY) {
@@ -78,7 +78,7 @@
       coming.removeIf(machine -> machine.freeCpus() < leastCpus);
     }
     while (left > 0) {
-      MachineCapacity machine = rent(spec, zones, left);
+      MachineCapacity machine = provision(spec, zones, left);
       if (machine == null) {
         return;
       }
@@ -101,17 +101,17 @@
     return filled;
   }
 
-  private MachineCapacity rent(JobSpec spec, int[] zones, int wanted) {
+  private MachineCapacity provision(JobSpec spec, int[] zones, int wanted) {
     List<Offer> offers = builder.snapshot.offers();
     int best = -1;
     double least = Double.MAX_VALUE;
-    for (int i = 0; i < rented.length; i++) {
+    for (int i = 0; i < provisioned.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
       int fits = spec.need().timesIn(offer.machineType().capacity());
       if (fits == 0
           || !PlanBuilder.zoneFits(spec, zones, offer.zone())
-          || rented[i] >= offer.most()) {
+          || provisioned[i] >= offer.most()) {
         continue;
       }
       MachineCapacity machine = new MachineCapacity(offer);
@@ -131,12 +131,12 @@
     if (best < 0) {
       return null;
     }
-    rented[best]++;
+    provisioned[best]++;
     return new MachineCapacity(offers.get(best));
   }
 
   /**
-   * Keeps room for a job that may come, on what is there or coming, else rents. Jobs alike share
+   * Keeps room for a job that may come, on what is there or coming, else provisions. Jobs alike share
    * what is left of the machines: each is looked at until it has no more room for them. At a start
    * from nothing a hundred expected jobs asked each machine twice in each round, which was most of
    * the leader's work.
@@ -162,7 +162,7 @@
       }
     }
     if (left > 0) {
-      rentFor(spare, left, spare.zoneOpen());
+      provisionFor(spare, left, spare.zoneOpen());
     }
   }
 
@@ -214,15 +214,15 @@
     return new Resources(cpus, gpus, memory);
   }
 
-  /** Writes down what is to be rented and returned. */
+  /** Writes down what is to be provisioned and returned. */
   void finish() {
-    for (int i = 0; i < rented.length; i++) {
-      if (rented[i] > 0) {
+    for (int i = 0; i < provisioned.length; i++) {
+      if (provisioned[i] > 0) {
         Offer offer = builder.snapshot.offers().get(i);
         builder
             .plan
-            .rents()
-            .add(new Plan.Rent(offer.machineType().name(), offer.zoneName(), offer.spot(), rented[i]));
+            .scaleOuts()
+            .add(new Plan.ScaleOut(offer.machineType().name(), offer.zoneName(), offer.spot(), provisioned[i]));
       }
     }
     for (MachineCapacity machine : builder.machines) {
@@ -232,7 +232,7 @@
           && view.attempts().isEmpty()
           && view.reservations().isEmpty()
           && builder.snapshot.now().secondsSince(view.idleSince()) > builder.snapshot.idleS()
-          && builder.snapshot.now().secondsSince(view.rentedAt()) > 60) {
+          && builder.snapshot.now().secondsSince(view.provisionedAt()) > 60) {
         builder.plan.releases().add(view.id());
       }
     }
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -16,7 +16,7 @@
 /**
  * All that the planner decides from; nothing in it changes while it decides.
  *
- * @param spares jobs as they may arrive before a rented machine could be up
+ * @param spares jobs as they may arrive before a provisioned machine could be up
  * @param startedLate jobs that got their first tasks after too long a wait and have none done yet
  * @param settled whether this leadership is old enough for every live machine to have reported
  */
@@ -50,7 +50,7 @@
       boolean ready,
       Set<String> images,
       SteadyTime idleSince,
-      SteadyTime rentedAt,
+      SteadyTime provisionedAt,
       List<AttemptView> attempts,
       List<Reservation> reservations) {
 
@@ -66,7 +66,7 @@
           false,
           images,
           idleSince,
-          rentedAt,
+          provisionedAt,
           attempts,
           reservations);
     }
@@ -123,7 +123,7 @@
           reservedTasks);
     }
 
-    /** A job of which nothing waits yet, to keep or rent room for. */
+    /** A job of which nothing waits yet, to keep or provision room for. */
     public static JobView expected(JobSpec spec, double rank, int zoneCount) {
       IntList open = IntArrayList.wrap(new int[zoneCount]);
       return new JobView(spec, rank, 0, false, false, IntList.of(), 0, open, false, Set.of(), 0);
@@ -134,9 +134,9 @@
   public record Coming(Offer of, int count) {}
 
   /**
-   * A machine type that can be rented in a zone, as spot or ordinary.
+   * A machine type that can be provisioned in a zone, as spot or ordinary.
    *
-   * @param most how many may be rented at once
+   * @param most how many may be provisioned at once
    * @param bootS how long such a machine takes to come up there, in seconds
    */
   public record Offer(
--- a/src/main/java/org/ternhinge/wire/HostInfo.java
+++ b/src/main/java/org/ternhinge/wire/ListedMachine.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.MachineId;
 
 /** A machine as the cloud's list shows it. */
-public record HostInfo(
+public record ListedMachine(
     MachineId machine,
     String endpoint,
     String type,
@@ -23,11 +23,11 @@
   }
 
   /** One page of the list. */
-  public record Page(List<HostInfo> hosts, boolean more) {}
+  public record Page(List<ListedMachine> hosts, boolean more) {}
 
   /** Reads a page of the cloud's list of machines. */
   public static Page readPage(JsonNode body) throws WireException {
-    List<HostInfo> out = new ArrayList<>();
+    List<ListedMachine> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "velar")) {
       State state =
           switch (Json.text(item, "astand")) {
@@ -37,7 +37,7 @@
           };
       String endpoint = Json.textOrNull(item, "endpoint");
       out.add(
-          new HostInfo(
+          new ListedMachine(
               new MachineId(Json.text(item, "ref")),
               endpoint,
               Json.text(item, "velagerd"),
--- a/src/main/java/org/ternhinge/wire/RentalRequest.java
+++ b/src/main/java/org/ternhinge/wire/ProvisionRequest.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.MachineId;
 
 /** A request for machines; its name makes a repeat harmless. */
-public record RentalRequest(String name, String type, String zone, boolean spot, int count) {
+public record ProvisionRequest(String name, String type, String zone, boolean spot, int count) {
 
   public static final int MAX_COUNT = 50;
 
@@ -19,8 +19,8 @@
   }
 
   /** Reads what {@link #write} has written. */
-  public static RentalRequest read(JsonNode body) throws WireException {
-    return new RentalRequest(
+  public static ProvisionRequest read(JsonNode body) throws WireException {
+    return new ProvisionRequest(
         Json.text(body, "leigubeidni"),
         Json.text(body, "velagerd"),
         Json.text(body, "svaedi"),
@@ -28,7 +28,7 @@
         (int) Json.count(body, "count"));
   }
 
-  /** Reads the names of the machines that were rented. */
+  /** Reads the names of the machines that were provisioned. */
   public static List<MachineId> readAnswer(JsonNode body) throws WireException {
     List<MachineId> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "velar")) {
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -37,7 +37,7 @@
       }
     }
     plan.stops().stream().filter(stop -> !isMove(stop)).forEach(out.stops()::add);
-    out.rents().addAll(plan.rents());
+    out.scaleOuts().addAll(plan.scaleOuts());
     plan.releases().stream().limit(Math.max(0, mostReleases)).forEach(out.releases()::add);
     return out;
   }
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -73,7 +73,7 @@
   }
 
   /**
-   * Room is kept for held tasks, or rented, so that they find machines that are up when their turn
+   * Room is kept for held tasks, or provisioned, so that they find machines that are up when their turn
    * comes; otherwise each tier would wait once more for machines to boot.
    */
   private List<Snapshot.JobView> spares(Snapshot full) {
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -33,7 +33,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** A key-value store and a cloud over HTTP on loopback; the cloud rents nothing out. */
+/** A key-value store and a cloud over HTTP on loopback; the cloud provisions nothing out. */
 final class LoopbackServices implements AutoCloseable {
   private static final String NODE_PREFIX = "node-";
 
--- a/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
@@ -23,9 +23,9 @@
 import org.ternhinge.state.Change;
 import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
+import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Where the machine types come from. */
 class BootstrapMachineTypesTest {
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request) {
-      throw new AssertionError("nothing is rented here");
+    public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
+      throw new AssertionError("nothing is provisioned here");
     }
 
     @Override
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<HostInfo.Page>> list(
+    public CompletableFuture<Outcome<ListedMachine.Page>> list(
         MachineId after, int limit, RequestPriority priority) {
       throw new AssertionError("nothing is listed here");
     }
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -28,13 +28,13 @@
 
   /** The world's counts at some time. */
   private record Counts(
-      double at, long orders, long changes, long rents, long returns, long lists) {
+      double at, long orders, long changes, long scaleOuts, long returns, long lists) {
     static Counts of(SimCluster cluster) {
       return new Counts(
           cluster.clock.seconds(),
           cluster.counts.commandCalls(),
           cluster.counts.stateChanges(),
-          cluster.counts.rentalCalls(),
+          cluster.counts.provisionCalls(),
           cluster.counts.releaseCalls(),
           cluster.counts.machineListings());
     }
@@ -69,7 +69,7 @@
     Counts to = Counts.of(world);
     double span = to.at - from.at;
     assertTrue(to.changes - from.changes <= WRITES * (span + 1), "changes of the state service");
-    long calls = to.rents - from.rents + to.returns - from.returns + to.lists - from.lists;
+    long calls = to.scaleOuts - from.scaleOuts + to.returns - from.returns + to.lists - from.lists;
     assertTrue(calls <= cloudRps * (span + 2), calls + " calls of the cloud in " + span + " s");
     int sockets = SocketShares.of(world.settings("node-0").maxSockets()).calls();
     assertTrue(
--- a/src/test/java/org/ternhinge/controller/LateMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/LateMachinesTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.sim.SimCluster;
 
-/** Machines that are rented and come up late or never. A small one takes 3 to 8 s as a rule. */
+/** Machines that are provisioned and come up late or never. A small one takes 3 to 8 s as a rule. */
 class LateMachinesTest {
   /** Within this time a machine that does not come up has been replaced, and the other is up. */
   private static final double REPLACED_S = 30;
@@ -50,7 +50,7 @@
     JobId job = submit("wk-1", tasks, 60);
     cluster.run(REPLACED_S);
     assertEquals(tasks, cluster.world.tasks.runningTasks(job), "tasks that run");
-    assertTrue(cluster.world.machinesMade() <= tasks + dead + 4, "machines rented");
+    assertTrue(cluster.world.machinesMade() <= tasks + dead + 4, "machines provisioned");
     cluster.run(GIVEN_UP_S - REPLACED_S);
     assertEquals(List.of(), cluster.world.bootingMachines(), "machines still paid for");
     cluster.nothingBroken();
@@ -74,7 +74,7 @@
     cluster.nothingBroken();
   }
 
-  /** Where a type is slow as such, waiting for it costs less than renting all of it twice. */
+  /** Where a type is slow as such, waiting for it costs less than provisioning all of it twice. */
   @ParameterizedTest(name = "{0} tasks, machines {1} times as late")
   @CsvSource({"20,3", "20,6", "40,4"})
   void aSlowTypeIsNotPaidForTwice(int tasks, double factor) {
@@ -84,7 +84,7 @@
     assertEquals(tasks, cluster.world.tasks.runningTasks(job), "tasks that run");
     int most = (int) (1.5 * tasks) + 4;
     assertTrue(
-        cluster.world.machinesMade() <= most, cluster.world.machinesMade() + " machines rented");
+        cluster.world.machinesMade() <= most, cluster.world.machinesMade() + " machines provisioned");
     cluster.nothingBroken();
   }
 
--- a/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
@@ -17,8 +17,8 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Lists of machines in several pages, some of which the cloud's rate holds back. */
 class MachineInventoryTest {
@@ -38,11 +38,11 @@
     private final List<RequestPriority> asked = new ArrayList<>();
 
     @Override
-    public CompletableFuture<Outcome<HostInfo.Page>> list(
+    public CompletableFuture<Outcome<ListedMachine.Page>> list(
         MachineId after, int limit, RequestPriority priority) {
       asked.add(priority);
       String next = script.isEmpty() ? "page" : script.poll();
-      Outcome<HostInfo.Page> outcome =
+      Outcome<ListedMachine.Page> outcome =
           switch (next) {
             case "held" -> Outcome.notApplied(Reason.HELD_BACK, "no tokens");
             case "refused" -> Outcome.notApplied(Reason.REFUSED, "trouble");
@@ -52,11 +52,11 @@
       return CompletableFuture.completedFuture(outcome);
     }
 
-    private static HostInfo.Page page(MachineId after) {
+    private static ListedMachine.Page page(MachineId after) {
       MachineId id = after == null ? FIRST : LAST;
-      HostInfo host =
-          new HostInfo(id, "10.0.1.1:9000", "small", "east", false, HostInfo.State.RUNNING, 5);
-      return new HostInfo.Page(List.of(host), after == null);
+      ListedMachine host =
+          new ListedMachine(id, "10.0.1.1:9000", "small", "east", false, ListedMachine.State.RUNNING, 5);
+      return new ListedMachine.Page(List.of(host), after == null);
     }
 
     @Override
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request) {
+    public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
       return new CompletableFuture<>();
     }
 
@@ -89,14 +89,14 @@
         services,
         parts.executor,
         parts.machines,
-        new Rentals(
+        new MachineProvisioner(
             services,
             parts.authority,
             parts.executor,
             parts.machines,
             rounds,
             parts.packedRecords("r/")),
-        new MachineReleases(
+        new MachineReleaser(
             removal,
             services,
             parts.authority,
@@ -135,7 +135,7 @@
     assertNotNull(parts.machines.find(LAST), "the last page");
   }
 
-  /** A page that has waited for long goes on a level with rentals. */
+  /** A page that has waited for long goes on a level with provision requests. */
   @Test
   void aPageThatWaitsIsNotPassedOverForEver() {
     for (int i = 0; i < 20; i++) {
@@ -149,7 +149,7 @@
 
   /**
    * A machine that is known and that no list has shown is gone once a list was begun late enough:
-   * the next leader otherwise counts on those that rentals of the last one have named.
+   * the next leader otherwise counts on those that provision requests of the last one have named.
    */
   @ParameterizedTest(name = "known for {0} s, {1}")
   @CsvSource({"0, , true", "15, , true", "21, , false", "21, held, false", "21, refused, true"})
--- a/src/test/java/org/ternhinge/controller/PackedRecordsTest.java
+++ b/src/test/java/org/ternhinge/controller/PackedRecordsTest.java
@@ -23,7 +23,7 @@
 import org.ternhinge.state.Entry;
 import org.ternhinge.state.CompareAndSwap;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Records that hold many small facts each. */
 class PackedRecordsTest {
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Records of rentals and returns as the version in production writes them. What is read is
+   * Records of provision requests and returns as the version in production writes them. What is read is
    * written back the same around what is new.
    */
   @ParameterizedTest(name = "{0}")
@@ -118,7 +118,7 @@
 
   /**
    * Several facts in a record, and how many go into one under a small limit, as the code of commit
-   * d679fcc writes them: five rentals, five returns.
+   * d679fcc writes them: five provision requests, five returns.
    */
   @ParameterizedTest(name = "{0} in records of {1} bytes")
   @CsvSource({"r/, 256, 3", "x/, 64, 2"})
@@ -130,7 +130,7 @@
     PackedRecords written = packed(core, clock, prefix, valueBytes);
     for (int i = 1; i <= 5; i++) {
       if (prefix.equals("r/")) {
-        written.put("t5-" + i, rental(i).write(), () -> {});
+        written.put("t5-" + i, provision(i).write(), () -> {});
       } else {
         written.put("n-00000" + i, BooleanNode.TRUE, () -> {});
       }
@@ -146,15 +146,15 @@
     assertTrue(core.get(prefix + records).entry().isEmpty());
     TreeSet<String> all = new TreeSet<>();
     for (int i = 1; i <= 5; i++) {
-      all.add(prefix.equals("r/") ? "t5-" + i + rental(i).write() : "n-00000" + i + "true");
+      all.add(prefix.equals("r/") ? "t5-" + i + provision(i).write() : "n-00000" + i + "true");
     }
     assertEquals(all, found);
   }
 
-  private static RentalRequest rental(int number) {
+  private static ProvisionRequest provision(int number) {
     boolean even = number % 2 == 0;
     String zone = number < 3 ? "east" : "west";
-    return new RentalRequest("t5-" + number, even ? "small" : "fast", zone, even, 10 + number);
+    return new ProvisionRequest("t5-" + number, even ? "small" : "fast", zone, even, 10 + number);
   }
 
   private static PackedRecords packed(
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -23,7 +23,7 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A simulated cluster of three zones with ordered failover, on virtual time. Machines are rented in
+ * A simulated cluster of three zones with ordered failover, on virtual time. Machines are provisioned in
  * the first zone as long as the cloud has any there, so that is the one to lose.
  */
 abstract class ZoneFailoverFixture {
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -9,10 +9,10 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
-/** Keys, rentals and machine types: what both versions of an upgrade store in the same form. */
+/** Keys, provision requests and machine types: what both versions of an upgrade store in the same form. */
 class ProductionSharedRecordsTest {
   @Test
   void keysAreTheSame() {
@@ -25,17 +25,17 @@
   }
 
   private static List<String> others() {
-    return List.of(Keys.RENTALS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.MACHINE_TYPES);
+    return List.of(Keys.PROVISIONS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.MACHINE_TYPES);
   }
 
   @Test
-  void aRentalIsTheSame() throws WireException {
-    String rental =
+  void aProvisionRequestIsTheSame() throws WireException {
+    String provision =
         "{\"leigubeidni\":\"t5-3\",\"velagerd\":\"small\",\"svaedi\":\"east\",\"lanvelar\":true,"
             + "\"count\":12}";
-    RentalRequest request = new RentalRequest("t5-3", "small", "east", true, 12);
-    assertEquals(request, RentalRequest.read(json(rental)));
-    assertEquals(rental, text(request.write()));
+    ProvisionRequest request = new ProvisionRequest("t5-3", "small", "east", true, 12);
+    assertEquals(request, ProvisionRequest.read(json(provision)));
+    assertEquals(provision, text(request.write()));
   }
 
   /** Machine types as the versions keep them for the next start. */
--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -50,7 +50,7 @@
     assertEquals(List.of(), plan().releases());
     offers.add(new Offer(PLAIN, 0, "east", false, 10));
     spares.add(JobView.expected(spec("wk-3", "daemon", 3, ask), 2, 2));
-    assertEquals(1, plan().rents().size(), "n-1 has room for one more");
+    assertEquals(1, plan().scaleOuts().size(), "n-1 has room for one more");
   }
 
   /**
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -75,15 +75,15 @@
   }
 
   @Test
-  void rentsTheCheapestThatIsPermitted() {
+  void provisionsTheCheapestThatIsPermitted() {
     offers.add(new Offer(FAST, 0, "east", false, 10));
     offers.add(new Offer(PLAIN, 0, "east", false, 10));
     offers.add(new Offer(PLAIN, 0, "east", true, 10));
     job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0, "lanvelar", false)), true);
-    assertEquals(List.of(new Plan.Rent("plain", "east", false, 2)), plan().rents());
+    assertEquals(List.of(new Plan.ScaleOut("plain", "east", false, 2)), plan().scaleOuts());
     jobs.clear();
     job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0)), true);
-    assertEquals(List.of(new Plan.Rent("plain", "east", true, 2)), plan().rents());
+    assertEquals(List.of(new Plan.ScaleOut("plain", "east", true, 2)), plan().scaleOuts());
   }
 
   @Test
@@ -189,11 +189,11 @@
     Offer plain = new Offer(PLAIN, 0, "east", false, 50);
     offers.add(plain);
     job(spec("wk-1", "daemon", 3, Map.of("cpus", 4.0, "lanvelar", false)), true);
-    assertEquals(3, plan().rents().get(0).count());
+    assertEquals(3, plan().scaleOuts().get(0).count());
     coming.add(new Snapshot.Coming(plain, 2));
-    assertEquals(1, plan().rents().get(0).count());
+    assertEquals(1, plan().scaleOuts().get(0).count());
     coming.add(new Snapshot.Coming(plain, 1));
-    assertEquals(List.of(), plan().rents());
+    assertEquals(List.of(), plan().scaleOuts());
   }
 
   /**
--- a/src/test/java/org/ternhinge/sim/BootFaults.java
+++ b/src/test/java/org/ternhinge/sim/BootFaults.java
@@ -2,9 +2,9 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ProvisionRequest;
 
-/** Faults of machines that are rented: they come up late or never, and lists that lag. */
+/** Faults of machines that are provisioned: they come up late or never, and lists that lag. */
 public final class BootFaults {
   private final Set<Integer> dead = new HashSet<>();
   private String slowType = "";
@@ -12,7 +12,7 @@
   private double slowFactor = 1;
   private double listLagS;
 
-  /** The machine that is the so-manieth to be rented, counted from 0, never comes up. */
+  /** The machine that is the so-manieth to be provisioned, counted from 0, never comes up. */
   public void neverComesUp(Set<Integer> machines) {
     dead.addAll(machines);
   }
@@ -41,7 +41,7 @@
     return dead.contains(machine);
   }
 
-  double factor(RentalRequest request) {
+  double factor(ProvisionRequest request) {
     boolean slow =
         request.type().equals(slowType) && (slowZone == null || request.zone().equals(slowZone));
     return slow ? slowFactor : 1;
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -13,7 +13,7 @@
   private long stateChanges;
   private long stateReads;
   private long machineListings;
-  private long rentalCalls;
+  private long provisionCalls;
   private long releaseCalls;
   private int leaderships;
   private long commandsOfOldTerms;
@@ -50,8 +50,8 @@
     machineListings++;
   }
 
-  void rentalCall() {
-    rentalCalls++;
+  void provisionCall() {
+    provisionCalls++;
   }
 
   void releaseCall() {
@@ -98,8 +98,8 @@
   }
 
   /** Rental requests. */
-  public long rentalCalls() {
-    return rentalCalls;
+  public long provisionCalls() {
+    return provisionCalls;
   }
 
   /** Requests to delete machines. */
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -7,8 +7,8 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** The cloud as one controller reaches it. */
 final class SimCloud implements Cloud {
@@ -39,15 +39,15 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<List<MachineId>>> rent(RentalRequest request) {
-    cluster.counts.rentalCall();
+  public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
+    cluster.counts.provisionCall();
     return owner.guard(
         cluster.networkFaults.<List<MachineId>>call(
             NetworkFaults.zoneOf(node),
             null,
             () -> false,
             5,
-            to -> to.accept(Outcome.applied(cluster.stock.rentNow(request)))));
+            to -> to.accept(Outcome.applied(cluster.stock.provisionNow(request)))));
   }
 
   @Override
@@ -73,22 +73,22 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<HostInfo.Page>> list(
+  public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
     cluster.counts.machineListing();
     if (cluster.networkFaults.apart(NetworkFaults.zoneOf(node), null)) {
       return owner.guard(cluster.networkFaults.lostCall(5));
     }
-    List<HostInfo> rented = cluster.stock.list();
-    List<HostInfo> hosts =
-        rented.stream()
+    List<ListedMachine> provisioned = cluster.stock.list();
+    List<ListedMachine> hosts =
+        provisioned.stream()
             .filter(host -> after == null || host.machine().compareTo(after) > 0)
             .limit(limit)
             .toList();
     boolean more =
-        !hosts.isEmpty() && !hosts.get(hosts.size() - 1).equals(rented.get(rented.size() - 1));
-    HostInfo.Page page = new HostInfo.Page(hosts, more);
-    CompletableFuture<Outcome<HostInfo.Page>> out = new CompletableFuture<>();
+        !hosts.isEmpty() && !hosts.get(hosts.size() - 1).equals(provisioned.get(provisioned.size() - 1));
+    ListedMachine.Page page = new ListedMachine.Page(hosts, more);
+    CompletableFuture<Outcome<ListedMachine.Page>> out = new CompletableFuture<>();
     // The list lags.
     cluster.clock.after(1, () -> out.complete(Outcome.applied(page)));
     return owner.guard(out);
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -82,7 +82,7 @@
   /** Faults of the key-value store. */
   public final StoreFaults stateFaults;
 
-  /** Faults of machines that are rented. */
+  /** Faults of machines that are provisioned. */
   public final BootFaults bootFaults = new BootFaults();
 
   /** Faults of machines. */
@@ -355,12 +355,12 @@
     return size.machines;
   }
 
-  /** Machines that were ever rented. */
+  /** Machines that were ever provisioned. */
   public int machinesMade() {
     return stock.machinesMade();
   }
 
-  /** Machines that are rented and not up. */
+  /** Machines that are provisioned and not up. */
   public List<MachineId> bootingMachines() {
     return stock.booting();
   }
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -8,39 +8,39 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.HostInfo;
-import org.ternhinge.wire.RentalRequest;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.ProvisionRequest;
 
-/** What the cloud has rented out, to whomever. */
+/** What the cloud has provisioned out, to whomever. */
 final class SimStock {
-  /** A machine that was rented and is not up yet. */
-  private record Booting(RentalRequest request, MachineType machineType) {}
+  /** A machine that was provisioned and is not up yet. */
+  private record Booting(ProvisionRequest request, MachineType machineType) {}
 
   private final SimCluster cluster;
-  private final Map<String, List<MachineId>> rentals = new HashMap<>();
+  private final Map<String, List<MachineId>> provisions = new HashMap<>();
   private final TreeMap<MachineId, Booting> booting = new TreeMap<>();
-  private final Map<MachineId, SteadyTime> rentedAt = new HashMap<>();
+  private final Map<MachineId, SteadyTime> provisionedAt = new HashMap<>();
   private int machinesMade;
 
   SimStock(SimCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** Machines that were ever rented. */
+  /** Machines that were ever provisioned. */
   int machinesMade() {
     return machinesMade;
   }
 
-  /** Machines that are rented and not up. */
+  /** Machines that are provisioned and not up. */
   List<MachineId> booting() {
     return List.copyOf(booting.keySet());
   }
 
   /** Machines of the type, zone and kind that a request asks for, up or not. */
-  private int rentedNow(RentalRequest request) {
+  private int provisionedNow(ProvisionRequest request) {
     int count = 0;
     for (Booting machine : booting.values()) {
-      RentalRequest other = machine.request;
+      ProvisionRequest other = machine.request;
       count += isOffer(request, other.type(), other.zone(), other.spot()) ? 1 : 0;
     }
     for (SimWorker worker : cluster.workers.values()) {
@@ -49,29 +49,29 @@
     return count;
   }
 
-  private static boolean isOffer(RentalRequest request, String type, String zone, boolean spot) {
+  private static boolean isOffer(ProvisionRequest request, String type, String zone, boolean spot) {
     return request.type().equals(type) && request.zone().equals(zone) && request.spot() == spot;
   }
 
-  /** Rents machines; the same request again gives the same answer. */
-  List<MachineId> rentNow(RentalRequest request) {
-    return rentals.computeIfAbsent(request.name(), name -> rentNew(request));
+  /** Provisions machines; the same request again gives the same answer. */
+  List<MachineId> provisionNow(ProvisionRequest request) {
+    return provisions.computeIfAbsent(request.name(), name -> provisionNew(request));
   }
 
-  private List<MachineId> rentNew(RentalRequest request) {
+  private List<MachineId> provisionNew(ProvisionRequest request) {
     List<MachineId> out = new ArrayList<>();
-    int left = cluster.machinesOfEach() - rentedNow(request);
+    int left = cluster.machinesOfEach() - provisionedNow(request);
     for (int i = 0; i < Math.min(request.count(), left); i++) {
-      out.add(rentOne(request));
+      out.add(provisionOne(request));
     }
     return out;
   }
 
-  private MachineId rentOne(RentalRequest request) {
+  private MachineId provisionOne(ProvisionRequest request) {
     MachineId id = new MachineId(String.format("n-%06d", machinesMade++));
     MachineType machineType = SimMachineTypes.ALL.get(request.type().equals("small") ? 0 : 1);
     booting.put(id, new Booting(request, machineType));
-    rentedAt.put(id, cluster.clock.now());
+    provisionedAt.put(id, cluster.clock.now());
     double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
     double bootS = usualS * cluster.bootFaults.factor(request);
     if (!cluster.bootFaults.neverComesUp(machinesMade - 1)) {
@@ -83,7 +83,7 @@
   private void comesUp(MachineId id) {
     Booting machine = booting.remove(id);
     if (machine != null) {
-      RentalRequest request = machine.request;
+      ProvisionRequest request = machine.request;
       SimWorker worker = new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
       cluster.workers.put(id, worker);
       cluster.machineFaults.cameUp(worker);
@@ -95,38 +95,38 @@
     booting.remove(id);
   }
 
-  /** All machines that are rented, as they were some time ago, in the order of their names. */
-  List<HostInfo> list() {
+  /** All machines that are provisioned, as they were some time ago, in the order of their names. */
+  List<ListedMachine> list() {
     SteadyTime then = cluster.clock.now().plusSeconds(-cluster.bootFaults.listLagS());
-    TreeMap<MachineId, HostInfo> hosts = new TreeMap<>();
+    TreeMap<MachineId, ListedMachine> hosts = new TreeMap<>();
     booting.forEach(
         (id, machine) -> {
-          RentalRequest request = machine.request;
+          ProvisionRequest request = machine.request;
           hosts.put(
               id,
-              new HostInfo(
+              new ListedMachine(
                   id,
                   "",
                   request.type(),
                   request.zone(),
                   request.spot(),
-                  HostInfo.State.BOOTING,
-                  then.secondsSince(rentedAt.get(id))));
+                  ListedMachine.State.BOOTING,
+                  then.secondsSince(provisionedAt.get(id))));
         });
     cluster.workers.forEach(
         (id, worker) ->
             hosts.put(
                 id,
-                new HostInfo(
+                new ListedMachine(
                     id,
                     worker.endpoint(),
                     worker.machineType.name(),
                     worker.zone,
                     worker.spot,
                     worker.startedAt.isBefore(then) || worker.startedAt.equals(then)
-                        ? HostInfo.State.RUNNING
-                        : HostInfo.State.BOOTING,
-                    then.secondsSince(rentedAt.get(id)))));
+                        ? ListedMachine.State.RUNNING
+                        : ListedMachine.State.BOOTING,
+                    then.secondsSince(provisionedAt.get(id)))));
     hosts.values().removeIf(host -> host.ageS() < 0);
     return List.copyOf(hosts.values());
   }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -174,11 +174,11 @@
     plan.stops().add(new Plan.Stop(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
     Plan.Stop forAnother = new Plan.Stop(machine, ARRAY, room, List.of(new Plan.Victim(GANG, 0)));
     plan.stops().add(forAnother);
-    plan.rents().add(new Plan.Rent("small", "east", true, 3));
+    plan.scaleOuts().add(new Plan.ScaleOut("small", "east", true, 3));
     IntStream.range(40, 80).forEach(i -> plan.releases().add(new MachineId("n-" + i)));
     Plan limited = limit(plan);
     assertEquals(List.of(forAnother), limited.stops());
-    assertEquals(plan.rents(), limited.rents());
+    assertEquals(plan.scaleOuts(), limited.scaleOuts());
     assertTrue(limited.releases().size() <= 4, limited.releases().size() + " returned at once");
   }
 
