--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -88,7 +88,7 @@
    * The speed of moves out of a lost zone.
    *
    * @param tierHoldS how long a tier may keep the one after it waiting
-   * @param drainS time in which what is owed is to be released
+   * @param drainS time in which what is displaced is to be released
    */
   public record Release(double tierHoldS, double drainS) {}
 
--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
@@ -89,17 +89,17 @@
 
   /** For each zone, whether so many machines are silent that it must be the network. */
   private boolean[] mostlySilentZones(SteadyTime now) {
-    List<ZoneCensus.Count> census =
-        ZoneCensus.of(
+    List<ZoneMachineCounts.Count> machineCounts =
+        ZoneMachineCounts.of(
             machines.all(),
             settings.zones().size(),
             machine -> machine.zone,
             machine -> machine.heartbeatReceived && !machine.gone,
             machine -> machine.leaseEnds.isBefore(now));
-    boolean[] mostlySilent = new boolean[census.size()];
+    boolean[] mostlySilent = new boolean[machineCounts.size()];
     for (int zone = 0; zone < mostlySilent.length; zone++) {
-      double most = Math.max(FEW_SILENT, census.get(zone).counted() * ZONE_SILENT_SHARE);
-      mostlySilent[zone] = census.get(zone).marked() > most;
+      double most = Math.max(FEW_SILENT, machineCounts.get(zone).counted() * ZONE_SILENT_SHARE);
+      mostlySilent[zone] = machineCounts.get(zone).marked() > most;
     }
     return mostlySilent;
   }
--- a/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
@@ -111,30 +111,30 @@
         found -> {
           context.writer().known(found.key(), found.revision());
           failover.adopt(found.value(), clock.now(), clock.wallMillis());
-          oweWhatIsWaiting();
+          recoverDisplacedTasks();
         });
     recordKnown = true;
     writeRecordIfDue();
   }
 
   /**
-   * Tasks whose attempts an earlier leader has closed and that have none now: what a lost zone owed
+   * Tasks whose attempts an earlier leader has closed and that have none now: what was displaced from a lost zone
    * then. Which tasks these were is not recorded, so of a job that had begun all count that a round
    * could start.
    */
-  private void oweWhatIsWaiting() {
+  private void recoverDisplacedTasks() {
     SteadyTime now = clock.now();
     for (Map.Entry<String, SteadyTime> lost : failover.lostSince().entrySet()) {
       long lostMillis = clock.wallMillis() - (long) (now.secondsSince(lost.getValue()) * 1000);
       for (Job job : ledger.jobs()) {
         if (job.highest().value() > 0 && !isOver(job) && job.acceptedMillis() < lostMillis) {
-          oweWaitingTasks(job, lost.getKey(), now);
+          displaceWaitingTasks(job, lost.getKey(), now);
         }
       }
     }
   }
 
-  private void oweWaitingTasks(Job job, String zone, SteadyTime now) {
+  private void displaceWaitingTasks(Job job, String zone, SteadyTime now) {
     int task = job.nextWaiting(0);
     for (int i = 0; i < JobViews.MAX_PENDING && task >= 0; i++) {
       failover.attemptLost(job.planned(), task, 0, zone, now);
@@ -197,20 +197,20 @@
 
     @Override
     public List<ZoneObservation> zones() {
-      List<ZoneCensus.Count> known = census(this::isExpected, this::isImpaired);
-      List<ZoneCensus.Count> unheard = census(this::isUnheard, this::isUnheard);
+      List<ZoneMachineCounts.Count> known = machineCounts(this::isExpected, this::isImpaired);
+      List<ZoneMachineCounts.Count> unheard = machineCounts(this::isUnheard, this::isUnheard);
       List<ZoneObservation> zones = new ArrayList<>();
       for (int zone = 0; zone < known.size(); zone++) {
-        ZoneCensus.Count count = known.get(zone);
+        ZoneMachineCounts.Count count = known.get(zone);
         zones.add(
             new ZoneObservation(count.counted(), count.marked(), unheard.get(zone).counted()));
       }
       return zones;
     }
 
-    private List<ZoneCensus.Count> census(
+    private List<ZoneMachineCounts.Count> machineCounts(
         Predicate<Machine> isCounted, Predicate<Machine> isMarked) {
-      return ZoneCensus.of(
+      return ZoneMachineCounts.of(
           machines.all(),
           settings.zones().size(),
           ZoneCoordinator.this::zoneOf,
--- a/src/main/java/org/ternhinge/controller/ZoneCensus.java
+++ b/src/main/java/org/ternhinge/controller/ZoneMachineCounts.java
@@ -7,7 +7,7 @@
 import java.util.function.ToIntFunction;
 
 /** Counts machines by zone, and how many of them are marked for some reason. */
-final class ZoneCensus {
+final class ZoneMachineCounts {
   /**
    * The machines of one zone.
    *
@@ -16,7 +16,7 @@
    */
   record Count(int counted, int marked) {}
 
-  private ZoneCensus() {}
+  private ZoneMachineCounts() {}
 
   /**
    * Counts machines.
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -58,7 +58,7 @@
 
   /**
    * Seconds until so many tokens can be taken. More than the bucket holds are given when it is
-   * full, and owed from then on; else they would never be.
+   * full, and displaced from then on; else they would never be.
    */
   public synchronized double secondsUntil(RequestPriority priority, int count) {
     fill();
--- a/src/main/java/org/ternhinge/zone/OwedWork.java
+++ b/src/main/java/org/ternhinge/zone/DisplacedWork.java
@@ -2,8 +2,8 @@
 
 import org.ternhinge.model.JobId;
 
-/** What has become of work that a lost zone owes, as the ledger knows it. */
-public interface OwedWork {
+/** What has become of work that was displaced from a lost zone, as the ledger knows it. */
+public interface DisplacedWork {
   /** What has become of a task. */
   enum Fate {
     /** It has no attempt and is to get one. */
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -13,24 +13,24 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * What lost zones owe: tasks whose attempts are proved over and that have no new one. They are held
+ * What was displaced from lost zones: tasks whose attempts are proved over and that have no new one. They are held
  * until their tier's turn comes and then released at a bounded rate; the planner decides the rest.
  *
  * <p>No hold is without an end: a job of tier k is released k times {@code tier_hold_s} after it
- * became owed at the latest, and a job that finds no room keeps lower tiers waiting only for as
+ * was displaced at the latest, and a job that finds no room keeps lower tiers waiting only for as
  * long as its own tier's turn lasts.
  */
 final class FailoverQueue {
   /**
-   * A job that is owed tasks.
+   * A job that has displaced tasks.
    *
    * @param zone the lost zone
    * @param pinned whether the job may run in that zone only
    * @param held tasks that are not to be placed yet
    * @param released tasks that may be placed
-   * @param since when the first of them became owed
+   * @param since when the first of them was displaced
    */
-  record OwedJob(
+  record DisplacedJob(
       JobSpec spec,
       int tier,
       String zone,
@@ -38,8 +38,8 @@
       PSet<Integer> held,
       PSet<Integer> released,
       SteadyTime since) {
-    private OwedJob with(PSet<Integer> nowHeld, PSet<Integer> nowReleased) {
-      return new OwedJob(spec, tier, zone, pinned, nowHeld, nowReleased, since);
+    private DisplacedJob with(PSet<Integer> nowHeld, PSet<Integer> nowReleased) {
+      return new DisplacedJob(spec, tier, zone, pinned, nowHeld, nowReleased, since);
     }
 
     private boolean isSettled() {
@@ -48,18 +48,18 @@
   }
 
   /** Tasks of a job that were dealt with together. */
-  record Tasks(OwedJob job, PSet<Integer> tasks) {}
+  record Tasks(DisplacedJob job, PSet<Integer> tasks) {}
 
-  private static final Comparator<OwedJob> RELEASE_ORDER =
-      Comparator.comparingInt(OwedJob::tier)
+  private static final Comparator<DisplacedJob> RELEASE_ORDER =
+      Comparator.comparingInt(DisplacedJob::tier)
           .thenComparing(job -> job.spec().priority())
-          .thenComparing(OwedJob::since)
+          .thenComparing(DisplacedJob::since)
           .thenComparing(job -> job.spec().id());
 
   private final ZoneFailoverSettings.Release settings;
   private final FailoverOrder order;
   private final double leastRate;
-  private PMap<JobId, OwedJob> owed = HashTreePMap.empty();
+  private PMap<JobId, DisplacedJob> displaced = HashTreePMap.empty();
   private RateBudget budget;
 
   /** The most tasks that were held at once since none was. */
@@ -82,36 +82,36 @@
   }
 
   boolean isEmpty() {
-    return owed.isEmpty();
+    return displaced.isEmpty();
   }
 
   /** A task has lost its attempt with a zone. */
-  void owe(JobSpec spec, int task, String zone, SteadyTime now) {
-    OwedJob before = owed.get(spec.id());
+  void displace(JobSpec spec, int task, String zone, SteadyTime now) {
+    DisplacedJob before = displaced.get(spec.id());
     if (before == null) {
       boolean pinned = zone.equals(spec.zone());
       before =
-          new OwedJob(
+          new DisplacedJob(
               spec, order.tierOf(spec), zone, pinned, TreePSet.empty(), TreePSet.empty(), now);
     }
     if (!before.released.contains(task)) {
-      owed = owed.plus(spec.id(), before.with(before.held.plus(task), before.released));
+      displaced = displaced.plus(spec.id(), before.with(before.held.plus(task), before.released));
     }
   }
 
   // ---- what has become of it --------------------------------------------------------------------
 
-  /** Drops what is owed no longer, and says which tasks have a new attempt. */
-  List<Tasks> settle(OwedWork work) {
+  /** Drops what is displaced no longer, and says which tasks have a new attempt. */
+  List<Tasks> settle(DisplacedWork work) {
     List<Tasks> placed = new ArrayList<>();
-    for (OwedJob job : owed.values()) {
+    for (DisplacedJob job : displaced.values()) {
       PSet<Integer> found = TreePSet.empty();
       PSet<Integer> held = job.held;
       PSet<Integer> released = job.released;
       for (Integer task : job.held.plusAll(job.released)) {
-        OwedWork.Fate fate = work.fate(job.spec.id(), task);
-        if (fate != OwedWork.Fate.WAITING) {
-          found = fate == OwedWork.Fate.PLACED ? found.plus(task) : found;
+        DisplacedWork.Fate fate = work.fate(job.spec.id(), task);
+        if (fate != DisplacedWork.Fate.WAITING) {
+          found = fate == DisplacedWork.Fate.PLACED ? found.plus(task) : found;
           held = held.minus(task);
           released = released.minus(task);
         }
@@ -124,8 +124,8 @@
     return placed;
   }
 
-  private void replace(OwedJob job) {
-    owed = job.isSettled() ? owed.minus(job.spec.id()) : owed.plus(job.spec.id(), job);
+  private void replace(DisplacedJob job) {
+    displaced = job.isSettled() ? displaced.minus(job.spec.id()) : displaced.plus(job.spec.id(), job);
   }
 
   // ---- release ----------------------------------------------------------------------------------
@@ -135,13 +135,13 @@
    *
    * @param lowestOpenTier the most important tier of which attempts in lost zones are still open
    */
-  List<Tasks> release(OwedWork work, int lowestOpenTier, SteadyTime now) {
+  List<Tasks> release(DisplacedWork work, int lowestOpenTier, SteadyTime now) {
     budget = budget.filled(rate(), now);
-    List<OwedJob> jobs = new ArrayList<>(owed.values());
+    List<DisplacedJob> jobs = new ArrayList<>(displaced.values());
     jobs.sort(RELEASE_ORDER);
     int blockingTier = Math.min(lowestOpenTier, firstBlockingTier(jobs, work, now));
     List<Tasks> out = new ArrayList<>();
-    for (OwedJob job : jobs) {
+    for (DisplacedJob job : jobs) {
       boolean itsTurn = job.pinned || job.tier <= blockingTier || isDue(job, now);
       if (itsTurn && !job.held.isEmpty() && budget.allows()) {
         out.add(release(job));
@@ -153,15 +153,15 @@
   /** So many tasks a second empty the queue in time. */
   private double rate() {
     int tasks = 0;
-    for (OwedJob job : owed.values()) {
+    for (DisplacedJob job : displaced.values()) {
       tasks += job.held.size();
     }
     mostHeld = tasks == 0 ? 0 : Math.max(mostHeld, tasks);
     return Math.max(leastRate, mostHeld / settings.drainS());
   }
 
-  private int firstBlockingTier(List<OwedJob> sorted, OwedWork work, SteadyTime now) {
-    for (OwedJob job : sorted) {
+  private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, SteadyTime now) {
+    for (DisplacedJob job : sorted) {
       if (blocks(job, work, now)) {
         return job.tier;
       }
@@ -169,18 +169,18 @@
     return order.size();
   }
 
-  private boolean blocks(OwedJob job, OwedWork work, SteadyTime now) {
+  private boolean blocks(DisplacedJob job, DisplacedWork work, SteadyTime now) {
     double waitedS = now.secondsSince(job.since);
     return !job.pinned
         && work.isPlaceable(job.spec.id())
         && waitedS < (job.tier + 1) * settings.tierHoldS();
   }
 
-  private boolean isDue(OwedJob job, SteadyTime now) {
+  private boolean isDue(DisplacedJob job, SteadyTime now) {
     return now.secondsSince(job.since) >= job.tier * settings.tierHoldS();
   }
 
-  private Tasks release(OwedJob job) {
+  private Tasks release(DisplacedJob job) {
     PSet<Integer> chosen = TreePSet.empty();
     for (Integer task : job.held) {
       if (!job.spec.isGang() && !budget.allows()) {
@@ -189,8 +189,8 @@
       chosen = chosen.plus(task);
       budget = budget.less(1);
     }
-    owed =
-        owed.plus(job.spec.id(), job.with(job.held.minusAll(chosen), job.released.plusAll(chosen)));
+    displaced =
+        displaced.plus(job.spec.id(), job.with(job.held.minusAll(chosen), job.released.plusAll(chosen)));
     return new Tasks(job, chosen);
   }
 
@@ -199,7 +199,7 @@
   /** Tasks that are not to be placed yet, by job. */
   PMap<JobId, PSet<Integer>> held() {
     PMap<JobId, PSet<Integer>> held = HashTreePMap.empty();
-    for (OwedJob job : owed.values()) {
+    for (DisplacedJob job : displaced.values()) {
       if (!job.held.isEmpty()) {
         held = held.plus(job.spec.id(), job.held);
       }
@@ -207,13 +207,13 @@
     return held;
   }
 
-  /** The tasks of an owed job that are not to be placed yet. */
+  /** The tasks of an displaced job that are not to be placed yet. */
   PSet<Integer> held(JobId job) {
-    return owed.get(job).held;
+    return displaced.get(job).held;
   }
 
-  /** Everything that is owed. */
-  List<OwedJob> jobs() {
-    return List.copyOf(owed.values());
+  /** Everything that is displaced. */
+  List<DisplacedJob> jobs() {
+    return List.copyOf(displaced.values());
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -60,7 +60,7 @@
   /** What happened to tasks that have lost their attempts with a zone. */
   enum WorkStep {
     /** Their attempts are proved over; they wait for their turn. */
-    OWED,
+    DISPLACED,
     /** Their turn has come: the planner may place them. */
     RELEASED,
     /** They have new attempts. */
@@ -74,7 +74,7 @@
    *
    * @param tasks ranges such as {@code 0-3,7}
    * @param attempts ranges of the numbers of their last attempts; empty where these are not known
-   * @param waitedS seconds since the first of them became owed
+   * @param waitedS seconds since the first of them was displaced
    * @param reason why they wait, as one word
    */
   record WorkChanged(
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -24,11 +24,11 @@
 
 /**
  * All decisions about zones of one leadership, from what it observes. Guarded by the controller's
- * lock, but for {@link #board()} and {@link #filter}, which any thread may use.
+ * lock, but for {@link #current()} and {@link #filter}, which any thread may use.
  */
 public final class ZoneFailover {
   /** What a leadership observes at one time. */
-  public interface Observations extends OwedWork {
+  public interface Observations extends DisplacedWork {
     /** The machines of each zone, in the order in which the zones were named. */
     List<ZoneObservation> zones();
 
@@ -47,7 +47,7 @@
   private final FleetAssessment assessment;
   private final FailoverQueue queue;
   private final ReturnPacer pacer;
-  private final ZoneBoard board = new ZoneBoard();
+  private final ZoneSnapshotReference current = new ZoneSnapshotReference();
   private final FailoverMetrics metrics = new FailoverMetrics();
   private final List<String> names;
   private List<ZoneHealth> zones;
@@ -55,8 +55,8 @@
   private RateBudget releases;
   private final Map<JobId, SteadyTime> waitLogged = new HashMap<>();
 
-  /** What became owed since the last look, for the log. */
-  private final Map<JobId, NewlyOwed> newlyOwed = new LinkedHashMap<>();
+  /** What was displaced since the last look, for the log. */
+  private final Map<JobId, NewlyDisplaced> newlyDisplaced = new LinkedHashMap<>();
 
   /**
    * Creates a leadership's view, with all zones available.
@@ -87,8 +87,8 @@
   }
 
   /** The zones as any thread may read them. */
-  public ZoneBoard board() {
-    return board;
+  public ZoneSnapshotReference current() {
+    return current;
   }
 
   /** How long moved tasks have waited, by tier. */
@@ -138,15 +138,15 @@
 
   // ---- what happens -----------------------------------------------------------------------------
 
-  /** A task has lost its attempt. It is owed where that was in a zone that is not available. */
+  /** A task has lost its attempt. It is displaced where that was in a zone that is not available. */
   public void attemptLost(JobSpec job, int task, long attempt, String zone, SteadyTime now) {
-    if (board.read().state(zone) == ZoneState.AVAILABLE) {
+    if (current.read().state(zone) == ZoneState.AVAILABLE) {
       return;
     }
-    queue.owe(job, task, zone, now);
-    newlyOwed.computeIfAbsent(job.id(), id -> new NewlyOwed(job, zone)).add(task, attempt);
+    queue.displace(job, task, zone, now);
+    newlyDisplaced.computeIfAbsent(job.id(), id -> new NewlyDisplaced(job, zone)).add(task, attempt);
     // Hundreds may be lost in one moment: only what has changed is published.
-    board.update(present -> present.withHeld(job.id(), queue.held(job.id())));
+    current.update(present -> present.withHeld(job.id(), queue.held(job.id())));
   }
 
   /** Looks at everything; called every so often. Says what to log, state changes first. */
@@ -164,7 +164,7 @@
         events.add(stateChanged(i, before.get(i).state(), now));
       }
     }
-    logNewlyOwed(events);
+    logNewlyDisplaced(events);
     if (!queue.isEmpty()) {
       settle(observed, events, now);
       release(observed, events, now);
@@ -175,7 +175,7 @@
   }
 
   private boolean isIdle() {
-    if (!queue.isEmpty() || !newlyOwed.isEmpty()) {
+    if (!queue.isEmpty() || !newlyDisplaced.isEmpty()) {
       return false;
     }
     for (int i = 0; i < zones.size(); i++) {
@@ -198,18 +198,18 @@
         health.suppressed());
   }
 
-  private void logNewlyOwed(List<ZoneEvent> events) {
-    newlyOwed.values().forEach(owed -> events.add(owed.event(order.name(order.tierOf(owed.job)))));
-    newlyOwed.clear();
+  private void logNewlyDisplaced(List<ZoneEvent> events) {
+    newlyDisplaced.values().forEach(displaced -> events.add(displaced.event(order.name(order.tierOf(displaced.job)))));
+    newlyDisplaced.clear();
   }
 
-  private void settle(OwedWork work, List<ZoneEvent> events, SteadyTime now) {
+  private void settle(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
     for (FailoverQueue.Tasks placed : queue.settle(work)) {
       double waitedS = now.secondsSince(placed.job().since());
       metrics.moved(order.name(placed.job().tier()), waitedS, placed.tasks().size());
       events.add(workChanged(WorkStep.MOVED, placed, "placed", now));
     }
-    waitLogged.keySet().retainAll(owedJobs());
+    waitLogged.keySet().retainAll(displacedJobs());
   }
 
   private void release(Observations observed, List<ZoneEvent> events, SteadyTime now) {
@@ -224,14 +224,14 @@
     }
   }
 
-  /** Tasks of a job that became owed together. */
-  private static final class NewlyOwed {
+  /** Tasks of a job that was displaced together. */
+  private static final class NewlyDisplaced {
     private final JobSpec job;
     private final String zone;
     private final BitSet tasks = new BitSet();
     private final BitSet attempts = new BitSet();
 
-    NewlyOwed(JobSpec job, String zone) {
+    NewlyDisplaced(JobSpec job, String zone) {
       this.job = job;
       this.zone = zone;
     }
@@ -245,7 +245,7 @@
 
     ZoneEvent event(String tier) {
       return new ZoneEvent.WorkChanged(
-          WorkStep.OWED,
+          WorkStep.DISPLACED,
           job.id().value(),
           TaskRanges.encode(tasks, 0, tasks.length()),
           TaskRanges.encode(attempts, 0, attempts.length()),
@@ -256,14 +256,14 @@
     }
   }
 
-  private Set<JobId> owedJobs() {
+  private Set<JobId> displacedJobs() {
     Set<JobId> jobs = new HashSet<>();
     queue.jobs().forEach(job -> jobs.add(job.spec().id()));
     return jobs;
   }
 
-  private void logWaits(OwedWork work, List<ZoneEvent> events, SteadyTime now) {
-    for (FailoverQueue.OwedJob job : queue.jobs()) {
+  private void logWaits(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
+    for (FailoverQueue.DisplacedJob job : queue.jobs()) {
       SteadyTime last = waitLogged.getOrDefault(job.spec().id(), job.since());
       if (now.secondsSince(last) >= WAIT_LOG_S) {
         waitLogged.put(job.spec().id(), now);
@@ -273,7 +273,7 @@
     }
   }
 
-  private static String waitReason(FailoverQueue.OwedJob job, OwedWork work) {
+  private static String waitReason(FailoverQueue.DisplacedJob job, DisplacedWork work) {
     if (job.pinned()) {
       return "pinned-to-zone";
     }
@@ -285,7 +285,7 @@
 
   private ZoneEvent workChanged(
       WorkStep step, FailoverQueue.Tasks tasks, String reason, SteadyTime now) {
-    FailoverQueue.OwedJob job = tasks.job();
+    FailoverQueue.DisplacedJob job = tasks.job();
     return new ZoneEvent.WorkChanged(
         step,
         job.spec().id().value(),
@@ -310,7 +310,7 @@
     }
     ZoneSnapshot next = new ZoneSnapshot(status, queue.held());
     pacer.refill(next, now);
-    board.update(unused -> next);
+    current.update(unused -> next);
   }
 
   private ZoneStatus status(int zone, SteadyTime now) {
@@ -328,12 +328,12 @@
 
   /** What the planner is to see of a snapshot. */
   public Snapshot filter(Snapshot full) {
-    return new SnapshotFilter(board.read()).filter(full);
+    return new SnapshotFilter(current.read()).filter(full);
   }
 
   /** What may be carried out of a plan; adds to the events what starts in returning zones. */
   public Plan limit(Plan plan, PlacementFacts facts, List<ZoneEvent> events, SteadyTime now) {
-    ZoneSnapshot present = board.read();
+    ZoneSnapshot present = current.read();
     if (present.allAvailable()) {
       return plan;
     }
--- a/src/main/java/org/ternhinge/zone/ZoneBoard.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
@@ -4,7 +4,7 @@
 import java.util.function.UnaryOperator;
 
 /** Where the present {@link ZoneSnapshot} hangs: swapped whole, read by any thread. */
-public final class ZoneBoard {
+public final class ZoneSnapshotReference {
   private final AtomicReference<ZoneSnapshot> present = new AtomicReference<>(ZoneSnapshot.EMPTY);
 
   /** The present value. */
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -33,12 +33,12 @@
 
   /** What a tier owed and what of it has moved. */
   static final class TierTotals {
-    private int owed;
+    private int displaced;
     private int moved;
     private double longestWaitS;
 
-    int owed() {
-      return owed;
+    int displaced() {
+      return displaced;
     }
 
     int moved() {
@@ -58,7 +58,7 @@
   private final Map<String, TierTotals> tiers = new LinkedHashMap<>();
 
   /** Tasks whose attempts are proved over and that have no new one. */
-  private final Set<String> owedTasks = new HashSet<>();
+  private final Set<String> displacedTasks = new HashSet<>();
 
   private final Map<String, ZoneState> states = new TreeMap<>();
   private final Map<String, Long> stateSince = new HashMap<>();
@@ -100,9 +100,9 @@
     TierTotals totals = tiers.computeIfAbsent(work.tier(), tier -> new TierTotals());
     IntList tasks = TaskRanges.decode(work.tasks());
     switch (work.step()) {
-      case OWED -> {
-        totals.owed += tasks.size();
-        tasks.forEach(task -> owedTasks.add(name(work.job(), task)));
+      case DISPLACED -> {
+        totals.displaced += tasks.size();
+        tasks.forEach(task -> displacedTasks.add(name(work.job(), task)));
       }
       case MOVED -> {
         totals.moved += tasks.size();
@@ -125,7 +125,7 @@
   }
 
   private void moved(long atMillis, String task) {
-    if (!owedTasks.remove(task)) {
+    if (!displacedTasks.remove(task)) {
       doubled.add(new Doubled(atMillis, task));
     }
   }
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -135,7 +135,7 @@
                 tier ->
                     List.of(
                         tier.getKey(),
-                        Integer.toString(tier.getValue().owed()),
+                        Integer.toString(tier.getValue().displaced()),
                         Integer.toString(tier.getValue().moved()),
                         seconds(tier.getValue().longestWaitS())))
             .toList());
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -31,13 +31,13 @@
               tier("charts", Set.of("chart"), Set.of()),
               tier("climate", Set.of(), Set.of())));
 
-  private final Map<JobId, OwedWork.Fate> fates = new HashMap<>();
+  private final Map<JobId, DisplacedWork.Fate> fates = new HashMap<>();
   private final Set<JobId> unplaceable = new HashSet<>();
   private SteadyTime now = new SteadyTime(0);
   private FailoverQueue queue = new FailoverQueue(RELEASE, order, 1000, now);
 
-  private final OwedWork work =
-      new OwedWork() {
+  private final DisplacedWork work =
+      new DisplacedWork() {
         @Override
         public Fate fate(JobId job, int task) {
           return fates.getOrDefault(job, Fate.WAITING);
@@ -58,13 +58,13 @@
     return Specs.of(Specs.json(id, kind, tasks).put("runflokkur", jobClass).put("svaedi", zone));
   }
 
-  private void owe(String id, String jobClass, int tasks) {
-    owe(job(id, jobClass, "batch", tasks, null));
+  private void displace(String id, String jobClass, int tasks) {
+    displace(job(id, jobClass, "batch", tasks, null));
   }
 
-  private void owe(JobSpec spec) {
+  private void displace(JobSpec spec) {
     for (int i = 0; i < spec.tasks(); i++) {
-      queue.owe(spec, i, "west", now);
+      queue.displace(spec, i, "west", now);
     }
   }
 
@@ -83,20 +83,20 @@
 
   @Test
   void lowerTiersWaitUntilHigherOnesArePlaced() {
-    owe("wk-3", "climate", 2);
-    owe("wk-2", "chart", 2);
-    owe("wk-1", "warning", 2);
+    displace("wk-3", "climate", 2);
+    displace("wk-2", "chart", 2);
+    displace("wk-1", "warning", 2);
     assertEquals(List.of("wk-1"), releasedAfter(1));
     assertEquals(List.of(), releasedAfter(1));
-    fates.put(new JobId("wk-1"), OwedWork.Fate.PLACED);
+    fates.put(new JobId("wk-1"), DisplacedWork.Fate.PLACED);
     assertEquals(List.of("wk-2"), releasedAfter(1));
-    fates.put(new JobId("wk-2"), OwedWork.Fate.OVER);
+    fates.put(new JobId("wk-2"), DisplacedWork.Fate.OVER);
     assertEquals(List.of("wk-3"), releasedAfter(1));
   }
 
   @Test
   void aLowerTierWaitsForHigherAttemptsThatAreStillOpen() {
-    owe("wk-3", "climate", 2);
+    displace("wk-3", "climate", 2);
     assertEquals(List.of(), releasedAfter(1, 0));
     assertEquals(List.of("wk-3"), releasedAfter(1, 2));
   }
@@ -104,8 +104,8 @@
   /** Attempts of a higher tier that nobody can prove over hold the rest back for a bounded time. */
   @Test
   void openAttemptsHoldNothingBackForEver() {
-    owe("wk-2", "chart", 1);
-    owe("wk-3", "climate", 1);
+    displace("wk-2", "chart", 1);
+    displace("wk-3", "climate", 1);
     assertEquals(List.of(), releasedAfter(14, 0));
     assertEquals(List.of("wk-2"), releasedAfter(1, 0));
     assertEquals(List.of(), releasedAfter(14, 0));
@@ -114,9 +114,9 @@
 
   @Test
   void anUnplaceableWarningHoldsTheRestBackForABoundedTime() {
-    owe("wk-1", "warning", 1);
-    owe("wk-2", "chart", 1);
-    owe("wk-3", "climate", 1);
+    displace("wk-1", "warning", 1);
+    displace("wk-2", "chart", 1);
+    displace("wk-3", "climate", 1);
     assertEquals(List.of("wk-1"), releasedAfter(1));
     assertEquals(List.of(), releasedAfter(13));
     assertEquals(List.of("wk-2"), releasedAfter(1));
@@ -126,24 +126,24 @@
 
   /** What is unplaceable still does not hold back the work of the next lost zone. */
   private List<String> laterWaveIsNotHeldByIt() {
-    owe("wk-9", "climate", 1);
+    displace("wk-9", "climate", 1);
     return releasedAfter(1);
   }
 
   @Test
   void jobsThatCanNotBePlacedBlockNothing() {
-    owe("wk-1", "warning", 1);
+    displace("wk-1", "warning", 1);
     unplaceable.add(new JobId("wk-1"));
-    owe(job("wk-4", "warning", "batch", 1, "west"));
-    owe("wk-3", "climate", 1);
+    displace(job("wk-4", "warning", "batch", 1, "west"));
+    displace("wk-3", "climate", 1);
     assertEquals(List.of("wk-1", "wk-4", "wk-3"), releasedAfter(1));
   }
 
   @Test
   void releaseKeepsToARateAndGangsGoWhole() {
     queue = new FailoverQueue(RELEASE, order, 4, now);
-    owe("wk-1", "warning", 40);
-    owe(job("wk-2", "warning", "group", 6, null));
+    displace("wk-1", "warning", 40);
+    displace(job("wk-2", "warning", "group", 6, null));
     int most = 0;
     for (int i = 0; i < 12; i++) {
       now = now.plusSeconds(1);
@@ -158,10 +158,10 @@
   }
 
   @Test
-  void theRateGrowsWithWhatIsOwed() {
+  void theRateGrowsWithWhatIsDisplaced() {
     queue = new FailoverQueue(RELEASE, order, 30, now);
     for (int i = 0; i < 40; i++) {
-      owe("wk-" + i, "warning", 100);
+      displace("wk-" + i, "warning", 100);
     }
     for (int i = 0; i < 60; i++) {
       releasedAfter(1);
@@ -170,18 +170,18 @@
   }
 
   @Test
-  void aTaskIsOwedOnceAndForgottenOnceItIsOver() {
+  void aTaskIsDisplacedOnceAndForgottenOnceItIsOver() {
     JobSpec spec = job("wk-1", "warning", "batch", 1, null);
-    queue.owe(spec, 0, "west", now);
-    queue.owe(spec, 0, "west", now);
+    queue.displace(spec, 0, "west", now);
+    queue.displace(spec, 0, "west", now);
     assertEquals(List.of("wk-1"), releasedAfter(1));
-    queue.owe(spec, 0, "west", now);
+    queue.displace(spec, 0, "west", now);
     assertTrue(queue.held().isEmpty(), "what is released is not held again");
-    fates.put(spec.id(), OwedWork.Fate.OVER);
+    fates.put(spec.id(), DisplacedWork.Fate.OVER);
     assertTrue(queue.settle(work).isEmpty(), "a cancelled job is not moved");
     assertTrue(queue.isEmpty());
-    queue.owe(spec, 0, "west", now);
-    fates.put(spec.id(), OwedWork.Fate.PLACED);
+    queue.displace(spec, 0, "west", now);
+    fates.put(spec.id(), DisplacedWork.Fate.PLACED);
     assertEquals(1, queue.settle(work).size());
     assertFalse(queue.held().containsKey(spec.id()));
   }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -94,9 +94,9 @@
 
   private void loseAndReturn() {
     observe(6, MACHINES);
-    assertEquals(ZoneState.UNAVAILABLE, failover.board().read().state("north"));
+    assertEquals(ZoneState.UNAVAILABLE, failover.current().read().state("north"));
     observe(10.5, 0);
-    assertEquals(ZoneState.RECOVERING, failover.board().read().state("north"));
+    assertEquals(ZoneState.RECOVERING, failover.current().read().state("north"));
   }
 
   private static Plan.Place place(JobId job, int firstMachine, int count) {
@@ -241,7 +241,7 @@
       case "suspect" -> observe(1, MACHINES);
       case "unavailable" -> observe(6, MACHINES);
       case "recovering" -> loseAndReturn();
-      default -> assertTrue(failover.board().read().isCalm());
+      default -> assertTrue(failover.current().read().isCalm());
     }
     Snapshot seen = failover.filter(snapshot());
     assertEquals(shown ? 3 : 2, seen.machines().size());
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -37,7 +37,7 @@
     return List.of(
         line(state(ZoneState.AVAILABLE, ZoneState.SUSPECT), 0),
         line(state(ZoneState.SUSPECT, ZoneState.UNAVAILABLE), 4),
-        line(work(ZoneEvent.WorkStep.OWED, "0-3"), 20),
+        line(work(ZoneEvent.WorkStep.DISPLACED, "0-3"), 20),
         line(work(ZoneEvent.WorkStep.RELEASED, "0-3"), 20),
         line(work(ZoneEvent.WorkStep.MOVED, "0-2"), 24),
         line(work(ZoneEvent.WorkStep.WAITS, "3"), 50),
@@ -64,7 +64,7 @@
     assertEquals(
         List.of(ZoneState.SUSPECT, ZoneState.UNAVAILABLE, ZoneState.RECOVERING),
         history.intervals().stream().map(ZoneHistory.Interval::state).toList());
-    assertEquals(4, history.tiers().get("warnings").owed());
+    assertEquals(4, history.tiers().get("warnings").displaced());
     assertEquals(3, history.tiers().get("warnings").moved());
     assertEquals(List.of(), history.doubled());
   }
