--- a/src/main/java/org/ternhinge/api/Rejection.java
+++ b/src/main/java/org/ternhinge/api/SubmissionRejection.java
@@ -1,7 +1,7 @@
 package org.ternhinge.api;
 
 /** Why a submitted job can never run. */
-public enum Rejection {
+public enum SubmissionRejection {
   UNKNOWN_TEAM("unknown team"),
   NO_MACHINE_TYPE("a task fits no machine type that the job allows"),
   ABOVE_TEAM_LIMIT("needs more than the team's limit"),
@@ -12,7 +12,7 @@
 
   private final String message;
 
-  Rejection(String message) {
+  SubmissionRejection(String message) {
     this.message = message;
   }
 
--- a/src/main/java/org/ternhinge/api/Submissions.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -12,8 +12,8 @@
 import org.ternhinge.wire.JobSpec;
 
 /** Tells jobs that can never run from those that may, by the job's description alone. */
-public final class Submissions {
-  private Submissions() {}
+public final class SubmissionValidator {
+  private SubmissionValidator() {}
 
   /**
    * Looks for a reason why a job can never run.
@@ -21,24 +21,24 @@
    * @param machineTypes all machine types by their name
    * @return the first reason found, or nothing if the job may run
    */
-  public static Optional<Rejection> reject(
+  public static Optional<SubmissionRejection> reject(
       JobSpec spec, Settings settings, Map<String, MachineType> machineTypes) {
     Team team = settings.teams().get(spec.team());
     if (team == null) {
-      return Optional.of(Rejection.UNKNOWN_TEAM);
+      return Optional.of(SubmissionRejection.UNKNOWN_TEAM);
     }
     if (!fitsAnyType(spec, machineTypes.values())) {
-      return Optional.of(Rejection.NO_MACHINE_TYPE);
+      return Optional.of(SubmissionRejection.NO_MACHINE_TYPE);
     }
     int tasksAtOnce = tasksAtOnce(spec);
     if (!Ledger.within(team, spec.need().times(tasksAtOnce))) {
-      return Optional.of(Rejection.ABOVE_TEAM_LIMIT);
+      return Optional.of(SubmissionRejection.ABOVE_TEAM_LIMIT);
     }
     if (spec.dependencies().contains(spec.id())) {
-      return Optional.of(Rejection.DEPENDS_ON_ITSELF);
+      return Optional.of(SubmissionRejection.DEPENDS_ON_ITSELF);
     }
     if (!RecordSize.fits(spec, settings.storeLimits().valueBytes())) {
-      return Optional.of(Rejection.DESCRIPTION_TOO_LONG);
+      return Optional.of(SubmissionRejection.DESCRIPTION_TOO_LONG);
     }
     return rejectZones(spec, tasksAtOnce);
   }
@@ -48,13 +48,13 @@
     return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
 
-  private static Optional<Rejection> rejectZones(JobSpec spec, int tasksAtOnce) {
+  private static Optional<SubmissionRejection> rejectZones(JobSpec spec, int tasksAtOnce) {
     boolean tooManyForOneZone = spec.scatter() && tasksAtOnce > spec.zoneLimit();
     if (tooManyForOneZone && spec.zone() != null) {
-      return Optional.of(Rejection.SCATTERED_IN_ONE_ZONE);
+      return Optional.of(SubmissionRejection.SCATTERED_IN_ONE_ZONE);
     }
     if (tooManyForOneZone && spec.together()) {
-      return Optional.of(Rejection.TOGETHER_AND_SCATTERED);
+      return Optional.of(SubmissionRejection.TOGETHER_AND_SCATTERED);
     }
     return Optional.empty();
   }
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -40,7 +40,7 @@
   private <T> CompletableFuture<Outcome<T>> send(
       String method, String path, byte[] body, RequestPriority priority, Reader<T> reader) {
     if (!tokens.tryTake(priority, 1)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, "no tokens"));
+      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     return http.call(endpoint, method, path, body, TIMEOUT_S)
         .thenApply(outcome -> outcome.flatMap(reply -> decode(reply, reader)));
@@ -53,7 +53,7 @@
         case 400 -> Outcome.notApplied(Reason.INVALID, "400");
         case 429 -> {
           tokens.drain();
-          yield Outcome.notApplied(Reason.HELD_BACK, "429");
+          yield Outcome.notApplied(Reason.RATE_LIMITED, "429");
         }
         case 503 -> {
           String error = Json.parse(reply.body()).path("error").asText();
--- a/src/main/java/org/ternhinge/controller/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/controller/ArrivalRates.java
@@ -51,17 +51,17 @@
   }
 
   /** Jobs as they may come next, like the latest ones of their class. */
-  List<Snapshot.JobView> spares(SteadyTime now, int zones) {
-    List<Snapshot.JobView> spares = new ArrayList<>();
+  List<Snapshot.JobView> expectedJobs(SteadyTime now, int zones) {
+    List<Snapshot.JobView> expectedJobs = new ArrayList<>();
     for (ArrayDeque<Arrival> recent : recentByClass.values()) {
       forgetOld(recent, now);
       int count = recent.isEmpty() ? 0 : expected(recent, now);
       Iterator<Arrival> latest = recent.descendingIterator();
       for (int i = 0; i < count; i++) {
-        spares.add(Snapshot.JobView.expected(latest.next().spec(), i, zones));
+        expectedJobs.add(Snapshot.JobView.expected(latest.next().spec(), i, zones));
       }
     }
-    return spares;
+    return expectedJobs;
   }
 
   private static void forgetOld(ArrayDeque<Arrival> recent, SteadyTime now) {
--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/controller/AttemptObserver.java
@@ -89,7 +89,7 @@
     return switch (state) {
       case FETCHING -> Attempt.Seen.FETCHING;
       case WAITING -> Attempt.Seen.WAITING;
-      case SAVING -> Attempt.Seen.SAVING;
+      case CHECKPOINTING -> Attempt.Seen.CHECKPOINTING;
       default -> Attempt.Seen.RUNNING;
     };
   }
--- a/src/main/java/org/ternhinge/controller/BootTimes.java
+++ b/src/main/java/org/ternhinge/controller/BootTimes.java
@@ -57,7 +57,7 @@
   private record CameUp(SteadyTime provisionedAt, SteadyTime at, double ratio) {}
 
   /** What is seen of one type in one zone. */
-  private static final class Seen {
+  private static final class BootStatistics {
     /** Machines that came up, the last one last. */
     private final Deque<CameUp> cameUp = new ArrayDeque<>();
 
@@ -76,7 +76,7 @@
   private final MachineRegistry machines;
   private final Map<String, MachineType> machineTypes;
   private final SteadyTime electedAt;
-  private final Map<String, Seen> seenByPlace = new HashMap<>();
+  private final Map<String, BootStatistics> statisticsByPlace = new HashMap<>();
 
   /**
    * Creates a part that has seen no machine come up.
@@ -104,7 +104,7 @@
   Set<MachineId> late(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
-    for (Seen seen : seenByPlace.values()) {
+    for (BootStatistics seen : statisticsByPlace.values()) {
       seen.usualRatio = usualRatio(seen, now);
       addLate(seen, now, late);
     }
@@ -112,7 +112,7 @@
   }
 
   private void collectOverdue(SteadyTime now) {
-    for (Seen seen : seenByPlace.values()) {
+    for (BootStatistics seen : statisticsByPlace.values()) {
       seen.overdue = new ArrayList<>();
       seen.forgetBefore(now.plusSeconds(-REMEMBERED_S));
     }
@@ -125,10 +125,10 @@
   }
 
   private static boolean isBooting(Machine machine) {
-    return !machine.heartbeatReceived && !machine.gone && !machine.releasing && !machine.listedUp;
+    return !machine.heartbeatReceived && !machine.terminated && !machine.releasing && !machine.listedUp;
   }
 
-  private void addLate(Seen seen, SteadyTime now, Set<MachineId> late) {
+  private void addLate(BootStatistics seen, SteadyTime now, Set<MachineId> late) {
     List<Machine> overdue = new ArrayList<>();
     for (Machine machine : seen.overdue) {
       if (takes(machine, machineType(machine), now) > USUAL_SPREAD * seen.usualRatio) {
@@ -147,7 +147,7 @@
    * counted as they stand, and at least one. Machines that were provisioned long before the ones that
    * are overdue say nothing of these.
    */
-  private double usualRatio(Seen seen, SteadyTime now) {
+  private double usualRatio(BootStatistics seen, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
     ratios.add(ASSUMED_RATIO);
     SteadyTime comparedSince = null;
@@ -188,12 +188,12 @@
 
   /** Seconds that a machine of a type takes to come up in a zone, as lately seen. */
   double expectedS(MachineType machineType, String zone) {
-    Seen seen = seenByPlace.get(place(machineType.name(), zone));
+    BootStatistics seen = statisticsByPlace.get(place(machineType.name(), zone));
     return machineType.bootS() * (seen == null ? 1 : seen.usualRatio);
   }
 
-  private Seen seen(Machine machine) {
-    return seenByPlace.computeIfAbsent(place(machine.type, machine.zoneName), key -> new Seen());
+  private BootStatistics seen(Machine machine) {
+    return statisticsByPlace.computeIfAbsent(place(machine.type, machine.zoneName), key -> new BootStatistics());
   }
 
   private static String place(String type, String zone) {
--- a/src/main/java/org/ternhinge/controller/PackedRecords.java
+++ b/src/main/java/org/ternhinge/controller/BucketedRecords.java
@@ -19,16 +19,16 @@
  * changes however much of it is new: with a record for each, the provision requests of a start from nothing
  * took the changes that hundreds of services were waiting for.
  */
-final class PackedRecords {
-  private static final Logger LOG = LoggerFactory.getLogger(PackedRecords.class);
+final class BucketedRecords {
+  private static final Logger LOG = LoggerFactory.getLogger(BucketedRecords.class);
   private static final Pattern INDEX = Pattern.compile("0|[1-9][0-9]{0,3}");
 
-  private static final class Slot {
+  private static final class Bucket {
     private final String key;
     private final Map<String, JsonNode> items = new HashMap<>();
     private int bytes = 2;
 
-    Slot(String key) {
+    Bucket(String key) {
       this.key = key;
     }
 
@@ -52,8 +52,8 @@
   private final LedgerWriter writer;
   private final String prefix;
   private final int valueBytes;
-  private final List<Slot> slots = new ArrayList<>();
-  private final Map<String, Slot> where = new HashMap<>();
+  private final List<Bucket> buckets = new ArrayList<>();
+  private final Map<String, Bucket> bucketByName = new HashMap<>();
 
   /**
    * Creates records without entries.
@@ -61,7 +61,7 @@
    * @param prefix of the records' keys, which end in a number
    * @param valueBytes the most that a record may take
    */
-  PackedRecords(LedgerWriter writer, String prefix, int valueBytes) {
+  BucketedRecords(LedgerWriter writer, String prefix, int valueBytes) {
     this.writer = writer;
     this.prefix = prefix;
     this.valueBytes = valueBytes;
@@ -80,45 +80,45 @@
       return;
     }
     writer.known(entry.key(), entry.revision());
-    Slot slot = slot(Integer.parseInt(number));
+    Bucket bucket = bucket(Integer.parseInt(number));
     entry
         .value()
         .properties()
         .forEach(
             e -> {
-              slot.add(e.getKey(), e.getValue());
-              where.put(e.getKey(), slot);
+              bucket.add(e.getKey(), e.getValue());
+              bucketByName.put(e.getKey(), bucket);
             });
     // What each fact asks for may remove it at once, so the record has to be whole before.
     entry.value().properties().forEach(e -> each.accept(e.getKey(), e.getValue()));
   }
 
-  private Slot slot(int index) {
-    while (slots.size() <= index) {
-      slots.add(new Slot(prefix + slots.size()));
+  private Bucket bucket(int index) {
+    while (buckets.size() <= index) {
+      buckets.add(new Bucket(prefix + buckets.size()));
     }
-    return slots.get(index);
+    return buckets.get(index);
   }
 
   /** Notes a fact; the action follows once the key-value store holds it. */
   void put(String name, JsonNode value, Runnable durable) {
-    Slot free = null;
-    for (int i = 0; free == null; i++) {
-      Slot slot = slot(i);
-      boolean fits = slot.items.isEmpty() || slot.bytes + bytes(name, value) <= valueBytes;
-      free = fits ? slot : null;
+    Bucket target = null;
+    for (int i = 0; target == null; i++) {
+      Bucket bucket = bucket(i);
+      boolean fits = bucket.items.isEmpty() || bucket.bytes + bytes(name, value) <= valueBytes;
+      target = fits ? bucket : null;
     }
-    free.add(name, value);
-    where.put(name, free);
-    writer.write(free.key, free::value, durable);
+    target.add(name, value);
+    bucketByName.put(name, target);
+    writer.write(target.key, target::value, durable);
   }
 
   /** Forgets a fact that has done its duty. */
   void remove(String name) {
-    Slot slot = where.remove(name);
-    if (slot != null) {
-      slot.remove(name);
-      writer.write(slot.key, slot::value, null);
+    Bucket bucket = bucketByName.remove(name);
+    if (bucket != null) {
+      bucket.remove(name);
+      writer.write(bucket.key, bucket::value, null);
     }
   }
 }
--- a/src/main/java/org/ternhinge/controller/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/controller/CommandDispatcher.java
@@ -73,11 +73,11 @@
 
   /** Whether another message may go out now. */
   boolean free() {
-    return spare() > 0;
+    return freeSlots() > 0;
   }
 
   /** How many more messages may go out now. */
-  int spare() {
+  int freeSlots() {
     return Math.max(0, maxUnderWay - underWay);
   }
 
@@ -107,7 +107,7 @@
    * keep all others waiting for their time-outs.
    */
   private boolean mayCommand(Machine machine, SteadyTime now) {
-    if (!authority.valid() || machine.endpoint == null || machine.gone) {
+    if (!authority.valid() || machine.endpoint == null || machine.terminated) {
       return false;
     }
     double silentS = SILENT_HEARTBEATS * settings.workers().heartbeatIntervalS();
--- a/src/main/java/org/ternhinge/controller/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/controller/DependencyResolver.java
@@ -14,7 +14,7 @@
 /**
  * Reads how jobs ended that others wait for and that ended before this leadership, or too long ago
  * to be remembered. Each is read once however many wait for it, and only a few at a time, so that a
- * takeover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by the
+ * failover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by the
  * controller's lock.
  */
 final class DependencyResolver {
--- a/src/main/java/org/ternhinge/controller/FleetParts.java
+++ b/src/main/java/org/ternhinge/controller/FleetComponents.java
@@ -5,7 +5,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /** Builds the parts of a leadership that deal with machines and their workers. */
-final class FleetParts {
+final class FleetComponents {
   private final LeadershipContext context;
   private final CommandDispatcher dispatcher;
   private final MachineRemoval removal;
@@ -25,7 +25,7 @@
   final LeaseMonitor leaseMonitor;
   final UnusableMachineCheck unusableMachines;
 
-  FleetParts(LeadershipContext context) {
+  FleetComponents(LeadershipContext context) {
     this.context = context;
     this.failures = failures();
     this.zones = ZoneControl.of(context, failures);
@@ -91,7 +91,7 @@
         context.executor(),
         context.machines(),
         context.rounds(),
-        context.packedRecords(Keys.PROVISIONS));
+        context.bucketedRecords(Keys.PROVISIONS));
   }
 
   private AttemptLifecycle attempts() {
@@ -123,7 +123,7 @@
         context.executor(),
         context.machines(),
         context.rounds(),
-        context.packedRecords(Keys.RELEASES),
+        context.bucketedRecords(Keys.RELEASES),
         context.electedAt());
   }
 
--- a/src/main/java/org/ternhinge/controller/FleetLog.java
+++ b/src/main/java/org/ternhinge/controller/FleetLog.java
@@ -22,10 +22,10 @@
   private final Clock clock;
   private final Ledger ledger;
   private final MachineRegistry machines;
-  private final SnapshotCache snapshots;
+  private final SnapshotBuilder snapshots;
   private SteadyTime lastLogged;
 
-  FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotCache snapshots) {
+  FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotBuilder snapshots) {
     this.clock = clock;
     this.ledger = ledger;
     this.machines = machines;
@@ -55,7 +55,7 @@
         machine.zoneName,
         machine.spot ? " spot" : "",
         attemptsByClass,
-        machine.heartbeatReceived ? "" : "not up ",
+        machine.heartbeatReceived ? "" : "booting ",
         machine.releasing ? "releasing " : "",
         snapshots.placeable(machine, now) ? "" : "closed");
   }
--- a/src/main/java/org/ternhinge/controller/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatCommands.java
@@ -96,7 +96,7 @@
   private static void addStop(Attempt attempt, List<Command> stops) {
     Attempt.Seen seen = attempt.seen();
     double graceS = attempt.stopGraceS();
-    if (seen != Attempt.Seen.UNSEEN && (seen != Attempt.Seen.SAVING || graceS == 0)) {
+    if (seen != Attempt.Seen.UNSEEN && (seen != Attempt.Seen.CHECKPOINTING || graceS == 0)) {
       stops.add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
     }
   }
--- a/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
@@ -96,7 +96,7 @@
       return Optional.empty();
     }
     Machine machine = machines.findOrAdd(heartbeat.machine(), now);
-    if (machine.gone) {
+    if (machine.terminated) {
       return Optional.empty();
     }
     if (heartbeat.epoch().compareTo(machine.epoch) < 0 || isOver(heartbeat.epoch(), machine)) {
@@ -150,9 +150,9 @@
       firstHeartbeat(machine, now);
     }
     takeEndpoint(machine, heartbeat);
-    if (heartbeat.noticeS() != null && machine.noticeAt == null) {
-      machine.noticeAt = now.plusSeconds(heartbeat.noticeS());
-      stopBeforeLoss(machine, heartbeat.noticeS());
+    if (heartbeat.reclaimNoticeS() != null && machine.reclaimAt == null) {
+      machine.reclaimAt = now.plusSeconds(heartbeat.reclaimNoticeS());
+      stopBeforeLoss(machine, heartbeat.reclaimNoticeS());
     }
     if (!machine.tasks.equals(heartbeat.tasks())) {
       reportedTasks.show(machine, heartbeat.tasks());
@@ -245,13 +245,13 @@
 
   /** The cloud takes the machine soon: replicas start elsewhere, other tasks save what they can. */
   private void stopBeforeLoss(Machine machine, double seconds) {
-    LOG.info("machine {} will be taken in {} s", machine.id, seconds);
+    LOG.info("machine {}: spot reclaim notice, {} s left", machine.id, seconds);
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
       JobSpec spec = attempt.job().spec();
       if (spec.isService()) {
         attempts.stop(attempt, 0);
-      } else if (spec.checkpointS() > 0 && spec.saveS() > 0) {
-        attempts.stopWithGang(attempt, spec.saveS() + SAVE_SLACK_S);
+      } else if (spec.checkpointIntervalS() > 0 && spec.checkpointSaveS() > 0) {
+        attempts.stopWithGang(attempt, spec.checkpointSaveS() + SAVE_SLACK_S);
       }
     }
   }
--- a/src/main/java/org/ternhinge/controller/JobCancellations.java
+++ b/src/main/java/org/ternhinge/controller/JobCancellations.java
@@ -22,14 +22,14 @@
 
   private final JobLookup lookup;
   private final Clock clock;
-  private final LeaderFirst router;
+  private final LeaderRequestRouter router;
 
   JobCancellations(
       LeadershipRole role, PeerClient peers, LeaderSearch search, JobLookup lookup, Clock clock) {
     this.lookup = lookup;
     this.clock = clock;
     this.router =
-        new LeaderFirst(
+        new LeaderRequestRouter(
             role, peers, search, LEADER_TIMEOUT_S, this::cancelAsLeader, this::confirmIfOver);
   }
 
--- a/src/main/java/org/ternhinge/controller/JobFailures.java
+++ b/src/main/java/org/ternhinge/controller/JobFailures.java
@@ -10,7 +10,7 @@
 /** What went wrong with a job's tasks: on which machines, and until when the job backs off. */
 final class JobFailures {
   /**
-   * How long a machine is avoided after a failure there. A machine that is sick is set aside for
+   * How long a machine is avoided after a failure there. A machine that is sick is quarantined for
    * itself; with the mark kept for ever, a job that fits few machines would wait beside free ones.
    */
   static final double AVOID_S = 45;
--- a/src/main/java/org/ternhinge/controller/JobQueries.java
+++ b/src/main/java/org/ternhinge/controller/JobQueries.java
@@ -16,12 +16,12 @@
   private static final double LEADER_TIMEOUT_S = 0.8;
 
   private final JobLookup lookup;
-  private final LeaderFirst router;
+  private final LeaderRequestRouter router;
 
   JobQueries(LeadershipRole role, PeerClient peers, LeaderSearch search, JobLookup lookup) {
     this.lookup = lookup;
     this.router =
-        new LeaderFirst(
+        new LeaderRequestRouter(
             role, peers, search, LEADER_TIMEOUT_S, this::answerAsLeader, this::answerFromStore);
   }
 
--- a/src/main/java/org/ternhinge/controller/JobViews.java
+++ b/src/main/java/org/ternhinge/controller/JobViews.java
@@ -95,7 +95,7 @@
   private List<Job> unfinished() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : ledger.jobs()) {
-      if (!job.waits() && !job.cancelled() && !job.over()) {
+      if (!job.hasUnmetDependencies() && !job.cancelled() && !job.over()) {
         jobs.add(job);
       }
     }
--- a/src/main/java/org/ternhinge/controller/LeaderFirst.java
+++ b/src/main/java/org/ternhinge/controller/LeaderRequestRouter.java
@@ -11,7 +11,7 @@
  * the key-value store holds. Where neither can be had, the other nodes are asked for the leader.
  * Guarded by the controller's lock.
  */
-final class LeaderFirst {
+final class LeaderRequestRouter {
   /** Answers as the leader. */
   @FunctionalInterface
   interface LeaderAnswer {
@@ -38,7 +38,7 @@
    *
    * @param leaderTimeoutS how long another node that leads is waited for, in seconds
    */
-  LeaderFirst(
+  LeaderRequestRouter(
       LeadershipRole role,
       PeerClient peers,
       LeaderSearch search,
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/controller/Leadership.java
@@ -84,14 +84,14 @@
     this.machines = new MachineRegistry(initialLeaseEnd(services.settings(), tuning, electedAt));
     this.machineTypes = new MachineTypeCatalog(services.cloud(), executor, knownTypes);
     LeadershipContext context = context(services);
-    FleetParts fleet = new FleetParts(context);
+    FleetComponents fleet = new FleetComponents(context);
     this.attempts = fleet.attempts;
     this.heartbeats = fleet.heartbeats;
     this.inventory = fleet.inventory;
     this.leaseMonitor = fleet.leaseMonitor;
     this.unusableMachines = fleet.unusableMachines;
     this.zones = fleet.zones;
-    PlanningParts planning = new PlanningParts(context, fleet);
+    PlanningComponents planning = new PlanningComponents(context, fleet);
     this.rounds = planning.rounds;
     this.fleetLog = planning.fleetLog;
     this.dependencyResolver =
@@ -167,7 +167,7 @@
     jobWatch.loaded(revision);
     ready = true;
     rounds.enable();
-    metrics.takeOver(clock.now().secondsSince(electedAt));
+    metrics.failover(clock.now().secondsSince(electedAt));
     LOG.info(
         "term {}: {} jobs, {} machines in use",
         authority.term(),
--- a/src/main/java/org/ternhinge/controller/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipContext.java
@@ -30,7 +30,7 @@
     SteadyTime electedAt) {
 
   /** Records of the key-value store under a prefix that hold many small entries each. */
-  PackedRecords packedRecords(String prefix) {
-    return new PackedRecords(writer, prefix, services.settings().storeLimits().valueBytes());
+  BucketedRecords bucketedRecords(String prefix) {
+    return new BucketedRecords(writer, prefix, services.settings().storeLimits().valueBytes());
   }
 }
--- a/src/main/java/org/ternhinge/controller/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/controller/LeaseMonitor.java
@@ -111,7 +111,7 @@
 
   /** The worker has killed what it ran; nothing that it showed before is there any more. */
   private void leaseOver(Machine machine, List<Attempt> open) {
-    LOG.info("machine {} has been silent past its lease", machine.id);
+    LOG.info("machine {}: worker lease expired", machine.id);
     AgentEpoch lastEpoch = machine.epoch;
     for (Attempt attempt : open) {
       if (attempt.epoch().compareTo(lastEpoch) > 0) {
--- a/src/main/java/org/ternhinge/controller/Machine.java
+++ b/src/main/java/org/ternhinge/controller/Machine.java
@@ -72,13 +72,13 @@
   SteadyTime leaseEnds;
 
   /** When the cloud takes it, by its own notice, or null. */
-  SteadyTime noticeAt;
+  SteadyTime reclaimAt;
 
   /** Whether its return has been asked for. */
   boolean releasing;
 
   /** Whether it is certainly gone: its name never comes back. */
-  boolean gone;
+  boolean terminated;
 
   SteadyTime provisionedAt;
 
@@ -144,8 +144,8 @@
   /** Failures of tasks since one was last done here. */
   final MachineFailures failures = new MachineFailures();
 
-  /** Until then it is set aside because tasks fail on it; null where they don't. */
-  SteadyTime sickUntil;
+  /** Until then it is quarantined because tasks fail on it; null where they don't. */
+  SteadyTime quarantinedUntil;
 
   /** Until then nothing is placed on it, since it had no room for a task; null where it had. */
   SteadyTime noRoomUntil;
@@ -204,9 +204,9 @@
     fencedStarts.clear();
   }
 
-  /** Whether it is set aside because tasks fail on it. */
-  boolean sick(SteadyTime now) {
-    return sickUntil != null && now.isBefore(sickUntil);
+  /** Whether it is quarantined because tasks fail on it. */
+  boolean isQuarantined(SteadyTime now) {
+    return quarantinedUntil != null && now.isBefore(quarantinedUntil);
   }
 
   /** Remembers an image that the machine has, dropping the ones unused longest. */
--- a/src/main/java/org/ternhinge/controller/MachineInventory.java
+++ b/src/main/java/org/ternhinge/controller/MachineInventory.java
@@ -29,7 +29,7 @@
   private static final int PAGE = 500;
 
   /** Seconds until a page that found the cloud's rate used up is asked for again. */
-  private static final double HELD_BACK_S = 0.3;
+  private static final double RATE_LIMIT_RETRY_S = 0.3;
 
   /**
    * Seconds after which a page that found the rate used up goes on a level with provision requests. A list is
@@ -59,7 +59,7 @@
   private final SteadyTime electedAt;
 
   /** Zones in which a worker was told of the term. */
-  private final Set<Integer> zonesTold = new HashSet<>();
+  private final Set<Integer> announcedZones = new HashSet<>();
 
   /** The hosts of the reading under way, and when it began. */
   private final List<ListedMachine> listedMachines = new ArrayList<>();
@@ -119,8 +119,8 @@
    * would never come to its end. After any other failure the list is read anew.
    */
   private void pageRead(MachineId after, Outcome<ListedMachine.Page> outcome) {
-    if (outcome != null && outcome.isBecause(Reason.HELD_BACK)) {
-      executor.later(HELD_BACK_S, () -> readPage(after));
+    if (outcome != null && outcome.isBecause(Reason.RATE_LIMITED)) {
+      executor.later(RATE_LIMIT_RETRY_S, () -> readPage(after));
       return;
     }
     if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
@@ -153,7 +153,7 @@
       machine.listedAt = now;
       machine.listedUp = listed.state() == ListedMachine.State.RUNNING;
       provisioner.seen(machine.id);
-      if (listed.state() == ListedMachine.State.FAILED && !machine.gone) {
+      if (listed.state() == ListedMachine.State.FAILED && !machine.terminated) {
         failed(machine);
       }
     }
@@ -171,12 +171,12 @@
    * @return whether it was told
    */
   private boolean announceTerm(Machine machine, ListedMachine listed, boolean due) {
-    boolean first = !zonesTold.contains(machine.zone);
+    boolean first = !announcedZones.contains(machine.zone);
     if (machine.termAnnounced || !(due || first) || !termAnnouncer.announce(machine, listed)) {
       return false;
     }
     machine.termAnnounced = true;
-    zonesTold.add(machine.zone);
+    announcedZones.add(machine.zone);
     return true;
   }
 
@@ -187,7 +187,7 @@
    */
   private int announcementsNow(SteadyTime now) {
     double awaitedS = HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS();
-    return now.secondsSince(electedAt) < awaitedS ? 0 : dispatcher.spare() / ANNOUNCEMENT_SHARE;
+    return now.secondsSince(electedAt) < awaitedS ? 0 : dispatcher.freeSlots() / ANNOUNCEMENT_SHARE;
   }
 
   private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
@@ -206,7 +206,7 @@
   }
 
   private void failed(Machine machine) {
-    LOG.info("machine {} has failed", machine.id);
+    LOG.info("machine {} terminated: listed as failed", machine.id);
     removal.lost(machine, "machine failed");
     if (!machine.releasing) {
       releaser.release(machine);
@@ -225,7 +225,7 @@
     for (Machine machine : List.copyOf(machines.all())) {
       SteadyTime thereAt = machine.listedAt == null ? machine.knownSince : machine.listedAt;
       if (!shown.contains(machine.id) && readingSince.secondsSince(thereAt) > oldestListS) {
-        LOG.info("machine {} is no longer listed", machine.id);
+        LOG.info("machine {} terminated: no longer listed", machine.id);
         removal.lost(machine, "machine taken");
         removal.remove(machine);
       }
--- a/src/main/java/org/ternhinge/controller/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/controller/MachineProvisioner.java
@@ -38,7 +38,7 @@
   private static final double RETRY_S = 1.5;
 
   /** Seconds until a provision request that found the cloud's rate used up is sent again. */
-  private static final double HELD_BACK_S = 0.3;
+  private static final double RATE_LIMIT_RETRY_S = 0.3;
 
   /** Seconds for which an offer that had no room is not asked for; doubled each time. */
   private static final double FIRST_PAUSE_S = 5;
@@ -68,7 +68,7 @@
   }
 
   /** An offer that had no room when last asked for. */
-  private static final class Refusal {
+  private static final class OfferBackoff {
     private SteadyTime until;
     private double pauseS;
   }
@@ -78,12 +78,12 @@
   private final RoundTrigger rounds;
   private final List<String> zones;
   private final Cloud cloud;
-  private final PackedRecords records;
+  private final BucketedRecords records;
   private final Authority authority;
   private final Clock clock;
   private final LockedExecutor locked;
   private final Map<String, OpenProvision> openProvisions = new LinkedHashMap<>();
-  private final Map<String, Refusal> refusals = new HashMap<>();
+  private final Map<String, OfferBackoff> backoffs = new HashMap<>();
   private long provisionCount;
 
   /**
@@ -97,7 +97,7 @@
       LeadershipExecutor executor,
       MachineRegistry machines,
       RoundTrigger rounds,
-      PackedRecords records) {
+      BucketedRecords records) {
     this.zones = services.settings().zones();
     this.cloud = services.cloud();
     this.clock = services.clock();
@@ -166,9 +166,9 @@
   private void answered(OpenProvision provision, Outcome<List<MachineId>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineId>> applied) {
       provisioned(provision, applied.value());
-    } else if (outcome != null && outcome.isBecause(Reason.HELD_BACK)) {
+    } else if (outcome != null && outcome.isBecause(Reason.RATE_LIMITED)) {
       // The cloud's rate is used up; the recorded request only waits for its turn.
-      sendAfter(HELD_BACK_S, provision);
+      sendAfter(RATE_LIMIT_RETRY_S, provision);
     } else if (outcome instanceof Outcome.NotApplied<List<MachineId>> notApplied) {
       refused(provision, notApplied.reason());
     } else {
@@ -188,7 +188,7 @@
     if (names.size() < provision.request.count()) {
       pauseOffer(provision.offer(), now);
     } else {
-      refusals.remove(provision.offer());
+      backoffs.remove(provision.offer());
     }
     forgetIfAllSeen(provision);
     rounds.requestRound();
@@ -221,10 +221,10 @@
   }
 
   private void pauseOffer(String offer, SteadyTime now) {
-    Refusal refusal = refusals.computeIfAbsent(offer, key -> new Refusal());
-    refusal.pauseS =
-        refusal.pauseS == 0 ? FIRST_PAUSE_S : Math.min(MAX_PAUSE_S, refusal.pauseS * 2);
-    refusal.until = now.plusSeconds(refusal.pauseS);
+    OfferBackoff backoff = backoffs.computeIfAbsent(offer, key -> new OfferBackoff());
+    backoff.pauseS =
+        backoff.pauseS == 0 ? FIRST_PAUSE_S : Math.min(MAX_PAUSE_S, backoff.pauseS * 2);
+    backoff.until = now.plusSeconds(backoff.pauseS);
   }
 
   private void forget(OpenProvision provision) {
@@ -268,8 +268,8 @@
       BootTimes bootTimes,
       SteadyTime now,
       List<Snapshot.Offer> offers) {
-    Refusal refusal = refusals.get(offerKey(type.name(), zone, spot));
-    if (refusal == null || refusal.until.isBefore(now)) {
+    OfferBackoff backoff = backoffs.get(offerKey(type.name(), zone, spot));
+    if (backoff == null || backoff.until.isBefore(now)) {
       int zoneIndex = zones.indexOf(zone);
       double bootS = bootTimes.expectedS(type, zone);
       offers.add(new Snapshot.Offer(type, zoneIndex, zone, spot, ProvisionRequest.MAX_COUNT, bootS));
@@ -277,8 +277,8 @@
   }
 
   /** Machines asked for whose names are not known yet: as good as coming. */
-  List<Snapshot.Coming> coming(Map<String, MachineType> types) {
-    List<Snapshot.Coming> coming = new ArrayList<>();
+  List<Snapshot.PendingProvision> pendingProvisions(Map<String, MachineType> types) {
+    List<Snapshot.PendingProvision> pendingProvisions = new ArrayList<>();
     for (OpenProvision provision : openProvisions.values()) {
       ProvisionRequest request = provision.request;
       MachineType type = types.get(request.type());
@@ -287,9 +287,9 @@
         int count = request.count();
         Snapshot.Offer offer =
             new Snapshot.Offer(type, zone, request.zone(), request.spot(), count);
-        coming.add(new Snapshot.Coming(offer, count));
+        pendingProvisions.add(new Snapshot.PendingProvision(offer, count));
       }
     }
-    return coming;
+    return pendingProvisions;
   }
 }
--- a/src/main/java/org/ternhinge/controller/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/controller/MachineReleaser.java
@@ -22,7 +22,7 @@
   private static final double RETRY_S = 1.5;
 
   /** Seconds until a call that found the cloud's rate used up is made again. */
-  private static final double HELD_BACK_S = 0.3;
+  private static final double RATE_LIMIT_RETRY_S = 0.3;
 
   /** Names that the cloud takes in one call. */
   private static final int MAX_NAMES = 100;
@@ -35,7 +35,7 @@
   private final Cloud cloud;
   private final Authority authority;
   private final LockedExecutor locked;
-  private final PackedRecords records;
+  private final BucketedRecords records;
 
   /** Machines whose return is recorded and not answered yet. */
   private final LinkedHashSet<Machine> due = new LinkedHashSet<>();
@@ -55,7 +55,7 @@
       LeadershipExecutor executor,
       MachineRegistry machines,
       RoundTrigger rounds,
-      PackedRecords records,
+      BucketedRecords records,
       SteadyTime electedAt) {
     this.removal = removal;
     this.cloud = services.cloud();
@@ -106,8 +106,8 @@
 
   private void answered(List<Machine> named, Outcome<Integer> outcome) {
     if (!(outcome instanceof Outcome.Applied<Integer>)) {
-      boolean heldBack = outcome != null && outcome.isBecause(Reason.HELD_BACK);
-      retryAfter(heldBack ? HELD_BACK_S : RETRY_S);
+      boolean rateLimited = outcome != null && outcome.isBecause(Reason.RATE_LIMITED);
+      retryAfter(rateLimited ? RATE_LIMIT_RETRY_S : RETRY_S);
       return;
     }
     calling = false;
--- a/src/main/java/org/ternhinge/controller/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/controller/MachineRemoval.java
@@ -36,7 +36,7 @@
    * @param evidence what shows that its attempts are gone, for the log
    */
   void lost(Machine machine, String evidence) {
-    machine.gone = true;
+    machine.terminated = true;
     reportedTasks.show(machine, List.of());
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
       attempts.close(attempt, false, evidence);
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/controller/MachineViews.java
@@ -69,13 +69,13 @@
    * even count as one that is coming, or nothing would be provisioned in its place.
    */
   private boolean mayEverTakeTasks(Machine machine, SteadyTime now) {
-    return !machine.gone
+    return !machine.terminated
         && !machine.releasing
-        && machine.noticeAt == null
+        && machine.reclaimAt == null
         && machine.zone >= 0
         && machine.type != null
         && machineTypes.containsKey(machine.type)
-        && !machine.sick(now)
+        && !machine.isQuarantined(now)
         && !machine.reachability.unreachable();
   }
 
--- a/src/main/java/org/ternhinge/controller/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/controller/NodeConnectivity.java
@@ -103,7 +103,7 @@
   private void storeAnswered(Outcome<KeyValueStore.Read> outcome) {
     // Held back by our own bucket: others of our calls are being answered.
     if (outcome instanceof Outcome.Applied
-        || (outcome != null && outcome.isBecause(Reason.HELD_BACK))) {
+        || (outcome != null && outcome.isBecause(Reason.RATE_LIMITED))) {
       storeAnsweredAt = clock.now();
     }
   }
--- a/src/main/java/org/ternhinge/controller/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/controller/PlanExecutor.java
@@ -10,7 +10,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.ledger.MachineAttributes;
-import org.ternhinge.ledger.Refusal;
+import org.ternhinge.ledger.AdmissionRefusal;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
@@ -40,7 +40,7 @@
   private final LedgerWriter writer;
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
-  private final SnapshotCache snapshots;
+  private final SnapshotBuilder snapshots;
   private final ReportedTasks reportedTasks;
   private final AttemptLifecycle attempts;
   private final MachineProvisioner provisioner;
@@ -52,7 +52,7 @@
       LedgerWriter writer,
       MachineRegistry machines,
       MachineTypeCatalog machineTypes,
-      SnapshotCache snapshots,
+      SnapshotBuilder snapshots,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
       MachineProvisioner provisioner,
@@ -93,9 +93,9 @@
       return;
     }
     List<Ledger.Placement> placements = withRoomInRecord(job, placements(place, job, now));
-    Optional<Refusal> refusal =
+    Optional<AdmissionRefusal> refusal =
         placements.isEmpty()
-            ? Optional.of(Refusal.NOTHING_TO_PLACE)
+            ? Optional.of(AdmissionRefusal.NOTHING_TO_PLACE)
             : ledger.open(job, placements, reportedTasks::isShown, now);
     if (refusal.isPresent()) {
       LOG.debug("{} not placed: {}", place.job(), refusal.get());
@@ -184,9 +184,9 @@
     if (attempt == null) {
       return;
     }
-    LOG.debug("{} makes room for {}", attempt.task(), forJob);
-    boolean saves = job.spec().checkpointS() > 0;
-    attempts.stopWithGang(attempt, saves ? job.spec().saveS() + SAVE_MARGIN_S : 0);
+    LOG.debug("preempting {} for {}", attempt.task(), forJob);
+    boolean saves = job.spec().checkpointIntervalS() > 0;
+    attempts.stopWithGang(attempt, saves ? job.spec().checkpointSaveS() + SAVE_MARGIN_S : 0);
     attempts.closeIfNeverSent(attempt);
   }
 
--- a/src/main/java/org/ternhinge/controller/PlanningParts.java
+++ b/src/main/java/org/ternhinge/controller/PlanningComponents.java
@@ -1,15 +1,15 @@
 package org.ternhinge.controller;
 
 /** Builds the parts of a leadership that decide what starts where. */
-final class PlanningParts {
+final class PlanningComponents {
   final ArrivalRates arrivalRates;
   final SchedulingRounds rounds;
   final FleetLog fleetLog;
 
-  PlanningParts(LeadershipContext context, FleetParts fleet) {
+  PlanningComponents(LeadershipContext context, FleetComponents fleet) {
     this.arrivalRates = new ArrivalRates(context.services().settings().objectives());
-    SnapshotCache snapshots =
-        new SnapshotCache(
+    SnapshotBuilder snapshots =
+        new SnapshotBuilder(
             context.services(),
             context.authority(),
             context.ledger(),
@@ -34,7 +34,7 @@
   }
 
   private static PlanExecutor planExecutor(
-      LeadershipContext context, FleetParts fleet, SnapshotCache snapshots) {
+      LeadershipContext context, FleetComponents fleet, SnapshotBuilder snapshots) {
     return new PlanExecutor(
         context.services().clock(),
         context.ledger(),
--- a/src/main/java/org/ternhinge/controller/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/controller/SchedulingRounds.java
@@ -38,7 +38,7 @@
   private final Authority authority;
   private final LeadershipExecutor executor;
   private final MachineTypeCatalog machineTypes;
-  private final SnapshotCache snapshots;
+  private final SnapshotBuilder snapshots;
   private final PlanExecutor planExecutor;
   private final ZoneControl zones;
 
@@ -53,7 +53,7 @@
       Authority authority,
       LeadershipExecutor executor,
       MachineTypeCatalog machineTypes,
-      SnapshotCache snapshots,
+      SnapshotBuilder snapshots,
       PlanExecutor planExecutor,
       ZoneControl zones) {
     this.tuning = services.tuning();
--- a/src/main/java/org/ternhinge/controller/SnapshotCache.java
+++ b/src/main/java/org/ternhinge/controller/SnapshotBuilder.java
@@ -16,7 +16,7 @@
  * What the planner is shown. A machine's view is kept until something on the machine changes, so
  * that a round costs by what has changed since the last one and not by the size of the fleet.
  */
-final class SnapshotCache {
+final class SnapshotBuilder {
   private final Settings settings;
   private final Tuning tuning;
   private final Ledger ledger;
@@ -29,7 +29,7 @@
   private final MachineViews machineViews;
   private final JobViews jobViews;
 
-  SnapshotCache(
+  SnapshotBuilder(
       ControllerServices services,
       Authority authority,
       Ledger ledger,
@@ -64,11 +64,11 @@
     return new Snapshot(
         views,
         jobViews.list(now, MachineViews.reservedTasks(views)),
-        arrivalRates.spares(now, settings.zones().size()),
+        arrivalRates.expectedJobs(now, settings.zones().size()),
         settings.teams(),
         teamUse(),
         provisioner.offers(machineTypes.values(), bootTimes, now),
-        provisioner.coming(machineTypes),
+        provisioner.pendingProvisions(machineTypes),
         jobViews.startedLate(now),
         settled(now),
         tuning.idleS(),
--- a/src/main/java/org/ternhinge/controller/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/controller/SubmissionHandler.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.ternhinge.api.Rejection;
-import org.ternhinge.api.Submissions;
+import org.ternhinge.api.SubmissionRejection;
+import org.ternhinge.api.SubmissionValidator;
 import org.ternhinge.config.Settings;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
@@ -87,7 +87,7 @@
       writer.answerIfKnown(id, Responses.busy(), answer);
       return Optional.empty();
     }
-    Optional<Rejection> rejection = Submissions.reject(spec, settings, machineTypes.byName());
+    Optional<SubmissionRejection> rejection = SubmissionValidator.reject(spec, settings, machineTypes.byName());
     if (rejection.isPresent()) {
       Response refusal = Responses.error(Responses.UNPROCESSABLE, rejection.get().message());
       writer.answerIfKnown(id, refusal, answer);
--- a/src/main/java/org/ternhinge/controller/TaskFailures.java
+++ b/src/main/java/org/ternhinge/controller/TaskFailures.java
@@ -44,13 +44,13 @@
 
   private static final double FAILING_JOB_MAX_S = 60;
 
-  /** Failures in a row, of jobs known to be in order, after which a machine is taken for sick. */
-  private static final int SICK_AFTER_FAILURES = 2;
+  /** Failures in a row, of jobs known to be in order, after which a machine is quarantined. */
+  private static final int QUARANTINE_AFTER_FAILURES = 2;
 
   /** The same where the jobs are not known to be in order; each job counts once. */
-  private static final int SICK_AFTER_JOBS = 3;
+  private static final int QUARANTINE_AFTER_JOBS = 3;
 
-  private static final double SICK_S = 600;
+  private static final double QUARANTINE_S = 600;
 
   /**
    * A task that has run for so long shows that its job is healthy: a job that was submitted with a
@@ -94,7 +94,7 @@
 
   /** A task was done: both its machine and its job are well. */
   void succeeded(Machine machine, Job job, SteadyTime now) {
-    if (!machine.sick(now)) {
+    if (!machine.isQuarantined(now)) {
       machine.failures.clear();
     }
     ledger.setBackoffLevel(job, 0);
@@ -170,25 +170,25 @@
     return Math.min(FAILING_JOB_MAX_S, rest);
   }
 
-  /** Sets a machine aside, or takes it back, by what is known of its failures now. */
+  /** Quarantines a machine, or takes it back, by what is known of its failures now. */
   private void reconsider(Machine machine, SteadyTime now) {
     if (machine == null) {
       return;
     }
-    boolean sick = showsSick(machine);
-    if (sick && !machine.sick(now)) {
-      machine.sickUntil = now.plusSeconds(SICK_S);
-      LOG.info("machine {} fails its tasks and is set aside", machine.id);
-    } else if (!sick && machine.sick(now)) {
-      machine.sickUntil = null;
-      LOG.info("machine {} is used again: the jobs that failed there fail elsewhere", machine.id);
+    boolean isQuarantined = shouldQuarantine(machine);
+    if (isQuarantined && !machine.isQuarantined(now)) {
+      machine.quarantinedUntil = now.plusSeconds(QUARANTINE_S);
+      LOG.info("machine {} quarantined: its tasks fail", machine.id);
+    } else if (!isQuarantined && machine.isQuarantined(now)) {
+      machine.quarantinedUntil = null;
+      LOG.info("machine {} out of quarantine: the jobs that failed there fail elsewhere too", machine.id);
     }
   }
 
-  private boolean showsSick(Machine machine) {
+  private boolean shouldQuarantine(Machine machine) {
     int ofHealthyJobs = machine.failures.countOfHealthyJobs();
     int ofOthers = machine.failures.countOfOtherJobs(id -> !isSuspect(id));
-    return ofHealthyJobs >= SICK_AFTER_FAILURES || ofHealthyJobs + ofOthers >= SICK_AFTER_JOBS;
+    return ofHealthyJobs >= QUARANTINE_AFTER_FAILURES || ofHealthyJobs + ofOthers >= QUARANTINE_AFTER_JOBS;
   }
 
   /** Whether a task of the job was done once, or runs well now. */
--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
@@ -74,7 +74,7 @@
       MachineType type = machine.type == null ? null : machineTypes.find(machine.type);
       if (type == null
           || machine.releasing
-          || machine.gone
+          || machine.terminated
           || !ledger.attemptsOn(machine.id).isEmpty()) {
         continue;
       }
@@ -94,7 +94,7 @@
             machines.all(),
             settings.zones().size(),
             machine -> machine.zone,
-            machine -> machine.heartbeatReceived && !machine.gone,
+            machine -> machine.heartbeatReceived && !machine.terminated,
             machine -> machine.leaseEnds.isBefore(now));
     boolean[] mostlySilent = new boolean[machineCounts.size()];
     for (int zone = 0; zone < mostlySilent.length; zone++) {
@@ -117,7 +117,7 @@
     if (machine.reachability.unreachableFor(now) > UNREACHABLE_LEASES * leaseS) {
       return "unreachable by commands";
     }
-    return machine.sick(now) ? "sick" : null;
+    return machine.isQuarantined(now) ? "quarantined" : null;
   }
 
   /**
--- a/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
@@ -233,7 +233,7 @@
     }
 
     private static boolean stays(Machine machine) {
-      return !machine.gone && !machine.releasing && machine.noticeAt == null;
+      return !machine.terminated && !machine.releasing && machine.reclaimAt == null;
     }
 
     private boolean isFirstHeartbeatOverdue() {
@@ -273,7 +273,7 @@
     @Override
     public boolean isPlaceable(JobId id) {
       Job job = ledger.job(id);
-      return job != null && !job.waits() && !failures.isBlocked(job, now);
+      return job != null && !job.hasUnmetDependencies() && !failures.isBlocked(job, now);
     }
   }
 
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -26,7 +26,7 @@
 
 /**
  * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
- * term's key does not, and grows with every take-over, so that anything sent under an older term is
+ * term's key does not, and grows with every failover, so that anything sent under an older term is
  * refused wherever it arrives. Whether the leadership holds is judged from the sending of the last
  * renewal that succeeded, never from a refusal: a node can't tell an outage from its own exclusion.
  *
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -41,8 +41,8 @@
    * @param stillShown whether a machine still shows a task that has no open attempt
    * @return the first reason against them, or nothing where they are admitted
    */
-  Optional<Refusal> check(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
-    Optional<Refusal> refusal = checkJob(job, placements);
+  Optional<AdmissionRefusal> check(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
+    Optional<AdmissionRefusal> refusal = checkJob(job, placements);
     PlacementChecks checks = new PlacementChecks(job, stillShown);
     for (Placement placement : placements) {
       if (refusal.isPresent()) {
@@ -55,30 +55,30 @@
         .or(() -> checkRecord(job, placements));
   }
 
-  private Optional<Refusal> checkJob(Job job, List<Placement> placements) {
+  private Optional<AdmissionRefusal> checkJob(Job job, List<Placement> placements) {
     JobSpec spec = job.spec();
     if (placements.isEmpty()) {
-      return Optional.of(Refusal.NOTHING_TO_PLACE);
+      return Optional.of(AdmissionRefusal.NOTHING_TO_PLACE);
     }
     if (job.cancelled() || job.over()) {
-      return Optional.of(Refusal.JOB_OVER);
+      return Optional.of(AdmissionRefusal.JOB_OVER);
     }
-    if (job.waits()) {
-      return Optional.of(Refusal.WAITS_FOR_JOBS);
+    if (job.hasUnmetDependencies()) {
+      return Optional.of(AdmissionRefusal.WAITS_FOR_JOBS);
     }
     if (spec.isGang() && (placements.size() != spec.tasks() || !job.openMap().isEmpty())) {
-      return Optional.of(Refusal.GANG_INCOMPLETE);
+      return Optional.of(AdmissionRefusal.GANG_INCOMPLETE);
     }
-    return refuseIf(!teams.containsKey(spec.team()), Refusal.UNKNOWN_TEAM);
+    return refuseIf(!teams.containsKey(spec.team()), AdmissionRefusal.UNKNOWN_TEAM);
   }
 
-  private Optional<Refusal> checkTeamLimit(JobSpec spec, int tasks) {
+  private Optional<AdmissionRefusal> checkTeamLimit(JobSpec spec, int tasks) {
     Resources used = usage.ofTeam(spec.team()).plus(spec.need().times(tasks));
-    return refuseIf(!Ledger.within(teams.get(spec.team()), used), Refusal.TEAM_LIMIT);
+    return refuseIf(!Ledger.within(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
   }
 
-  private Optional<Refusal> checkRecord(Job job, List<Placement> placements) {
-    return refuseIf(fitting(job, placements).size() < placements.size(), Refusal.RECORD_FULL);
+  private Optional<AdmissionRefusal> checkRecord(Job job, List<Placement> placements) {
+    return refuseIf(fitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
   }
 
   /** Of tasks that are to start, those whose attempts the job's record has room for. */
@@ -98,7 +98,7 @@
         .toList();
   }
 
-  private static Optional<Refusal> refuseIf(boolean condition, Refusal refusal) {
+  private static Optional<AdmissionRefusal> refuseIf(boolean condition, AdmissionRefusal refusal) {
     return condition ? Optional.of(refusal) : Optional.empty();
   }
 
@@ -120,25 +120,25 @@
       }
     }
 
-    Optional<Refusal> next(Placement placement) {
+    Optional<AdmissionRefusal> next(Placement placement) {
       MachineAttributes machine = placement.site();
       return checkTask(placement.index())
-          .or(() -> refuseIf(!permits(machine), Refusal.MACHINE_NOT_PERMITTED))
+          .or(() -> refuseIf(!permits(machine), AdmissionRefusal.MACHINE_NOT_PERMITTED))
           .or(() -> checkZone(machine.zone()))
           .or(() -> checkRoom(machine));
     }
 
-    private Optional<Refusal> checkTask(int index) {
+    private Optional<AdmissionRefusal> checkTask(int index) {
       if (index < 0 || index >= spec.tasks() || !placed.add(index)) {
-        return Optional.of(Refusal.NO_SUCH_TASK);
+        return Optional.of(AdmissionRefusal.NO_SUCH_TASK);
       }
       if (job.isDone(index)) {
-        return Optional.of(Refusal.TASK_DONE);
+        return Optional.of(AdmissionRefusal.TASK_DONE);
       }
       if (job.open(index) != null) {
-        return Optional.of(Refusal.TASK_OPEN);
+        return Optional.of(AdmissionRefusal.TASK_OPEN);
       }
-      return refuseIf(stillShown.test(new TaskId(spec.id(), index)), Refusal.TASK_STILL_SHOWN);
+      return refuseIf(stillShown.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
     }
 
     private boolean permits(MachineAttributes machine) {
@@ -147,15 +147,15 @@
           && (!machine.spot() || spec.spotAllowed());
     }
 
-    private Optional<Refusal> checkZone(int zone) {
+    private Optional<AdmissionRefusal> checkZone(int zone) {
       int tasks = tasksByZone.merge(zone, 1, Integer::sum);
       if (tasks > spec.zoneLimit()) {
-        return Optional.of(Refusal.ZONE_LIMIT);
+        return Optional.of(AdmissionRefusal.ZONE_LIMIT);
       }
-      return refuseIf(spec.together() && tasksByZone.size() > 1, Refusal.SEVERAL_ZONES);
+      return refuseIf(spec.together() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
     }
 
-    private Optional<Refusal> checkRoom(MachineAttributes machine) {
+    private Optional<AdmissionRefusal> checkRoom(MachineAttributes machine) {
       Resources room =
           roomByMachine
               .computeIfAbsent(
@@ -163,7 +163,7 @@
               .minus(spec.need());
       roomByMachine.put(machine.machine(), room);
       boolean full = room.cpus() < 0 || room.gpus() < 0 || room.memory() < 0;
-      return refuseIf(full, Refusal.MACHINE_FULL);
+      return refuseIf(full, AdmissionRefusal.MACHINE_FULL);
     }
   }
 }
--- a/src/main/java/org/ternhinge/ledger/Refusal.java
+++ b/src/main/java/org/ternhinge/ledger/AdmissionRefusal.java
@@ -1,7 +1,7 @@
 package org.ternhinge.ledger;
 
 /** Why tasks may not be started as a plan asks. */
-public enum Refusal {
+public enum AdmissionRefusal {
   NOTHING_TO_PLACE("nothing to place"),
   JOB_OVER("job is over"),
   WAITS_FOR_JOBS("waits for other jobs"),
@@ -20,7 +20,7 @@
 
   private final String description;
 
-  Refusal(String description) {
+  AdmissionRefusal(String description) {
     this.description = description;
   }
 
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -22,7 +22,7 @@
     WAITING,
     RUNNING,
     /** A checkpoint is being written before the task stops. */
-    SAVING
+    CHECKPOINTING
   }
 
   private final Job job;
--- a/src/main/java/org/ternhinge/ledger/Dependencies.java
+++ b/src/main/java/org/ternhinge/ledger/Dependencies.java
@@ -65,7 +65,7 @@
         continue;
       }
       cancelled |= before != null && before.cancelDurable();
-      job.unmet().add(id);
+      job.unmetDependencies().add(id);
       dependents.computeIfAbsent(id, k -> new LinkedHashSet<>()).add(job);
       if (before == null) {
         unresolved.add(id);
@@ -85,7 +85,7 @@
       Job next = todo.poll();
       if (next.inherit(priority)) {
         raised.add(next);
-        for (JobId id : next.unmet()) {
+        for (JobId id : next.unmetDependencies()) {
           Job before = ledger.job(id);
           if (before != null) {
             todo.add(before);
@@ -117,14 +117,14 @@
 
   /** A job no longer waits for anything. */
   private void forget(Job job) {
-    for (JobId id : job.unmet()) {
+    for (JobId id : job.unmetDependencies()) {
       Set<Job> others = dependents.get(id);
       if (others != null && others.remove(job) && others.isEmpty()) {
         dependents.remove(id);
         unresolved.remove(id);
       }
     }
-    job.unmet().clear();
+    job.unmetDependencies().clear();
   }
 
   /** The key-value store holds a job's end. */
@@ -139,8 +139,8 @@
       return;
     }
     for (Job job : waiting) {
-      job.unmet().remove(state.id());
-      if (!job.waits()) {
+      job.unmetDependencies().remove(state.id());
+      if (!job.hasUnmetDependencies()) {
         job.readyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
         someReady = true;
       }
@@ -190,18 +190,18 @@
    * may be durable without this leader knowing, nor while the fate of one before it is not known.
    */
   boolean sure(Job job) {
-    if (!job.waits()) {
+    if (!job.hasUnmetDependencies()) {
       return true;
     }
     Set<Job> seen = new HashSet<>();
     Deque<Job> todo = new ArrayDeque<>(List.of(job));
     while (!todo.isEmpty()) {
-      for (JobId id : todo.poll().unmet()) {
+      for (JobId id : todo.poll().unmetDependencies()) {
         Job before = ledger.job(id);
         if (before == null || (before.cancelled() && !before.cancelDurable())) {
           return false;
         }
-        if (before.waits() && seen.add(before)) {
+        if (before.hasUnmetDependencies() && seen.add(before)) {
           todo.add(before);
         }
       }
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -36,7 +36,7 @@
   private boolean finalDurable;
   private boolean opening;
   private SteadyTime dirtySince;
-  private final Set<JobId> unmet = new LinkedHashSet<>();
+  private final Set<JobId> unmetDependencies = new LinkedHashSet<>();
   private JobSpec planned;
   private long readyMillis;
   private boolean cancelledByDependency;
@@ -73,13 +73,13 @@
   }
 
   /** Jobs that it depends on and that are not known to be durably done. */
-  Set<JobId> unmet() {
-    return unmet;
+  Set<JobId> unmetDependencies() {
+    return unmetDependencies;
   }
 
   /** Whether a job before it is not durably done: nothing of it may start. */
-  public boolean waits() {
-    return !unmet.isEmpty();
+  public boolean hasUnmetDependencies() {
+    return !unmetDependencies.isEmpty();
   }
 
   /** Whether a task of it was ever to start; then all that it depends on was done. */
@@ -103,7 +103,7 @@
 
   void markCancelledByDependency() {
     cancelledByDependency = true;
-    unmet.clear();
+    unmetDependencies.clear();
     markCancelled(true);
   }
 
@@ -219,7 +219,7 @@
   public int runningCount() {
     int count = 0;
     for (Attempt a : open.values()) {
-      if (a.seen() == Attempt.Seen.RUNNING || a.seen() == Attempt.Seen.SAVING) {
+      if (a.seen() == Attempt.Seen.RUNNING || a.seen() == Attempt.Seen.CHECKPOINTING) {
         count++;
       }
     }
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -17,7 +17,7 @@
   public static final String JOBS = "j/";
 
   /** Prefix of final records of jobs that have ended, which are kept for ever. */
-  public static final String FINALS = "f/";
+  public static final String JOB_ENDS = "f/";
 
   /** Prefix of the records of provision requests under way. */
   public static final String PROVISIONS = "r/";
@@ -39,6 +39,6 @@
 
   /** A job's final record. */
   public static String end(JobId id) {
-    return FINALS + id.value();
+    return JOB_ENDS + id.value();
   }
 }
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -28,7 +28,7 @@
  */
 public final class Ledger {
   /** Final states kept in memory, for users who ask for a job shortly after its end. */
-  private static final int FINALS_KEPT = 4096;
+  private static final int JOB_ENDS_KEPT = 4096;
 
   /**
    * One task and where it is to go.
@@ -86,7 +86,7 @@
   /** Keeps a final state for a while, for {@link #ended(JobId)}. */
   public void rememberEnd(JobState state) {
     finals.putAndMoveToLast(state.id(), state);
-    if (finals.size() > FINALS_KEPT) {
+    if (finals.size() > JOB_ENDS_KEPT) {
       finals.removeFirst();
     }
   }
@@ -181,10 +181,10 @@
    * @param stillShown whether a machine still shows a task that has no open attempt
    * @return nothing when the attempts are open, otherwise the reason against it
    */
-  public Optional<Refusal> open(
+  public Optional<AdmissionRefusal> open(
       Job job, List<Placement> placements, Predicate<TaskId> stillShown, SteadyTime now) {
     repartitionWaitingGang(job);
-    Optional<Refusal> refusal = admit(job, placements, stillShown);
+    Optional<AdmissionRefusal> refusal = admit(job, placements, stillShown);
     if (refusal.isEmpty()) {
       openAll(job, placements, now);
     }
@@ -192,7 +192,7 @@
   }
 
   /** Whether attempts may open, by {@link Admission}. */
-  Optional<Refusal> admit(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
+  Optional<AdmissionRefusal> admit(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
     return admission.check(job, placements, stillShown);
   }
 
--- a/src/main/java/org/ternhinge/metrics/Metrics.java
+++ b/src/main/java/org/ternhinge/metrics/Metrics.java
@@ -14,7 +14,7 @@
   private final Histogram commands = new Histogram(MAX_MS, 2);
   private final Histogram rounds = new Histogram(MAX_MS, 2);
   private final Histogram evaluations = new Histogram(MAX_EVALUATIONS, 2);
-  private final Histogram takeOvers = new Histogram(MAX_MS, 2);
+  private final Histogram failovers = new Histogram(MAX_MS, 2);
 
   /** From the decision to open an attempt to the first sight of it running. */
   public synchronized void started(double seconds) {
@@ -41,8 +41,8 @@
   }
 
   /** From election to readiness. */
-  public synchronized void takeOver(double seconds) {
-    record(takeOvers, seconds);
+  public synchronized void failover(double seconds) {
+    record(failovers, seconds);
   }
 
   private static void record(Histogram histogram, double seconds) {
@@ -51,12 +51,12 @@
 
   /** Writes the figures so far to the log. */
   public synchronized void log() {
-    if (LOG.isInfoEnabled() && starts.getTotalCount() + takeOvers.getTotalCount() > 0) {
+    if (LOG.isInfoEnabled() && starts.getTotalCount() + failovers.getTotalCount() > 0) {
       LOG.info("open to running ms: {}", line(starts));
       LOG.info("direct command ms: {}", line(commands));
       LOG.info("round ms: {}", line(rounds));
       LOG.info("round evaluations: {}", line(evaluations));
-      LOG.info("election to ready ms: {}", line(takeOvers));
+      LOG.info("election to ready ms: {}", line(failovers));
     }
   }
 
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -24,7 +24,7 @@
     /** The other side answered that it can't at present. */
     REFUSED,
     /** Our own token bucket held it back. */
-    HELD_BACK,
+    RATE_LIMITED,
     /** No connection came about. */
     NO_CONNECTION,
     /** The caller's condition for sending it no longer held when it could be sent. */
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -29,7 +29,7 @@
         }
       }
     }
-    for (JobView job : snapshot.spares()) {
+    for (JobView job : snapshot.expectedJobs()) {
       if (job.spec().need().gpus() > 0) {
         return job.spec();
       }
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -41,7 +41,7 @@
   private long arrayMemory;
 
   /** Room that stops of this plan will free and that nothing of it has claimed. */
-  private Resources coming = Resources.ZERO;
+  private Resources freedByPreemption = Resources.ZERO;
 
   private List<AttemptView> stopped = List.of();
   private Set<String> fetched = Set.of();
@@ -235,7 +235,7 @@
    * Room that a job could claim without a further stop, now or when stops under way are through.
    */
   Resources roomAfterStops(JobId job) {
-    return roomFor(job).plus(coming);
+    return roomFor(job).plus(freedByPreemption);
   }
 
   /**
@@ -260,7 +260,7 @@
     cpus -= now.cpus();
     gpus -= now.gpus();
     memory -= now.memory();
-    coming = coming.plus(freed).minus(need.minus(now));
+    freedByPreemption = freedByPreemption.plus(freed).minus(need.minus(now));
     stoppedFor = stoppedFor.isEmpty() ? new HashSet<>() : stoppedFor;
     stoppedFor.add(forSpec.id());
     used = true;
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -39,7 +39,7 @@
   private final TaskPlacer placer;
   private final Preemption preemption;
   private final GangReservations gangReservations;
-  private final List<Demand> unmet = new ArrayList<>();
+  private final List<Demand> unmetDemand = new ArrayList<>();
 
   private Planner(Snapshot snapshot) {
     this.builder = new PlanBuilder(snapshot);
@@ -83,13 +83,13 @@
       }
     }
     ScalingPlanner scaling = new ScalingPlanner(builder);
-    for (Demand demand : unmet) {
+    for (Demand demand : unmetDemand) {
       scaling.provisionFor(demand.job, demand.tasks, demand.zones);
     }
     if (builder.snapshot.settled()) {
       new Consolidation(builder).run();
     }
-    builder.snapshot.spares().forEach(scaling::keepRoomFor);
+    builder.snapshot.expectedJobs().forEach(scaling::keepRoomFor);
     scaling.finish();
     builder.plan.evaluations(builder.evaluations());
     return builder.plan;
@@ -121,7 +121,7 @@
     if (job.reservedTasks() < spec.tasks()) {
       GangReservations.Missing missing = gangReservations.makeRoom(job);
       if (missing != null) {
-        unmet.add(new Demand(job, missing.tasks(), missing.zones()));
+        unmetDemand.add(new Demand(job, missing.tasks(), missing.zones()));
       }
     }
   }
@@ -150,7 +150,7 @@
       left -= preemption.makeRoom(job, left, PlacementScope.LAST_RESORT);
     }
     if (left > 0) {
-      unmet.add(new Demand(job, left, IntArrayList.wrap(builder.zones(job))));
+      unmetDemand.add(new Demand(job, left, IntArrayList.wrap(builder.zones(job))));
     }
     // What keeps the rest may be the team's limit, taken up by its own lesser work.
     int over = job.waiting() - Math.max(allowed, placed + job.reservedTasks());
--- a/src/main/java/org/ternhinge/schedule/Preemption.java
+++ b/src/main/java/org/ternhinge/schedule/Preemption.java
@@ -96,8 +96,8 @@
 
   private static double loss(AttemptView attempt, SteadyTime now) {
     double lost = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
-    if (attempt.spec().checkpointS() > 0) {
-      lost = Math.min(lost, attempt.spec().saveS() + 5);
+    if (attempt.spec().checkpointIntervalS() > 0) {
+      lost = Math.min(lost, attempt.spec().checkpointSaveS() + 5);
     }
     return lost * Math.max(1, attempt.spec().cpus())
         + (attempt.spec().isService() ? 10_000 : 0)
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
-import org.ternhinge.schedule.Snapshot.Coming;
+import org.ternhinge.schedule.Snapshot.PendingProvision;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
@@ -22,7 +22,7 @@
   private static final double ARRAY_TURN_S = 60;
 
   private final PlanBuilder builder;
-  private final List<MachineCapacity> coming = new ArrayList<>();
+  private final List<MachineCapacity> pendingMachines = new ArrayList<>();
   private final int[] provisioned;
 
   /** What the least task asks for; machines with less are full. */
@@ -37,19 +37,19 @@
     for (JobView job : builder.snapshot.jobs()) {
       least = Math.min(least, job.spec().need().cpus());
     }
-    for (JobView job : builder.snapshot.spares()) {
+    for (JobView job : builder.snapshot.expectedJobs()) {
       least = Math.min(least, job.spec().need().cpus());
     }
     this.leastCpus = least;
     for (MachineCapacity machine : builder.machines) {
       if (!machine.ready()) {
-        coming.add(machine);
+        pendingMachines.add(machine);
       }
     }
     // Without these each round until the cloud's answer would provision for the same need once more.
-    for (Coming provisioned : builder.snapshot.coming()) {
+    for (PendingProvision provisioned : builder.snapshot.pendingMachines()) {
       for (int i = 0; i < provisioned.count(); i++) {
-        coming.add(new MachineCapacity(provisioned.of()));
+        pendingMachines.add(new MachineCapacity(provisioned.of()));
       }
     }
   }
@@ -67,22 +67,22 @@
     }
     int[] zones = has.toIntArray();
     int full = 0;
-    for (int i = 0; i < coming.size() && left > 0; i++) {
-      if (coming.get(i).freeCpus() < leastCpus) {
+    for (int i = 0; i < pendingMachines.size() && left > 0; i++) {
+      if (pendingMachines.get(i).freeCpus() < leastCpus) {
         full++;
       } else {
-        left -= fill(coming.get(i), spec, zones, left);
+        left -= fill(pendingMachines.get(i), spec, zones, left);
       }
     }
-    if (full * 4 > coming.size()) {
-      coming.removeIf(machine -> machine.freeCpus() < leastCpus);
+    if (full * 4 > pendingMachines.size()) {
+      pendingMachines.removeIf(machine -> machine.freeCpus() < leastCpus);
     }
     while (left > 0) {
       MachineCapacity machine = provision(spec, zones, left);
       if (machine == null) {
         return;
       }
-      coming.add(machine);
+      pendingMachines.add(machine);
       left -= fill(machine, spec, zones, left);
     }
   }
@@ -141,8 +141,8 @@
    * from nothing a hundred expected jobs asked each machine twice in each round, which was most of
    * the leader's work.
    */
-  void keepRoomFor(JobView spare) {
-    JobSpec spec = spare.spec();
+  void keepRoomFor(JobView expected) {
+    JobSpec spec = expected.spec();
     int left = spec.tasks();
     ArrayDeque<MachineCapacity> roomKeepers =
         roomKeepersByKind.computeIfAbsent(Alike.of(spec), k -> roomKeepers());
@@ -162,7 +162,7 @@
       }
     }
     if (left > 0) {
-      provisionFor(spare, left, spare.zoneOpen());
+      provisionFor(expected, left, expected.zoneOpen());
     }
   }
 
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -16,18 +16,18 @@
 /**
  * All that the planner decides from; nothing in it changes while it decides.
  *
- * @param spares jobs as they may arrive before a provisioned machine could be up
+ * @param expectedJobs jobs as they may arrive before a provisioned machine could be up
  * @param startedLate jobs that got their first tasks after too long a wait and have none done yet
  * @param settled whether this leadership is old enough for every live machine to have reported
  */
 public record Snapshot(
     List<MachineView> machines,
     List<JobView> jobs,
-    List<JobView> spares,
+    List<JobView> expectedJobs,
     Map<String, Team> teams,
     Map<String, Resources> teamUse,
     List<Offer> offers,
-    List<Coming> coming,
+    List<PendingProvision> pendingProvisions,
     Set<JobId> startedLate,
     boolean settled,
     double idleS,
@@ -131,7 +131,7 @@
   }
 
   /** Machines that were asked for and whose names are not known yet. */
-  public record Coming(Offer of, int count) {}
+  public record PendingProvision(Offer of, int count) {}
 
   /**
    * A machine type that can be provisioned in a zone, as spot or ordinary.
--- a/src/main/java/org/ternhinge/state/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/state/HttpKeyValueStore.java
@@ -67,7 +67,7 @@
       RequestPriority priority,
       Reader<T> reader) {
     if (!requests.tryTake(priority, 1)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, "no tokens"));
+      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     return http.call(endpoint, method, path, body, limitS, timeouts.capS())
         .thenApply(outcome -> outcome.flatMap(reply -> decode(reply, reader)));
@@ -147,7 +147,7 @@
   public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
     int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writes.tryTake(priority, changes)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, "no tokens"));
+      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     byte[] body = compareAndSwap.write();
     Reader<Revision> reader = answer -> new Revision(Json.count(answer, "breytingatal"));
--- a/src/main/java/org/ternhinge/state/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/state/ResponseTimeouts.java
@@ -151,7 +151,7 @@
   private static boolean wasAnswered(Outcome<?> outcome) {
     return outcome instanceof Outcome.Applied
         || (outcome instanceof Outcome.NotApplied<?> not
-            && not.reason() != Reason.HELD_BACK
+            && not.reason() != Reason.RATE_LIMITED
             && not.reason() != Reason.NO_CONNECTION);
   }
 
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -14,7 +14,7 @@
 /**
  * A worker's heartbeat.
  *
- * @param noticeS seconds until the cloud takes the machine, or null
+ * @param reclaimNoticeS seconds until the cloud takes the machine, or null
  */
 public record Heartbeat(
     MachineId machine,
@@ -25,7 +25,7 @@
     AgentEpoch epoch,
     long sequence,
     Term fencingToken,
-    Double noticeS,
+    Double reclaimNoticeS,
     List<TaskStatus> tasks) {
 
   /** Reads a heartbeat. */
@@ -152,8 +152,8 @@
     out.put("vel", machine.value()).put("endpoint", endpoint).put("velagerd", type);
     out.put("svaedi", zone).put("lanvelar", spot).put("vakt", epoch.value());
     out.put("raodnumer", sequence).put("valdmerki", fencingToken.value());
-    if (noticeS != null) {
-      out.put("fyrirvari_s", noticeS);
+    if (reclaimNoticeS != null) {
+      out.put("fyrirvari_s", reclaimNoticeS);
     }
     ArrayNode list = out.putArray("verkbitar");
     for (TaskStatus heartbeat : tasks) {
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -37,8 +37,8 @@
     boolean scatter,
     boolean spotAllowed,
     double estimateS,
-    double checkpointS,
-    double saveS,
+    double checkpointIntervalS,
+    double checkpointSaveS,
     Double deadlineS,
     List<JobId> dependencies) {
 
@@ -126,8 +126,8 @@
         scatter,
         spotAllowed,
         estimateS,
-        checkpointS,
-        saveS,
+        checkpointIntervalS,
+        checkpointSaveS,
         deadlineS,
         dependencies);
   }
@@ -207,7 +207,7 @@
       out.put("svaedi", zone);
     }
     out.put("together", together).put("scatter", scatter).put("lanvelar", spotAllowed);
-    out.put("aaetlun_s", estimateS).put("vista_bil_s", checkpointS).put("vistun_s", saveS);
+    out.put("aaetlun_s", estimateS).put("vista_bil_s", checkpointIntervalS).put("vistun_s", checkpointSaveS);
     if (deadlineS != null) {
       out.put("skiladagur_s", deadlineS);
     }
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -5,7 +5,7 @@
   FETCHING("pulling"),
   WAITING("gathering"),
   RUNNING("running"),
-  SAVING("flushing"),
+  CHECKPOINTING("flushing"),
   ENDED("ended");
 
   /** Kept, for {@link #values()} makes a new array each time and heartbeats ask for each task. */
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -22,11 +22,11 @@
     return new Snapshot(
         machines(full.machines()),
         jobs(full.jobs()),
-        spares(full),
+        expectedJobs(full),
         full.teams(),
         full.teamUse(),
         full.offers().stream().filter(offer -> takesWork(offer.zoneName())).toList(),
-        full.coming().stream().filter(coming -> isCounted(coming.of().zoneName())).toList(),
+        full.pendingProvisions().stream().filter(pendingProvisions -> isCounted(pendingProvisions.of().zoneName())).toList(),
         full.startedLate(),
         full.settled(),
         full.idleS(),
@@ -76,20 +76,20 @@
    * Room is kept for held tasks, or provisioned, so that they find machines that are up when their turn
    * comes; otherwise each tier would wait once more for machines to boot.
    */
-  private List<Snapshot.JobView> spares(Snapshot full) {
+  private List<Snapshot.JobView> expectedJobs(Snapshot full) {
     if (zones.held().isEmpty()) {
-      return full.spares();
+      return full.expectedJobs();
     }
-    List<Snapshot.JobView> spares = new ArrayList<>(full.spares());
+    List<Snapshot.JobView> expectedJobs = new ArrayList<>(full.expectedJobs());
     for (Snapshot.JobView job : full.jobs()) {
       PSet<Integer> held = zones.held().get(job.spec().id());
       if (held != null && !job.blocked()) {
         int tasks = job.spec().isGang() ? job.spec().tasks() : held.size();
         int zoneCount = job.zoneOpen().size();
-        spares.add(Snapshot.JobView.expected(job.spec().withTasks(tasks), job.rank(), zoneCount));
+        expectedJobs.add(Snapshot.JobView.expected(job.spec().withTasks(tasks), job.rank(), zoneCount));
       }
     }
-    return spares;
+    return expectedJobs;
   }
 
   /** A job without its held tasks; a gang starts whole or not at all. */
--- a/src/test/java/org/ternhinge/api/SubmissionsTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.MachineType;
 
 /** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
-class SubmissionsTest {
+class SubmissionValidatorTest {
   private final SimCluster world = new SimCluster(1, 0);
 
   private static Map<String, MachineType> machineTypes() {
@@ -49,7 +49,7 @@
       boolean together,
       boolean scatter,
       String dependency,
-      Rejection expected) {
+      SubmissionRejection expected) {
     ObjectNode body = Specs.json("wk-1", kind, tasks).put("cpus", cpus).put("eigandi", team);
     body.put("svaedi", zone).put("together", together).put("scatter", scatter);
     if (dependency != null) {
@@ -57,6 +57,6 @@
     }
     assertEquals(
         Optional.ofNullable(expected),
-        Submissions.reject(Specs.of(body), world.settings("node-0"), machineTypes()));
+        SubmissionValidator.reject(Specs.of(body), world.settings("node-0"), machineTypes()));
   }
 }
--- a/src/test/java/org/ternhinge/controller/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/controller/ArrivalRatesTest.java
@@ -27,7 +27,7 @@
     "45, 4, 0, 0, 0",
     "350, 4, 0, 0, 0"
   })
-  void spares(double aimS, int arrivals, double apartS, double afterS, int expected) {
+  void expectedJobs(double aimS, int arrivals, double apartS, double afterS, int expected) {
     ArrivalRates rates =
         new ArrivalRates(
             List.of(
@@ -40,6 +40,6 @@
       now = START.plusSeconds(i * apartS);
       rates.saw(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
     }
-    assertEquals(expected, rates.spares(now.plusSeconds(afterS), 1).size());
+    assertEquals(expected, rates.expectedJobs(now.plusSeconds(afterS), 1).size());
   }
 }
--- a/src/test/java/org/ternhinge/controller/PackedRecordsTest.java
+++ b/src/test/java/org/ternhinge/controller/BucketedRecordsTest.java
@@ -26,7 +26,7 @@
 import org.ternhinge.wire.ProvisionRequest;
 
 /** Records that hold many small facts each. */
-class PackedRecordsTest {
+class BucketedRecordsTest {
   /** Records by their keys, written by the code of commit d679fcc. */
   private static final Map<String, String> D679FCC =
       Map.of(
@@ -61,7 +61,7 @@
   void takesOverItsOwnRecordsAndLeavesOthersAlone(String key, String value, String facts)
       throws Exception {
     LedgerWriter writer = new LedgerWriter(null, null, null, new SimClock(), null, 16, a -> {});
-    PackedRecords slots = new PackedRecords(writer, "r/", 8 * 1024);
+    BucketedRecords slots = new BucketedRecords(writer, "r/", 8 * 1024);
     List<String> found = new ArrayList<>();
     slots.known(
         new Entry(key, Json.parse(value.getBytes(StandardCharsets.UTF_8)), new Revision(7)),
@@ -102,7 +102,7 @@
             new ReentrantLock(),
             16,
             a -> {});
-    PackedRecords slots = new PackedRecords(writer, key.substring(0, 2), 8192);
+    BucketedRecords slots = new BucketedRecords(writer, key.substring(0, 2), 8192);
     List<String> found = new ArrayList<>();
     slots.known(core.get(key).entry().orElseThrow(), (name, fact) -> found.add(name + fact));
     String fact = Json.parse(value.getBytes(StandardCharsets.UTF_8)).get(known).toString();
@@ -127,7 +127,7 @@
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
     core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
-    PackedRecords written = packed(core, clock, prefix, valueBytes);
+    BucketedRecords written = packed(core, clock, prefix, valueBytes);
     for (int i = 1; i <= 5; i++) {
       if (prefix.equals("r/")) {
         written.put("t5-" + i, provision(i).write(), () -> {});
@@ -136,7 +136,7 @@
       }
     }
     clock.runFor(3);
-    PackedRecords read = packed(core, clock, prefix, valueBytes);
+    BucketedRecords read = packed(core, clock, prefix, valueBytes);
     TreeSet<String> found = new TreeSet<>();
     for (int i = 0; i < records; i++) {
       Entry entry = core.get(prefix + i).entry().orElseThrow();
@@ -157,7 +157,7 @@
     return new ProvisionRequest("t5-" + number, even ? "small" : "fast", zone, even, 10 + number);
   }
 
-  private static PackedRecords packed(
+  private static BucketedRecords packed(
       StoreCore core, SimClock clock, String prefix, int valueBytes) {
     Revision term = core.get("term").entry().orElseThrow().revision();
     LedgerWriter writer =
@@ -169,6 +169,6 @@
             new ReentrantLock(),
             16,
             a -> {});
-    return new PackedRecords(writer, prefix, valueBytes);
+    return new BucketedRecords(writer, prefix, valueBytes);
   }
 }
--- a/src/test/java/org/ternhinge/controller/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationsTest.java
@@ -16,27 +16,27 @@
 
 /** What a user is told of a cancellation, and when. */
 class CancellationsTest {
-  private final LeadershipParts parts = new LeadershipParts();
+  private final LeadershipFixture fixture = new LeadershipFixture();
   private final Cancellations cancellations =
-      new Cancellations(parts.ledger, parts.attempts, parts.writer);
-  private final Machine machine = parts.machine("n-1");
-  private final Job job = parts.job(Specs.json("wk-1", "batch", 2));
+      new Cancellations(fixture.ledger, fixture.attempts, fixture.writer);
+  private final Machine machine = fixture.machine("n-1");
+  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
   private final List<JobState.Phase> answers = new ArrayList<>();
 
   CancellationsTest() {
-    parts.onWritten = cancellations::answerDurable;
+    fixture.onWritten = cancellations::answerDurable;
   }
 
   /** An answer before the write could be contradicted by the next leader. */
   @Test
   void usersHearOfItOnceTheStoreHoldsIt() {
-    parts.store.hold();
+    fixture.store.hold();
     cancellations.cancel(job, state -> answers.add(state.phase()));
     cancellations.cancel(job, state -> answers.add(state.phase()));
-    parts.clock.runFor(5);
+    fixture.clock.runFor(5);
     assertEquals(List.of(), answers);
-    parts.store.letGo();
-    parts.clock.runFor(5);
+    fixture.store.letGo();
+    fixture.clock.runFor(5);
     assertEquals(List.of(JobState.Phase.CANCELLED, JobState.Phase.CANCELLED), answers);
   }
 
@@ -48,16 +48,16 @@
   @CsvSource({"false, UNSEEN, false, 0", "true, UNSEEN, true, 0", "true, RUNNING, true, 1"})
   void itsAttemptsAreStopped(boolean written, Attempt.Seen seen, boolean open, int stops) {
     if (!written) {
-      parts.store.hold();
+      fixture.store.hold();
     }
-    Attempt attempt = parts.open(job, 0, machine);
-    attempt.see(seen, parts.now());
+    Attempt attempt = fixture.open(job, 0, machine);
+    attempt.see(seen, fixture.now());
     machine.commandsInFlight = false;
-    parts.sent.clear();
+    fixture.sent.clear();
     cancellations.cancel(job, state -> {});
     assertTrue(attempt.stopping());
     assertEquals(open, job.open(0) == attempt);
-    long sentStops = parts.sent.stream().filter(c -> c.op() == Command.Op.STOP).count();
+    long sentStops = fixture.sent.stream().filter(c -> c.op() == Command.Op.STOP).count();
     assertEquals(stops, sentStops);
   }
 }
--- a/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Without evidence across jobs, two failures in a row on a machine had it set aside and returned,
+   * Without evidence across jobs, two failures in a row on a machine had it quarantined and returned,
    * even where one job's tasks failed on every machine.
    */
   @ParameterizedTest(name = "{0} faulty jobs, each a {1} of {2}")
--- a/src/test/java/org/ternhinge/controller/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/controller/JobLookupTest.java
@@ -44,21 +44,21 @@
   /** Stores jobs such as {@code 1:batch 2:done 3:cancelled 4:batch<1.3}. */
   private void storeJobs(String jobs) {
     for (String job : jobs.split(" ", -1)) {
-      String[] parts = job.split("[:<]");
-      JobId id = new JobId("wk-" + parts[0]);
-      if (parts[1].equals("done") || parts[1].equals("cancelled")) {
-        put(Keys.end(id), Json.object().put("s", parts[1]).put("n", 1));
+      String[] fixture = job.split("[:<]");
+      JobId id = new JobId("wk-" + fixture[0]);
+      if (fixture[1].equals("done") || fixture[1].equals("cancelled")) {
+        put(Keys.end(id), Json.object().put("s", fixture[1]).put("n", 1));
       } else {
-        put(Keys.job(id), record(id, parts));
+        put(Keys.job(id), record(id, fixture));
       }
     }
   }
 
-  private static ObjectNode record(JobId id, String[] parts) {
-    ObjectNode body = Specs.json(id.value(), parts[1], 1);
-    if (parts.length > 2) {
+  private static ObjectNode record(JobId id, String[] fixture) {
+    ObjectNode body = Specs.json(id.value(), fixture[1], 1);
+    if (fixture.length > 2) {
       ArrayNode names = body.putArray("bidur_eftir");
-      for (String name : parts[2].split("\\.", -1)) {
+      for (String name : fixture[2].split("\\.", -1)) {
         names.add("wk-" + name);
       }
     }
--- a/src/test/java/org/ternhinge/controller/LeadershipParts.java
+++ b/src/test/java/org/ternhinge/controller/LeadershipFixture.java
@@ -50,7 +50,7 @@
  * The parts of a leadership around the one under test: a real ledger and writer over a key-value
  * store at hand, workers that never answer, and a count of the rounds asked for.
  */
-final class LeadershipParts {
+final class LeadershipFixture {
   static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
   private static final int VALUE_BYTES = 8 * 1024;
 
@@ -73,7 +73,7 @@
   /** Runs after each write, before the starts are sent. */
   Runnable onWritten = () -> {};
 
-  LeadershipParts() {
+  LeadershipFixture() {
     core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     authority.revision = core.get(Keys.TERM).entry().orElseThrow().revision();
     executor = new LeadershipExecutor(clock, lock);
@@ -104,8 +104,8 @@
   }
 
   /** Records under a prefix that hold many small entries each. */
-  PackedRecords packedRecords(String prefix) {
-    return new PackedRecords(writer, prefix, VALUE_BYTES);
+  BucketedRecords bucketedRecords(String prefix) {
+    return new BucketedRecords(writer, prefix, VALUE_BYTES);
   }
 
   private static Settings settings(Map<String, Team> teams) {
--- a/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
@@ -23,20 +23,20 @@
 
 /** Leases that run out, and whom an answer may keep alive. */
 class LeaseMonitorTest {
-  private final LeadershipParts parts = new LeadershipParts();
-  private final ReportedTasks reportedTasks = parts.reportedTasks();
+  private final LeadershipFixture fixture = new LeadershipFixture();
+  private final ReportedTasks reportedTasks = fixture.reportedTasks();
   private final LeaseMonitor monitor =
       new LeaseMonitor(
-          LeadershipParts.WORKER_SETTINGS,
-          parts.ledger,
-          parts.machines,
-          parts.attempts,
+          LeadershipFixture.WORKER_SETTINGS,
+          fixture.ledger,
+          fixture.machines,
+          fixture.attempts,
           reportedTasks,
-          parts.dispatcher,
-          new TermFence(parts.authority, parts.writer, parts.machines),
-          () -> parts.roundsRequested++);
-  private final Machine machine = parts.machine("n-1");
-  private final Job job = parts.job(Specs.json("wk-1", "batch", 2));
+          fixture.dispatcher,
+          new TermFence(fixture.authority, fixture.writer, fixture.machines),
+          () -> fixture.roundsRequested++);
+  private final Machine machine = fixture.machine("n-1");
+  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
 
   private TaskStatus running(TaskId task, AttemptNumber number) {
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
@@ -48,21 +48,21 @@
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
     Resources room = Resources.offer(1, 0, 1);
-    machine.reservations.add(new Machine.Reservation(forJob, room, parts.now().plusSeconds(12)));
-    parts.clock.runFor(ageS);
-    monitor.check(parts.now());
+    machine.reservations.add(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
+    fixture.clock.runFor(ageS);
+    monitor.check(fixture.now());
     assertEquals(left, machine.reservations.size());
-    assertEquals(rounds, parts.roundsRequested);
+    assertEquals(rounds, fixture.roundsRequested);
   }
 
   /** A worker past its lease has killed its tasks: only then may they start elsewhere. */
   @ParameterizedTest(name = "{0} s after its last answer")
   @CsvSource({"9.9, true", "10.1, false"})
   void attemptsAreClosedWithTheLease(double silentForS, boolean open) {
-    Attempt attempt = parts.open(job, 0, machine);
+    Attempt attempt = fixture.open(job, 0, machine);
     reportedTasks.show(machine, List.of(running(attempt.task(), attempt.number())));
-    parts.clock.runFor(silentForS);
-    monitor.check(parts.now());
+    fixture.clock.runFor(silentForS);
+    monitor.check(fixture.now());
     assertEquals(open ? attempt : null, job.open(0));
     assertEquals(open, reportedTasks.isShown(attempt.task()));
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.lastEndedEpoch);
@@ -73,8 +73,8 @@
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
     reportedTasks.show(machine, List.of(running(unknown, new AttemptNumber(1))));
-    parts.clock.runFor(10.1);
-    monitor.check(parts.now());
+    fixture.clock.runFor(10.1);
+    monitor.check(fixture.now());
     assertFalse(reportedTasks.isShown(unknown));
   }
 
@@ -82,12 +82,12 @@
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
   void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
-    Attempt attempt = parts.open(job, 0, machine);
-    attempt.see(Attempt.Seen.RUNNING, parts.now());
-    parts.attempts.stop(attempt, 3);
-    parts.clock.runFor(afterS);
-    machine.leaseEnds = parts.now().plusSeconds(1);
-    monitor.check(parts.now());
+    Attempt attempt = fixture.open(job, 0, machine);
+    attempt.see(Attempt.Seen.RUNNING, fixture.now());
+    fixture.attempts.stop(attempt, 3);
+    fixture.clock.runFor(afterS);
+    machine.leaseEnds = fixture.now().plusSeconds(1);
+    monitor.check(fixture.now());
     assertEquals(graceS, attempt.stopGraceS());
   }
 
@@ -101,11 +101,11 @@
   })
   void leasesThatMayBeRenewedWithoutCommands(
       String name, String unwanted, boolean unknownTask, boolean mayRenew) {
-    Attempt attempt = parts.open(job, 0, machine);
+    Attempt attempt = fixture.open(job, 0, machine);
     if (unwanted.equals("stop")) {
-      attempt.stop(0, parts.now());
+      attempt.stop(0, fixture.now());
     } else if (unwanted.equals("cancel")) {
-      parts.ledger.cancel(job);
+      fixture.ledger.cancel(job);
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
     Heartbeat heartbeat =
@@ -126,8 +126,8 @@
   /** A machine with nothing on it and no lease costs nothing and loses nothing. */
   @Test
   void anIdleMachineKeepsItsEpoch() {
-    parts.clock.runFor(60);
-    monitor.check(parts.now());
+    fixture.clock.runFor(60);
+    monitor.check(fixture.now());
     assertEquals(AgentEpoch.NONE, machine.lastEndedEpoch);
     assertNull(job.open(0));
   }
--- a/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
@@ -28,7 +28,7 @@
   /** Twice the lag of the list, which the settings say is 10 s. */
   private static final double OLDEST_LIST_S = 20;
 
-  private final LeadershipParts parts = new LeadershipParts();
+  private final LeadershipFixture fixture = new LeadershipFixture();
   private final ScriptedCloud cloud = new ScriptedCloud();
   private final MachineInventory inventory = inventory();
 
@@ -44,7 +44,7 @@
       String next = script.isEmpty() ? "page" : script.poll();
       Outcome<ListedMachine.Page> outcome =
           switch (next) {
-            case "held" -> Outcome.notApplied(Reason.HELD_BACK, "no tokens");
+            case "held" -> Outcome.notApplied(Reason.RATE_LIMITED, "no tokens");
             case "refused" -> Outcome.notApplied(Reason.REFUSED, "trouble");
             case "lost" -> Outcome.unknown("no answer");
             default -> Outcome.applied(page(after));
@@ -76,41 +76,41 @@
   }
 
   private MachineInventory inventory() {
-    ControllerServices services = parts.services(cloud);
+    ControllerServices services = fixture.services(cloud);
     MachineRemoval removal =
         new MachineRemoval(
-            parts.machines,
-            parts.ledger,
-            parts.reportedTasks(),
-            parts.attempts,
+            fixture.machines,
+            fixture.ledger,
+            fixture.reportedTasks(),
+            fixture.attempts,
             services.workers());
-    RoundTrigger rounds = () -> parts.roundsRequested++;
+    RoundTrigger rounds = () -> fixture.roundsRequested++;
     return new MachineInventory(
         services,
-        parts.executor,
-        parts.machines,
+        fixture.executor,
+        fixture.machines,
         new MachineProvisioner(
             services,
-            parts.authority,
-            parts.executor,
-            parts.machines,
+            fixture.authority,
+            fixture.executor,
+            fixture.machines,
             rounds,
-            parts.packedRecords("r/")),
+            fixture.bucketedRecords("r/")),
         new MachineReleaser(
             removal,
             services,
-            parts.authority,
-            parts.executor,
-            parts.machines,
+            fixture.authority,
+            fixture.executor,
+            fixture.machines,
             rounds,
-            parts.packedRecords("x/"),
-            parts.now()),
+            fixture.bucketedRecords("x/"),
+            fixture.now()),
         removal,
-        parts.dispatcher,
+        fixture.dispatcher,
         new TermAnnouncer(
-            parts.authority, parts.dispatcher, (m, heartbeat, isHeartbeat, now) -> true, parts.clock),
+            fixture.authority, fixture.dispatcher, (m, heartbeat, isHeartbeat, now) -> true, fixture.clock),
         rounds,
-        parts.now());
+        fixture.now());
   }
 
   /**
@@ -130,9 +130,9 @@
   void aListComesToItsEnd(String script, double withinS) {
     cloud.script.addAll(List.of(script.split(" ")));
     inventory.list();
-    parts.clock.runFor(withinS);
-    assertNotNull(parts.machines.find(FIRST), "the first page");
-    assertNotNull(parts.machines.find(LAST), "the last page");
+    fixture.clock.runFor(withinS);
+    assertNotNull(fixture.machines.find(FIRST), "the first page");
+    assertNotNull(fixture.machines.find(LAST), "the last page");
   }
 
   /** A page that has waited for long goes on a level with provision requests. */
@@ -142,7 +142,7 @@
       cloud.script.add("held");
     }
     inventory.list();
-    parts.clock.runFor(5);
+    fixture.clock.runFor(5);
     assertEquals(RequestPriority.QUERY, cloud.asked.get(0));
     assertEquals(RequestPriority.ATTEMPT, cloud.asked.get(15));
   }
@@ -155,15 +155,15 @@
   @CsvSource({"0, , true", "15, , true", "21, , false", "21, held, false", "21, refused, true"})
   void whatNoListShowsIsGone(double knownForS, String secondPage, boolean stillThere) {
     MachineId other = new MachineId("n-000500");
-    parts.machines.findOrAdd(other, parts.now());
-    parts.clock.runFor(knownForS);
+    fixture.machines.findOrAdd(other, fixture.now());
+    fixture.clock.runFor(knownForS);
     if (secondPage != null) {
       cloud.script.addAll(List.of("page", secondPage));
     }
     inventory.list();
-    parts.clock.runFor(1);
-    assertEquals(stillThere, parts.machines.find(other) != null);
-    parts.clock.runFor(OLDEST_LIST_S + 10);
-    assertEquals(null, parts.machines.find(other), "gone in the end");
+    fixture.clock.runFor(1);
+    assertEquals(stillThere, fixture.machines.find(other) != null);
+    fixture.clock.runFor(OLDEST_LIST_S + 10);
+    assertEquals(null, fixture.machines.find(other), "gone in the end");
   }
 }
--- a/src/test/java/org/ternhinge/controller/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/controller/TermFenceTest.java
@@ -11,10 +11,10 @@
 
 /** When a leader raises its own term. */
 class TermFenceTest {
-  private final LeadershipParts parts = new LeadershipParts();
-  private final TermFence fence = new TermFence(parts.authority, parts.writer, parts.machines);
-  private final Machine machine = parts.machine("n-1");
-  private final Attempt attempt = parts.open(parts.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+  private final LeadershipFixture fixture = new LeadershipFixture();
+  private final TermFence fence = new TermFence(fixture.authority, fixture.writer, fixture.machines);
+  private final Machine machine = fixture.machine("n-1");
+  private final Attempt attempt = fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
 
   /** Only a stopped attempt that a start under way alone keeps open is worth a higher term. */
   @ParameterizedTest(name = "{0}")
@@ -35,35 +35,35 @@
       int fenced,
       boolean needed) {
     if (stopping) {
-      attempt.stop(0, parts.now());
+      attempt.stop(0, fixture.now());
     }
-    attempt.see(seen, parts.now());
+    attempt.see(seen, fixture.now());
     machine.outstandingStarts.put(Machine.key(attempt), outstanding);
     machine.fencedStarts.put(Machine.key(attempt), fenced);
-    parts.clock.runFor(stoppedForS);
-    assertEquals(needed, fence.isNeeded(machine, attempt, parts.now()));
+    fixture.clock.runFor(stoppedForS);
+    assertEquals(needed, fence.isNeeded(machine, attempt, fixture.now()));
   }
 
   /** Every raise makes all workers' tokens old, so there is one at a time and few of them. */
   @ParameterizedTest(name = "again after {0} s: term {1}")
   @CsvSource({"0, 2", "9.9, 2", "10.1, 3"})
   void raisesAreKeptApart(double againAfterS, long term) {
-    fence.raise(parts.now());
-    parts.clock.runFor(againAfterS);
-    fence.raise(parts.now());
-    parts.clock.runFor(0.1);
-    assertEquals(new Term(term), parts.authority.term());
+    fence.raise(fixture.now());
+    fixture.clock.runFor(againAfterS);
+    fence.raise(fixture.now());
+    fixture.clock.runFor(0.1);
+    assertEquals(new Term(term), fixture.authority.term());
   }
 
   @Test
   void aSecondRaiseWaitsForTheFirst() {
-    parts.store.hold();
-    fence.raise(parts.now());
-    parts.clock.runFor(20);
-    fence.raise(parts.now());
-    parts.store.letGo();
-    parts.clock.runFor(1);
-    assertEquals(new Term(2), parts.authority.term());
+    fixture.store.hold();
+    fence.raise(fixture.now());
+    fixture.clock.runFor(20);
+    fence.raise(fixture.now());
+    fixture.store.letGo();
+    fixture.clock.runFor(1);
+    assertEquals(new Term(2), fixture.authority.term());
   }
 
   /** A start counts as harmless only once the worker shows the term that was raised for it. */
@@ -71,8 +71,8 @@
   @CsvSource({"1, 1", "2, 0"})
   void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, int outstanding) {
     machine.outstandingStarts.put(Machine.key(attempt), 1);
-    fence.raise(parts.now());
-    parts.clock.runFor(0.1);
+    fence.raise(fixture.now());
+    fixture.clock.runFor(0.1);
     machine.observeFencingToken(new Term(shown));
     assertEquals(outstanding, machine.outstandingStarts.getInt(Machine.key(attempt)));
   }
--- a/src/test/java/org/ternhinge/controller/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneCoordinatorTest.java
@@ -19,22 +19,22 @@
 
 /** How a leadership takes over the record of zones, and when it writes it. */
 class ZoneCoordinatorTest {
-  private final LeadershipParts parts = new LeadershipParts();
+  private final LeadershipFixture fixture = new LeadershipFixture();
   private final ZoneCoordinator zones = coordinator();
 
   private ZoneCoordinator coordinator() {
     LeadershipContext context =
         new LeadershipContext(
-            parts.services(null),
-            parts.authority,
-            parts.executor,
-            parts.ledger,
-            parts.writer,
-            parts.machines,
+            fixture.services(null),
+            fixture.authority,
+            fixture.executor,
+            fixture.ledger,
+            fixture.writer,
+            fixture.machines,
             null,
-            () -> parts.roundsRequested++,
-            parts.now());
-    TaskFailures failures = new TaskFailures(parts.ledger, parts.machines, 20, parts.now());
+            () -> fixture.roundsRequested++,
+            fixture.now());
+    TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
     return new ZoneCoordinator(context, failures, ZoneFailoverSettings.DEFAULT);
   }
 
@@ -46,31 +46,31 @@
 
   private void record(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
-    parts.core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
+    fixture.core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
   private Entry recorded() {
-    return parts.core.get(ZoneRecord.KEY).entry().orElseThrow();
+    return fixture.core.get(ZoneRecord.KEY).entry().orElseThrow();
   }
 
   /** What an earlier leader held back is not known before, and would be started out of order. */
   @Test
   void nothingIsPlacedBeforeTheRecordIsRead() {
-    parts.store.holdReads();
+    fixture.store.holdReads();
     zones.recover();
     assertEquals(0, startsLeftOfOne());
-    parts.store.letGo();
-    parts.clock.runFor(0.1);
+    fixture.store.letGo();
+    fixture.clock.runFor(0.1);
     assertEquals(1, startsLeftOfOne());
   }
 
   @Test
   void aRecordThatCanNotBeReadHoldsNothingUpForLong() {
-    parts.store.holdReads();
+    fixture.store.holdReads();
     zones.recover();
-    parts.clock.runFor(1.9);
+    fixture.clock.runFor(1.9);
     assertEquals(0, startsLeftOfOne());
-    parts.clock.runFor(0.2);
+    fixture.clock.runFor(0.2);
     assertEquals(1, startsLeftOfOne());
   }
 
@@ -80,25 +80,25 @@
     record("available");
     long before = recorded().revision().value();
     for (int i = 0; i < 4; i++) {
-      Machine machine = parts.machine("n-00000" + i);
+      Machine machine = fixture.machine("n-00000" + i);
       machine.zone = 0;
       machine.zoneName = "east";
     }
-    parts.store.holdReads();
+    fixture.store.holdReads();
     zones.recover();
-    parts.clock.runFor(10);
-    zones.check(parts.now());
-    parts.clock.runFor(1);
+    fixture.clock.runFor(10);
+    zones.check(fixture.now());
+    fixture.clock.runFor(1);
     assertEquals(before, recorded().revision().value(), "nothing is written before it is read");
-    parts.store.letGo();
-    parts.clock.runFor(1);
-    zones.check(parts.now());
-    parts.clock.runFor(1);
+    fixture.store.letGo();
+    fixture.clock.runFor(1);
+    zones.check(fixture.now());
+    fixture.clock.runFor(1);
     assertEquals("suspect", recorded().value().path("east").path("s").asText());
     long after = recorded().revision().value();
     assertTrue(after > before);
-    zones.check(parts.now());
-    parts.clock.runFor(1);
+    zones.check(fixture.now());
+    fixture.clock.runFor(1);
     assertEquals(after, recorded().revision().value(), "no transition, no write");
   }
 }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -35,7 +35,7 @@
 
   static final SimCluster.Size SIZE = new SimCluster.Size(3, 20, 400, 60);
 
-  /** Longer than a lease, what a take-over adds to it, and the boot of new machines. */
+  /** Longer than a lease, what a failover adds to it, and the boot of new machines. */
   static final double RESTART_S = 90;
 
   private static final double POLL_S = 3;
--- a/src/test/java/org/ternhinge/ledger/DependenciesTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependenciesTest.java
@@ -61,7 +61,7 @@
     }
   }
 
-  private Refusal refusal(Job job) {
+  private AdmissionRefusal refusal(Job job) {
     List<Placement> one = List.of(new Placement(0, TestMachines.on("n-1", 1)));
     return ledger.admit(job, one, t -> false).orElse(null);
   }
@@ -125,7 +125,7 @@
   /** A job with a task that has yet to go, so that it is not over when cancelled. */
   private Job open(String name) {
     Job job = jobs.get(name);
-    if (!job.waits()) {
+    if (!job.hasUnmetDependencies()) {
       AttemptNumber number = job.highest().next();
       job.highest(number);
       MachineId machine = new MachineId("n-7");
@@ -139,9 +139,9 @@
   void aStartWaitsForTheDurableEndOfAllBefore() {
     acceptAll("1 2 3<1.2");
     Job last = jobs.get("3");
-    assertEquals(Refusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
     end("1", Phase.DONE);
-    assertEquals(Refusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
     assertFalse(ledger.dependencies().takeReady());
     end("2", Phase.DONE);
     assertTrue(ledger.dependencies().takeReady());
@@ -154,7 +154,7 @@
     acceptAll("2<1 3<1 4<1");
     assertEquals(id("1"), ledger.dependencies().nextUnresolved());
     assertNull(ledger.dependencies().nextUnresolved());
-    assertEquals(Refusal.WAITS_FOR_JOBS, refusal(jobs.get("3")));
+    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(jobs.get("3")));
     ledger.dependencies().unknown(id("1"));
     assertEquals(id("1"), ledger.dependencies().nextUnresolved());
     ledger.dependencies().resolved(new JobState(id("1"), Phase.DONE, 2, 0));
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -69,7 +69,7 @@
         "machine full | batch | {\"cpus\":3.0} | 0A 1A 2A | MACHINE_FULL",
         "limit of the team | batch | {\"cpus\":3.0} | 0A 1A 2B 3B | TEAM_LIMIT"
       })
-  void admission(String name, String kind, String change, String places, Refusal expected)
+  void admission(String name, String kind, String change, String places, AdmissionRefusal expected)
       throws Exception {
     ObjectNode json = Specs.json("wk-1", kind, 4);
     json.setAll((ObjectNode) Json.parse(change.getBytes(StandardCharsets.UTF_8)));
@@ -89,10 +89,10 @@
   void nothingOpensWithoutPlacementsOrForATeamThatIsNotConfigured() {
     Job job = job(Specs.json("wk-1", "batch", 2));
     assertEquals(
-        Optional.of(Refusal.NOTHING_TO_PLACE), ledger.open(job, List.of(), t -> false, NOW));
+        Optional.of(AdmissionRefusal.NOTHING_TO_PLACE), ledger.open(job, List.of(), t -> false, NOW));
     Job foreign = job(Specs.json("wk-2", "batch", 2).put("eigandi", "blue"));
     assertEquals(
-        Optional.of(Refusal.UNKNOWN_TEAM),
+        Optional.of(AdmissionRefusal.UNKNOWN_TEAM),
         ledger.open(foreign, List.of(new Placement(0, A)), t -> false, NOW));
   }
 
@@ -102,17 +102,17 @@
     assertEquals(Optional.empty(), ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
     Attempt first = job.open(0);
     assertEquals(
-        Optional.of(Refusal.TASK_OPEN),
+        Optional.of(AdmissionRefusal.TASK_OPEN),
         ledger.open(job, List.of(new Placement(0, B)), t -> false, NOW));
     ledger.close(first, false);
     assertEquals(
-        Optional.of(Refusal.TASK_STILL_SHOWN),
+        Optional.of(AdmissionRefusal.TASK_STILL_SHOWN),
         ledger.open(job, List.of(new Placement(0, B)), t -> t.toString().equals("wk-1/0"), NOW));
     assertEquals(Optional.empty(), ledger.open(job, List.of(new Placement(0, B)), t -> false, NOW));
     assertTrue(job.open(0).number().compareTo(first.number()) > 0);
     ledger.close(job.open(0), true);
     assertEquals(
-        Optional.of(Refusal.TASK_DONE),
+        Optional.of(AdmissionRefusal.TASK_DONE),
         ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
     assertEquals(Resources.ZERO, ledger.teamUse("red"));
   }
@@ -122,7 +122,7 @@
     Job job = job(Specs.json("wk-1", "batch", 2));
     ledger.cancel(job);
     assertEquals(
-        Optional.of(Refusal.JOB_OVER),
+        Optional.of(AdmissionRefusal.JOB_OVER),
         ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
     Job done = job(Specs.json("wk-2", "batch", 1));
     ledger.open(done, List.of(new Placement(0, A)), t -> false, NOW);
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -124,7 +124,7 @@
       all.add(new Placement(i, site(i)));
     }
     assertTrue(ledger.fitting(job, all).size() < all.size());
-    assertEquals(Optional.of(Refusal.RECORD_FULL), ledger.admit(job, all, t -> false));
+    assertEquals(Optional.of(AdmissionRefusal.RECORD_FULL), ledger.admit(job, all, t -> false));
     assertFalse(ledger.hasDirty() || job.repartitionWanted(), "a question changes nothing");
     ledger.requestRoom(job);
     assertEquals(asks, ledger.hasDirty());
--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -32,7 +32,7 @@
       machine("n-" + i, PLAIN, 0, Set.of(), running(spec("wk-9", "daemon", 1, ask), 0, 10));
     }
     for (int i = 0; i < 200; i++) {
-      spares.add(JobView.expected(spec("wk-3" + i, "daemon", 9, ask), i, 2));
+      expectedJobs.add(JobView.expected(spec("wk-3" + i, "daemon", 9, ask), i, 2));
     }
     evaluations = plan().evaluations();
     assertTrue(evaluations < 5L * fleet, "jobs that may come: " + evaluations);
@@ -44,12 +44,12 @@
     machine("n-1", PLAIN, 0, Set.of());
     machine("n-2", PLAIN, 0, Set.of(), running(spec("wk-9", "daemon", 1, ask), 0, 100));
     assertEquals(List.of(new MachineId("n-1")), plan().releases());
-    spares.add(JobView.expected(spec("wk-1", "daemon", 1, ask), 0, 2));
+    expectedJobs.add(JobView.expected(spec("wk-1", "daemon", 1, ask), 0, 2));
     assertEquals(1, plan().releases().size(), "the busy machine has room");
-    spares.add(JobView.expected(spec("wk-2", "daemon", 1, ask), 1, 2));
+    expectedJobs.add(JobView.expected(spec("wk-2", "daemon", 1, ask), 1, 2));
     assertEquals(List.of(), plan().releases());
     offers.add(new Offer(PLAIN, 0, "east", false, 10));
-    spares.add(JobView.expected(spec("wk-3", "daemon", 3, ask), 2, 2));
+    expectedJobs.add(JobView.expected(spec("wk-3", "daemon", 3, ask), 2, 2));
     assertEquals(1, plan().scaleOuts().size(), "n-1 has room for one more");
   }
 
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -33,9 +33,9 @@
 
   final List<MachineView> machines = new ArrayList<>();
   final List<JobView> jobs = new ArrayList<>();
-  final List<JobView> spares = new ArrayList<>();
+  final List<JobView> expectedJobs = new ArrayList<>();
   final List<Offer> offers = new ArrayList<>();
-  final List<Snapshot.Coming> coming = new ArrayList<>();
+  final List<Snapshot.PendingProvision> pendingProvisions = new ArrayList<>();
   final Set<JobId> startedLate = new HashSet<>();
   final Map<String, Resources> use = new HashMap<>();
 
@@ -111,7 +111,7 @@
             "green", new Team("green", 0, 0, 0, 0));
     return Planner.plan(
         new Snapshot(
-            machines, jobs, spares, teams, use, offers, coming, startedLate, true, 40, NOW));
+            machines, jobs, expectedJobs, teams, use, offers, pendingProvisions, startedLate, true, 40, NOW));
   }
 
   static List<String> on(Plan plan) {
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -190,9 +190,9 @@
     offers.add(plain);
     job(spec("wk-1", "daemon", 3, Map.of("cpus", 4.0, "lanvelar", false)), true);
     assertEquals(3, plan().scaleOuts().get(0).count());
-    coming.add(new Snapshot.Coming(plain, 2));
+    pendingProvisions.add(new Snapshot.PendingProvision(plain, 2));
     assertEquals(1, plan().scaleOuts().get(0).count());
-    coming.add(new Snapshot.Coming(plain, 1));
+    pendingProvisions.add(new Snapshot.PendingProvision(plain, 1));
     assertEquals(List.of(), plan().scaleOuts());
   }
 
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -190,7 +190,7 @@
   }
 
   /** Whether a heartbeat is held back; it is delivered when its time has come. */
-  boolean heldBack(MachineId id, byte[] heartbeat) {
+  boolean rateLimited(MachineId id, byte[] heartbeat) {
     Double seconds = toHold.remove(id);
     if (seconds == null) {
       return false;
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -102,7 +102,7 @@
   @Override
   public CompletableFuture<Outcome<Read>> get(String key, RequestPriority priority) {
     if (!mayAsk(priority)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, ""));
+      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.stateRead();
     return timeouts.measure(
@@ -120,7 +120,7 @@
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
     if (!mayAsk(priority) || !changes.tryTake(priority, compareAndSwap.changes().size())) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.HELD_BACK, ""));
+      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.stateChanges(compareAndSwap.changes().size());
     double late = faults.lateBy();
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -227,7 +227,7 @@
   private CompletableFuture<Outcome<Response>> send(byte[] body) {
     int controller = target.controller();
     boolean answerIsLost = deaf();
-    if (cluster.machineFaults.heldBack(id, body)) {
+    if (cluster.machineFaults.rateLimited(id, body)) {
       return cluster.network.fail(false, REPORT_TIMEOUT_S);
     }
     if (mute()) {
--- a/src/test/java/org/ternhinge/state/ResponseTimeoutsTest.java
+++ b/src/test/java/org/ternhinge/state/ResponseTimeoutsTest.java
@@ -128,7 +128,7 @@
   /** What was never sent or broke off tells nothing of the service's speed; a refusal does. */
   @Test
   void onlyAnswersAndTimeOutsCount() {
-    outcome(Outcome.notApplied(Reason.HELD_BACK, ""), 0);
+    outcome(Outcome.notApplied(Reason.RATE_LIMITED, ""), 0);
     outcome(Outcome.notApplied(Reason.NO_CONNECTION, "refused"), 0.01);
     outcome(Outcome.unknown("connection lost"), 1.2);
     assertEquals(1.5, timeouts.timeoutS(Kind.READ), 1e-9);
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -90,7 +90,7 @@
     change((ObjectNode) json.get("verkbitar").get(0), "astaeda", "null");
     assertEquals(FULL, Heartbeat.read(Json.bytes(json)));
     change(json, "fyrirvari_s", "null");
-    assertEquals(null, Heartbeat.read(Json.bytes(json)).noticeS());
+    assertEquals(null, Heartbeat.read(Json.bytes(json)).reclaimNoticeS());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -204,7 +204,7 @@
         Map.of(),
         Map.of(),
         offers,
-        List.of(new Snapshot.Coming(offers.get(0), 2)),
+        List.of(new Snapshot.PendingProvision(offers.get(0), 2)),
         Set.of(),
         true,
         40,
@@ -236,7 +236,7 @@
     "recovering, true, true, 3, 1"
   })
   void whatThePlannerSeesOfAZone(
-      String state, boolean shown, boolean ready, int offers, int coming) {
+      String state, boolean shown, boolean ready, int offers, int pendingProvisions) {
     switch (state) {
       case "suspect" -> observe(1, MACHINES);
       case "unavailable" -> observe(6, MACHINES);
@@ -247,7 +247,7 @@
     assertEquals(shown ? 3 : 2, seen.machines().size());
     assertEquals(ready, shown && seen.machines().get(0).ready());
     assertEquals(offers, seen.offers().size());
-    assertEquals(coming, seen.coming().size());
+    assertEquals(pendingProvisions, seen.pendingProvisions().size());
   }
 
   @Test
@@ -275,10 +275,10 @@
     assertEquals(IntList.of(0, 2, 4), jobs.get(0).pending());
     assertEquals(3, jobs.get(0).waiting());
     assertTrue(jobs.get(1).blocked(), "a gang waits whole");
-    List<Snapshot.JobView> spares = failover.filter(snapshot(array, gang, other)).spares();
+    List<Snapshot.JobView> expectedJobs = failover.filter(snapshot(array, gang, other)).expectedJobs();
     assertEquals(
         List.of(2, 3),
-        spares.stream().map(spare -> spare.spec().tasks()).toList(),
+        expectedJobs.stream().map(spare -> spare.spec().tasks()).toList(),
         "room is kept for what is held");
     assertEquals(4, jobs.get(2).waiting(), "what was lost in a zone that is well is not held");
   }
