--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -7,9 +7,9 @@
 import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.RecordSize;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /** Tells jobs that can never run from those that may, by the job's description alone. */
 public final class SubmissionValidator {
--- a/src/main/java/org/ternhinge/controller/AgentStatusSink.java
+++ b/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
@@ -1,11 +1,12 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
+import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Heartbeat;
 
 /** Takes in what a worker says of itself, wherever it was said. */
 @FunctionalInterface
-interface AgentStatusSink {
+public interface AgentStatusSink {
   /**
    * Applies a message of a worker, under the controller's lock.
    *
--- a/src/main/java/org/ternhinge/controller/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -6,10 +6,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Command;
 
 /**
@@ -18,7 +22,7 @@
  * attempt, so that the next leader knows of everything that may run. Guarded by the controller's
  * lock.
  */
-final class AttemptLifecycle {
+public final class AttemptLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
 
   private final Ledger ledger;
@@ -27,40 +31,40 @@
   private final CommandDispatcher dispatcher;
   private final RoundTrigger rounds;
   private final Clock clock;
-  private final ZoneControl zones;
+  private final AttemptListener listener;
 
-  AttemptLifecycle(
+  public AttemptLifecycle(
       Ledger ledger,
       LedgerWriter writer,
       MachineRegistry machines,
       CommandDispatcher dispatcher,
       RoundTrigger rounds,
       Clock clock,
-      ZoneControl zones) {
+      AttemptListener listener) {
     this.ledger = ledger;
     this.writer = writer;
     this.machines = machines;
     this.dispatcher = dispatcher;
     this.rounds = rounds;
     this.clock = clock;
-    this.zones = zones;
+    this.listener = listener;
   }
 
   /** Sends the starts of attempts that the key-value store now holds, unless they are unwanted. */
-  void startDurable(List<Attempt> attempts) {
+  public void startDurable(List<Attempt> attempts) {
     Set<Machine> addressed = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
       Machine machine = machines.find(attempt.machine());
-      if (machine == null || !attempt.epoch().equals(machine.epoch)) {
+      if (machine == null || !attempt.epoch().equals(machine.agent().epoch())) {
         continue;
       }
       if (attempt.stopping() || attempt.job().cancelled()) {
         attempt.stop(0, clock.now());
-        machine.view = null;
+        machine.invalidateView();
         closeIfNeverSent(attempt);
         continue;
       }
-      machine.outbox.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
+      machine.outbox().add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
       addressed.add(machine);
     }
     addressed.forEach(dispatcher::dispatch);
@@ -74,13 +78,13 @@
    * @param done whether the task has finished its work
    * @param evidence what shows that the attempt is gone, for the log
    */
-  void close(Attempt attempt, boolean done, String evidence) {
+  public void close(Attempt attempt, boolean done, String evidence) {
     Job job = attempt.job();
     if (job.open(attempt.task().index()) != attempt) {
       return;
     }
     ledger.close(attempt, done);
-    zones.attemptClosed(attempt, done);
+    listener.attemptClosed(attempt, done);
     releaseMachine(attempt);
     LOG.debug(
         "closed {} attempt {} on {}: {}",
@@ -100,9 +104,9 @@
     if (machine == null) {
       return;
     }
-    machine.view = null;
-    if (ledger.attemptsOn(machine.id).isEmpty()) {
-      machine.idleSince = clock.now();
+    machine.invalidateView();
+    if (ledger.attemptsOn(machine.id()).isEmpty()) {
+      machine.markIdle(clock.now());
     }
   }
 
@@ -120,7 +124,7 @@
    *
    * @param graceS seconds that the task may take to save its progress
    */
-  void stop(Attempt attempt, double graceS) {
+  public void stop(Attempt attempt, double graceS) {
     if (attempt.stopping() && attempt.stopGraceS() <= graceS) {
       return;
     }
@@ -129,15 +133,15 @@
     if (machine == null) {
       return;
     }
-    machine.view = null;
-    if (attempt.seen() != Attempt.Seen.UNSEEN) {
-      machine.outbox.add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
+    machine.invalidateView();
+    if (attempt.state() != AttemptState.STARTING) {
+      machine.outbox().add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
       dispatcher.dispatch(machine);
     }
   }
 
   /** Stops an attempt, and with it its whole gang, whose tasks save their progress together. */
-  void stopWithGang(Attempt attempt, double graceS) {
+  public void stopWithGang(Attempt attempt, double graceS) {
     if (!attempt.job().spec().isGang()) {
       stop(attempt, graceS);
       return;
@@ -161,16 +165,17 @@
 
   /**
    * Closes an unwanted attempt whose start was never sent, neither by a direct command nor in the
-   * answer to a heartbeat: nothing of it can arrive, so no worker has to show that it is gone. Starts
-   * of an earlier leader's attempts may be on their way unknown to this one.
+   * answer to a heartbeat: nothing of it can arrive, so no worker has to show that it is gone.
+   * Starts of an earlier leader's attempts may be on their way unknown to this one.
    */
-  void closeIfNeverSent(Attempt attempt) {
+  public void closeIfNeverSent(Attempt attempt) {
     Machine machine = machines.find(attempt.machine());
     boolean neverSent =
         !attempt.recovered()
-            && attempt.seen() == Attempt.Seen.UNSEEN
+            && attempt.state() == AttemptState.STARTING
             && attempt.startAnswered() < 0
-            && (machine == null || machine.outstandingStarts.getInt(Machine.key(attempt)) == 0);
+            && (machine == null
+                || !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
     if (neverSent) {
       close(attempt, false, "never sent");
     }
--- /dev/null
+++ b/src/main/java/org/ternhinge/attempt/AttemptListener.java
@@ -0,0 +1,14 @@
+package org.ternhinge.attempt;
+
+import org.ternhinge.ledger.Attempt;
+
+/** Hears of attempts that are closed. Called under the controller's lock. */
+@FunctionalInterface
+public interface AttemptListener {
+  /**
+   * An attempt is proved over.
+   *
+   * @param done whether its task has finished its work
+   */
+  void attemptClosed(Attempt attempt, boolean done);
+}
--- a/src/main/java/org/ternhinge/controller/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,23 +6,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.Heartbeat;
 
 /**
  * Settles open attempts by what a worker's newest message shows: what has ended, or is proven to be
  * gone, is closed in the ledger. Guarded by the controller's lock.
  */
-final class AttemptObserver {
+public final class AttemptObserver {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptObserver.class);
 
   private final AttemptLifecycle attempts;
@@ -32,7 +34,7 @@
   private final TaskFailures failures;
   private final Metrics metrics;
 
-  AttemptObserver(
+  public AttemptObserver(
       AttemptLifecycle attempts,
       Authority authority,
       Ledger ledger,
@@ -48,15 +50,15 @@
   }
 
   /** Takes in the tasks that a message shows. */
-  void observeAll(Machine machine, Heartbeat heartbeat, SteadyTime now) {
+  public void observeAll(Machine machine, Heartbeat heartbeat, SteadyTime now) {
     for (TaskStatus task : heartbeat.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
       if (attempt != null
           && attempt.number().equals(task.attempt())
-          && attempt.machine().equals(machine.id)
+          && attempt.machine().equals(machine.id())
           && attempt.epoch().equals(heartbeat.epoch())) {
-        attempt.shownIn(machine.shownIn);
+        attempt.shownIn(machine.tasksRevision());
         observe(machine, attempt, task, now);
       }
     }
@@ -64,40 +66,40 @@
 
   private void observe(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
     if (task.ended()) {
-      ended(machine, attempt, task.why(), now);
+      ended(machine, attempt, task.endReason(), now);
       return;
     }
-    Attempt.Seen before = attempt.seen();
-    Attempt.Seen seen = seen(task.state());
-    attempt.see(seen, now);
+    AttemptState before = attempt.state();
+    AttemptState state = stateOf(task);
+    attempt.observe(state, now);
     JobSpec spec = attempt.job().spec();
-    if (seen != Attempt.Seen.FETCHING || machine.images.containsKey(spec.image())) {
+    if (state != AttemptState.FETCHING || machine.hasImage(spec.image())) {
       hasImage(machine, spec);
     }
     if (attempt.recovered()) {
       return;
     }
-    if (before == Attempt.Seen.UNSEEN) {
-      machine.reachability.effectSeen();
+    if (before == AttemptState.STARTING) {
+      machine.health().reachability().effectSeen();
     }
-    if (before != seen && seen == Attempt.Seen.RUNNING) {
+    if (before != state && state == AttemptState.RUNNING) {
       metrics.started(now.secondsSince(attempt.openedAt()));
     }
   }
 
-  private static Attempt.Seen seen(TaskState state) {
-    return switch (state) {
-      case FETCHING -> Attempt.Seen.FETCHING;
-      case WAITING -> Attempt.Seen.WAITING;
-      case CHECKPOINTING -> Attempt.Seen.CHECKPOINTING;
-      default -> Attempt.Seen.RUNNING;
+  private static AttemptState stateOf(TaskStatus task) {
+    return switch (task.state()) {
+      case FETCHING -> AttemptState.FETCHING;
+      case WAITING -> AttemptState.WAITING;
+      case CHECKPOINTING -> AttemptState.CHECKPOINTING;
+      default -> AttemptState.RUNNING;
     };
   }
 
   private void hasImage(Machine machine, JobSpec spec) {
-    MachineType machineType = machineTypes.get(machine.type);
+    MachineType machineType = machineTypes.get(machine.description().typeName());
     double cacheGb = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
-    machine.hasImage(spec.image(), spec.imageGb(), cacheGb);
+    machine.useImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
   /**
@@ -105,10 +107,11 @@
    *
    * @return whether it lacks a start that an answer has carried before
    */
-  boolean settleUnshown(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
+  public boolean settleUnshown(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
     List<Attempt> unshown = null;
-    for (Attempt attempt : ledger.attemptsOn(machine.id)) {
-      if (attempt.shownIn() != machine.shownIn && attempt.epoch().equals(heartbeat.epoch())) {
+    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
+      if (attempt.shownIn() != machine.tasksRevision()
+          && attempt.epoch().equals(heartbeat.epoch())) {
         unshown = unshown == null ? new ArrayList<>() : unshown;
         unshown.add(attempt);
       }
@@ -130,7 +133,8 @@
    *
    * @return whether the worker has missed the answer that carried the start
    */
-  private boolean absent(Machine machine, Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
+  private boolean absent(
+      Machine machine, Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
     if (!attempt.durable()) {
       return false;
     }
@@ -140,36 +144,42 @@
       }
       return false;
     }
-    if (attempt.seen() != Attempt.Seen.UNSEEN) {
+    if (attempt.state() != AttemptState.STARTING) {
       attempts.close(attempt, false, "vanished");
       return false;
     }
     boolean inAnswer = attempt.startAnswered() >= 0;
-    boolean answerSettled = !inAnswer || (isHeartbeat && heartbeat.sequence() > attempt.startAnswered());
+    boolean answerSettled =
+        !inAnswer || (isHeartbeat && heartbeat.sequence() > attempt.startAnswered());
     if (!attempt.stopping()) {
       return isHeartbeat && inAnswer && answerSettled;
     }
-    if (answerSettled && machine.outstandingStarts.getInt(Machine.key(attempt)) == 0) {
+    if (answerSettled && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number())) {
       attempts.close(attempt, false, "stopped before it started");
     }
     return false;
   }
 
-  private void ended(Machine machine, Attempt attempt, EndReason why, SteadyTime now) {
+  private void ended(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
     Job job = attempt.job();
     if (LOG.isDebugEnabled()) {
-      LOG.debug("{} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id, why);
-    }
-    switch (why) {
+      LOG.debug(
+          "{} attempt {} on {} ended: {}",
+          attempt.task(),
+          attempt.number(),
+          machine.id(),
+          endReason);
+    }
+    switch (endReason) {
       case DONE -> failures.succeeded(machine, job, now);
       case ERROR -> failures.failed(machine, job, now);
       case NO_ROOM -> failures.noRoom(machine, now);
       case UNKNOWN -> failures.unknownJob(job, now);
       default -> {}
     }
-    if (attempt.seen() == Attempt.Seen.RUNNING && why != EndReason.ERROR) {
+    if (attempt.state() == AttemptState.RUNNING && endReason != EndReason.ERROR) {
       hasImage(machine, job.spec());
     }
-    attempts.close(attempt, why == EndReason.DONE, why.word());
+    attempts.close(attempt, endReason == EndReason.DONE, endReason.word());
   }
 }
--- a/src/main/java/org/ternhinge/controller/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/Cancellations.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -16,7 +16,7 @@
  * could be contradicted by the next leader, which would run the job on. Guarded by the controller's
  * lock.
  */
-final class Cancellations {
+public final class Cancellations {
   private final Ledger ledger;
   private final AttemptLifecycle attempts;
   private final LedgerWriter writer;
@@ -24,7 +24,7 @@
   /** Who waits for the cancellation of a job to be durable. */
   private final Map<Job, List<Consumer<JobState>>> waiting = new LinkedHashMap<>();
 
-  Cancellations(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
+  public Cancellations(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
     this.ledger = ledger;
     this.attempts = attempts;
     this.writer = writer;
@@ -35,7 +35,7 @@
    *
    * @param listener gets the job's state once the key-value store holds it, and not before
    */
-  void cancel(Job job, Consumer<JobState> listener) {
+  public void cancel(Job job, Consumer<JobState> listener) {
     waiting.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
     ledger.cancel(job);
     attempts.stopAll(job);
@@ -44,7 +44,7 @@
   }
 
   /** Answers those whose job's fate the key-value store now holds; called after each write. */
-  void answerDurable() {
+  public void answerDurable() {
     Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = waiting.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<Job, List<Consumer<JobState>>> entry = entries.next();
--- a/src/main/java/org/ternhinge/controller/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -11,13 +11,16 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
@@ -28,9 +31,9 @@
  * answer is lost stays outstanding until nothing of it can arrive. Guarded by the controller's
  * lock.
  */
-final class CommandDispatcher {
+public final class CommandDispatcher {
   /** Commands that one message carries at most. */
-  static final int MAX_COMMANDS = 400;
+  public static final int MAX_COMMANDS = 400;
 
   /** A machine that owes so many reports is not told anything directly. */
   private static final double SILENT_HEARTBEATS = 2.5;
@@ -53,7 +56,7 @@
   /** Machines with something to be told, until a message under way has come back. */
   private final LinkedHashSet<Machine> queue = new LinkedHashSet<>();
 
-  CommandDispatcher(
+  public CommandDispatcher(
       LeadershipExecutor executor,
       AgentStatusSink heartbeats,
       ControllerServices services,
@@ -72,23 +75,23 @@
   }
 
   /** Whether another message may go out now. */
-  boolean free() {
+  public boolean free() {
     return freeSlots() > 0;
   }
 
   /** How many more messages may go out now. */
-  int freeSlots() {
+  public int freeSlots() {
     return Math.max(0, maxUnderWay - underWay);
   }
 
   /** Sends what waits for a machine, one message at a time so that commands keep their sequence. */
   void dispatch(Machine machine) {
     SteadyTime now = clock.now();
-    if (machine.commandsInFlight || machine.outbox.isEmpty()) {
+    if (machine.outbox().isInFlight() || machine.outbox().isEmpty()) {
       return;
     }
     if (!mayCommand(machine, now)) {
-      machine.outbox.clear();
+      machine.outbox().clear();
       return;
     }
     if (!free()) {
@@ -103,18 +106,15 @@
 
   /**
    * Whether a machine may be told something directly. One that does not answer lately may not: its
-   * next heartbeat's answer carries the commands, and messages to a whole zone that is cut off would
-   * keep all others waiting for their time-outs.
+   * next heartbeat's answer carries the commands, and messages to a whole zone that is cut off
+   * would keep all others waiting for their time-outs.
    */
   private boolean mayCommand(Machine machine, SteadyTime now) {
-    if (!authority.valid() || machine.endpoint == null || machine.terminated) {
+    if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
       return false;
     }
     double silentS = SILENT_HEARTBEATS * settings.workers().heartbeatIntervalS();
-    if (machine.lastHeartbeat == null || now.secondsSince(machine.lastHeartbeat) > silentS) {
-      return false;
-    }
-    return machine.directAfter == null || !now.isBefore(machine.directAfter);
+    return machine.agent().silentForS(now) <= silentS && !machine.outbox().isPaused(now);
   }
 
   /**
@@ -122,14 +122,14 @@
    */
   private List<Command> takeOutbox(Machine machine) {
     List<Command> commands = new ArrayList<>();
-    while (!machine.outbox.isEmpty() && commands.size() < MAX_COMMANDS) {
-      Command command = machine.outbox.poll();
+    while (!machine.outbox().isEmpty() && commands.size() < MAX_COMMANDS) {
+      Command command = machine.outbox().take();
       if (command.op() == Command.Op.START) {
         Attempt attempt = openAttempt(command);
         if (attempt == null || !mayStart(attempt, machine)) {
           continue;
         }
-        machine.outstandingStarts.addTo(Machine.key(command), 1);
+        machine.outstandingStarts().sent(command.task(), command.attempt());
       }
       commands.add(command);
     }
@@ -137,7 +137,9 @@
   }
 
   private static boolean mayStart(Attempt attempt, Machine machine) {
-    return !attempt.stopping() && attempt.durable() && attempt.epoch().equals(machine.epoch);
+    return !attempt.stopping()
+        && attempt.durable()
+        && attempt.epoch().equals(machine.agent().epoch());
   }
 
   private Attempt openAttempt(Command command) {
@@ -147,10 +149,10 @@
   }
 
   private void sendCommands(Machine machine, List<Command> commands, SteadyTime now) {
-    machine.commandsInFlight = true;
-    AgentEpoch epoch = machine.epoch;
+    machine.outbox().markInFlight();
+    AgentEpoch epoch = machine.agent().epoch();
     send(
-        machine.endpoint,
+        machine.agent().endpoint().orElseThrow(),
         epoch,
         commands,
         outcome -> answered(machine, epoch, commands, outcome, now));
@@ -194,8 +196,10 @@
     send(to, epoch, List.of(), then);
   }
 
-  /** Asks a worker that seems unreachable for a heartbeat; a message without commands brings one. */
-  void probe(Machine machine, SteadyTime now) {
+  /**
+   * Asks a worker that seems unreachable for a heartbeat; a message without commands brings one.
+   */
+  public void probe(Machine machine, SteadyTime now) {
     sendCommands(machine, List.of(), now);
   }
 
@@ -205,7 +209,7 @@
       List<Command> commands,
       Outcome<Answer> outcome,
       SteadyTime sent) {
-    machine.commandsInFlight = false;
+    machine.outbox().markLanded();
     SteadyTime now = clock.now();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
       Heartbeat heartbeat = applied.value().heartbeat();
@@ -214,7 +218,7 @@
         return;
       }
       settleOutstandingStarts(machine, epoch, commands);
-      machine.reachability.probeAnswered();
+      machine.health().reachability().probeAnswered();
       metrics.commandAnswered(now.secondsSince(sent));
       heartbeats.take(machine, heartbeat, false, now);
     } else {
@@ -223,22 +227,19 @@
         settleOutstandingStarts(machine, epoch, commands);
       }
       // Otherwise the message may yet arrive: its starts stay outstanding until the epoch ends.
-      machine.directAfter = now.plusSeconds(settings.workers().heartbeatIntervalS());
+      machine.outbox().pauseUntil(now.plusSeconds(settings.workers().heartbeatIntervalS()));
     }
     dispatch(machine);
   }
 
   private static void settleOutstandingStarts(
       Machine machine, AgentEpoch epoch, List<Command> commands) {
-    if (!epoch.equals(machine.epoch)) {
+    if (!epoch.equals(machine.agent().epoch())) {
       return;
     }
     for (Command command : commands) {
       if (command.op() == Command.Op.START) {
-        String key = Machine.key(command);
-        if (machine.outstandingStarts.addTo(key, -1) <= 1) {
-          machine.outstandingStarts.removeInt(key);
-        }
+        machine.outstandingStarts().settled(command.task(), command.attempt());
       }
     }
   }
--- a/src/main/java/org/ternhinge/controller/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -1,14 +1,15 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.worker.Workers;
 
 /**
@@ -16,7 +17,7 @@
  * report to an earlier leader that is cut off from everything else; having seen this term it turns
  * away from it. Guarded by the controller's lock.
  */
-final class TermAnnouncer {
+public final class TermAnnouncer {
   private static final Logger LOG = LoggerFactory.getLogger(TermAnnouncer.class);
 
   /** The first command may be refused for its epoch; the refusal names the right one. */
@@ -27,7 +28,7 @@
   private final AgentStatusSink heartbeats;
   private final Clock clock;
 
-  TermAnnouncer(
+  public TermAnnouncer(
       Authority authority, CommandDispatcher dispatcher, AgentStatusSink heartbeats, Clock clock) {
     this.authority = authority;
     this.dispatcher = dispatcher;
@@ -40,18 +41,20 @@
    *
    * @return whether it was told
    */
-  boolean announce(Machine machine, ListedMachine listed) {
-    if (machine.heartbeatReceived || listed.state() != ListedMachine.State.RUNNING || listed.endpoint() == null) {
+  public boolean announce(Machine machine, ListedMachine listed) {
+    if (machine.agent().isHeard()
+        || listed.state() != ListedMachine.State.RUNNING
+        || listed.endpoint() == null) {
       return false;
     }
     Endpoint endpoint;
     try {
       endpoint = Endpoint.parse(listed.endpoint());
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {} is listed without a usable endpoint", machine.id);
+      LOG.warn("machine {} is listed without a usable endpoint", machine.id());
       return false;
     }
-    send(machine, endpoint, machine.epoch, MAX_TRIES);
+    send(machine, endpoint, machine.agent().epoch(), MAX_TRIES);
     return true;
   }
 
--- a/src/main/java/org/ternhinge/controller/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -1,10 +1,13 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.SteadyTime;
 
 /**
@@ -13,7 +16,7 @@
  * worker shows it, the late start can do no harm and the attempt can be closed. Without this the
  * attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
  */
-final class TermFence {
+public final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
 
   /** Seconds after the stop before a raise is worth a write: most late starts show up sooner. */
@@ -31,24 +34,23 @@
 
   private boolean raising;
 
-  TermFence(Authority authority, LedgerWriter writer, MachineRegistry machines) {
+  public TermFence(Authority authority, LedgerWriter writer, MachineRegistry machines) {
     this.authority = authority;
     this.writer = writer;
     this.machines = machines;
   }
 
   /** Whether a stopped attempt is kept open by nothing but a start that may still arrive. */
-  boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
-    String key = Machine.key(attempt);
+  public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
     return attempt.stopping()
-        && attempt.seen() == Attempt.Seen.UNSEEN
+        && attempt.state() == AttemptState.STARTING
         && now.secondsSince(attempt.stopAt()) > FENCE_AFTER_S
-        && machine.outstandingStarts.getInt(key) > 0
-        && machine.fencedStarts.getInt(key) == 0;
+        && machine.outstandingStarts().mayArrive(attempt.task(), attempt.number())
+        && !machine.outstandingStarts().isFenced(attempt.task(), attempt.number());
   }
 
   /** Raises the term, unless a raise is under way or was made just now. */
-  void raise(SteadyTime now) {
+  public void raise(SteadyTime now) {
     if (raising || (raisedAt != null && now.secondsSince(raisedAt) < MIN_INTERVAL_S)) {
       return;
     }
@@ -61,7 +63,7 @@
     raising = false;
     LOG.info("raised the term to {} against outstanding starts", authority.term());
     for (Machine machine : machines.all()) {
-      machine.fenceOutstandingStarts(authority.term());
+      machine.outstandingStarts().fence(authority.term());
     }
   }
 }
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -16,8 +16,8 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.WireException;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.WireException;
 
 /**
  * A short run of the service on loopback, with nothing behind it, so that the build can archive the
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -15,7 +15,6 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.controller.ControllerNode;
-import org.ternhinge.controller.ControllerServices;
 import org.ternhinge.election.Election;
 import org.ternhinge.http.HttpCaller;
 import org.ternhinge.http.HttpServer;
@@ -28,8 +27,10 @@
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
 import org.ternhinge.peer.PeerLink;
-import org.ternhinge.state.HttpKeyValueStore;
-import org.ternhinge.state.ResponseTimeouts;
+import org.ternhinge.request.PeerTransport;
+import org.ternhinge.store.HttpKeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
+import org.ternhinge.term.ControllerServices;
 import org.ternhinge.worker.HttpWorkers;
 
 /** Puts the parts of a controller together and runs it until it is killed. */
@@ -103,7 +104,7 @@
   private void serve() throws InterruptedException {
     PeerLink link = new PeerLink(loop, settings.peers());
     ControllerNode node =
-        new ControllerNode(services, election(), new Peers(link), budget::setLeading);
+        new ControllerNode(services, election(), new LinkTransport(link), budget::setLeading);
     new HttpServer(group, node::handle, sockets, ControllerNode.WORKERS_PATH, http)
         .listen(settings.clientListen());
     link.listen(settings.peerListen(), node::handlePeer);
@@ -128,7 +129,7 @@
     return time * 31 + settings.node().hashCode();
   }
 
-  private record Peers(PeerLink link) implements ControllerNode.Peers {
+  private record LinkTransport(PeerLink link) implements PeerTransport {
     @Override
     public void ask(String node, Request request, double timeoutS, Consumer<Response> answer) {
       link.ask(node, request, timeoutS, answer);
--- a/src/main/java/org/ternhinge/cloud/Cloud.java
+++ b/src/main/java/org/ternhinge/cloud/Cloud.java
@@ -5,8 +5,8 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
 /** The cloud as the rest of the program sees it. */
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -11,9 +11,9 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
@@ -40,7 +40,8 @@
   private <T> CompletableFuture<Outcome<T>> send(
       String method, String path, byte[] body, RequestPriority priority, Reader<T> reader) {
     if (!tokens.tryTake(priority, 1)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
+      return CompletableFuture.completedFuture(
+          Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     return http.call(endpoint, method, path, body, TIMEOUT_S)
         .thenApply(outcome -> outcome.flatMap(reply -> decode(reply, reader)));
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -33,7 +33,11 @@
 
   /** How workers report and how long they go on alone. */
   public record Workers(
-      double heartbeatIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {
+      double heartbeatIntervalS,
+      double leaseS,
+      double gangWaitS,
+      double gangPeerS,
+      double cancelS) {
     /** A worker without a heartbeat for so long has missed two; the rest is their spread. */
     private static final double OVERDUE_INTERVALS = 2.2;
 
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -7,16 +7,34 @@
 import org.ternhinge.election.Election;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.request.AnswerDeadline;
+import org.ternhinge.request.BootstrapMachineTypes;
+import org.ternhinge.request.DependencyCheck;
+import org.ternhinge.request.HeartbeatHandler;
+import org.ternhinge.request.JobCancellations;
+import org.ternhinge.request.JobLookup;
+import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.LeaderSearch;
+import org.ternhinge.request.NodeConnectivity;
+import org.ternhinge.request.PeerClient;
+import org.ternhinge.request.PeerTransport;
+import org.ternhinge.request.Responses;
+import org.ternhinge.request.SubmissionHandler;
+import org.ternhinge.request.SubmissionRelay;
+import org.ternhinge.request.SubmissionWriter;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
 
 /**
- * One controller: takes users' requests and workers' heartbeats, and leads while it holds the lease.
- * Any node accepts jobs by itself, straight into the key-value store; cancellations and progress are
- * the leader's, and what the leader can't be asked is read from the key-value store.
+ * One controller: takes users' requests and workers' heartbeats, and leads while it holds the
+ * lease. Any node accepts jobs by itself, straight into the key-value store; cancellations and
+ * progress are the leader's, and what the leader can't be asked is read from the key-value store.
  *
  * <p>This class starts the parts and hands each request to the one whose job it is. All parts run
  * under one lock, which is taken here for each request.
@@ -31,19 +49,6 @@
   private static final String HEALTH_PATH = "/healthz";
   private static final double METRICS_INTERVAL_S = 60;
 
-  /** The way to the other nodes. */
-  public interface Peers {
-    /**
-     * Hands a request to another node.
-     *
-     * @param answer gets the response, or null when none came in time
-     */
-    void ask(String node, Request request, double timeoutS, Consumer<Response> answer);
-
-    /** Drops the link to a node that did not answer. */
-    void reset(String node);
-  }
-
   /** Hears when this node's share of the key-value store's limits changes. */
   public interface Share {
     /** This node leads, or does so no longer. */
@@ -68,7 +73,8 @@
    * @param peers the way to the other nodes
    * @param share hears when this node begins or ceases to lead
    */
-  public ControllerNode(ControllerServices services, Election election, Peers peers, Share share) {
+  public ControllerNode(
+      ControllerServices services, Election election, PeerTransport peers, Share share) {
     this.services = services;
     Lock lock = services.lock();
     this.locked = new LockedExecutor(lock);
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -19,10 +19,10 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
@@ -142,10 +142,10 @@
   }
 
   /**
-   * Whether a worker's heartbeat may be answered. An outage of the key-value store stops renewals while
-   * nobody else can take over either; answering a while longer keeps running tasks alive. A new
-   * leader adds the same while to its wait for silent workers, and workers that have heard a higher
-   * term drop the answer.
+   * Whether a worker's heartbeat may be answered. An outage of the key-value store stops renewals
+   * while nobody else can take over either; answering a while longer keeps running tasks alive. A
+   * new leader adds the same while to its wait for silent workers, and workers that have heard a
+   * higher term drop the answer.
    */
   public boolean mayAnswer() {
     return held != null && clock.now().isBefore(held.lease.validUntil().plusSeconds(graceS));
@@ -153,10 +153,10 @@
 
   /**
    * How long heartbeats may be answered past the end of validity. Nobody else can confirm a
-   * cancellation before this leadership's lease has ended in the key-value store, which is after its
-   * validity has ended here; and a worker's tasks end a lease after the sending of the last heartbeat
-   * that was answered. So they are gone in time, whatever happens to the key-value store in between,
-   * if
+   * cancellation before this leadership's lease has ended in the key-value store, which is after
+   * its validity has ended here; and a worker's tasks end a lease after the sending of the last
+   * heartbeat that was answered. So they are gone in time, whatever happens to the key-value store
+   * in between, if
    *
    * <pre>grace + lease, by the slower of two clocks, + margins &lt;= cancel</pre>
    *
@@ -219,8 +219,7 @@
   // ---- while another node leads ---------------------------------------------------------------
 
   private void watch(Revision from) {
-    locked.whenAnswered(
-        store.watch(Keys.LEADER, from, WATCH_S), outcome -> watched(from, outcome));
+    locked.whenAnswered(store.watch(Keys.LEADER, from, WATCH_S), outcome -> watched(from, outcome));
   }
 
   private void watched(Revision from, Outcome<KeyValueStore.Changes> outcome) {
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * A lease of the key-value store that is kept alive until it is released or has ended. All methods
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
-import org.ternhinge.state.Entry;
+import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 
 /**
--- a/src/main/java/org/ternhinge/controller/ZoneControl.java
+++ b/src/main/java/org/ternhinge/failover/ZoneControl.java
@@ -1,15 +1,19 @@
-package org.ternhinge.controller;
+package org.ternhinge.failover;
 
+import org.ternhinge.attempt.AttemptListener;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * What a leadership does about the loss and return of zones. {@link #NONE} changes nothing, and no
  * class of {@code org.ternhinge.zone} is loaded beside it.
  */
-interface ZoneControl {
+public interface ZoneControl extends AttemptListener {
   /** Zones are not looked at. */
   ZoneControl NONE =
       new ZoneControl() {
@@ -34,12 +38,13 @@
       };
 
   /** The control that the operators' settings ask for. */
-  static ZoneControl of(LeadershipContext context, TaskFailures failures) {
+  static ZoneControl of(
+      LeadershipContext context, MachineRegistry machines, TaskFailures failures) {
     return context
         .services()
         .tuning()
         .zoneFailover()
-        .<ZoneControl>map(settings -> new ZoneCoordinator(context, failures, settings))
+        .<ZoneControl>map(settings -> new ZoneCoordinator(context, machines, failures, settings))
         .orElse(NONE);
   }
 
@@ -49,9 +54,6 @@
   /** Looks at all zones; called every so often while the leadership certainly holds. */
   void check(SteadyTime now);
 
-  /** An attempt is proved over. */
-  void attemptClosed(Attempt attempt, boolean done);
-
   /** What the planner is to see; called without the controller's lock. */
   Snapshot filter(Snapshot full);
 
--- a/src/main/java/org/ternhinge/controller/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.failover;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,6 +16,10 @@
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.machine.ZoneMachineCounts;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
@@ -23,8 +27,9 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.zone.PlacementFacts;
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneFailover;
@@ -33,8 +38,8 @@
 
 /**
  * Connects a leadership to the decisions of {@link ZoneFailover}: shows it machines and jobs, logs
- * what it decides, and keeps its record in the key-value store. Guarded by the controller's lock, but
- * for {@link #filter}.
+ * what it decides, and keeps its record in the key-value store. Guarded by the controller's lock,
+ * but for {@link #filter}.
  */
 final class ZoneCoordinator implements ZoneControl {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneCoordinator.class);
@@ -68,12 +73,15 @@
   private SteadyTime metricsLogged;
 
   ZoneCoordinator(
-      LeadershipContext context, TaskFailures failures, ZoneFailoverSettings failoverSettings) {
+      LeadershipContext context,
+      MachineRegistry machines,
+      TaskFailures failures,
+      ZoneFailoverSettings failoverSettings) {
     this.context = context;
     this.settings = context.services().settings();
     this.clock = context.services().clock();
     this.ledger = context.ledger();
-    this.machines = context.machines();
+    this.machines = machines;
     this.failures = failures;
     this.metricsLogged = clock.now();
     this.failover =
@@ -118,9 +126,9 @@
   }
 
   /**
-   * Tasks whose attempts an earlier leader has closed and that have none now: what was displaced from a lost zone
-   * then. Which tasks these were is not recorded, so of a job that had begun all count that a round
-   * could start.
+   * Tasks whose attempts an earlier leader has closed and that have none now: what was displaced
+   * from a lost zone then. Which tasks these were is not recorded, so of a job that had begun all
+   * count that a round could start.
    */
   private void recoverDisplacedTasks() {
     SteadyTime now = clock.now();
@@ -136,7 +144,7 @@
 
   private void displaceWaitingTasks(Job job, String zone, SteadyTime now) {
     int task = job.nextWaiting(0);
-    for (int i = 0; i < JobViews.MAX_PENDING && task >= 0; i++) {
+    for (int i = 0; i < Snapshot.JobView.MAX_PENDING && task >= 0; i++) {
       failover.attemptLost(job.planned(), task, 0, zone, now);
       task = job.nextWaiting(task + 1);
     }
@@ -220,20 +228,24 @@
 
     /** Whether a machine should report: one that the cloud takes away soon may fall silent. */
     private boolean isExpected(Machine machine) {
-      return stays(machine) && (machine.heartbeatReceived || (isFirstHeartbeatOverdue() && isInUse(machine)));
+      return stays(machine)
+          && (machine.agent().isHeard() || (isFirstHeartbeatOverdue() && isInUse(machine)));
     }
 
     /** Whether a machine is up by all that is known and has not found this leader yet. */
     private boolean isUnheard(Machine machine) {
-      return stays(machine) && !machine.heartbeatReceived && !isFirstHeartbeatOverdue() && isInUse(machine);
+      return stays(machine)
+          && !machine.agent().isHeard()
+          && !isFirstHeartbeatOverdue()
+          && isInUse(machine);
     }
 
     private boolean isInUse(Machine machine) {
-      return machine.listedUp || !ledger.attemptsOn(machine.id).isEmpty();
+      return machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty();
     }
 
     private static boolean stays(Machine machine) {
-      return !machine.terminated && !machine.releasing && machine.reclaimAt == null;
+      return machine.cloud().isStaying();
     }
 
     private boolean isFirstHeartbeatOverdue() {
@@ -242,9 +254,9 @@
     }
 
     private boolean isImpaired(Machine machine) {
-      return !machine.heartbeatReceived
-          || MachineViews.isOverdue(machine, settings.workers(), now)
-          || machine.reachability.unreachable();
+      return !machine.agent().isHeard()
+          || machine.agent().isOverdue(settings.workers(), now)
+          || machine.health().reachability().unreachable();
     }
 
     @Override
@@ -253,7 +265,7 @@
       Set<Integer> tiers = new HashSet<>();
       for (Machine machine : machines.all()) {
         if (zoneOf(machine) == index && isImpaired(machine)) {
-          for (Attempt attempt : ledger.attemptsOn(machine.id)) {
+          for (Attempt attempt : ledger.attemptsOn(machine.id())) {
             tiers.add(failover.tierOf(attempt.job().planned()));
           }
         }
@@ -283,10 +295,10 @@
 
   /** A machine's zone: its own word or the cloud's, else that of the attempts opened there. */
   private int zoneOf(Machine machine) {
-    if (machine.zone >= 0) {
-      return machine.zone;
+    if (machine.description().zone() >= 0) {
+      return machine.description().zone();
     }
-    Collection<Attempt> open = ledger.attemptsOn(machine.id);
+    Collection<Attempt> open = ledger.attemptsOn(machine.id());
     return open.isEmpty() ? -1 : open.iterator().next().zone();
   }
 
@@ -328,7 +340,7 @@
     @Override
     public String zoneOf(MachineId id) {
       Machine machine = machines.find(id);
-      return machine == null ? null : machine.zoneName;
+      return machine == null ? null : machine.description().zoneName();
     }
 
     @Override
--- a/src/main/java/org/ternhinge/controller/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -1,37 +1,41 @@
-package org.ternhinge.controller;
+package org.ternhinge.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.TaskStatus;
 
 /**
- * The commands that go with the answers to heartbeats. A worker is told to forget an attempt only when
- * no start of it can come after: that would run the task again. Guarded by the controller's lock.
+ * The commands that go with the answers to heartbeats. A worker is told to forget an attempt only
+ * when no start of it can come after: that would run the task again. Guarded by the controller's
+ * lock.
  */
-final class HeartbeatCommands {
+public final class HeartbeatCommands {
   private static final int MAX_COMMANDS = CommandDispatcher.MAX_COMMANDS;
 
   private final Ledger ledger;
 
-  HeartbeatCommands(Ledger ledger) {
+  public HeartbeatCommands(Ledger ledger) {
     this.ledger = ledger;
   }
 
   /**
-   * What a worker is to do, by its newest heartbeat. Stops come first: they are what must not be cut
-   * off where there is more to tell than one answer carries.
+   * What a worker is to do, by its newest heartbeat. Stops come first: they are what must not be
+   * cut off where there is more to tell than one answer carries.
    */
   List<Command> commands(Machine machine, Heartbeat heartbeat) {
     List<Command> stops = new ArrayList<>();
     List<Command> forgets = new ArrayList<>();
     addUnheld(machine, heartbeat, stops, forgets);
     List<Command> starts = new ArrayList<>();
-    for (Attempt attempt : ledger.attemptsOn(machine.id)) {
+    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       if (!attempt.epoch().equals(heartbeat.epoch())) {
         continue;
       }
@@ -49,7 +53,7 @@
   }
 
   private static boolean awaitsStart(Attempt attempt) {
-    return attempt.seen() == Attempt.Seen.UNSEEN && attempt.durable() && !attempt.recovered();
+    return attempt.state() == AttemptState.STARTING && attempt.durable() && !attempt.recovered();
   }
 
   /**
@@ -60,12 +64,13 @@
   private void addUnheld(
       Machine machine, Heartbeat heartbeat, List<Command> stops, List<Command> forgets) {
     for (TaskStatus task : heartbeat.tasks()) {
-      if (ledger.holds(task, machine.id)) {
+      if (ledger.holds(task, machine.id())) {
         continue;
       }
       if (!task.ended()) {
         stops.add(new Command(Command.Op.STOP, task.task(), task.attempt(), 0));
-      } else if (isRecorded(task) && machine.outstandingStarts.getInt(Machine.key(task)) == 0) {
+      } else if (isRecorded(task)
+          && !machine.outstandingStarts().mayArrive(task.task(), task.attempt())) {
         forgets.add(new Command(Command.Op.FORGET, task.task(), task.attempt(), 0));
       }
     }
@@ -79,9 +84,9 @@
   /** The stops that are due on a machine, whatever its heartbeat at hand shows. */
   List<Command> stops(Machine machine) {
     List<Command> stops = new ArrayList<>();
-    for (Attempt attempt : ledger.attemptsOn(machine.id)) {
+    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       if (attempt.stopping()
-          && attempt.epoch().equals(machine.epoch)
+          && attempt.epoch().equals(machine.agent().epoch())
           && stops.size() < MAX_COMMANDS) {
         addStop(attempt, stops);
       }
@@ -94,9 +99,9 @@
    * the grace that it was given.
    */
   private static void addStop(Attempt attempt, List<Command> stops) {
-    Attempt.Seen seen = attempt.seen();
+    AttemptState seen = attempt.state();
     double graceS = attempt.stopGraceS();
-    if (seen != Attempt.Seen.UNSEEN && (seen != Attempt.Seen.CHECKPOINTING || graceS == 0)) {
+    if (seen != AttemptState.STARTING && (seen != AttemptState.CHECKPOINTING || graceS == 0)) {
       stops.add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
     }
   }
--- a/src/main/java/org/ternhinge/controller/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -1,33 +1,44 @@
-package org.ternhinge.controller;
+package org.ternhinge.heartbeat;
 
 import java.util.List;
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AgentStatusSink;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.AttemptObserver;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.Endpoint;
+import org.ternhinge.machine.AgentState;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Takes in what workers report, in the order in which they sent it, and says what they are told. A
  * report that is older than what is known changes nothing, and one that shows the same tasks as the
  * last costs one comparison. Guarded by the controller's lock.
  */
-final class HeartbeatProcessor implements AgentStatusSink {
+public final class HeartbeatProcessor implements AgentStatusSink {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /**
-   * A worker whose epoch ends at least so long before its lease was to end did not get the
-   * answers that renewed the lease.
+   * A worker whose epoch ends at least so long before its lease was to end did not get the answers
+   * that renewed the lease.
    */
   private static final double LAPSE_S = 2;
 
@@ -56,8 +67,9 @@
   private final HeartbeatCommands answers;
   private final BootTimes bootTimes;
 
-  HeartbeatProcessor(
+  public HeartbeatProcessor(
       LeadershipContext context,
+      MachineRegistry machines,
       AttemptObserver observer,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
@@ -67,7 +79,7 @@
     this.observer = observer;
     this.reportedTasks = reportedTasks;
     this.attempts = attempts;
-    this.machines = context.machines();
+    this.machines = machines;
     this.rounds = context.rounds();
     this.settings = context.services().settings();
     this.tuning = context.services().tuning();
@@ -85,7 +97,7 @@
    * gone: such a heartbeat is a late copy, which nobody waits for, or shows that the evidence was
    * wrong, and then the lease's end is what stops the tasks.
    */
-  Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
+  public Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
     SteadyTime now = clock.now();
     if (heartbeat.fencingToken().compareTo(authority.term()) > 0) {
       authority.lost("a worker has seen term " + heartbeat.fencingToken());
@@ -96,13 +108,14 @@
       return Optional.empty();
     }
     Machine machine = machines.findOrAdd(heartbeat.machine(), now);
-    if (machine.terminated) {
+    if (machine.cloud().isTerminated()) {
       return Optional.empty();
     }
-    if (heartbeat.epoch().compareTo(machine.epoch) < 0 || isOver(heartbeat.epoch(), machine)) {
+    if (heartbeat.epoch().compareTo(machine.agent().epoch()) < 0
+        || machine.agent().hasEnded(heartbeat.epoch())) {
       // Held back by a cut, as a rule: the machine may be about to return, so it is kept for
       // longer.
-      machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
+      machine.agent().extendLease(leaseFrom(now));
       return Optional.empty();
     }
     boolean fresh = take(machine, heartbeat, true, now);
@@ -110,23 +123,19 @@
       // It was overtaken by an answer to a command, or is a copy: it was sent before that answer
       // was
       // taken in. What it shows is old, but a worker that hears this must not miss a stop by it.
-      machine.leaseEnds = leaseFrom(machine.lastHeartbeat).max(machine.leaseEnds);
+      machine.agent().extendLease(leaseFrom(machine.agent().lastHeartbeat()));
       return Optional.of(mayCommand ? answers.stops(machine) : List.of());
     }
     if (heartbeat.fencingToken().compareTo(authority.term()) < 0
-        && authority.term().equals(machine.answered)) {
+        && machine.agent().wasAnsweredIn(authority.term())) {
       missedAnswer(machine, now);
     }
-    machine.answered = authority.term();
+    machine.agent().answeredIn(authority.term());
     // The report was sent before now, so a lease counted from now ends no sooner than the worker's.
-    machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
+    machine.agent().extendLease(leaseFrom(now));
     return Optional.of(mayCommand ? answers.commands(machine, heartbeat) : List.of());
   }
 
-  private static boolean isOver(AgentEpoch epoch, Machine machine) {
-    return epoch.compareTo(machine.lastEndedEpoch) <= 0;
-  }
-
   private SteadyTime leaseFrom(SteadyTime answered) {
     return answered.plusSeconds(
         settings.workers().leaseS() * (1 + Settings.DRIFT) + tuning.marginS());
@@ -134,27 +143,27 @@
 
   @Override
   public boolean take(Machine machine, Heartbeat heartbeat, boolean isHeartbeat, SteadyTime now) {
-    int newer = heartbeat.epoch().compareTo(machine.epoch);
-    boolean old = newer < 0 || (newer == 0 && heartbeat.sequence() <= machine.sequence);
-    if (old || isOver(heartbeat.epoch(), machine)) {
+    AgentState agent = machine.agent();
+    if (agent.isOutdated(heartbeat)) {
       return false;
     }
-    if (newer > 0) {
+    if (heartbeat.epoch().compareTo(agent.epoch()) > 0) {
       beginEpoch(machine, heartbeat.epoch(), now);
     }
-    machine.sequence = heartbeat.sequence();
+    agent.sequence(heartbeat.sequence());
     takeFencingToken(machine, heartbeat);
     takeAttributes(machine, heartbeat);
-    machine.lastHeartbeat = now;
-    if (!machine.heartbeatReceived) {
+    boolean first = !agent.isHeard();
+    agent.heard(now);
+    if (first) {
       firstHeartbeat(machine, now);
     }
     takeEndpoint(machine, heartbeat);
-    if (heartbeat.reclaimNoticeS() != null && machine.reclaimAt == null) {
-      machine.reclaimAt = now.plusSeconds(heartbeat.reclaimNoticeS());
+    if (heartbeat.reclaimNoticeS() != null && !machine.cloud().isReclaimed()) {
+      machine.cloud().reclaimAt(now.plusSeconds(heartbeat.reclaimNoticeS()));
       stopBeforeLoss(machine, heartbeat.reclaimNoticeS());
     }
-    if (!machine.tasks.equals(heartbeat.tasks())) {
+    if (!machine.tasks().equals(heartbeat.tasks())) {
       reportedTasks.show(machine, heartbeat.tasks());
       observer.observeAll(machine, heartbeat, now);
     }
@@ -166,69 +175,58 @@
 
   /** The worker's lease ran out: everything of its earlier epochs is gone. */
   private void beginEpoch(Machine machine, AgentEpoch epoch, SteadyTime now) {
-    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
+    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       if (attempt.epoch().compareTo(epoch) < 0) {
         attempts.close(attempt, false, "agent epoch over");
       }
     }
-    machine.forgetOutstandingStarts();
-    machine.outbox.clear();
-    machine.epoch = epoch;
-    if (machine.answered != null && machine.leaseEnds.secondsSince(now) > LAPSE_S) {
+    machine.outstandingStarts().clear();
+    machine.outbox().clear();
+    machine.agent().beginEpoch(epoch);
+    if (machine.agent().wasAnswered()
+        && machine.agent().leaseExpiry().secondsSince(now) > LAPSE_S) {
       // It was answered lately, and its lease has ended for want of an answer.
-      machine.reachability.leaseLapsed(now, this::othersReachable);
+      machine.health().reachability().leaseLapsed(now, this::othersReachable);
     }
     // An epoch may have begun just now, and lasts a whole lease without any answer.
-    machine.leaseEnds = leaseFrom(now).max(machine.leaseEnds);
+    machine.agent().extendLease(leaseFrom(now));
   }
 
   private static void takeFencingToken(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.fencingToken().compareTo(machine.fencingToken) > 0) {
-      machine.fencingToken = heartbeat.fencingToken();
-    }
-    machine.observeFencingToken(heartbeat.fencingToken());
+    machine.agent().observeFencingToken(heartbeat.fencingToken());
+    machine.outstandingStarts().observeFencingToken(heartbeat.fencingToken());
   }
 
   private void takeAttributes(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.type().equals(machine.type)
-        && heartbeat.zone().equals(machine.zoneName)
-        && machine.spot == heartbeat.spot()) {
-      return;
+    if (!machine.description().matches(heartbeat.type(), heartbeat.zone(), heartbeat.spot())) {
+      machine.describe(
+          MachineDescription.of(
+              heartbeat.type(), heartbeat.zone(), heartbeat.spot(), settings.zones()));
     }
-    machine.type = heartbeat.type();
-    machine.zoneName = heartbeat.zone();
-    machine.zone = settings.zones().indexOf(heartbeat.zone());
-    machine.spot = heartbeat.spot();
-    machine.view = null;
   }
 
   private void firstHeartbeat(Machine machine, SteadyTime now) {
-    machine.heartbeatReceived = true;
-    machine.view = null;
-    if (machine.provisionedAt != null && ledger.attemptsOn(machine.id).isEmpty()) {
-      machine.idleSince = now;
+    machine.invalidateView();
+    if (ledger.attemptsOn(machine.id()).isEmpty()) {
+      machine.markIdle(now);
     }
     bootTimes.cameUp(machine, now);
-    provisioner.seen(machine.id);
+    provisioner.seen(machine.id());
     rounds.requestRound();
   }
 
   private static void takeEndpoint(Machine machine, Heartbeat heartbeat) {
-    if (machine.endpoint != null && machine.endpointText.equals(heartbeat.endpoint())) {
-      return;
-    }
     try {
-      machine.endpoint = Endpoint.parse(heartbeat.endpoint());
-      machine.endpointText = heartbeat.endpoint();
+      machine.agent().endpoint(heartbeat.endpoint());
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id);
+      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id());
     }
   }
 
   /** A heartbeat shows no trace of what an answer before it has told. */
   private void missedAnswer(Machine machine, SteadyTime now) {
-    machine.reachability.answerMissed(now, this::othersReachable);
-    if (machine.reachability.unreachable()) {
+    machine.health().reachability().answerMissed(now, this::othersReachable);
+    if (machine.health().reachability().unreachable()) {
       rounds.requestRound();
     }
   }
@@ -237,7 +235,7 @@
   private boolean othersReachable() {
     int unreachable = 0;
     for (Machine machine : machines.all()) {
-      unreachable += machine.reachability.unreachable() ? 1 : 0;
+      unreachable += machine.health().reachability().unreachable() ? 1 : 0;
     }
     int fleetPart = machines.all().size() / MAX_UNREACHABLE_FLEET_PART;
     return unreachable < Math.max(MAX_UNREACHABLE, fleetPart);
@@ -245,8 +243,8 @@
 
   /** The cloud takes the machine soon: replicas start elsewhere, other tasks save what they can. */
   private void stopBeforeLoss(Machine machine, double seconds) {
-    LOG.info("machine {}: spot reclaim notice, {} s left", machine.id, seconds);
-    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
+    LOG.info("machine {}: spot reclaim notice, {} s left", machine.id(), seconds);
+    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       JobSpec spec = attempt.job().spec();
       if (spec.isService()) {
         attempts.stop(attempt, 0);
--- a/src/main/java/org/ternhinge/controller/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -1,24 +1,31 @@
-package org.ternhinge.controller;
+package org.ternhinge.heartbeat;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.attempt.TermFence;
 import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * Watches what runs out: workers' leases, reservations of machines, and the time that stopped
  * attempts were given. A worker whose lease has run out has killed what it ran, which is the only
  * proof that its attempts are gone while it can't be reached. Guarded by the controller's lock.
  */
-final class LeaseMonitor {
+public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
 
   private final Settings.Workers workerSettings;
@@ -30,7 +37,7 @@
   private final TermFence termFence;
   private final RoundTrigger rounds;
 
-  LeaseMonitor(
+  public LeaseMonitor(
       Settings.Workers workerSettings,
       Ledger ledger,
       MachineRegistry machines,
@@ -54,7 +61,7 @@
    * it has to be stopped, for the lease's end is then what stops it. That is so for every open
    * attempt that is unwanted, and for every task shown that the ledger does not hold there.
    */
-  boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
+  public boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
     for (Attempt attempt : ledger.attemptsOn(heartbeat.machine())) {
       if (attempt.stopping() || attempt.job().cancelled()) {
         return false;
@@ -69,17 +76,18 @@
   }
 
   /** Looks at all machines; called every so often while the leadership certainly holds. */
-  void check(SteadyTime now) {
+  public void check(SteadyTime now) {
     boolean fenceNeeded = false;
     for (Machine machine : List.copyOf(machines.all())) {
       expireReservations(machine, now);
       probeIfUnreachable(machine, now);
-      Collection<Attempt> open = ledger.attemptsOn(machine.id);
-      if (open.isEmpty() && machine.tasks.isEmpty()) {
+      Collection<Attempt> open = ledger.attemptsOn(machine.id());
+      if (open.isEmpty() && machine.tasks().isEmpty()) {
         continue;
       }
-      if (machine.leaseEnds.isBefore(now)) {
-        // Also where only tasks without an attempt are shown: a heartbeat that was held back for long
+      if (machine.agent().isLeaseExpired(now)) {
+        // Also where only tasks without an attempt are shown: a heartbeat that was held back for
+        // long
         // may show them, and while they are shown they may start nowhere else.
         leaseOver(machine, List.copyOf(open));
       } else {
@@ -92,36 +100,34 @@
   }
 
   private void expireReservations(Machine machine, SteadyTime now) {
-    if (!machine.reservations.isEmpty()
-        && machine.reservations.removeIf(kept -> kept.until().isBefore(now))) {
-      machine.view = null;
+    if (machine.expireReservations(now)) {
       rounds.requestRound();
     }
   }
 
   /** Sends an empty command where commands seem to get lost: an answer shows that they arrive. */
   private void probeIfUnreachable(Machine machine, SteadyTime now) {
-    if (machine.endpoint != null
-        && !machine.commandsInFlight
+    if (machine.agent().hasEndpoint()
+        && !machine.outbox().isInFlight()
         && dispatcher.free()
-        && machine.reachability.isProbeDue(now)) {
+        && machine.health().reachability().isProbeDue(now)) {
       dispatcher.probe(machine, now);
     }
   }
 
   /** The worker has killed what it ran; nothing that it showed before is there any more. */
   private void leaseOver(Machine machine, List<Attempt> open) {
-    LOG.info("machine {}: worker lease expired", machine.id);
-    AgentEpoch lastEpoch = machine.epoch;
+    LOG.info("machine {}: worker lease expired", machine.id());
+    AgentEpoch lastEpoch = machine.agent().epoch();
     for (Attempt attempt : open) {
       if (attempt.epoch().compareTo(lastEpoch) > 0) {
         lastEpoch = attempt.epoch();
       }
       attempts.close(attempt, false, "lease over");
     }
-    machine.lastEndedEpoch = lastEpoch;
-    machine.forgetOutstandingStarts();
-    machine.outbox.clear();
+    machine.agent().endEpochs(lastEpoch);
+    machine.outstandingStarts().clear();
+    machine.outbox().clear();
     // Otherwise its tasks would count as still shown, and could not start elsewhere.
     reportedTasks.show(machine, List.of());
   }
@@ -158,7 +164,8 @@
    * peers are saving and a heartbeat shows it, some time more may pass.
    */
   private boolean isOverdue(Attempt attempt, SteadyTime now) {
-    double allowedS = attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
+    double allowedS =
+        attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
     return attempt.stopping()
         && attempt.stopGraceS() > 0
         && now.secondsSince(attempt.stopAt()) > allowedS;
--- a/src/main/java/org/ternhinge/controller/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
 import java.util.Optional;
 import org.ternhinge.ledger.Dependencies;
@@ -8,14 +8,15 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.LeadershipExecutor;
 
 /**
  * Reads how jobs ended that others wait for and that ended before this leadership, or too long ago
  * to be remembered. Each is read once however many wait for it, and only a few at a time, so that a
- * failover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by the
- * controller's lock.
+ * failover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by
+ * the controller's lock.
  */
 final class DependencyResolver {
   /** Reads that may be under way at once. */
--- a/src/main/java/org/ternhinge/controller/FleetComponents.java
+++ b/src/main/java/org/ternhinge/leadership/FleetComponents.java
@@ -1,12 +1,35 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.attempt.TermAnnouncer;
+import org.ternhinge.attempt.TermFence;
+import org.ternhinge.failover.ZoneControl;
+import org.ternhinge.heartbeat.HeartbeatCommands;
+import org.ternhinge.heartbeat.HeartbeatProcessor;
+import org.ternhinge.heartbeat.LeaseMonitor;
 import org.ternhinge.ledger.Keys;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.ReportedTaskCounts;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.scaling.MachineInventory;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.MachineReleaser;
+import org.ternhinge.scaling.MachineRemoval;
+import org.ternhinge.scaling.UnusableMachineCheck;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Heartbeat;
 
 /** Builds the parts of a leadership that deal with machines and their workers. */
 final class FleetComponents {
   private final LeadershipContext context;
+  private final MachineRegistry machines;
+  private final MachineTypeCatalog machineTypes;
   private final CommandDispatcher dispatcher;
   private final MachineRemoval removal;
 
@@ -25,12 +48,14 @@
   final LeaseMonitor leaseMonitor;
   final UnusableMachineCheck unusableMachines;
 
-  FleetComponents(LeadershipContext context) {
+  FleetComponents(
+      LeadershipContext context, MachineRegistry machines, MachineTypeCatalog machineTypes) {
     this.context = context;
+    this.machines = machines;
+    this.machineTypes = machineTypes;
     this.failures = failures();
-    this.zones = ZoneControl.of(context, failures);
-    this.bootTimes =
-        new BootTimes(context.machines(), context.machineTypes().byName(), context.electedAt());
+    this.zones = ZoneControl.of(context, machines, failures);
+    this.bootTimes = new BootTimes(machines, machineTypes.byName(), context.electedAt());
     this.provisioner = provisioner();
     this.dispatcher =
         new CommandDispatcher(
@@ -43,6 +68,7 @@
     this.heartbeats =
         new HeartbeatProcessor(
             context,
+            machines,
             observer(),
             reportedTaskCounts,
             attempts,
@@ -51,19 +77,15 @@
             bootTimes);
     this.removal =
         new MachineRemoval(
-            context.machines(),
-            context.ledger(),
-            reportedTaskCounts,
-            attempts,
-            context.services().workers());
+            machines, context.ledger(), reportedTaskCounts, attempts, context.services().workers());
     this.releaser = releaser();
     this.inventory = inventory();
     this.leaseMonitor = leaseMonitor();
     this.unusableMachines =
         new UnusableMachineCheck(
             context.services().settings(),
-            context.machines(),
-            context.machineTypes(),
+            machines,
+            machineTypes,
             context.ledger(),
             releaser,
             bootTimes,
@@ -79,7 +101,7 @@
   private TaskFailures failures() {
     return new TaskFailures(
         context.ledger(),
-        context.machines(),
+        machines,
         context.services().settings().storeLimits().writeRps(),
         context.electedAt());
   }
@@ -89,7 +111,7 @@
         context.services(),
         context.authority(),
         context.executor(),
-        context.machines(),
+        machines,
         context.rounds(),
         context.bucketedRecords(Keys.PROVISIONS));
   }
@@ -98,7 +120,7 @@
     return new AttemptLifecycle(
         context.ledger(),
         context.writer(),
-        context.machines(),
+        machines,
         dispatcher,
         context.rounds(),
         context.services().clock(),
@@ -110,7 +132,7 @@
         attempts,
         context.authority(),
         context.ledger(),
-        context.machineTypes().byName(),
+        machineTypes.byName(),
         failures,
         context.services().metrics());
   }
@@ -121,7 +143,7 @@
         context.services(),
         context.authority(),
         context.executor(),
-        context.machines(),
+        machines,
         context.rounds(),
         context.bucketedRecords(Keys.RELEASES),
         context.electedAt());
@@ -133,7 +155,7 @@
     return new MachineInventory(
         context.services(),
         context.executor(),
-        context.machines(),
+        machines,
         provisioner,
         releaser,
         removal,
@@ -147,11 +169,11 @@
     return new LeaseMonitor(
         context.services().settings().workers(),
         context.ledger(),
-        context.machines(),
+        machines,
         attempts,
         reportedTaskCounts,
         dispatcher,
-        new TermFence(context.authority(), context.writer(), context.machines()),
+        new TermFence(context.authority(), context.writer(), machines),
         context.rounds());
   }
 }
--- a/src/main/java/org/ternhinge/controller/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.slf4j.Logger;
@@ -10,19 +10,24 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
 import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.round.ArrivalRates;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.WireException;
 
 /**
  * Takes new jobs into the ledger: those that other nodes accepted, which come by the key-value
- * store's watch, and those that this node accepted. A job is taken in once, whichever way it
- * comes first. Guarded by the controller's lock.
+ * store's watch, and those that this node accepted. A job is taken in once, whichever way it comes
+ * first. Guarded by the controller's lock.
  */
 final class JobWatch {
   private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
@@ -151,7 +156,7 @@
   private void refreshRaisedPriorities() {
     for (Job raised : ledger.dependencies().takeRaised()) {
       for (Attempt attempt : raised.openAttempts()) {
-        machines.findOrAdd(attempt.machine(), clock.now()).view = null;
+        machines.findOrAdd(attempt.machine(), clock.now()).invalidateView();
       }
     }
   }
--- a/src/main/java/org/ternhinge/controller/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,29 +7,44 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.Cancellations;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.election.Election;
+import org.ternhinge.failover.ZoneControl;
+import org.ternhinge.heartbeat.HeartbeatProcessor;
+import org.ternhinge.heartbeat.LeaseMonitor;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.round.ArrivalRates;
+import org.ternhinge.round.FleetLog;
+import org.ternhinge.round.SchedulingRounds;
+import org.ternhinge.scaling.MachineInventory;
+import org.ternhinge.scaling.UnusableMachineCheck;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.MachineType;
 
 /**
  * One leadership, from election to its end: builds the parts that schedule, starts them once the
  * ledger has been recovered, and stops them. Everything that they know dies with it, and the next
- * leadership starts from the key-value store, so nothing is carried over that another leader may have
- * changed in between. All methods run under the controller's lock.
+ * leadership starts from the key-value store, so nothing is carried over that another leader may
+ * have changed in between. All methods run under the controller's lock.
  */
 public final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -72,7 +87,8 @@
    * @param authority the term that this leadership acts under
    * @param knownTypes the machine types that the node knows already
    */
-  Leadership(ControllerServices services, Authority authority, Collection<MachineType> knownTypes) {
+  public Leadership(
+      ControllerServices services, Authority authority, Collection<MachineType> knownTypes) {
     this.tuning = services.tuning();
     this.clock = services.clock();
     this.metrics = services.metrics();
@@ -84,14 +100,14 @@
     this.machines = new MachineRegistry(initialLeaseEnd(services.settings(), tuning, electedAt));
     this.machineTypes = new MachineTypeCatalog(services.cloud(), executor, knownTypes);
     LeadershipContext context = context(services);
-    FleetComponents fleet = new FleetComponents(context);
+    FleetComponents fleet = new FleetComponents(context, machines, machineTypes);
     this.attempts = fleet.attempts;
     this.heartbeats = fleet.heartbeats;
     this.inventory = fleet.inventory;
     this.leaseMonitor = fleet.leaseMonitor;
     this.unusableMachines = fleet.unusableMachines;
     this.zones = fleet.zones;
-    PlanningComponents planning = new PlanningComponents(context, fleet);
+    PlanningComponents planning = new PlanningComponents(context, machines, machineTypes, fleet);
     this.rounds = planning.rounds;
     this.fleetLog = planning.fleetLog;
     this.dependencyResolver =
@@ -100,7 +116,13 @@
     this.jobWatch = jobWatch(context, planning.arrivalRates);
     this.recovery =
         new LeadershipRecovery(
-            services, executor, ledger, machines, fleet.provisions, fleet.releases, fleet.failures);
+            services,
+            executor,
+            ledger,
+            machines,
+            fleet.provisioner,
+            fleet.releaser,
+            fleet.failures);
   }
 
   private Ledger ledger(Settings settings) {
@@ -120,15 +142,7 @@
 
   private LeadershipContext context(ControllerServices services) {
     return new LeadershipContext(
-        services,
-        authority,
-        executor,
-        ledger,
-        writer,
-        machines,
-        machineTypes,
-        this::requestRound,
-        electedAt);
+        services, authority, executor, ledger, writer, this::requestRound, electedAt);
   }
 
   private JobWatch jobWatch(LeadershipContext context, ArrivalRates arrivalRates) {
@@ -159,7 +173,7 @@
   // ---- life cycle -----------------------------------------------------------------------------
 
   /** Recovers what earlier leaderships recorded, and then schedules until it is stopped. */
-  void start() {
+  public void start() {
     recovery.start(this::recovered);
   }
 
@@ -185,7 +199,7 @@
   }
 
   /** The leadership is over: no part of it acts any more. */
-  void stop() {
+  public void stop() {
     executor.stop();
     writer.stop();
     runWaiting();
@@ -198,17 +212,17 @@
   }
 
   /** Whether the ledger is there, without which nothing may be answered. */
-  boolean ready() {
+  public boolean ready() {
     return ready;
   }
 
   /** Runs an action when the ledger is there, or when this leadership has ended before. */
-  void whenReady(Runnable action) {
+  public void whenReady(Runnable action) {
     waitingForReady.add(action);
   }
 
   /** The term that this leadership acts under. */
-  Authority authority() {
+  public Authority authority() {
     return authority;
   }
 
@@ -259,18 +273,18 @@
   // ---- what the node asks ---------------------------------------------------------------------
 
   /** Adds machine types that the node has read. */
-  void learn(List<MachineType> types) {
+  public void learn(List<MachineType> types) {
     machineTypes.learn(types);
     requestRound();
   }
 
   /** Takes in a job whose record was just created by this node. */
-  void adopt(Job job, Revision created) {
+  public void adopt(Job job, Revision created) {
     jobWatch.adopt(job, created);
   }
 
   /** The job of this id, or null where the ledger does not hold it. */
-  Job job(JobId id) {
+  public Job job(JobId id) {
     return ledger.job(id);
   }
 
@@ -278,7 +292,7 @@
    * The state of a job, or null where only the key-value store can tell: a write whose answer is
    * still out may be carried out already, and another node may have told a user so.
    */
-  JobState stateOf(JobId id) {
+  public JobState stateOf(JobId id) {
     Job job = ledger.job(id);
     return job == null ? ledger.ended(id) : ledger.stateFor(job);
   }
@@ -288,17 +302,19 @@
    *
    * @param listener gets the state once the key-value store holds it, and not before
    */
-  void cancel(Job job, Consumer<JobState> listener) {
+  public void cancel(Job job, Consumer<JobState> listener) {
     cancellations.cancel(job, listener);
   }
 
   /** Whether a worker's lease may be renewed while no commands may be given. */
-  boolean mayKeepAlive(Heartbeat heartbeat) {
+  public boolean mayKeepAlive(Heartbeat heartbeat) {
     return leaseMonitor.mayRenewWithoutCommands(heartbeat);
   }
 
-  /** Takes in a heartbeat and says what the worker is to do; empty where it must not be answered. */
-  Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
+  /**
+   * Takes in a heartbeat and says what the worker is to do; empty where it must not be answered.
+   */
+  public Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
     return heartbeats.heartbeat(heartbeat, mayCommand);
   }
 }
--- a/src/main/java/org/ternhinge/controller/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -1,20 +1,26 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
 import java.util.function.Consumer;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.Entry;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.MachineReleaser;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
 
 /**
  * Starts a leadership from what earlier ones recorded: their jobs with all open attempts, the
- * provision requests and returns whose fate is not known, and the stops that cancelled jobs still need.
- * Nothing may be decided before, for a double start or a lost stop would follow.
+ * provision requests and returns whose fate is not known, and the stops that cancelled jobs still
+ * need. Nothing may be decided before, for a double start or a lost stop would follow.
  */
 final class LeadershipRecovery {
   private final ControllerServices services;
@@ -64,10 +70,10 @@
     for (Job job : loaded.jobs()) {
       ledger.adopt(job);
     }
-    for (Entry entry : loaded.releaser()) {
+    for (Entry entry : loaded.releases()) {
       releaser.resume(entry);
     }
-    for (Entry entry : loaded.provisioner()) {
+    for (Entry entry : loaded.provisions()) {
       provisioner.resume(entry);
     }
     for (MachineId id : ledger.machinesInUse()) {
--- a/src/main/java/org/ternhinge/controller/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -1,4 +1,13 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
+
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.round.ArrivalRates;
+import org.ternhinge.round.FleetLog;
+import org.ternhinge.round.PlanExecutor;
+import org.ternhinge.round.SchedulingRounds;
+import org.ternhinge.round.SnapshotBuilder;
+import org.ternhinge.term.LeadershipContext;
 
 /** Builds the parts of a leadership that decide what starts where. */
 final class PlanningComponents {
@@ -6,16 +15,20 @@
   final SchedulingRounds rounds;
   final FleetLog fleetLog;
 
-  PlanningComponents(LeadershipContext context, FleetComponents fleet) {
+  PlanningComponents(
+      LeadershipContext context,
+      MachineRegistry machines,
+      MachineTypeCatalog machineTypes,
+      FleetComponents fleet) {
     this.arrivalRates = new ArrivalRates(context.services().settings().objectives());
     SnapshotBuilder snapshots =
         new SnapshotBuilder(
             context.services(),
             context.authority(),
             context.ledger(),
-            context.machineTypes().byName(),
+            machineTypes.byName(),
             fleet.failures,
-            context.machines(),
+            machines,
             arrivalRates,
             fleet.provisioner,
             fleet.bootTimes,
@@ -25,22 +38,25 @@
             context.services(),
             context.authority(),
             context.executor(),
-            context.machineTypes(),
+            machineTypes,
             snapshots,
-            planExecutor(context, fleet, snapshots),
+            planExecutor(context, machines, machineTypes, fleet, snapshots),
             fleet.zones);
-    this.fleetLog =
-        new FleetLog(context.services().clock(), context.ledger(), context.machines(), snapshots);
+    this.fleetLog = new FleetLog(context.services().clock(), context.ledger(), machines, snapshots);
   }
 
   private static PlanExecutor planExecutor(
-      LeadershipContext context, FleetComponents fleet, SnapshotBuilder snapshots) {
+      LeadershipContext context,
+      MachineRegistry machines,
+      MachineTypeCatalog machineTypes,
+      FleetComponents fleet,
+      SnapshotBuilder snapshots) {
     return new PlanExecutor(
         context.services().clock(),
         context.ledger(),
         context.writer(),
-        context.machines(),
-        context.machineTypes(),
+        machines,
+        machineTypes,
         snapshots,
         fleet.reportedTaskCounts,
         fleet.attempts,
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -41,7 +41,8 @@
    * @param stillShown whether a machine still shows a task that has no open attempt
    * @return the first reason against them, or nothing where they are admitted
    */
-  Optional<AdmissionRefusal> check(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
+  Optional<AdmissionRefusal> check(
+      Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
     Optional<AdmissionRefusal> refusal = checkJob(job, placements);
     PlacementChecks checks = new PlacementChecks(job, stillShown);
     for (Placement placement : placements) {
@@ -78,7 +79,8 @@
   }
 
   private Optional<AdmissionRefusal> checkRecord(Job job, List<Placement> placements) {
-    return refuseIf(fitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
+    return refuseIf(
+        fitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
   }
 
   /** Of tasks that are to start, those whose attempts the job's record has room for. */
@@ -138,7 +140,8 @@
       if (job.open(index) != null) {
         return Optional.of(AdmissionRefusal.TASK_OPEN);
       }
-      return refuseIf(stillShown.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
+      return refuseIf(
+          stillShown.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
     }
 
     private boolean permits(MachineAttributes machine) {
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -1,8 +1,8 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 
@@ -12,19 +12,6 @@
  */
 public final class Attempt {
 
-  /** What the worker was last seen to say of it. */
-  public enum Seen {
-    /** Nothing yet: the start may be on its way. */
-    UNSEEN,
-    /** The image is being fetched. */
-    FETCHING,
-    /** A gang's task waits for the others. */
-    WAITING,
-    RUNNING,
-    /** A checkpoint is being written before the task stops. */
-    CHECKPOINTING
-  }
-
   private final Job job;
   private final TaskId task;
   private final AttemptNumber number;
@@ -35,7 +22,7 @@
   private final SteadyTime openedAt;
 
   private boolean durable;
-  private Seen seen = Seen.UNSEEN;
+  private AttemptState state = AttemptState.STARTING;
   private SteadyTime runningSince;
   private boolean stopping;
   private double stopGraceS;
@@ -114,8 +101,8 @@
   }
 
   /** What the worker was last seen to say of it. */
-  public Seen seen() {
-    return seen;
+  public AttemptState state() {
+    return state;
   }
 
   /** Since when it was seen running, or null. */
@@ -124,11 +111,11 @@
   }
 
   /** Notes what the worker says of it. */
-  public void see(Seen now, SteadyTime at) {
-    if (now == Seen.RUNNING && seen != Seen.RUNNING) {
+  public void observe(AttemptState now, SteadyTime at) {
+    if (now == AttemptState.RUNNING && state != AttemptState.RUNNING) {
       runningSince = at;
     }
-    seen = now;
+    state = now;
   }
 
   /** Whether it was asked to stop. */
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -14,9 +14,9 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A job that is not yet over, with its open attempts. Its record in the key-value store is split into
- * segments of a fixed number of tasks, so that a large array fits the limit on values; only the
- * segments that changed are written. Everything here is changed by the {@link Ledger} alone.
+ * A job that is not yet over, with its open attempts. Its record in the key-value store is split
+ * into segments of a fixed number of tasks, so that a large array fits the limit on values; only
+ * the segments that changed are written. Everything here is changed by the {@link Ledger} alone.
  */
 public final class Job {
   private final JobSpec spec;
@@ -219,7 +219,7 @@
   public int runningCount() {
     int count = 0;
     for (Attempt a : open.values()) {
-      if (a.seen() == Attempt.Seen.RUNNING || a.seen() == Attempt.Seen.CHECKPOINTING) {
+      if (a.state() == AttemptState.RUNNING || a.state() == AttemptState.CHECKPOINTING) {
         count++;
       }
     }
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -192,7 +192,8 @@
   }
 
   /** Whether attempts may open, by {@link Admission}. */
-  Optional<AdmissionRefusal> admit(Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
+  Optional<AdmissionRefusal> admit(
+      Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
     return admission.check(job, placements, stillShown);
   }
 
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -18,13 +18,14 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.WireException;
 
 /**
- * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and the releases
- * under way. A record that can't be read is left out and logged; it doesn't keep the others back.
+ * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and
+ * the releases under way. A record that can't be read is left out and logged; it doesn't keep the
+ * others back.
  */
 public final class LedgerLoader {
   private static final Logger LOG = LoggerFactory.getLogger(LedgerLoader.class);
@@ -89,7 +90,8 @@
         outcome -> answered(range, outcome, onLoaded));
   }
 
-  private void answered(Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
+  private void answered(
+      Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.Page> applied) {
       take(range, applied.value());
       load(onLoaded);
--- a/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
@@ -1,8 +1,8 @@
 package org.ternhinge.ledger;
 
 import java.util.List;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 
 /**
  * A transaction of the ledger, with what its changes mean to the ledger. It can't be changed any
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.Json;
 
 /**
@@ -172,7 +172,8 @@
       return;
     }
     busy = true;
-    locked.whenAnswered(store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::answered);
+    locked.whenAnswered(
+        store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::answered);
   }
 
   private void schedulePoll() {
--- a/src/main/java/org/ternhinge/ledger/MachineAttributes.java
+++ b/src/main/java/org/ternhinge/ledger/MachineAttributes.java
@@ -1,8 +1,8 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.AgentEpoch;
 
 /**
  * What admission needs to know of the machine that an attempt is to open on.
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -1,8 +1,8 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -65,7 +65,8 @@
     Map<Urgency, List<Job>> ready =
         ledger.readyToWrite(now.plusSeconds(-BATCH_S), now.plusSeconds(-LATE_S));
     for (Urgency urgency : Urgency.values()) {
-      // The provision requests and releases among the auxiliary writes go before starts of lower priority.
+      // The provision requests and releases among the auxiliary writes go before starts of lower
+      // priority.
       if (urgency == Urgency.HIGH_OPENS && !auxiliaryWrites.addTo(draft)) {
         return;
       }
--- a/src/main/java/org/ternhinge/ledger/TransactionDraft.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionDraft.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 
 /**
  * A transaction that is being put together. It is conditional on the term from the start, and with
@@ -96,7 +96,8 @@
     return isEmpty()
         ? Optional.empty()
         : Optional.of(
-            new LedgerTransaction(new CompareAndSwap(conditions, changes), recordWrites, auxiliaryWrites));
+            new LedgerTransaction(
+                new CompareAndSwap(conditions, changes), recordWrites, auxiliaryWrites));
   }
 
   private static int requestBytes(String key, int valueBytes) {
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -7,9 +7,9 @@
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Finds out by reading back whether an earlier copy of a transaction was applied, where its answer
@@ -38,7 +38,8 @@
   private final LockedExecutor locked;
   private boolean stopped;
 
-  TransactionVerifier(KeyValueStore store, Authority authority, Clock clock, LockedExecutor locked) {
+  TransactionVerifier(
+      KeyValueStore store, Authority authority, Clock clock, LockedExecutor locked) {
     this.store = store;
     this.authority = authority;
     this.clock = clock;
--- a/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
+++ b/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
@@ -3,10 +3,10 @@
 import org.ternhinge.model.Clock;
 
 /**
- * This controller's part of what the key-value store takes, for requests and for changes. The leader
- * uses a fixed share and the other controllers divide the rest evenly, so that all controllers
- * together never exceed the limits, in rate or in bursts, whoever leads. Shares are fixed rather
- * than negotiated: a controller that can't reach the others still knows its own.
+ * This controller's part of what the key-value store takes, for requests and for changes. The
+ * leader uses a fixed share and the other controllers divide the rest evenly, so that all
+ * controllers together never exceed the limits, in rate or in bursts, whoever leads. Shares are
+ * fixed rather than negotiated: a controller that can't reach the others still knows its own.
  */
 public final class KeyValueStoreBudget {
   /** The leader's share; it writes all attempts and ends, the others only acceptances. */
--- a/src/main/java/org/ternhinge/controller/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,15 +15,15 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * How long machines take to come up, as lately seen, and which of those that were provisioned are late
- * by that. Guarded by the controller's lock.
+ * How long machines take to come up, as lately seen, and which of those that were provisioned are
+ * late by that. Guarded by the controller's lock.
  *
  * <p>Times are kept by machine type and zone, as multiples of the type's usual time. A machine that
  * is not up yet counts with the time that it has taken so far. So where a few are late beside many
  * that came up, they stand out and their room is no longer counted on; where most of them are, the
  * type is slow in that zone as such, and provisioning all of them once more would only pay twice.
  */
-final class BootTimes {
+public final class BootTimes {
   /** Machines come up within so many times the usual time, as a rule. */
   private static final double USUAL_SPREAD = 1.5;
 
@@ -83,25 +83,26 @@
    *
    * @param machineTypes the machine types by name, as a live view
    */
-  BootTimes(MachineRegistry machines, Map<String, MachineType> machineTypes, SteadyTime electedAt) {
+  public BootTimes(
+      MachineRegistry machines, Map<String, MachineType> machineTypes, SteadyTime electedAt) {
     this.machines = machines;
     this.machineTypes = machineTypes;
     this.electedAt = electedAt;
   }
 
   /** A machine has reported for the first time in this leadership. */
-  void cameUp(Machine machine, SteadyTime now) {
+  public void cameUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
-    if (machineType == null || machine.provisionedAt.isBefore(electedAt)) {
+    if (machineType == null || machine.cloud().provisionedAt().isBefore(electedAt)) {
       // When it came up is not known here.
       return;
     }
-    double ratio = now.secondsSince(machine.provisionedAt) / machineType.bootS();
-    seen(machine).cameUp.addLast(new CameUp(machine.provisionedAt, now, ratio));
+    double ratio = now.secondsSince(machine.cloud().provisionedAt()) / machineType.bootS();
+    seen(machine).cameUp.addLast(new CameUp(machine.cloud().provisionedAt(), now, ratio));
   }
 
   /** The machines that are not up although they should be; their room is not to be counted on. */
-  Set<MachineId> late(SteadyTime now) {
+  public Set<MachineId> late(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
     for (BootStatistics seen : statisticsByPlace.values()) {
@@ -118,34 +119,39 @@
     }
     for (Machine machine : machines.all()) {
       MachineType machineType = machineType(machine);
-      if (machineType != null && isBooting(machine) && takes(machine, machineType, now) > USUAL_SPREAD) {
+      if (machineType != null
+          && isBooting(machine)
+          && takes(machine, machineType, now) > USUAL_SPREAD) {
         seen(machine).overdue.add(machine);
       }
     }
   }
 
   private static boolean isBooting(Machine machine) {
-    return !machine.heartbeatReceived && !machine.terminated && !machine.releasing && !machine.listedUp;
+    return !machine.agent().isHeard()
+        && !machine.cloud().isTerminated()
+        && !machine.cloud().isReleasing()
+        && !machine.cloud().isListedRunning();
   }
 
   private void addLate(BootStatistics seen, SteadyTime now, Set<MachineId> late) {
     List<Machine> overdue = new ArrayList<>();
     for (Machine machine : seen.overdue) {
       if (takes(machine, machineType(machine), now) > USUAL_SPREAD * seen.usualRatio) {
-        late.add(machine.id);
+        late.add(machine.id());
       } else {
         overdue.add(machine);
       }
     }
-    overdue.sort(Comparator.comparing((Machine machine) -> machine.provisionedAt));
+    overdue.sort(Comparator.comparing((Machine machine) -> machine.cloud().provisionedAt()));
     int replaced = (int) Math.ceil(overdue.size() * REPLACED_WHERE_SLOW);
-    overdue.subList(0, replaced).forEach(machine -> late.add(machine.id));
+    overdue.subList(0, replaced).forEach(machine -> late.add(machine.id()));
   }
 
   /**
    * The multiple of the usual time that a part of the machines is up in, those that are overdue
-   * counted as they stand, and at least one. Machines that were provisioned long before the ones that
-   * are overdue say nothing of these.
+   * counted as they stand, and at least one. Machines that were provisioned long before the ones
+   * that are overdue say nothing of these.
    */
   private double usualRatio(BootStatistics seen, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
@@ -153,7 +159,7 @@
     SteadyTime comparedSince = null;
     for (Machine machine : seen.overdue) {
       ratios.add(takes(machine, machineType(machine), now));
-      SteadyTime since = machine.provisionedAt.plusSeconds(-machineType(machine).bootS());
+      SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType(machine).bootS());
       comparedSince =
           comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
     }
@@ -169,11 +175,12 @@
 
   /** How many times the usual time a machine has taken so far. */
   private static double takes(Machine machine, MachineType machineType, SteadyTime now) {
-    return (now.secondsSince(machine.provisionedAt) - HEARTBEAT_MARGIN_S) / machineType.bootS();
+    return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
+        / machineType.bootS();
   }
 
   /** Whether a machine that has not come up is to be returned as one that never will. */
-  boolean isGivenUp(Machine machine, SteadyTime now) {
+  public boolean isGivenUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
@@ -182,18 +189,20 @@
         seen(machine).usualRatio > USUAL_SPREAD
             ? GIVE_UP_FACTOR_WHERE_SLOW * machineType.bootS()
             : GIVE_UP_FACTOR * machineType.bootS();
-    return now.secondsSince(machine.provisionedAt)
+    return now.secondsSince(machine.cloud().provisionedAt())
         > Math.max(allowedS, machineType.bootS() + GIVE_UP_MARGIN_S);
   }
 
   /** Seconds that a machine of a type takes to come up in a zone, as lately seen. */
-  double expectedS(MachineType machineType, String zone) {
+  public double expectedS(MachineType machineType, String zone) {
     BootStatistics seen = statisticsByPlace.get(place(machineType.name(), zone));
     return machineType.bootS() * (seen == null ? 1 : seen.usualRatio);
   }
 
   private BootStatistics seen(Machine machine) {
-    return statisticsByPlace.computeIfAbsent(place(machine.type, machine.zoneName), key -> new BootStatistics());
+    return statisticsByPlace.computeIfAbsent(
+        place(machine.description().typeName(), machine.description().zoneName()),
+        key -> new BootStatistics());
   }
 
   private static String place(String type, String zone) {
@@ -201,6 +210,6 @@
   }
 
   private MachineType machineType(Machine machine) {
-    return machine.type == null ? null : machineTypes.get(machine.type);
+    return machineTypes.get(machine.description().typeName());
   }
 }
--- a/src/main/java/org/ternhinge/controller/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -1,14 +1,14 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.function.BooleanSupplier;
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Whether answers and commands reach a worker. Its heartbeats may arrive while these don't: then the
- * leader would count its lease from answers that were lost, place tasks there and wait for starts
- * that never show.
+ * Whether answers and commands reach a worker. Its heartbeats may arrive while these don't: then
+ * the leader would count its lease from answers that were lost, place tasks there and wait for
+ * starts that never show.
  */
-final class CommandReachability {
+public final class CommandReachability {
   /** Answers in a row that had no effect; a single one may be lost on a healthy connection. */
   private static final int UNREACHABLE_AFTER = 3;
 
@@ -26,7 +26,7 @@
    * @param othersReachable whether enough other workers are reached, so that the fault is not this
    *     node's own; asked only where it decides, since it looks at every machine
    */
-  void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
     if (missedAnswers >= UNREACHABLE_AFTER && !unreachable && othersReachable.getAsBoolean()) {
       unreachable = true;
@@ -35,7 +35,7 @@
   }
 
   /** Its epoch ended although it was being answered. */
-  void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     answerMissed(now, othersReachable);
   }
@@ -44,28 +44,28 @@
    * It shows the effect of a command. From an unreachable worker that is no proof: the command may
    * have been held back for long.
    */
-  void effectSeen() {
+  public void effectSeen() {
     missedAnswers = 0;
   }
 
   /** It has answered a direct command. */
-  void probeAnswered() {
+  public void probeAnswered() {
     missedAnswers = 0;
     unreachable = false;
   }
 
   /** Whether commands are taken to be lost on their way there. */
-  boolean unreachable() {
+  public boolean unreachable() {
     return unreachable;
   }
 
   /** For how many seconds it has been unreachable; 0 where it is not. */
-  double unreachableFor(SteadyTime now) {
+  public double unreachableFor(SteadyTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
   /** Whether it is time to probe it; true once each time. */
-  boolean isProbeDue(SteadyTime now) {
+  public boolean isProbeDue(SteadyTime now) {
     if (!unreachable || (probedAt != null && now.secondsSince(probedAt) < PROBE_INTERVAL_S)) {
       return false;
     }
--- a/src/main/java/org/ternhinge/controller/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/org/ternhinge/controller/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.function.Predicate;
--- /dev/null
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -0,0 +1,44 @@
+package org.ternhinge.machine;
+
+import org.ternhinge.model.SteadyTime;
+
+/** Whether one machine is fit for tasks. Guarded by the controller's lock. */
+public final class MachineHealth {
+  private final MachineFailures failures = new MachineFailures();
+  private final CommandReachability reachability = new CommandReachability();
+  private SteadyTime quarantinedUntil;
+  private SteadyTime noRoomUntil;
+
+  /** Failures of tasks since one was last done on the machine. */
+  MachineFailures failures() {
+    return failures;
+  }
+
+  /** Whether answers and commands reach the worker. */
+  public CommandReachability reachability() {
+    return reachability;
+  }
+
+  /** Whether the machine is in quarantine since tasks fail on it. */
+  public boolean isQuarantined(SteadyTime now) {
+    return quarantinedUntil != null && now.isBefore(quarantinedUntil);
+  }
+
+  void quarantineUntil(SteadyTime time) {
+    quarantinedUntil = time;
+  }
+
+  void endQuarantine() {
+    quarantinedUntil = null;
+  }
+
+  /** The machine has refused a task for want of room: nothing is placed on it before this time. */
+  void refusesTasksUntil(SteadyTime time) {
+    noRoomUntil = time;
+  }
+
+  /** Whether the machine has not refused a task for want of room lately. */
+  public boolean acceptsTasks(SteadyTime now) {
+    return noRoomUntil == null || noRoomUntil.isBefore(now);
+  }
+}
--- a/src/main/java/org/ternhinge/controller/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.Collection;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
  * never comes back, so a late heartbeat or list that shows a removed machine can be told from a new
  * one. Guarded by the controller's lock.
  */
-final class MachineRegistry {
+public final class MachineRegistry {
   /** In order of their names, so that equal inputs give equal plans. */
   private final Map<MachineId, Machine> machines = new TreeMap<>();
 
@@ -26,33 +26,33 @@
    * @param initialLeaseEnd when the lease of a machine that this leadership has not heard from is
    *     over at the latest, whichever earlier leader renewed it last
    */
-  MachineRegistry(SteadyTime initialLeaseEnd) {
+  public MachineRegistry(SteadyTime initialLeaseEnd) {
     this.initialLeaseEnd = initialLeaseEnd;
   }
 
   /** The machine of this name; a new entry where it was not known. */
-  Machine findOrAdd(MachineId id, SteadyTime now) {
+  public Machine findOrAdd(MachineId id, SteadyTime now) {
     return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseEnd));
   }
 
   /** The machine of this name, or null. */
-  Machine find(MachineId id) {
+  public Machine find(MachineId id) {
     return machines.get(id);
   }
 
   /** All machines in order of their names, as a live view: copy it where machines may go. */
-  Collection<Machine> all() {
+  public Collection<Machine> all() {
     return machines.values();
   }
 
   /** Forgets a machine that is certainly gone. */
-  void remove(MachineId id) {
+  public void remove(MachineId id) {
     machines.remove(id);
     removed.add(id);
   }
 
   /** Whether a machine of this name was here and is certainly gone. */
-  boolean wasRemoved(MachineId id) {
+  public boolean wasRemoved(MachineId id) {
     return removed.contains(id);
   }
 }
--- a/src/main/java/org/ternhinge/controller/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.Collection;
 import java.util.Collections;
@@ -7,13 +7,14 @@
 import java.util.Map;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.MachineType;
 
 /**
  * The machine types that the cloud offers, read again and again, since a site may add types while a
  * leadership lasts. Guarded by the controller's lock.
  */
-final class MachineTypeCatalog {
+public final class MachineTypeCatalog {
   /** Seconds between two readings; types change by hand, a few times a year. */
   private static final double REFRESH_S = 60;
 
@@ -29,19 +30,20 @@
    *
    * @param known the types that the node knew before this leadership
    */
-  MachineTypeCatalog(Cloud cloud, LeadershipExecutor executor, Collection<MachineType> known) {
+  public MachineTypeCatalog(
+      Cloud cloud, LeadershipExecutor executor, Collection<MachineType> known) {
     this.cloud = cloud;
     this.executor = executor;
     learn(known);
   }
 
   /** Adds types, or replaces those of the same names. */
-  void learn(Collection<MachineType> known) {
+  public void learn(Collection<MachineType> known) {
     known.forEach(machineType -> byName.put(machineType.name(), machineType));
   }
 
   /** Reads the types from the cloud, and goes on doing so. */
-  void refresh() {
+  public void refresh() {
     executor.whenAnswered(cloud.machineTypes(), this::refreshed);
   }
 
@@ -55,12 +57,12 @@
   }
 
   /** The type of this name, or null. */
-  MachineType find(String name) {
+  public MachineType find(String name) {
     return byName.get(name);
   }
 
   /** All types by name, as a live view that can't be changed. */
-  Map<String, MachineType> byName() {
+  public Map<String, MachineType> byName() {
     return Collections.unmodifiableMap(byName);
   }
 }
--- a/src/main/java/org/ternhinge/controller/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.List;
@@ -9,7 +9,7 @@
  * Counts on how many machines each task shows, by the difference between a machine's messages, so
  * that a heartbeat costs by what it changes. Guarded by the controller's lock.
  */
-final class ReportedTaskCounts implements ReportedTasks {
+public final class ReportedTaskCounts implements ReportedTasks {
   private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
 
   @Override
@@ -19,7 +19,7 @@
 
   @Override
   public void show(Machine machine, List<TaskStatus> tasks) {
-    for (TaskStatus task : machine.tasks) {
+    for (TaskStatus task : machine.tasks()) {
       if (!task.ended() && machinesByTask.addTo(task.task(), -1) <= 1) {
         machinesByTask.removeInt(task.task());
       }
@@ -29,8 +29,6 @@
         machinesByTask.addTo(task.task(), 1);
       }
     }
-    machine.tasks = tasks;
-    machine.shownIn = ++machine.messages;
-    machine.view = null;
+    machine.tasks(tasks);
   }
 }
--- a/src/main/java/org/ternhinge/controller/ReportedTasks.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTasks.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.List;
 import org.ternhinge.model.TaskId;
@@ -8,7 +8,7 @@
  * The tasks that machines say they run. A task that shows on a machine without an open attempt may
  * still run there, so it must not start anywhere else.
  */
-interface ReportedTasks {
+public interface ReportedTasks {
   /** Whether some machine shows the task as not ended. */
   boolean isShown(TaskId task);
 
--- a/src/main/java/org/ternhinge/controller/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -1,12 +1,12 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.TreeSet;
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value store,
- * so however many jobs fail, their retries together have a bounded rate. Time is cut into slots of
- * one length, and each slot is given to one retry.
+ * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value
+ * store, so however many jobs fail, their retries together have a bounded rate. Time is cut into
+ * slots of one length, and each slot is given to one retry.
  */
 final class RetrySlots {
   private final double slotS;
--- a/src/main/java/org/ternhinge/controller/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
  * for longer and longer, one of its tasks is tried at a time, and the level of its back-off is kept
  * in its record, so that the next leader goes on from there.
  */
-final class TaskFailures {
+public final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
   /** How long nothing is placed on a machine that refused a task for want of room. */
@@ -77,14 +77,14 @@
    *
    * @param changesPerS changes a second that the key-value store takes
    */
-  TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
+  public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
     this.ledger = ledger;
     this.machines = machines;
     this.slots = new RetrySlots(CHANGES_PER_RETRY / (changesPerS * RETRY_SHARE), now);
   }
 
   /** Jobs that backed off under an earlier leader go on doing so, at the level they had reached. */
-  void recover(Collection<Job> jobs, SteadyTime now) {
+  public void recover(Collection<Job> jobs, SteadyTime now) {
     for (Job job : jobs) {
       if (job.backoffLevel() > 0) {
         backOff(job, job.backoffLevel(), now);
@@ -93,9 +93,9 @@
   }
 
   /** A task was done: both its machine and its job are well. */
-  void succeeded(Machine machine, Job job, SteadyTime now) {
-    if (!machine.isQuarantined(now)) {
-      machine.failures.clear();
+  public void succeeded(Machine machine, Job job, SteadyTime now) {
+    if (!machine.health().isQuarantined(now)) {
+      machine.health().failures().clear();
     }
     ledger.setBackoffLevel(job, 0);
     JobFailures jobFailures = failures.remove(job.spec().id());
@@ -108,20 +108,20 @@
   private void blame(MachineId id, Job job, SteadyTime now) {
     Machine machine = machines.find(id);
     if (machine != null) {
-      machine.failures.jobIsHealthy(job.spec().id());
+      machine.health().failures().jobIsHealthy(job.spec().id());
       reconsider(machine, now);
     }
   }
 
   /** A task failed by itself. */
-  void failed(Machine machine, Job job, SteadyTime now) {
+  public void failed(Machine machine, Job job, SteadyTime now) {
     JobId id = job.spec().id();
     JobFailures jobFailures = of(job);
-    jobFailures.failedOn(machine.id, now);
+    jobFailures.failedOn(machine.id(), now);
     if (isHealthy(job, now)) {
-      machine.failures.healthyJobFailed();
+      machine.health().failures().healthyJobFailed();
     } else {
-      machine.failures.otherJobFailed(id);
+      machine.health().failures().otherJobFailed(id);
       backOffIfAtFault(job, jobFailures, now);
     }
     reconsider(machine, now);
@@ -143,12 +143,12 @@
   }
 
   /** A start was refused for want of room. */
-  void noRoom(Machine machine, SteadyTime now) {
-    machine.noRoomUntil = now.plusSeconds(NO_ROOM_S);
+  public void noRoom(Machine machine, SteadyTime now) {
+    machine.health().refusesTasksUntil(now.plusSeconds(NO_ROOM_S));
   }
 
   /** A start was refused since the worker could not get the job's description yet. */
-  void unknownJob(Job job, SteadyTime now) {
+  public void unknownJob(Job job, SteadyTime now) {
     JobFailures jobFailures = of(job);
     if (!jobFailures.blocked(now)) {
       jobFailures.startAfter(now.plusSeconds(UNKNOWN_END_S));
@@ -175,20 +175,23 @@
     if (machine == null) {
       return;
     }
-    boolean isQuarantined = shouldQuarantine(machine);
-    if (isQuarantined && !machine.isQuarantined(now)) {
-      machine.quarantinedUntil = now.plusSeconds(QUARANTINE_S);
-      LOG.info("machine {} quarantined: its tasks fail", machine.id);
-    } else if (!isQuarantined && machine.isQuarantined(now)) {
-      machine.quarantinedUntil = null;
-      LOG.info("machine {} out of quarantine: the jobs that failed there fail elsewhere too", machine.id);
+    boolean quarantine = shouldQuarantine(machine);
+    if (quarantine && !machine.health().isQuarantined(now)) {
+      machine.health().quarantineUntil(now.plusSeconds(QUARANTINE_S));
+      LOG.info("machine {} quarantined: its tasks fail", machine.id());
+    } else if (!quarantine && machine.health().isQuarantined(now)) {
+      machine.health().endQuarantine();
+      LOG.info(
+          "machine {} out of quarantine: the jobs that failed there fail elsewhere too",
+          machine.id());
     }
   }
 
   private boolean shouldQuarantine(Machine machine) {
-    int ofHealthyJobs = machine.failures.countOfHealthyJobs();
-    int ofOthers = machine.failures.countOfOtherJobs(id -> !isSuspect(id));
-    return ofHealthyJobs >= QUARANTINE_AFTER_FAILURES || ofHealthyJobs + ofOthers >= QUARANTINE_AFTER_JOBS;
+    int ofHealthyJobs = machine.health().failures().countOfHealthyJobs();
+    int ofOthers = machine.health().failures().countOfOtherJobs(id -> !isSuspect(id));
+    return ofHealthyJobs >= QUARANTINE_AFTER_FAILURES
+        || ofHealthyJobs + ofOthers >= QUARANTINE_AFTER_JOBS;
   }
 
   /** Whether a task of the job was done once, or runs well now. */
@@ -206,7 +209,7 @@
   }
 
   /** Whether nothing of a job may be started now. */
-  boolean isBlocked(Job job, SteadyTime now) {
+  public boolean isBlocked(Job job, SteadyTime now) {
     JobFailures jobFailures = failures.get(job.spec().id());
     if (jobFailures == null) {
       return false;
@@ -219,7 +222,7 @@
   }
 
   /** Whether only one task of a job is to be tried, since it has failed everywhere so far. */
-  boolean triesSingleTask(Job job, SteadyTime now) {
+  public boolean triesSingleTask(Job job, SteadyTime now) {
     JobFailures jobFailures = failures.get(job.spec().id());
     return jobFailures != null
         && jobFailures.triesSingleTasks()
@@ -228,7 +231,7 @@
   }
 
   /** Where nothing of a job should go now. */
-  Set<MachineId> avoidedBy(Job job, SteadyTime now) {
+  public Set<MachineId> avoidedBy(Job job, SteadyTime now) {
     JobFailures jobFailures = failures.get(job.spec().id());
     return jobFailures == null ? Set.of() : jobFailures.avoid(now);
   }
--- a/src/main/java/org/ternhinge/controller/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,14 +7,14 @@
 import java.util.function.ToIntFunction;
 
 /** Counts machines by zone, and how many of them are marked for some reason. */
-final class ZoneMachineCounts {
+public final class ZoneMachineCounts {
   /**
    * The machines of one zone.
    *
    * @param counted machines that are looked at
    * @param marked of these, how many the reason holds for
    */
-  record Count(int counted, int marked) {}
+  public record Count(int counted, int marked) {}
 
   private ZoneMachineCounts() {}
 
@@ -24,7 +24,7 @@
    * @param zones how many zones there are
    * @param zoneOf the number of a machine's zone; negative where it is not known
    */
-  static List<Count> of(
+  public static List<Count> of(
       Collection<Machine> machines,
       int zones,
       ToIntFunction<Machine> zoneOf,
--- a/src/main/java/org/ternhinge/model/AttemptNumber.java
+++ b/src/main/java/org/ternhinge/model/AttemptNumber.java
@@ -19,7 +19,8 @@
     return Long.toString(value);
   }
 
-  // By hand, as in the other small types that are compared and looked up for each heartbeat: what the
+  // By hand, as in the other small types that are compared and looked up for each heartbeat: what
+  // the
   // compiler makes for a record goes through method handles, which the quick compiler that these
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -12,7 +12,8 @@
     return value;
   }
 
-  // By hand, as in the other small types that are compared and looked up for each heartbeat: what the
+  // By hand, as in the other small types that are compared and looked up for each heartbeat: what
+  // the
   // compiler makes for a record goes through method handles, which the quick compiler that these
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
--- a/src/main/java/org/ternhinge/model/TaskId.java
+++ b/src/main/java/org/ternhinge/model/TaskId.java
@@ -29,7 +29,8 @@
     return job.value() + "/" + index;
   }
 
-  // By hand, as in the other small types that are compared and looked up for each heartbeat: what the
+  // By hand, as in the other small types that are compared and looked up for each heartbeat: what
+  // the
   // compiler makes for a record goes through method handles, which the quick compiler that these
   // machines need does not see through (13 us to compare seven tasks, 0.6 us for two terms).
   @Override
--- a/src/main/java/org/ternhinge/controller/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/AnswerDeadline.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
@@ -10,17 +10,17 @@
  * than users wait. Only the first answer goes out. What was begun goes on all the same, and a
  * repeat of the request finds its result.
  */
-final class AnswerDeadline {
+public final class AnswerDeadline {
   /** For submissions and cancellations, in seconds; users drop the answer after 5 s. */
-  static final double WRITE_S = 4.5;
+  public static final double WRITE_S = 4.5;
 
   /** For polls, in seconds; users drop the answer after 2 s. */
-  static final double POLL_S = 1.8;
+  public static final double POLL_S = 1.8;
 
   private AnswerDeadline() {}
 
   /** An answer that is 503 where no other one has come within so many seconds. */
-  static Consumer<Response> within(double seconds, Clock clock, Consumer<Response> answer) {
+  public static Consumer<Response> within(double seconds, Clock clock, Consumer<Response> answer) {
     AtomicReference<Consumer<Response>> pending = new AtomicReference<>(answer);
     Consumer<Response> first =
         response -> {
--- a/src/main/java/org/ternhinge/controller/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.Collection;
 import java.util.Collections;
@@ -12,24 +12,25 @@
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
 /**
  * The machine types that a node knows from its start on, whether it leads or not. No submission can
  * be judged before, so a copy is kept in the key-value store: a node that starts while the cloud is
- * down need not wait for it. A leadership keeps its own, later list in {@link MachineTypeCatalog}. All
- * methods run under the controller's lock.
+ * down need not wait for it. A leadership keeps its own, later list in {@link MachineTypeCatalog}.
+ * All methods run under the controller's lock.
  */
-final class BootstrapMachineTypes {
+public final class BootstrapMachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(BootstrapMachineTypes.class);
   private static final double RETRY_S = 1;
 
@@ -45,8 +46,12 @@
    *
    * @param learned hears of the types once they are known
    */
-  BootstrapMachineTypes(
-      KeyValueStore store, Cloud cloud, Clock clock, Lock lock, Consumer<List<MachineType>> learned) {
+  public BootstrapMachineTypes(
+      KeyValueStore store,
+      Cloud cloud,
+      Clock clock,
+      Lock lock,
+      Consumer<List<MachineType>> learned) {
     this.store = store;
     this.cloud = cloud;
     this.clock = clock;
@@ -55,11 +60,12 @@
   }
 
   /** Loads the types, and tries again until it has them. */
-  void load() {
-    locked.whenAnswered(store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
+  public void load() {
+    locked.whenAnswered(
+        store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
   }
 
-  boolean isEmpty() {
+  public boolean isEmpty() {
     return byName.isEmpty();
   }
 
@@ -67,7 +73,7 @@
     return Collections.unmodifiableMap(byName);
   }
 
-  Collection<MachineType> all() {
+  public Collection<MachineType> all() {
     return byName().values();
   }
 
@@ -101,7 +107,8 @@
   /** Another node's copy is as good, so a failure of the write does not matter. */
   private void keepCopy(List<MachineType> types) {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
-    CompareAndSwap compareAndSwap = new CompareAndSwap(Map.of(Keys.MACHINE_TYPES, Revision.NONE), List.of(copy));
+    CompareAndSwap compareAndSwap =
+        new CompareAndSwap(Map.of(Keys.MACHINE_TYPES, Revision.NONE), List.of(copy));
     AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
   }
 }
--- a/src/main/java/org/ternhinge/controller/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -6,6 +6,8 @@
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.JobId;
@@ -18,7 +20,7 @@
  * is found still holds when the acceptance is written; and what becomes of them in between, the new
  * job's own state follows.
  */
-final class DependencyCheck {
+public final class DependencyCheck {
   /** What a check comes to. */
   sealed interface Result permits Passed, Refused, Unavailable {}
 
@@ -39,7 +41,7 @@
   private final JobLookup lookup;
   private final LockedExecutor locked;
 
-  DependencyCheck(LeadershipRole role, JobLookup lookup, Lock lock) {
+  public DependencyCheck(LeadershipRole role, JobLookup lookup, Lock lock) {
     this.role = role;
     this.lookup = lookup;
     this.locked = new LockedExecutor(lock);
--- a/src/main/java/org/ternhinge/controller/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -1,21 +1,23 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.Redirect;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.Heartbeat;
 
 /**
  * Takes workers' heartbeats. The leader answers them with commands; another node sends the worker
  * there, or relays for one that can't reach the leader.
  */
-final class HeartbeatHandler {
+public final class HeartbeatHandler {
   /** Shorter than the time after which a worker drops the answer. */
   private static final double RELAY_TIMEOUT_S = 2.5;
 
@@ -24,7 +26,7 @@
   private final Clock clock;
   private final HeartbeatRelay relay = new HeartbeatRelay();
 
-  HeartbeatHandler(LeadershipRole role, PeerClient peers, Clock clock) {
+  public HeartbeatHandler(LeadershipRole role, PeerClient peers, Clock clock) {
     this.role = role;
     this.peers = peers;
     this.clock = clock;
@@ -35,7 +37,7 @@
    *
    * @param fromPeer whether another node relays it; it is not relayed once more
    */
-  void take(Request request, boolean fromPeer, Consumer<Response> answer) {
+  public void take(Request request, boolean fromPeer, Consumer<Response> answer) {
     try {
       take(Heartbeat.read(request.body()), request, fromPeer, answer);
     } catch (WireException e) {
--- a/src/main/java/org/ternhinge/controller/HeartbeatRelay.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelay.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,8 +7,8 @@
 
 /**
  * Tells which workers can't reach the leader. A worker that was sent there and is back soon found
- * nobody; its heartbeats are relayed for a while, so that a cut between two zones does not cost it its
- * lease while a third can reach both. Then it is sent to the leader again.
+ * nobody; its heartbeats are relayed for a while, so that a cut between two zones does not cost it
+ * its lease while a third can reach both. Then it is sent to the leader again.
  */
 final class HeartbeatRelay {
   /** A worker waits 4 s for an answer and 1 s before it tries the next node, of which few exist. */
--- a/src/main/java/org/ternhinge/controller/JobCancellations.java
+++ b/src/main/java/org/ternhinge/request/JobCancellations.java
@@ -1,8 +1,10 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
@@ -13,7 +15,7 @@
  * Takes users' cancellations. Only the leader can cancel, and confirms once the cancellation is
  * durable; a job that is over or cancelled already is told so by any node.
  */
-final class JobCancellations {
+public final class JobCancellations {
   /** Less than the 5 s that users wait for an answer. */
   private static final double LEADER_TIMEOUT_S = 4;
 
@@ -24,7 +26,7 @@
   private final Clock clock;
   private final LeaderRequestRouter router;
 
-  JobCancellations(
+  public JobCancellations(
       LeadershipRole role, PeerClient peers, LeaderSearch search, JobLookup lookup, Clock clock) {
     this.lookup = lookup;
     this.clock = clock;
@@ -34,12 +36,12 @@
   }
 
   /** Takes a cancellation from a user. */
-  void cancelForUser(JobId id, Request request, Consumer<Response> answer) {
+  public void cancelForUser(JobId id, Request request, Consumer<Response> answer) {
     router.answerUser(id, request, answer);
   }
 
   /** Takes a cancellation that another node hands to this one as the leader. */
-  void cancelForPeer(JobId id, Consumer<Response> answer) {
+  public void cancelForPeer(JobId id, Consumer<Response> answer) {
     router.answerPeer(id, answer);
   }
 
--- a/src/main/java/org/ternhinge/controller/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -14,8 +14,8 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.JobState;
 
 /**
@@ -23,7 +23,7 @@
  * is cancelled as soon as one before it is, whatever its own record still says, so those before it
  * are read too; where they can't be, nothing is told.
  */
-final class JobLookup {
+public final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
   /** Jobs before one that are read for one answer; the leader knows longer chains from memory. */
@@ -55,7 +55,7 @@
   private final KeyValueStore store;
   private final SharedLookups shared = new SharedLookups(this::search);
 
-  JobLookup(KeyValueStore store) {
+  public JobLookup(KeyValueStore store) {
     this.store = store;
   }
 
@@ -135,7 +135,10 @@
     }
 
     private void recordRead(
-        JobId job, Outcome<KeyValueStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
+        JobId job,
+        Outcome<KeyValueStore.Read> outcome,
+        Consumer<StoredJob> present,
+        Runnable absent) {
       if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
         LOG.debug("{} can't be looked up: {}", job, outcome);
         then.accept(UNAVAILABLE);
@@ -148,7 +151,10 @@
     }
 
     private void endRead(
-        JobId job, Outcome<KeyValueStore.Read> outcome, Consumer<StoredJob> present, Runnable absent) {
+        JobId job,
+        Outcome<KeyValueStore.Read> outcome,
+        Consumer<StoredJob> present,
+        Runnable absent) {
       if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
         LOG.debug("{} can't be looked up: {}", job, outcome);
         then.accept(UNAVAILABLE);
--- a/src/main/java/org/ternhinge/controller/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueries.java
@@ -1,8 +1,10 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
@@ -11,14 +13,14 @@
  * Answers users' questions about jobs. The leader answers from memory; other nodes ask it, and read
  * the key-value store where it can't be asked.
  */
-final class JobQueries {
+public final class JobQueries {
   /** Leaves time to read the key-value store within the 2 s that users wait. */
   private static final double LEADER_TIMEOUT_S = 0.8;
 
   private final JobLookup lookup;
   private final LeaderRequestRouter router;
 
-  JobQueries(LeadershipRole role, PeerClient peers, LeaderSearch search, JobLookup lookup) {
+  public JobQueries(LeadershipRole role, PeerClient peers, LeaderSearch search, JobLookup lookup) {
     this.lookup = lookup;
     this.router =
         new LeaderRequestRouter(
@@ -26,12 +28,12 @@
   }
 
   /** Answers a question that a user has put to this node. */
-  void answerUser(JobId id, Request request, Consumer<Response> answer) {
+  public void answerUser(JobId id, Request request, Consumer<Response> answer) {
     router.answerUser(id, request, answer);
   }
 
   /** Answers a question that another node takes this one to be the leader for. */
-  void answerPeer(JobId id, Consumer<Response> answer) {
+  public void answerPeer(JobId id, Consumer<Response> answer) {
     router.answerPeer(id, answer);
   }
 
--- a/src/main/java/org/ternhinge/controller/LeaderRequestRouter.java
+++ b/src/main/java/org/ternhinge/request/LeaderRequestRouter.java
@@ -1,9 +1,11 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.JobId;
 
 /**
--- a/src/main/java/org/ternhinge/controller/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.List;
 import java.util.Optional;
@@ -6,16 +6,17 @@
 import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Finds the leader by asking all other controllers. A node that the key-value store refuses, or that
- * is cut off from it, can't read who leads, and would answer its users 503 for as long as that
+ * Finds the leader by asking all other controllers. A node that the key-value store refuses, or
+ * that is cut off from it, can't read who leads, and would answer its users 503 for as long as that
  * lasts while the leader could serve them. Guarded by the controller's lock.
  */
-final class LeaderSearch {
+public final class LeaderSearch {
   /** Seconds for which a node is taken for the leader after it has answered as one. */
   private static final double FOUND_S = 10;
 
@@ -35,7 +36,7 @@
   private Found found;
   private SteadyTime nobodyUntil;
 
-  LeaderSearch(
+  public LeaderSearch(
       LeadershipRole role,
       PeerClient peers,
       NodeConnectivity connectivity,
@@ -51,7 +52,9 @@
     this.nobodyUntil = clock.now();
   }
 
-  /** The other node that leads: the one found lately, else the one that the key-value store names. */
+  /**
+   * The other node that leads: the one found lately, else the one that the key-value store names.
+   */
   Optional<String> leader() {
     Optional<String> known = role.otherLeader();
     boolean holds =
--- a/src/main/java/org/ternhinge/controller/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/request/NodeConnectivity.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.List;
 import java.util.concurrent.locks.Lock;
@@ -11,7 +11,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Whether this node can answer users at all. One that reaches neither the key-value store nor any
@@ -19,7 +19,7 @@
  * as long as that lasts, so it must not count as healthy. An outage of the key-value store alone is
  * no reason: it meets all nodes, and while all are unhealthy nobody is served.
  */
-final class NodeConnectivity {
+public final class NodeConnectivity {
   private static final double CHECK_INTERVAL_S = 1;
 
   /** As long without an answer before one is asked for. */
@@ -28,14 +28,16 @@
   /** As long without any answer before this node takes itself for cut off. */
   private static final double ALONE_S = 5;
 
-  /** Longer than the time between two answers of a key-value store that is asked once it is quiet. */
+  /**
+   * Longer than the time between two answers of a key-value store that is asked once it is quiet.
+   */
   private static final double STORE_SILENT_S = QUIET_S + CHECK_INTERVAL_S + 0.5;
 
   private static final double PEER_TIMEOUT_S = 0.8;
   private static final Request PROBE = new Request("GET", "/healthz", new byte[0]);
 
   private final KeyValueStore store;
-  private final ControllerNode.Peers peers;
+  private final PeerTransport peers;
   private final List<String> otherNodes;
   private final Clock clock;
   private final LockedExecutor locked;
@@ -43,12 +45,8 @@
   private SteadyTime peerAnsweredAt;
   private int nextProbed;
 
-  NodeConnectivity(
-      KeyValueStore store,
-      ControllerNode.Peers peers,
-      List<String> otherNodes,
-      Clock clock,
-      Lock lock) {
+  public NodeConnectivity(
+      KeyValueStore store, PeerTransport peers, List<String> otherNodes, Clock clock, Lock lock) {
     this.store = store;
     this.peers = peers;
     this.otherNodes = otherNodes;
@@ -58,7 +56,7 @@
     this.peerAnsweredAt = clock.now();
   }
 
-  void start() {
+  public void start() {
     clock.after(CHECK_INTERVAL_S, this::check);
   }
 
@@ -73,7 +71,7 @@
   }
 
   /** Whether neither the key-value store nor any other controller has answered for long. */
-  boolean alone() {
+  public boolean alone() {
     return !otherNodes.isEmpty()
         && silentFor(storeAnsweredAt) > ALONE_S
         && silentFor(peerAnsweredAt) > ALONE_S;
--- a/src/main/java/org/ternhinge/controller/PeerClient.java
+++ b/src/main/java/org/ternhinge/request/PeerClient.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
@@ -10,12 +10,12 @@
  * Asks other controllers. Answers are handed on under the controller's lock. A link that leaves a
  * request unanswered may be cut and is dropped, so that the next request opens a new one.
  */
-final class PeerClient {
-  private final ControllerNode.Peers peers;
+public final class PeerClient {
+  private final PeerTransport peers;
   private final Lock lock;
   private final NodeConnectivity connectivity;
 
-  PeerClient(ControllerNode.Peers peers, Lock lock, NodeConnectivity connectivity) {
+  public PeerClient(PeerTransport peers, Lock lock, NodeConnectivity connectivity) {
     this.peers = peers;
     this.lock = lock;
     this.connectivity = connectivity;
--- a/src/main/java/org/ternhinge/controller/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import org.ternhinge.http.Response;
 import org.ternhinge.wire.DependencyVerdict;
@@ -6,12 +6,12 @@
 import org.ternhinge.wire.JobState;
 
 /** The answers that several request handlers give. */
-final class Responses {
-  static final int OK = 200;
+public final class Responses {
+  public static final int OK = 200;
   static final int CREATED = 201;
   static final int BAD_REQUEST = 400;
-  static final int NOT_FOUND = 404;
-  static final int METHOD_NOT_ALLOWED = 405;
+  public static final int NOT_FOUND = 404;
+  public static final int METHOD_NOT_ALLOWED = 405;
   static final int MISDIRECTED = 421;
   static final int UNPROCESSABLE = 422;
   static final int UNAVAILABLE = 503;
@@ -22,7 +22,7 @@
   private Responses() {}
 
   /** This node can't take the request now; another one, or this one later, may. */
-  static Response busy() {
+  public static Response busy() {
     return Response.busy(RETRY_AFTER_S);
   }
 
--- a/src/main/java/org/ternhinge/controller/SharedLookups.java
+++ b/src/main/java/org/ternhinge/request/SharedLookups.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/org/ternhinge/controller/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
@@ -8,6 +8,7 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.JobSpec;
@@ -20,7 +21,7 @@
  * is known already is answered with its state, however its repeat looks. All methods run under the
  * controller's lock.
  */
-final class SubmissionHandler {
+public final class SubmissionHandler {
   private final Settings settings;
   private final LeadershipRole role;
   private final BootstrapMachineTypes machineTypes;
@@ -28,7 +29,7 @@
   private final SubmissionRelay relay;
   private final NodeConnectivity connectivity;
 
-  SubmissionHandler(
+  public SubmissionHandler(
       Settings settings,
       LeadershipRole role,
       BootstrapMachineTypes machineTypes,
@@ -44,12 +45,12 @@
   }
 
   /** Takes a submission from a user; another node may be asked to write it. */
-  void takeFromUser(Request request, Consumer<Response> answer) {
+  public void takeFromUser(Request request, Consumer<Response> answer) {
     judge(request, answer).ifPresent(spec -> placeFromUser(spec, request, answer));
   }
 
   /** Takes a submission from another node, and does not pass it on again. */
-  void takeFromPeer(Request request, Consumer<Response> answer) {
+  public void takeFromPeer(Request request, Consumer<Response> answer) {
     Optional<DependencyVerdict> verdict = SubmissionRelay.verdictIn(request.path());
     judge(request, answer)
         .ifPresent(spec -> writer.accept(spec, verdict, SubmissionFallback.backToPeer(), answer));
@@ -87,7 +88,8 @@
       writer.answerIfKnown(id, Responses.busy(), answer);
       return Optional.empty();
     }
-    Optional<SubmissionRejection> rejection = SubmissionValidator.reject(spec, settings, machineTypes.byName());
+    Optional<SubmissionRejection> rejection =
+        SubmissionValidator.reject(spec, settings, machineTypes.byName());
     if (rejection.isPresent()) {
       Response refusal = Responses.error(Responses.UNPROCESSABLE, rejection.get().message());
       writer.answerIfKnown(id, refusal, answer);
--- a/src/main/java/org/ternhinge/controller/SubmissionRelay.java
+++ b/src/main/java/org/ternhinge/request/SubmissionRelay.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -23,7 +23,7 @@
  * next one is conditional on the job's absence and then finds it. All methods run under the node's
  * lock.
  */
-final class SubmissionRelay {
+public final class SubmissionRelay {
   /**
    * Where nodes take dependent jobs from each other. A version that would drop the dependencies
    * does not know the path and answers 404, so it never accepts such a job by this way.
@@ -58,7 +58,7 @@
    *
    * @param others names of all other controllers
    */
-  SubmissionRelay(PeerClient peers, List<String> others, Clock clock) {
+  public SubmissionRelay(PeerClient peers, List<String> others, Clock clock) {
     this.peers = peers;
     this.others = others;
     this.clock = clock;
@@ -71,7 +71,7 @@
   }
 
   /** Whether another node offers a dependent job by this path. */
-  static boolean isDependentPath(String path) {
+  public static boolean isDependentPath(String path) {
     return path.equals(DEPENDENT_PATH) || verdictIn(path).isPresent();
   }
 
--- a/src/main/java/org/ternhinge/controller/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
@@ -8,6 +8,7 @@
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.ledger.LedgerLoader;
@@ -19,9 +20,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
@@ -32,7 +33,7 @@
  * exists. That makes it safe to repeat the write after a lost answer, and to have several nodes try
  * the same job. All methods run under the controller's lock.
  */
-final class SubmissionWriter {
+public final class SubmissionWriter {
   /** Each try after the first follows a lost answer, which has taken the store's whole time-out. */
   private static final int MAX_TRIES = 3;
 
@@ -49,7 +50,7 @@
    *
    * @param valueBytes the largest value that the key-value store takes
    */
-  SubmissionWriter(
+  public SubmissionWriter(
       KeyValueStore store,
       JobLookup lookup,
       DependencyCheck dependencies,
@@ -140,7 +141,8 @@
       absent.put(Keys.end(spec.id()), Revision.NONE);
       Change put = new Change.Put(Keys.job(spec.id()), record, 0);
       locked.whenAnswered(
-          store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT), this::written);
+          store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT),
+          this::written);
     }
 
     private void written(Outcome<Revision> outcome) {
--- a/src/main/java/org/ternhinge/controller/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * How often jobs of a class arrive, so that room can be kept for those whose users expect a start
  * sooner than a machine comes up. Guarded by the controller's lock.
  */
-final class ArrivalRates {
+public final class ArrivalRates {
   /** Seconds over which arrivals are counted; long against a boot, short against a day. */
   private static final double WINDOW_S = 180;
 
@@ -32,7 +32,7 @@
 
   private final Map<String, ArrayDeque<Arrival>> recentByClass = new HashMap<>();
 
-  ArrivalRates(List<Objective> objectives) {
+  public ArrivalRates(List<Objective> objectives) {
     for (Objective objective : objectives) {
       if (objective.kind().equals("wait") && objective.jobClass() != null) {
         waitAimS.merge(objective.jobClass(), objective.withinS(), Math::min);
@@ -40,8 +40,10 @@
     }
   }
 
-  /** Counts the arrival of a job, if jobs of its class can't wait for a machine to be provisioned. */
-  void saw(JobSpec spec, SteadyTime at) {
+  /**
+   * Counts the arrival of a job, if jobs of its class can't wait for a machine to be provisioned.
+   */
+  public void saw(JobSpec spec, SteadyTime at) {
     Double aimS = waitAimS.get(spec.jobClass());
     if (aimS != null && aimS < AHEAD_S) {
       recentByClass
--- a/src/main/java/org/ternhinge/controller/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -6,6 +6,8 @@
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
@@ -13,7 +15,7 @@
  * Writes one line a machine to the debug log now and then, for whoever wants to see what runs
  * where. Costs nothing while debug logging is off. Guarded by the controller's lock.
  */
-final class FleetLog {
+public final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
   /** Seconds between two descriptions of the fleet. */
@@ -25,7 +27,7 @@
   private final SnapshotBuilder snapshots;
   private SteadyTime lastLogged;
 
-  FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotBuilder snapshots) {
+  public FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotBuilder snapshots) {
     this.clock = clock;
     this.ledger = ledger;
     this.machines = machines;
@@ -34,7 +36,7 @@
   }
 
   /** Describes the fleet if it is time to. */
-  void logIfDue() {
+  public void logIfDue() {
     SteadyTime now = clock.now();
     if (LOG.isDebugEnabled() && now.secondsSince(lastLogged) >= INTERVAL_S) {
       lastLogged = now;
@@ -44,19 +46,19 @@
 
   private void log(Machine machine, SteadyTime now) {
     Map<String, Integer> attemptsByClass = new TreeMap<>();
-    for (Attempt attempt : ledger.attemptsOn(machine.id)) {
+    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       attemptsByClass.merge(
-          attempt.job().spec().jobClass() + " " + attempt.seen(), 1, Integer::sum);
+          attempt.job().spec().jobClass() + " " + attempt.state(), 1, Integer::sum);
     }
     LOG.debug(
         "fleet {} {} {}{} {} {}{}{}",
-        machine.id,
-        machine.type,
-        machine.zoneName,
-        machine.spot ? " spot" : "",
+        machine.id(),
+        machine.description().typeName(),
+        machine.description().zoneName(),
+        machine.description().spot() ? " spot" : "",
         attemptsByClass,
-        machine.heartbeatReceived ? "" : "booting ",
-        machine.releasing ? "releasing " : "",
+        machine.agent().isHeard() ? "" : "booting ",
+        machine.cloud().isReleasing() ? "releasing " : "",
         snapshots.placeable(machine, now) ? "" : "closed");
   }
 }
--- a/src/main/java/org/ternhinge/controller/JobRanking.java
+++ b/src/main/java/org/ternhinge/round/JobRanking.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
@@ -11,8 +11,8 @@
 final class JobRanking {
   /**
    * A job that has waited so long without a start is served like one within a guarantee, in
-   * seconds. Half of the four minutes in which users see the largest begin: provisioning, booting and
-   * fetching the image come after it.
+   * seconds. Half of the four minutes in which users see the largest begin: provisioning, booting
+   * and fetching the image come after it.
    */
   static final double LATE_S = 120;
 
--- a/src/main/java/org/ternhinge/controller/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
@@ -14,6 +14,7 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
@@ -27,9 +28,6 @@
  * <p>A job that waits for others costs nothing here and holds no part of its team's guarantee.
  */
 final class JobViews {
-  /** Tasks of one job that a round may start; more come with the next round. */
-  static final int MAX_PENDING = 400;
-
   private static final double MILLIS_PER_S = 1000.0;
 
   private static final Comparator<Job> BY_READY_TIME =
@@ -138,7 +136,7 @@
    * @param most how many tasks may start in a round
    */
   private static IntList pending(Job job, int most) {
-    int limit = Math.min(most, MAX_PENDING);
+    int limit = Math.min(most, Snapshot.JobView.MAX_PENDING);
     IntList pending = new IntArrayList(Math.min(job.waitingCount(), limit));
     boolean gang = job.spec().isGang();
     int task = job.nextWaiting(0);
--- a/src/main/java/org/ternhinge/controller/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,6 +9,9 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
@@ -51,17 +54,12 @@
   }
 
   private boolean isReady(Machine machine, SteadyTime now) {
-    return machine.heartbeatReceived
-        && machine.endpoint != null
-        && machine.epoch.compareTo(machine.lastEndedEpoch) > 0
-        && (machine.noRoomUntil == null || machine.noRoomUntil.isBefore(now))
-        && machine.fencingToken.equals(authority.term())
-        && !isOverdue(machine, settings.workers(), now);
-  }
-
-  /** Whether a machine that has reported has missed heartbeats since. */
-  static boolean isOverdue(Machine machine, Settings.Workers workers, SteadyTime now) {
-    return now.secondsSince(machine.lastHeartbeat) >= workers.overdueS();
+    return machine.agent().isHeard()
+        && machine.agent().hasEndpoint()
+        && machine.agent().isEpochOpen()
+        && machine.health().acceptsTasks(now)
+        && machine.agent().fencingToken().equals(authority.term())
+        && !machine.agent().isOverdue(settings.workers(), now);
   }
 
   /**
@@ -69,14 +67,11 @@
    * even count as one that is coming, or nothing would be provisioned in its place.
    */
   private boolean mayEverTakeTasks(Machine machine, SteadyTime now) {
-    return !machine.terminated
-        && !machine.releasing
-        && machine.reclaimAt == null
-        && machine.zone >= 0
-        && machine.type != null
-        && machineTypes.containsKey(machine.type)
-        && !machine.isQuarantined(now)
-        && !machine.reachability.unreachable();
+    return machine.cloud().isStaying()
+        && machine.description().zone() >= 0
+        && machineTypes.containsKey(machine.description().typeName())
+        && !machine.health().isQuarantined(now)
+        && !machine.health().reachability().unreachable();
   }
 
   /** The views of all machines that count, those that are coming included. */
@@ -97,9 +92,9 @@
 
   /** Whether a machine that is not ready is likely to be so before long. */
   private static boolean isExpected(Machine machine, Set<MachineId> late, SteadyTime now) {
-    return machine.heartbeatReceived
-        ? now.secondsSince(machine.lastHeartbeat) <= SILENT_S
-        : !late.contains(machine.id);
+    return machine.agent().isHeard()
+        ? machine.agent().silentForS(now) <= SILENT_S
+        : !late.contains(machine.id());
   }
 
   /** For how many tasks of each job room is kept, on the machines of these views. */
@@ -114,32 +109,29 @@
   }
 
   private Snapshot.MachineView keptView(Machine machine, boolean ready) {
-    if (machine.view == null || machine.view.ready() != ready) {
-      machine.view = view(machine, ready);
-    }
-    return machine.view;
+    return machine.view(ready, () -> view(machine, ready));
   }
 
   private Snapshot.MachineView view(Machine machine, boolean ready) {
-    MachineType machineType = machineTypes.get(machine.type);
+    MachineType machineType = machineTypes.get(machine.description().typeName());
     return new Snapshot.MachineView(
-        machine.id,
+        machine.id(),
         machineType,
-        machine.zone,
-        machine.zoneName,
-        machine.spot,
-        machineType.capacity().minus(ledger.machineUse(machine.id)),
+        machine.description().zone(),
+        machine.description().zoneName(),
+        machine.description().spot(),
+        machineType.capacity().minus(ledger.machineUse(machine.id())),
         ready,
-        Set.copyOf(machine.images.keySet()),
-        machine.idleSince,
-        machine.provisionedAt,
+        machine.images(),
+        machine.idleSince(),
+        machine.cloud().provisionedAt(),
         attempts(machine),
         reservations(machine));
   }
 
   private List<Snapshot.AttemptView> attempts(Machine machine) {
     List<Snapshot.AttemptView> attempts = new ArrayList<>();
-    for (Attempt attempt : ledger.attemptsOn(machine.id)) {
+    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       attempts.add(
           new Snapshot.AttemptView(
               attempt.job().planned(),
@@ -152,7 +144,7 @@
 
   private static List<Snapshot.Reservation> reservations(Machine machine) {
     List<Snapshot.Reservation> reservations = new ArrayList<>();
-    for (Machine.Reservation kept : machine.reservations) {
+    for (Machine.Reservation kept : machine.reservations()) {
       reservations.add(new Snapshot.Reservation(kept.job(), kept.room()));
     }
     return reservations;
--- a/src/main/java/org/ternhinge/controller/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -1,21 +1,28 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.ledger.AdmissionRefusal;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.ledger.MachineAttributes;
-import org.ternhinge.ledger.AdmissionRefusal;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.schedule.Plan;
 
 /**
@@ -23,7 +30,7 @@
  * jobs and machines may have changed or gone since: each decision is checked again, and the
  * ledger's admission has the last word on each placement. Guarded by the controller's lock.
  */
-final class PlanExecutor {
+public final class PlanExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
 
   /**
@@ -46,7 +53,7 @@
   private final MachineProvisioner provisioner;
   private final MachineReleaser releaser;
 
-  PlanExecutor(
+  public PlanExecutor(
       Clock clock,
       Ledger ledger,
       LedgerWriter writer,
@@ -82,7 +89,7 @@
     for (Plan.ScaleOut provision : plan.scaleOuts()) {
       provisioner.provision(provision);
     }
-    for (MachineId id : plan.releaser()) {
+    for (MachineId id : plan.releases()) {
       release(id);
     }
   }
@@ -136,31 +143,22 @@
 
   private MachineAttributes attributes(Machine machine) {
     return new MachineAttributes(
-        machine.id,
-        machine.epoch,
-        machine.type,
-        machine.zone,
-        machine.zoneName,
-        machine.spot,
-        machineTypes.find(machine.type).capacity());
+        machine.id(),
+        machine.agent().epoch(),
+        machine.description().typeName(),
+        machine.description().zone(),
+        machine.description().zoneName(),
+        machine.description().spot(),
+        machineTypes.find(machine.description().typeName()).capacity());
   }
 
   /** A task of the job has been opened on the machine. */
   private void placed(Job job, Machine machine) {
-    machine.view = null;
-    dropReservation(machine, job.spec().id());
-    double cacheGb = machineTypes.find(machine.type).cacheGb();
-    machine.hasImage(job.spec().image(), job.spec().imageGb(), cacheGb);
-  }
-
-  /** One task placed uses up one reservation. */
-  private static void dropReservation(Machine machine, JobId job) {
-    for (int i = 0; i < machine.reservations.size(); i++) {
-      if (machine.reservations.get(i).job().equals(job)) {
-        machine.reservations.remove(i);
-        return;
-      }
-    }
+    machine.invalidateView();
+    // One task placed uses up one reservation.
+    machine.dropReservation(job.spec().id());
+    double cacheGb = machineTypes.find(machine.description().typeName()).cacheGb();
+    machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
   }
 
   /** Stops tasks of lesser urgency on a machine, and keeps their room for the job they made way. */
@@ -170,9 +168,8 @@
       // Gone while the plan was made.
       return;
     }
-    machine.view = null;
     SteadyTime until = now.plusSeconds(RESERVATION_S);
-    machine.reservations.add(new Machine.Reservation(stop.forJob(), stop.room(), until));
+    machine.reserve(new Machine.Reservation(stop.forJob(), stop.room(), until));
     for (Plan.Victim victim : stop.victims()) {
       preempt(victim, stop.forJob());
     }
@@ -192,7 +189,7 @@
 
   private void release(MachineId id) {
     Machine machine = machines.find(id);
-    if (machine != null && ledger.attemptsOn(id).isEmpty() && !machine.releasing) {
+    if (machine != null && ledger.attemptsOn(id).isEmpty() && !machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
   }
--- a/src/main/java/org/ternhinge/controller/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -1,29 +1,35 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.config.Tuning;
+import org.ternhinge.failover.ZoneControl;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Planner;
 import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 
 /**
  * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans on it without the
- * lock, and carries the plan out under the lock. Planning takes too long to hold up heartbeats and the
- * renewal of the leadership. State is guarded by the controller's lock.
+ * lock, and carries the plan out under the lock. Planning takes too long to hold up heartbeats and
+ * the renewal of the leadership. State is guarded by the controller's lock.
  */
-final class SchedulingRounds implements RoundTrigger {
+public final class SchedulingRounds implements RoundTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /**
-   * A round is followed by a pause so many times as long: heartbeats and the renewal of the leadership
-   * come first. Planning then takes about one part in so many of the time, however large the fleet.
+   * A round is followed by a pause so many times as long: heartbeats and the renewal of the
+   * leadership come first. Planning then takes about one part in so many of the time, however large
+   * the fleet.
    */
   private static final double PAUSE_FACTOR = 15;
 
@@ -48,7 +54,7 @@
   private SteadyTime lastStart;
   private double lastTookS;
 
-  SchedulingRounds(
+  public SchedulingRounds(
       ControllerServices services,
       Authority authority,
       LeadershipExecutor executor,
@@ -71,7 +77,7 @@
   }
 
   /** The ledger is there; requests made before had no effect. */
-  void enable() {
+  public void enable() {
     enabled = true;
   }
 
--- a/src/main/java/org/ternhinge/controller/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import java.util.HashMap;
 import java.util.List;
@@ -7,16 +7,22 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.ControllerServices;
 import org.ternhinge.wire.MachineType;
 
 /**
  * What the planner is shown. A machine's view is kept until something on the machine changes, so
  * that a round costs by what has changed since the last one and not by the size of the fleet.
  */
-final class SnapshotBuilder {
+public final class SnapshotBuilder {
   private final Settings settings;
   private final Tuning tuning;
   private final Ledger ledger;
@@ -29,7 +35,7 @@
   private final MachineViews machineViews;
   private final JobViews jobViews;
 
-  SnapshotBuilder(
+  public SnapshotBuilder(
       ControllerServices services,
       Authority authority,
       Ledger ledger,
@@ -49,7 +55,8 @@
     this.provisioner = provisioner;
     this.bootTimes = bootTimes;
     this.electedAt = electedAt;
-    this.machineViews = new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
+    this.machineViews =
+        new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
     this.jobViews = new JobViews(settings, services.clock(), ledger, failures);
   }
 
@@ -91,8 +98,9 @@
     }
     boolean listed = false;
     for (Machine machine : machines.all()) {
-      listed |= machine.listedAt != null;
-      if (!machine.heartbeatReceived && (machine.listedUp || !ledger.attemptsOn(machine.id).isEmpty())) {
+      listed |= machine.cloud().isListed();
+      if (!machine.agent().isHeard()
+          && (machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty())) {
         return false;
       }
     }
--- a/src/main/java/org/ternhinge/controller/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,15 +6,23 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.ListedMachine;
 
 /**
@@ -22,7 +30,7 @@
  * ones are marked, and one that was listed and is missing for longer than the list may lag has been
  * taken. Guarded by the controller's lock.
  */
-final class MachineInventory {
+public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
   /** Machines asked for in one request. */
@@ -32,9 +40,9 @@
   private static final double RATE_LIMIT_RETRY_S = 0.3;
 
   /**
-   * Seconds after which a page that found the rate used up goes on a level with provision requests. A list is
-   * what shows machines that are gone and those that nobody expected, so a long row of provision requests must
-   * not keep it away.
+   * Seconds after which a page that found the rate used up goes on a level with provision requests.
+   * A list is what shows machines that are gone and those that nobody expected, so a long row of
+   * provision requests must not keep it away.
    */
   private static final double PAGE_LATE_S = 2;
 
@@ -69,7 +77,7 @@
   /** Since when the next page is to be read. */
   private SteadyTime pageDueSince;
 
-  MachineInventory(
+  public MachineInventory(
       ControllerServices services,
       LeadershipExecutor executor,
       MachineRegistry machines,
@@ -96,7 +104,7 @@
   }
 
   /** Reads the list, and goes on reading it. */
-  void list() {
+  public void list() {
     listedMachines.clear();
     readingSince = clock.now();
     nextPage(null);
@@ -125,9 +133,9 @@
     }
     if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
       ListedMachine.Page page = applied.value();
-      listedMachines.addAll(page.listedMachines());
-      if (page.more() && !page.listedMachines().isEmpty()) {
-        nextPage(page.listedMachines().get(page.listedMachines().size() - 1).machine());
+      listedMachines.addAll(page.machines());
+      if (page.more() && !page.machines().isEmpty()) {
+        nextPage(page.machines().get(page.machines().size() - 1).machine());
         return;
       }
       listComplete();
@@ -150,10 +158,9 @@
       if (announceTerm(machine, listed, announcements > 0)) {
         announcements--;
       }
-      machine.listedAt = now;
-      machine.listedUp = listed.state() == ListedMachine.State.RUNNING;
-      provisioner.seen(machine.id);
-      if (listed.state() == ListedMachine.State.FAILED && !machine.terminated) {
+      machine.cloud().listed(now, listed.state() == ListedMachine.State.RUNNING);
+      provisioner.seen(machine.id());
+      if (listed.state() == ListedMachine.State.FAILED && !machine.cloud().isTerminated()) {
         failed(machine);
       }
     }
@@ -171,12 +178,14 @@
    * @return whether it was told
    */
   private boolean announceTerm(Machine machine, ListedMachine listed, boolean due) {
-    boolean first = !announcedZones.contains(machine.zone);
-    if (machine.termAnnounced || !(due || first) || !termAnnouncer.announce(machine, listed)) {
+    boolean first = !announcedZones.contains(machine.description().zone());
+    if (machine.agent().isTermAnnounced()
+        || !(due || first)
+        || !termAnnouncer.announce(machine, listed)) {
       return false;
     }
-    machine.termAnnounced = true;
-    announcedZones.add(machine.zone);
+    machine.agent().markTermAnnounced();
+    announcedZones.add(machine.description().zone());
     return true;
   }
 
@@ -191,24 +200,21 @@
   }
 
   private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
-    if (machine.type == null) {
-      machine.type = listed.type();
-      machine.zoneName = listed.zone();
-      machine.zone = settings.zones().indexOf(listed.zone());
-      machine.spot = listed.spot();
+    if (!machine.description().isKnown()) {
+      machine.describe(
+          MachineDescription.of(listed.type(), listed.zone(), listed.spot(), settings.zones()));
     }
     SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
-    if (provisionedAt.isBefore(machine.provisionedAt)) {
+    if (provisionedAt.isBefore(machine.cloud().provisionedAt())) {
       // The list lags, so it tells a machine's least age.
-      machine.provisionedAt = provisionedAt;
-      machine.view = null;
+      machine.provisionedAt(provisionedAt);
     }
   }
 
   private void failed(Machine machine) {
-    LOG.info("machine {} terminated: listed as failed", machine.id);
+    LOG.info("machine {} terminated: listed as failed", machine.id());
     removal.lost(machine, "machine failed");
-    if (!machine.releasing) {
+    if (!machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
   }
@@ -223,9 +229,9 @@
     double oldestListS =
         2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
-      SteadyTime thereAt = machine.listedAt == null ? machine.knownSince : machine.listedAt;
-      if (!shown.contains(machine.id) && readingSince.secondsSince(thereAt) > oldestListS) {
-        LOG.info("machine {} terminated: no longer listed", machine.id);
+      SteadyTime thereAt = machine.cloud().lastKnownAt();
+      if (!shown.contains(machine.id()) && readingSince.secondsSince(thereAt) > oldestListS) {
+        LOG.info("machine {} terminated: no longer listed", machine.id());
         removal.lost(machine, "machine taken");
         removal.remove(machine);
       }
--- a/src/main/java/org/ternhinge/controller/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,6 +12,10 @@
 import org.slf4j.LoggerFactory;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.MachineId;
@@ -20,21 +24,28 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.state.Entry;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
 /**
- * Provisions machines. A provision request's name and content are recorded before it is sent; a lost answer is
- * Unknown and settled by repeating the same name, which the cloud answers the same. The record is
- * kept until every machine of the provision request has shown up, so that no leader forgets a machine that is
- * being charged. Guarded by the controller's lock.
+ * Provisions machines. A provision request's name and content are recorded before it is sent; a
+ * lost answer is Unknown and settled by repeating the same name, which the cloud answers the same.
+ * The record is kept until every machine of the provision request has shown up, so that no leader
+ * forgets a machine that is being charged. Guarded by the controller's lock.
  */
-final class MachineProvisioner {
+public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Seconds until a provision request whose answer was lost, or that could not be sent, is sent again. */
+  /**
+   * Seconds until a provision request whose answer was lost, or that could not be sent, is sent
+   * again.
+   */
   private static final double RETRY_S = 1.5;
 
   /** Seconds until a provision request that found the cloud's rate used up is sent again. */
@@ -91,7 +102,7 @@
    *
    * @param records holds the provision requests whose duty is not done
    */
-  MachineProvisioner(
+  public MachineProvisioner(
       ControllerServices services,
       Authority authority,
       LeadershipExecutor executor,
@@ -113,8 +124,10 @@
     return type + " " + zone + (spot ? " spot" : "");
   }
 
-  /** Provisions machines, unless a provision request of the same offer is still without an answer. */
-  void provision(Plan.ScaleOut wanted) {
+  /**
+   * Provisions machines, unless a provision request of the same offer is still without an answer.
+   */
+  public void provision(Plan.ScaleOut wanted) {
     String offer = offerKey(wanted.type(), wanted.zone(), wanted.spot());
     for (OpenProvision provision : openProvisions.values()) {
       if (!provision.answered() && provision.offer().equals(offer)) {
@@ -132,7 +145,7 @@
   }
 
   /** Takes over earlier leaders' provision requests, whose fate is not known here. */
-  void resume(Entry entry) {
+  public void resume(Entry entry) {
     records.known(
         entry,
         (name, value) -> {
@@ -156,7 +169,8 @@
       sendAfter(RETRY_S, provision);
       return;
     }
-    locked.whenAnswered(cloud.provision(provision.request), outcome -> answered(provision, outcome));
+    locked.whenAnswered(
+        cloud.provision(provision.request), outcome -> answered(provision, outcome));
   }
 
   private void sendAfter(double seconds, OpenProvision provision) {
@@ -196,15 +210,13 @@
 
   private void addMachine(OpenProvision provision, MachineId id, SteadyTime now) {
     Machine machine = machines.findOrAdd(id, now);
-    if (machine.type == null) {
+    if (!machine.description().isKnown()) {
       ProvisionRequest request = provision.request;
-      machine.type = request.type();
-      machine.zoneName = request.zone();
-      machine.zone = zones.indexOf(request.zone());
-      machine.spot = request.spot();
-      machine.provisionedAt = now;
+      machine.describe(
+          MachineDescription.of(request.type(), request.zone(), request.spot(), zones));
+      machine.provisionedAt(now);
     }
-    if (!machine.heartbeatReceived && machine.listedAt == null) {
+    if (!machine.agent().isHeard() && !machine.cloud().isListed()) {
       provision.unseen.add(id);
     }
   }
@@ -233,7 +245,7 @@
   }
 
   /** A machine has shown up by itself; its provision request's record has done its duty. */
-  void seen(MachineId id) {
+  public void seen(MachineId id) {
     for (OpenProvision provision : List.copyOf(openProvisions.values())) {
       if (provision.answered() && provision.unseen.remove(id)) {
         forgetIfAllSeen(provision);
@@ -248,7 +260,8 @@
   }
 
   /** What may be asked for now: all but the offers that lately had no room. */
-  List<Snapshot.Offer> offers(Collection<MachineType> types, BootTimes bootTimes, SteadyTime now) {
+  public List<Snapshot.Offer> offers(
+      Collection<MachineType> types, BootTimes bootTimes, SteadyTime now) {
     List<Snapshot.Offer> offers = new ArrayList<>();
     for (MachineType type : types) {
       for (String zone : type.zones()) {
@@ -272,12 +285,13 @@
     if (backoff == null || backoff.until.isBefore(now)) {
       int zoneIndex = zones.indexOf(zone);
       double bootS = bootTimes.expectedS(type, zone);
-      offers.add(new Snapshot.Offer(type, zoneIndex, zone, spot, ProvisionRequest.MAX_COUNT, bootS));
+      offers.add(
+          new Snapshot.Offer(type, zoneIndex, zone, spot, ProvisionRequest.MAX_COUNT, bootS));
     }
   }
 
   /** Machines asked for whose names are not known yet: as good as coming. */
-  List<Snapshot.PendingProvision> pendingProvisions(Map<String, MachineType> types) {
+  public List<Snapshot.PendingProvision> pendingProvisions(Map<String, MachineType> types) {
     List<Snapshot.PendingProvision> pendingProvisions = new ArrayList<>();
     for (OpenProvision provision : openProvisions.values()) {
       ProvisionRequest request = provision.request;
--- a/src/main/java/org/ternhinge/controller/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -1,23 +1,29 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import com.fasterxml.jackson.databind.node.BooleanNode;
 import java.util.LinkedHashSet;
 import java.util.List;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.Entry;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 
 /**
  * Returns machines. A return is recorded before it is sent and repeated until answered, so that no
  * leader places anything on a machine that may vanish at any moment. All that are due go in one
  * call, since the cloud takes few calls a second. Guarded by the controller's lock.
  */
-final class MachineReleaser {
+public final class MachineReleaser {
   /** Seconds until a call that failed, or that could not be made, is made again. */
   private static final double RETRY_S = 1.5;
 
@@ -48,7 +54,7 @@
    *
    * @param records holds the returns that are not answered
    */
-  MachineReleaser(
+  public MachineReleaser(
       MachineRemoval removal,
       ControllerServices services,
       Authority authority,
@@ -69,20 +75,20 @@
   }
 
   /** Goes on with what an earlier leader has begun. */
-  void resume(Entry entry) {
+  public void resume(Entry entry) {
     records.known(entry, (name, value) -> resume(new MachineId(name)));
   }
 
   private void resume(MachineId id) {
     Machine machine = machines.findOrAdd(id, electedAt);
-    machine.releasing = true;
+    machine.cloud().markReleasing();
     addDue(machine);
   }
 
   /** Returns a machine; nothing more is placed on it. */
-  void release(Machine machine) {
-    machine.releasing = true;
-    records.put(machine.id.value(), BooleanNode.TRUE, () -> addDue(machine));
+  public void release(Machine machine) {
+    machine.cloud().markReleasing();
+    records.put(machine.id().value(), BooleanNode.TRUE, () -> addDue(machine));
   }
 
   private void addDue(Machine machine) {
@@ -100,7 +106,7 @@
       return;
     }
     List<Machine> named = due.stream().limit(MAX_NAMES).toList();
-    List<MachineId> ids = named.stream().map(machine -> machine.id).toList();
+    List<MachineId> ids = named.stream().map(machine -> machine.id()).toList();
     locked.whenAnswered(cloud.release(ids), outcome -> answered(named, outcome));
   }
 
@@ -114,7 +120,7 @@
     for (Machine machine : named) {
       due.remove(machine);
       removal.remove(machine);
-      records.remove(machine.id.value());
+      records.remove(machine.id().value());
     }
     rounds.requestRound();
     call();
--- a/src/main/java/org/ternhinge/controller/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -1,23 +1,27 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import java.util.List;
+import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.worker.Workers;
 
 /**
  * Ends what ran on machines that are gone. The cloud's word is proof: nothing runs on a machine
- * that it calls failed or no longer lists, so its attempts may be closed without a heartbeat. Guarded
- * by the controller's lock.
+ * that it calls failed or no longer lists, so its attempts may be closed without a heartbeat.
+ * Guarded by the controller's lock.
  */
-final class MachineRemoval {
+public final class MachineRemoval {
   private final MachineRegistry machines;
   private final Ledger ledger;
   private final ReportedTasks reportedTasks;
   private final AttemptLifecycle attempts;
   private final Workers workers;
 
-  MachineRemoval(
+  public MachineRemoval(
       MachineRegistry machines,
       Ledger ledger,
       ReportedTasks reportedTasks,
@@ -36,9 +40,9 @@
    * @param evidence what shows that its attempts are gone, for the log
    */
   void lost(Machine machine, String evidence) {
-    machine.terminated = true;
+    machine.cloud().markTerminated();
     reportedTasks.show(machine, List.of());
-    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id))) {
+    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       attempts.close(attempt, false, evidence);
     }
   }
@@ -46,9 +50,7 @@
   /** A machine is certainly gone; its name never comes back. */
   void remove(Machine machine) {
     lost(machine, "machine gone");
-    machines.remove(machine.id);
-    if (machine.endpoint != null) {
-      workers.forget(machine.endpoint);
-    }
+    machines.remove(machine.id());
+    machine.agent().endpoint().ifPresent(workers::forget);
   }
 }
