--- a/src/main/java/org/ternhinge/controller/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -1,10 +1,15 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.ZoneMachineCounts;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.MachineType;
 
@@ -13,7 +18,7 @@
  * are told, or fail their tasks. Such machines are charged until they are returned. Guarded by the
  * controller's lock.
  */
-final class UnusableMachineCheck {
+public final class UnusableMachineCheck {
   private static final Logger LOG = LoggerFactory.getLogger(UnusableMachineCheck.class);
 
   /** So many machines of a zone may be silent, each for a reason of its own, or such a share. */
@@ -50,7 +55,7 @@
   private final BootTimes bootTimes;
   private final SteadyTime electedAt;
 
-  UnusableMachineCheck(
+  public UnusableMachineCheck(
       Settings settings,
       MachineRegistry machines,
       MachineTypeCatalog machineTypes,
@@ -68,20 +73,21 @@
   }
 
   /** Returns what is of no use now. */
-  void check(SteadyTime now) {
+  public void check(SteadyTime now) {
     boolean[] mostlySilent = mostlySilentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
-      MachineType type = machine.type == null ? null : machineTypes.find(machine.type);
+      MachineType type = machineTypes.find(machine.description().typeName());
       if (type == null
-          || machine.releasing
-          || machine.terminated
-          || !ledger.attemptsOn(machine.id).isEmpty()) {
+          || machine.cloud().isReleasing()
+          || machine.cloud().isTerminated()
+          || !ledger.attemptsOn(machine.id()).isEmpty()) {
         continue;
       }
-      boolean zoneSilent = machine.zone >= 0 && mostlySilent[machine.zone];
+      boolean zoneSilent =
+          machine.description().zone() >= 0 && mostlySilent[machine.description().zone()];
       String fault = fault(machine, type, zoneSilent, now);
       if (fault != null) {
-        LOG.info("scale in: releasing machine {}: {}", machine.id, fault);
+        LOG.info("scale in: releasing machine {}: {}", machine.id(), fault);
         releaser.release(machine);
       }
     }
@@ -93,9 +99,9 @@
         ZoneMachineCounts.of(
             machines.all(),
             settings.zones().size(),
-            machine -> machine.zone,
-            machine -> machine.heartbeatReceived && !machine.terminated,
-            machine -> machine.leaseEnds.isBefore(now));
+            machine -> machine.description().zone(),
+            machine -> machine.agent().isHeard() && !machine.cloud().isTerminated(),
+            machine -> machine.agent().isLeaseExpired(now));
     boolean[] mostlySilent = new boolean[machineCounts.size()];
     for (int zone = 0; zone < mostlySilent.length; zone++) {
       double most = Math.max(FEW_SILENT, machineCounts.get(zone).counted() * ZONE_SILENT_SHARE);
@@ -111,28 +117,30 @@
     }
     double leaseS = settings.workers().leaseS();
     double silenceAllowedS = leaseS * (zoneSilent ? ZONE_LEASES : 1);
-    if (machine.heartbeatReceived && machine.leaseEnds.plusSeconds(silenceAllowedS).isBefore(now)) {
+    if (machine.agent().isHeard()
+        && machine.agent().leaseExpiry().plusSeconds(silenceAllowedS).isBefore(now)) {
       return "silent";
     }
-    if (machine.reachability.unreachableFor(now) > UNREACHABLE_LEASES * leaseS) {
+    if (machine.health().reachability().unreachableFor(now) > UNREACHABLE_LEASES * leaseS) {
       return "unreachable by commands";
     }
-    return machine.isQuarantined(now) ? "quarantined" : null;
+    return machine.health().isQuarantined(now) ? "quarantined" : null;
   }
 
   /**
-   * Whether a machine has not come up in the time that it may take. That counts from its provision request,
-   * whichever leader provisioned it; but one that is up has to find a new leader first.
+   * Whether a machine has not come up in the time that it may take. That counts from its provision
+   * request, whichever leader provisioned it; but one that is up has to find a new leader first.
    */
   private boolean neverCameUp(Machine machine, MachineType type, SteadyTime now) {
-    if (machine.heartbeatReceived) {
+    if (machine.agent().isHeard()) {
       return false;
     }
-    if (machine.listedUp) {
+    if (machine.cloud().isListedRunning()) {
       double allowedS = Math.max(UNHEARD_FACTOR * type.bootS(), type.bootS() + UNHEARD_MARGIN_S);
-      return now.secondsSince(machine.provisionedAt.max(electedAt)) > allowedS;
+      return now.secondsSince(machine.cloud().provisionedAt().max(electedAt)) > allowedS;
     }
-    return now.secondsSince(electedAt) > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
+    return now.secondsSince(electedAt)
+            > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
         && bootTimes.isGivenUp(machine, now);
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Moves what may move now. Nothing is provisioned for it: machines provisioned for replicas that had to
-   * wait for their move idled, were returned and were provisioned again.
+   * Moves what may move now. Nothing is provisioned for it: machines provisioned for replicas that
+   * had to wait for their move idled, were returned and were provisioned again.
    */
   void run() {
     List<MachineCapacity> sources = survey();
@@ -210,7 +210,8 @@
 
   /** What a place costs: nothing more on a machine that services keep anyhow. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
-    double whole = price(machine) / Math.max(1, spec.need().timesIn(machine.machineType.capacity()));
+    double whole =
+        price(machine) / Math.max(1, spec.need().timesIn(machine.machineType.capacity()));
     if (machine.machineType.capacity().gpus() == 0) {
       return whole;
     }
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -94,7 +94,8 @@
 
   /**
    * Gangs that are still patient let other gangs by, but not lesser arrays: those filled the
-   * machines that were provisioned for a gang as they came up, and then had to be stopped by hundreds.
+   * machines that were provisioned for a gang as they came up, and then had to be stopped by
+   * hundreds.
    */
   void reserveForPatientGangs() {
     for (JobView job : patientGangs) {
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -10,9 +10,9 @@
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.schedule.Snapshot.Reservation;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.Priority;
 
 /**
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -18,8 +18,8 @@
 public final class Planner {
   /**
    * Candidate evaluations of a job on a machine that one round may take, production work apart.
-   * What is left waits for the next round, so that heartbeats and the renewal of the leadership never
-   * stand behind a long one.
+   * What is left waits for the next round, so that heartbeats and the renewal of the leadership
+   * never stand behind a long one.
    */
   public static final int MAX_EVALUATIONS = 60_000;
 
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
-import org.ternhinge.schedule.Snapshot.PendingProvision;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.schedule.Snapshot.PendingProvision;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
@@ -46,8 +46,9 @@
         pendingMachines.add(machine);
       }
     }
-    // Without these each round until the cloud's answer would provision for the same need once more.
-    for (PendingProvision provisioned : builder.snapshot.pendingMachines()) {
+    // Without these each round until the cloud's answer would provision for the same need once
+    // more.
+    for (PendingProvision provisioned : builder.snapshot.pendingProvisions()) {
       for (int i = 0; i < provisioned.count(); i++) {
         pendingMachines.add(new MachineCapacity(provisioned.of()));
       }
@@ -136,10 +137,10 @@
   }
 
   /**
-   * Keeps room for a job that may come, on what is there or coming, else provisions. Jobs alike share
-   * what is left of the machines: each is looked at until it has no more room for them. At a start
-   * from nothing a hundred expected jobs asked each machine twice in each round, which was most of
-   * the leader's work.
+   * Keeps room for a job that may come, on what is there or coming, else provisions. Jobs alike
+   * share what is left of the machines: each is looked at until it has no more room for them. At a
+   * start from nothing a hundred expected jobs asked each machine twice in each round, which was
+   * most of the leader's work.
    */
   void keepRoomFor(JobView expected) {
     JobSpec spec = expected.spec();
@@ -222,7 +223,9 @@
         builder
             .plan
             .scaleOuts()
-            .add(new Plan.ScaleOut(offer.machineType().name(), offer.zoneName(), offer.spot(), provisioned[i]));
+            .add(
+                new Plan.ScaleOut(
+                    offer.machineType().name(), offer.zoneName(), offer.spot(), provisioned[i]));
       }
     }
     for (MachineCapacity machine : builder.machines) {
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -10,8 +10,8 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /**
  * All that the planner decides from; nothing in it changes while it decides.
@@ -107,6 +107,9 @@
       Set<MachineId> avoid,
       int reservedTasks) {
 
+    /** Tasks of one job that a round may start; more come with the next round. */
+    public static final int MAX_PENDING = 400;
+
     /** The same job with other tasks to place. */
     public JobView withTasks(IntList otherPending, int otherWaiting, boolean otherBlocked) {
       return new JobView(
--- a/src/main/java/org/ternhinge/state/Entry.java
+++ b/src/main/java/org/ternhinge/store/Entry.java
@@ -1,4 +1,4 @@
-package org.ternhinge.state;
+package org.ternhinge.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.ternhinge.model.Revision;
--- a/src/main/java/org/ternhinge/state/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -1,4 +1,4 @@
-package org.ternhinge.state;
+package org.ternhinge.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +14,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.ResponseTimeouts.Kind;
+import org.ternhinge.store.ResponseTimeouts.Kind;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -67,7 +67,8 @@
       RequestPriority priority,
       Reader<T> reader) {
     if (!requests.tryTake(priority, 1)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
+      return CompletableFuture.completedFuture(
+          Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     return http.call(endpoint, method, path, body, limitS, timeouts.capS())
         .thenApply(outcome -> outcome.flatMap(reply -> decode(reply, reader)));
@@ -144,10 +145,12 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap compareAndSwap, RequestPriority priority) {
     int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writes.tryTake(priority, changes)) {
-      return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
+      return CompletableFuture.completedFuture(
+          Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"));
     }
     byte[] body = compareAndSwap.write();
     Reader<Revision> reader = answer -> new Revision(Json.count(answer, "breytingatal"));
--- a/src/main/java/org/ternhinge/state/KeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/KeyValueStore.java
@@ -1,4 +1,4 @@
-package org.ternhinge.state;
+package org.ternhinge.store;
 
 import java.util.List;
 import java.util.Optional;
@@ -27,7 +27,8 @@
       String prefix, String after, int limit, RequestPriority priority);
 
   /** Applies all changes of a transaction, or none, if its conditions hold. */
-  CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority);
+  CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap compareAndSwap, RequestPriority priority);
 
   /** Asks for a lease that lasts so many milliseconds. */
   CompletableFuture<Outcome<Long>> grant(long millis);
--- a/src/main/java/org/ternhinge/state/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -1,4 +1,4 @@
-package org.ternhinge.state;
+package org.ternhinge.store;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.DoubleFunction;
@@ -10,10 +10,10 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * How long to wait for the key-value store's answers, by how long they have taken lately. Like TCP's
- * retransmission timer it follows a smoothed mean and deviation of the response times and backs off
- * when no answer comes, so that a slow service is waited for and a quick one is not. A fixed
- * time-out below the response time would give up every call, and nobody could lead.
+ * How long to wait for the key-value store's answers, by how long they have taken lately. Like
+ * TCP's retransmission timer it follows a smoothed mean and deviation of the response times and
+ * backs off when no answer comes, so that a slow service is waited for and a quick one is not. A
+ * fixed time-out below the response time would give up every call, and nobody could lead.
  *
  * <p>Time-outs stay between a floor for each kind of call and a cap that the leadership lease sets.
  * One unanswered call raises them only until the next answer. Safe for use by several threads.
--- a/src/main/java/org/ternhinge/controller/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,15 +11,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.state.Entry;
+import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 
 /**
  * Many small facts in few records. A change of a record costs one of the key-value store's scarce
- * changes however much of it is new: with a record for each, the provision requests of a start from nothing
- * took the changes that hundreds of services were waiting for.
+ * changes however much of it is new: with a record for each, the provision requests of a start from
+ * nothing took the changes that hundreds of services were waiting for.
  */
-final class BucketedRecords {
+public final class BucketedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(BucketedRecords.class);
   private static final Pattern INDEX = Pattern.compile("0|[1-9][0-9]{0,3}");
 
@@ -61,7 +61,7 @@
    * @param prefix of the records' keys, which end in a number
    * @param valueBytes the most that a record may take
    */
-  BucketedRecords(LedgerWriter writer, String prefix, int valueBytes) {
+  public BucketedRecords(LedgerWriter writer, String prefix, int valueBytes) {
     this.writer = writer;
     this.prefix = prefix;
     this.valueBytes = valueBytes;
@@ -72,7 +72,7 @@
   }
 
   /** Takes over a record of an earlier leader. */
-  void known(Entry entry, BiConsumer<String, JsonNode> each) {
+  public void known(Entry entry, BiConsumer<String, JsonNode> each) {
     String number = entry.key().substring(prefix.length());
     if (!INDEX.matcher(number).matches() || !entry.value().isObject()) {
       // Of another version, or written by hand: a leader that stumbled here would never be ready.
@@ -101,7 +101,7 @@
   }
 
   /** Notes a fact; the action follows once the key-value store holds it. */
-  void put(String name, JsonNode value, Runnable durable) {
+  public void put(String name, JsonNode value, Runnable durable) {
     Bucket target = null;
     for (int i = 0; target == null; i++) {
       Bucket bucket = bucket(i);
@@ -114,7 +114,7 @@
   }
 
   /** Forgets a fact that has done its duty. */
-  void remove(String name) {
+  public void remove(String name) {
     Bucket bucket = bucketByName.remove(name);
     if (bucket != null) {
       bucket.remove(name);
--- a/src/main/java/org/ternhinge/controller/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
@@ -7,7 +7,7 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.worker.Workers;
 
 /**
--- a/src/main/java/org/ternhinge/controller/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
@@ -13,24 +13,20 @@
  * @param executor runs actions under the lock until the leadership ends
  * @param ledger jobs and attempts
  * @param writer brings the ledger's changes to the key-value store
- * @param machines all machines that are known
- * @param machineTypes what the cloud provisions
  * @param rounds asks for a scheduling round
  * @param electedAt when the leadership began
  */
-record LeadershipContext(
+public record LeadershipContext(
     ControllerServices services,
     Authority authority,
     LeadershipExecutor executor,
     Ledger ledger,
     LedgerWriter writer,
-    MachineRegistry machines,
-    MachineTypeCatalog machineTypes,
     RoundTrigger rounds,
     SteadyTime electedAt) {
 
   /** Records of the key-value store under a prefix that hold many small entries each. */
-  BucketedRecords bucketedRecords(String prefix) {
+  public BucketedRecords bucketedRecords(String prefix) {
     return new BucketedRecords(writer, prefix, services.settings().storeLimits().valueBytes());
   }
 }
--- a/src/main/java/org/ternhinge/controller/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.Lock;
@@ -13,25 +13,25 @@
  * lasts. An answer or a timer that arrives after its end is dropped, so that nothing acts on a
  * ledger that another leader may have changed since.
  */
-final class LeadershipExecutor {
+public final class LeadershipExecutor {
   private final Clock clock;
   private final LockedExecutor executor;
 
   /** Guarded by the lock. */
   private boolean stopped;
 
-  LeadershipExecutor(Clock clock, Lock lock) {
+  public LeadershipExecutor(Clock clock, Lock lock) {
     this.clock = clock;
     this.executor = new LockedExecutor(lock);
   }
 
   /** The leadership is over: from now on no action runs. Called under the lock. */
-  void stop() {
+  public void stop() {
     stopped = true;
   }
 
   /** Whether the leadership is over. Called under the lock. */
-  boolean stopped() {
+  public boolean stopped() {
     return stopped;
   }
 
@@ -47,7 +47,7 @@
   }
 
   /** Runs an action under the lock after a delay, unless the leadership is over by then. */
-  void later(double seconds, Runnable action) {
+  public void later(double seconds, Runnable action) {
     clock.after(seconds, () -> locked(action));
   }
 
@@ -56,7 +56,7 @@
    *
    * @param next gets the outcome, or null where the client failed without one
    */
-  <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
+  public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
     AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
   }
 }
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
@@ -117,7 +117,7 @@
   private static TaskStatus task(JsonStreamReader in) throws IOException, WireException {
     TaskId task = null;
     TaskState state = null;
-    EndReason why = null;
+    EndReason endReason = null;
     long attempt = -1;
     boolean saved = false;
     for (String field = in.nextField(); field != null; field = in.nextField()) {
@@ -128,7 +128,7 @@
         }
         case "tilraun" -> attempt = in.count(field);
         case "astand" -> state = TaskState.of(in.text(field));
-        case "astaeda" -> why = in.isNull() ? null : EndReason.of(in.text(field));
+        case "astaeda" -> endReason = in.isNull() ? null : EndReason.of(in.text(field));
         case "saved" -> saved = !in.isNull() && in.flag(field);
         default -> in.skip();
       }
@@ -136,8 +136,8 @@
     need(task != null, "verkbiti: a string is needed");
     need(attempt >= 0, "tilraun: an integer is needed");
     need(state != null, "astand: a string is needed");
-    need(state != TaskState.ENDED || why != null, "astaeda: needed for an ended task");
-    return new TaskStatus(task, new AttemptNumber(attempt), state, why, saved);
+    need(state != TaskState.ENDED || endReason != null, "astaeda: needed for an ended task");
+    return new TaskStatus(task, new AttemptNumber(attempt), state, endReason, saved);
   }
 
   private static void need(boolean holds, String otherwise) throws WireException {
@@ -156,14 +156,14 @@
       out.put("fyrirvari_s", reclaimNoticeS);
     }
     ArrayNode list = out.putArray("verkbitar");
-    for (TaskStatus heartbeat : tasks) {
+    for (TaskStatus status : tasks) {
       ObjectNode item = list.addObject();
-      item.put("verkbiti", heartbeat.task().toString()).put("tilraun", heartbeat.attempt().value());
-      item.put("astand", heartbeat.state().word());
-      if (heartbeat.why() != null) {
-        item.put("astaeda", heartbeat.why().word());
+      item.put("verkbiti", status.task().toString()).put("tilraun", status.attempt().value());
+      item.put("astand", status.state().word());
+      if (status.endReason() != null) {
+        item.put("astaeda", status.endReason().word());
       }
-      if (heartbeat.saved()) {
+      if (status.saved()) {
         item.put("saved", true);
       }
     }
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -207,7 +207,9 @@
       out.put("svaedi", zone);
     }
     out.put("together", together).put("scatter", scatter).put("lanvelar", spotAllowed);
-    out.put("aaetlun_s", estimateS).put("vista_bil_s", checkpointIntervalS).put("vistun_s", checkpointSaveS);
+    out.put("aaetlun_s", estimateS)
+        .put("vista_bil_s", checkpointIntervalS)
+        .put("vistun_s", checkpointSaveS);
     if (deadlineS != null) {
       out.put("skiladagur_s", deadlineS);
     }
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -6,8 +6,9 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Answers to heartbeats
- * are written by the hundred a second; a tree of each would only be built to be thrown away.
+ * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Answers to
+ * heartbeats are written by the hundred a second; a tree of each would only be built to be thrown
+ * away.
  */
 final class JsonStreamWriter {
   /** Bytes of an answer without commands, so that most need no larger buffer. */
--- a/src/main/java/org/ternhinge/wire/ListedMachine.java
+++ b/src/main/java/org/ternhinge/wire/ListedMachine.java
@@ -23,7 +23,7 @@
   }
 
   /** One page of the list. */
-  public record Page(List<ListedMachine> hosts, boolean more) {}
+  public record Page(List<ListedMachine> machines, boolean more) {}
 
   /** Reads a page of the cloud's list of machines. */
   public static Page readPage(JsonNode body) throws WireException {
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -5,14 +5,14 @@
 import java.util.function.BooleanSupplier;
 import org.ternhinge.http.HttpCaller;
 import org.ternhinge.http.Reply;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
-import org.ternhinge.wire.WireException;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.WireException;
 
 /** Direct commands over HTTP. */
 public final class HttpWorkers implements Workers {
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -32,7 +32,11 @@
    *     stood still in between; called on any thread
    */
   CompletableFuture<Outcome<Answer>> command(
-      Endpoint worker, Term term, AgentEpoch epoch, List<Command> commands, BooleanSupplier maySend);
+      Endpoint worker,
+      Term term,
+      AgentEpoch epoch,
+      List<Command> commands,
+      BooleanSupplier maySend);
 
   /** The worker at this address is of no more use. */
   void forget(Endpoint worker);
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -13,8 +13,9 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * What was displaced from lost zones: tasks whose attempts are proved over and that have no new one. They are held
- * until their tier's turn comes and then released at a bounded rate; the planner decides the rest.
+ * What was displaced from lost zones: tasks whose attempts are proved over and that have no new
+ * one. They are held until their tier's turn comes and then released at a bounded rate; the planner
+ * decides the rest.
  *
  * <p>No hold is without an end: a job of tier k is released k times {@code tier_hold_s} after it
  * was displaced at the latest, and a job that finds no room keeps lower tiers waiting only for as
@@ -125,7 +126,8 @@
   }
 
   private void replace(DisplacedJob job) {
-    displaced = job.isSettled() ? displaced.minus(job.spec.id()) : displaced.plus(job.spec.id(), job);
+    displaced =
+        job.isSettled() ? displaced.minus(job.spec.id()) : displaced.plus(job.spec.id(), job);
   }
 
   // ---- release ----------------------------------------------------------------------------------
@@ -190,7 +192,8 @@
       budget = budget.less(1);
     }
     displaced =
-        displaced.plus(job.spec.id(), job.with(job.held.minusAll(chosen), job.released.plusAll(chosen)));
+        displaced.plus(
+            job.spec.id(), job.with(job.held.minusAll(chosen), job.released.plusAll(chosen)));
     return new Tasks(job, chosen);
   }
 
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -26,7 +26,9 @@
         full.teams(),
         full.teamUse(),
         full.offers().stream().filter(offer -> takesWork(offer.zoneName())).toList(),
-        full.pendingProvisions().stream().filter(pendingProvisions -> isCounted(pendingProvisions.of().zoneName())).toList(),
+        full.pendingProvisions().stream()
+            .filter(pendingProvisions -> isCounted(pendingProvisions.of().zoneName()))
+            .toList(),
         full.startedLate(),
         full.settled(),
         full.idleS(),
@@ -73,8 +75,8 @@
   }
 
   /**
-   * Room is kept for held tasks, or provisioned, so that they find machines that are up when their turn
-   * comes; otherwise each tier would wait once more for machines to boot.
+   * Room is kept for held tasks, or provisioned, so that they find machines that are up when their
+   * turn comes; otherwise each tier would wait once more for machines to boot.
    */
   private List<Snapshot.JobView> expectedJobs(Snapshot full) {
     if (zones.held().isEmpty()) {
@@ -86,7 +88,8 @@
       if (held != null && !job.blocked()) {
         int tasks = job.spec().isGang() ? job.spec().tasks() : held.size();
         int zoneCount = job.zoneOpen().size();
-        expectedJobs.add(Snapshot.JobView.expected(job.spec().withTasks(tasks), job.rank(), zoneCount));
+        expectedJobs.add(
+            Snapshot.JobView.expected(job.spec().withTasks(tasks), job.rank(), zoneCount));
       }
     }
     return expectedJobs;
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -1,7 +1,6 @@
 package org.ternhinge.zone;
 
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import org.ternhinge.model.TaskRanges;
@@ -60,13 +59,42 @@
   /** What happened to tasks that have lost their attempts with a zone. */
   enum WorkStep {
     /** Their attempts are proved over; they wait for their turn. */
-    DISPLACED,
+    DISPLACED("displaced", "owed"),
     /** Their turn has come: the planner may place them. */
-    RELEASED,
+    RELEASED("released", "released"),
     /** They have new attempts. */
-    MOVED,
+    MOVED("moved", "moved"),
     /** They still wait, for a reason that an operator may want to know. */
-    WAITS
+    DELAYED("delayed", "waits");
+
+    private final String word;
+
+    /** The word in logs of versions before 2026-12-02, which are read as well. */
+    private final String earlierWord;
+
+    WorkStep(String word, String earlierWord) {
+      this.word = word;
+      this.earlierWord = earlierWord;
+    }
+
+    /** The step as logs have it. */
+    String word() {
+      return word;
+    }
+
+    /**
+     * Reads a step as logs have it, or had it.
+     *
+     * @throws IllegalArgumentException where the word is no step
+     */
+    static WorkStep of(String word) {
+      for (WorkStep step : values()) {
+        if (step.word.equals(word) || step.earlierWord.equals(word)) {
+          return step;
+        }
+      }
+      throw new IllegalArgumentException(word + " is not a step");
+    }
   }
 
   /**
@@ -89,7 +117,7 @@
       implements ZoneEvent {
     @Override
     public String kind() {
-      return step.name().toLowerCase(Locale.ROOT);
+      return step.word();
     }
 
     @Override
@@ -152,7 +180,7 @@
               Integer.parseInt(text(fields, "starts")));
       default ->
           new WorkChanged(
-              WorkStep.valueOf(kind.toUpperCase(Locale.ROOT)),
+              WorkStep.of(kind),
               text(fields, "job"),
               ranges(fields, "tasks"),
               text(fields, "attempts").equals("-") ? "" : text(fields, "attempts"),
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -138,13 +138,17 @@
 
   // ---- what happens -----------------------------------------------------------------------------
 
-  /** A task has lost its attempt. It is displaced where that was in a zone that is not available. */
+  /**
+   * A task has lost its attempt. It is displaced where that was in a zone that is not available.
+   */
   public void attemptLost(JobSpec job, int task, long attempt, String zone, SteadyTime now) {
     if (current.read().state(zone) == ZoneState.AVAILABLE) {
       return;
     }
     queue.displace(job, task, zone, now);
-    newlyDisplaced.computeIfAbsent(job.id(), id -> new NewlyDisplaced(job, zone)).add(task, attempt);
+    newlyDisplaced
+        .computeIfAbsent(job.id(), id -> new NewlyDisplaced(job, zone))
+        .add(task, attempt);
     // Hundreds may be lost in one moment: only what has changed is published.
     current.update(present -> present.withHeld(job.id(), queue.held(job.id())));
   }
@@ -199,7 +203,9 @@
   }
 
   private void logNewlyDisplaced(List<ZoneEvent> events) {
-    newlyDisplaced.values().forEach(displaced -> events.add(displaced.event(order.name(order.tierOf(displaced.job)))));
+    newlyDisplaced
+        .values()
+        .forEach(displaced -> events.add(displaced.event(order.name(order.tierOf(displaced.job)))));
     newlyDisplaced.clear();
   }
 
@@ -268,7 +274,7 @@
       if (now.secondsSince(last) >= WAIT_LOG_S) {
         waitLogged.put(job.spec().id(), now);
         FailoverQueue.Tasks all = new FailoverQueue.Tasks(job, job.held().plusAll(job.released()));
-        events.add(workChanged(WorkStep.WAITS, all, waitReason(job, work), now));
+        events.add(workChanged(WorkStep.DELAYED, all, waitReason(job, work), now));
       }
     }
   }
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -110,7 +110,7 @@
         moves.add(new Move(atMillis, work.job(), work.tier(), tasks.size(), work.waitedS()));
         tasks.forEach(task -> moved(atMillis, name(work.job(), task)));
       }
-      case WAITS ->
+      case DELAYED ->
           waits.add(
               new Wait(
                   atMillis, work.job(), work.tier(), work.tasks(), work.reason(), work.waitedS()));
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -129,7 +129,7 @@
 
   private DomContent tiers() {
     return rows(
-        List.of("tier", "owed", "moved", "longest wait, s"),
+        List.of("tier", "displaced", "moved", "longest wait, s"),
         history.tiers().entrySet().stream()
             .map(
                 tier ->
--- a/src/test/java/org/ternhinge/controller/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,8 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
 
@@ -72,8 +74,8 @@
     Attempt second = fixture.open(job, 1, machine);
     fixture.clock.runFor(3);
     fixture.attempts.close(first, true, "done");
-    assertEquals(3, fixture.now().secondsSince(machine.idleSince), 1e-6);
+    assertEquals(3, fixture.now().secondsSince(machine.idleSince()), 1e-6);
     fixture.attempts.close(second, true, "done");
-    assertEquals(fixture.now(), machine.idleSince);
+    assertEquals(fixture.now(), machine.idleSince());
   }
 }
--- a/src/test/java/org/ternhinge/controller/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobState;
@@ -45,14 +48,14 @@
    * what runs is told to stop.
    */
   @ParameterizedTest(name = "written {0}, seen {1}")
-  @CsvSource({"false, UNSEEN, false, 0", "true, UNSEEN, true, 0", "true, RUNNING, true, 1"})
-  void itsAttemptsAreStopped(boolean written, Attempt.Seen seen, boolean open, int stops) {
+  @CsvSource({"false, STARTING, false, 0", "true, STARTING, true, 0", "true, RUNNING, true, 1"})
+  void itsAttemptsAreStopped(boolean written, AttemptState seen, boolean open, int stops) {
     if (!written) {
       fixture.store.hold();
     }
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.see(seen, fixture.now());
-    machine.commandsInFlight = false;
+    attempt.observe(seen, fixture.now());
+    machine.outbox().markLanded();
     fixture.sent.clear();
     cancellations.cancel(job, state -> {});
     assertTrue(attempt.stopping());
--- a/src/test/java/org/ternhinge/controller/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -1,35 +1,40 @@
-package org.ternhinge.controller;
+package org.ternhinge.attempt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
 
 /** When a leader raises its own term. */
 class TermFenceTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final TermFence fence = new TermFence(fixture.authority, fixture.writer, fixture.machines);
+  private final TermFence fence =
+      new TermFence(fixture.authority, fixture.writer, fixture.machines);
   private final Machine machine = fixture.machine("n-1");
-  private final Attempt attempt = fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+  private final Attempt attempt =
+      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
 
   /** Only a stopped attempt that a start under way alone keeps open is worth a higher term. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "all of it,               true,  UNSEEN,  5,   1, 0, true",
-    "not to stop,             false, UNSEEN,  5,   1, 0, false",
-    "stopped just now,        true,  UNSEEN,  3.9, 1, 0, false",
+    "all of it,               true,  STARTING,  5,   1, 0, true",
+    "not to stop,             false, STARTING,  5,   1, 0, false",
+    "stopped just now,        true,  STARTING,  3.9, 1, 0, false",
     "the worker has shown it, true,  RUNNING, 5,   1, 0, false",
-    "no start under way,      true,  UNSEEN,  5,   0, 0, false",
-    "fenced already,          true,  UNSEEN,  5,   1, 1, false"
+    "no start under way,      true,  STARTING,  5,   0, 0, false",
+    "fenced already,          true,  STARTING,  5,   1, 1, false"
   })
   void isNeeded(
       String name,
       boolean stopping,
-      Attempt.Seen seen,
+      AttemptState seen,
       double stoppedForS,
       int outstanding,
       int fenced,
@@ -37,9 +42,13 @@
     if (stopping) {
       attempt.stop(0, fixture.now());
     }
-    attempt.see(seen, fixture.now());
-    machine.outstandingStarts.put(Machine.key(attempt), outstanding);
-    machine.fencedStarts.put(Machine.key(attempt), fenced);
+    attempt.observe(seen, fixture.now());
+    for (int i = 0; i < outstanding; i++) {
+      machine.outstandingStarts().sent(attempt.task(), attempt.number());
+    }
+    if (fenced > 0) {
+      machine.outstandingStarts().fence(new Term(2));
+    }
     fixture.clock.runFor(stoppedForS);
     assertEquals(needed, fence.isNeeded(machine, attempt, fixture.now()));
   }
@@ -68,12 +77,13 @@
 
   /** A start counts as harmless only once the worker shows the term that was raised for it. */
   @ParameterizedTest(name = "worker shows term {0}")
-  @CsvSource({"1, 1", "2, 0"})
-  void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, int outstanding) {
-    machine.outstandingStarts.put(Machine.key(attempt), 1);
+  @CsvSource({"1, true", "2, false"})
+  void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, boolean outstanding) {
+    machine.outstandingStarts().sent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
-    machine.observeFencingToken(new Term(shown));
-    assertEquals(outstanding, machine.outstandingStarts.getInt(Machine.key(attempt)));
+    machine.outstandingStarts().observeFencingToken(new Term(shown));
+    assertEquals(
+        outstanding, machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
   }
 }
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -31,7 +31,12 @@
    *
    * @param teamCpus the limit of the only team
    */
-  record Site(List<String> zones, double heartbeatIntervalS, double leaseS, double cancelS, double teamCpus) {
+  record Site(
+      List<String> zones,
+      double heartbeatIntervalS,
+      double leaseS,
+      double cancelS,
+      double teamCpus) {
     /** Two zones and times as users have them. */
     static final Site USUAL = new Site(List.of("east", "west"), 3, 24, 44, 8);
   }
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -25,12 +25,12 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
-import org.ternhinge.wire.MachineType;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.Json;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
 /** A key-value store and a cloud over HTTP on loopback; the cloud provisions nothing out. */
@@ -186,7 +186,10 @@
           found.isPresent() ? 200 : 404,
           found.map(LoopbackServices::entry).orElse(Json.object()));
     } else if (path.equals("/txn")) {
-      outcome(exchange, store.compareAndSwap(readCompareAndSwap(Json.parse(body))).map(Revision::value), "breytingatal");
+      outcome(
+          exchange,
+          store.compareAndSwap(readCompareAndSwap(Json.parse(body))).map(Revision::value),
+          "breytingatal");
     } else if (path.equals("/holds")) {
       long life = Json.count(Json.parse(body), "life_ms");
       reply(exchange, 200, Json.object().put("leiga", store.grant(life)));
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -84,8 +84,8 @@
   /** A zone would be taken for well before its silent workers are found out. */
   @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
-  void theTimeToSettleOutlastsTwoHeartbeats(double settleS, double heartbeatIntervalS, double expected)
-      throws SettingsException {
+  void theTimeToSettleOutlastsTwoHeartbeats(
+      double settleS, double heartbeatIntervalS, double expected) throws SettingsException {
     ZoneFailoverSettings read =
         Tuning.read("zone_failover {\n settle_s = " + settleS + "\n}").zoneFailover().orElseThrow();
     Settings.Workers workers = new Settings.Workers(heartbeatIntervalS, 24, 30, 5, 44);
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -14,9 +14,9 @@
   private static final double LONGEST_ELECTION_S = 7;
 
   /**
-   * The key-value store refuses the leader alone; another takes over and confirms cancellations; then
-   * the service is out for everybody for longer than a cancelled task may last, and workers hold to
-   * one node.
+   * The key-value store refuses the leader alone; another takes over and confirms cancellations;
+   * then the service is out for everybody for longer than a cancelled task may last, and workers
+   * hold to one node.
    */
   @ParameterizedTest(name = "{0} s refused, cancelled {1} s on, {2} s out, heartbeats to {3}")
   @CsvSource({
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.state.Change;
+import org.ternhinge.store.Change;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 
--- a/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Without evidence across jobs, two failures in a row on a machine had it quarantined and returned,
-   * even where one job's tasks failed on every machine.
+   * Without evidence across jobs, two failures in a row on a machine had it quarantined and
+   * returned, even where one job's tasks failed on every machine.
    */
   @ParameterizedTest(name = "{0} faulty jobs, each a {1} of {2}")
   @CsvSource({"1,batch,40", "1,group,6", "5,batch,1", "5,batch,30", "5,group,4"})
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -14,18 +14,26 @@
 import org.ternhinge.election.Election;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.JobId;
+import org.ternhinge.request.JobCancellations;
+import org.ternhinge.request.JobLookup;
+import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.LeaderSearch;
+import org.ternhinge.request.NodeConnectivity;
+import org.ternhinge.request.PeerClient;
+import org.ternhinge.request.PeerTransport;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
 /** How a node that does not lead answers questions and cancellations. */
@@ -42,8 +50,8 @@
   private Integer leaderStatus;
   private Response answer;
 
-  private final ControllerNode.Peers peers =
-      new ControllerNode.Peers() {
+  private final PeerTransport peers =
+      new PeerTransport() {
         @Override
         public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
           asked.add(node);
@@ -62,7 +70,9 @@
   private final JobLookup lookup = new JobLookup(store);
 
   private void put(Change change) {
-    AsyncCalls.ignore(store.compareAndSwap(new CompareAndSwap(Map.of(), List.of(change)), RequestPriority.ACCEPT));
+    AsyncCalls.ignore(
+        store.compareAndSwap(
+            new CompareAndSwap(Map.of(), List.of(change)), RequestPriority.ACCEPT));
   }
 
   /** Another node leads, or the key-value store can't say who does. */
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -10,24 +10,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.http.Response;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.WireException;
-import org.ternhinge.wire.Heartbeat;
 
 /**
- * An answer to a heartbeat renews the lease of the worker that hears it. None may go to a worker whose
- * tasks are to end unless it carries the stop.
+ * An answer to a heartbeat renews the lease of the worker that hears it. None may go to a worker
+ * whose tasks are to end unless it carries the stop.
  */
 class KeepAliveTest {
   private final JobId job = new JobId("wk-1");
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A direct order's answer may overtake a heartbeat; the worker hears the heartbeat's answer all the
-   * same.
+   * A direct order's answer may overtake a heartbeat; the worker hears the heartbeat's answer all
+   * the same.
    */
   @Test
   void anAnswerToAnOvertakenHeartbeatCarriesTheStops() throws WireException {
--- a/src/test/java/org/ternhinge/controller/LateMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/LateMachinesTest.java
@@ -13,7 +13,9 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.sim.SimCluster;
 
-/** Machines that are provisioned and come up late or never. A small one takes 3 to 8 s as a rule. */
+/**
+ * Machines that are provisioned and come up late or never. A small one takes 3 to 8 s as a rule.
+ */
 class LateMachinesTest {
   /** Within this time a machine that does not come up has been replaced, and the other is up. */
   private static final double REPLACED_S = 30;
@@ -84,7 +86,8 @@
     assertEquals(tasks, cluster.world.tasks.runningTasks(job), "tasks that run");
     int most = (int) (1.5 * tasks) + 4;
     assertTrue(
-        cluster.world.machinesMade() <= most, cluster.world.machinesMade() + " machines provisioned");
+        cluster.world.machinesMade() <= most,
+        cluster.world.machinesMade() + " machines provisioned");
     cluster.nothingBroken();
   }
 
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -121,7 +121,8 @@
     if (kind.includes(FaultKind.HELD_HEARTBEATS) && oneIn(4)) {
       cluster.machineFaults.holdHeartbeat(seconds(3, 50));
     }
-    boolean refusesLeader = kind == FaultKind.HELD_HEARTBEATS || kind == FaultKind.SLOW_STATE_SERVICE;
+    boolean refusesLeader =
+        kind == FaultKind.HELD_HEARTBEATS || kind == FaultKind.SLOW_STATE_SERVICE;
     if (refusesLeader && oneIn(15)) {
       cluster.stateFaults.refuse(Math.max(0, cluster.leader()), 8);
     }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -23,8 +23,8 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A simulated cluster of three zones with ordered failover, on virtual time. Machines are provisioned in
- * the first zone as long as the cloud has any there, so that is the one to lose.
+ * A simulated cluster of three zones with ordered failover, on virtual time. Machines are
+ * provisioned in the first zone as long as the cloud has any there, so that is the one to lose.
  */
 abstract class ZoneFailoverFixture {
   static final String FIRST = "north";
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -15,9 +15,9 @@
 import org.ternhinge.sim.DelayedStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.ResponseTimeouts;
-import org.ternhinge.state.ResponseTimeouts.Kind;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.ResponseTimeouts;
+import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
  * Elections over a key-value store that answers late. Whatever happens, a node takes its leadership
--- a/src/test/java/org/ternhinge/election/GraceTest.java
+++ b/src/test/java/org/ternhinge/election/GraceTest.java
@@ -30,7 +30,8 @@
     Tuning tuning = Tuning.read("grace_s = " + graceS + "\nmargin_s = " + margin);
     double grace = Election.grace(tuning, workers);
     assertEquals(expected, grace, 0.001);
-    // From the sending of the last renewal that succeeded, by the key-value store's clock: the first
+    // From the sending of the last renewal that succeeded, by the key-value store's clock: the
+    // first
     // moment at which another may lead, and the last at which a worker of the old leader runs
     // tasks.
     // The leader's clock is the slowest and the worker's too.
--- a/src/test/java/org/ternhinge/controller/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.failover;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,12 +8,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.schedule.Plan;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Json;
 import org.ternhinge.zone.ZoneRecord;
 
@@ -30,12 +35,10 @@
             fixture.executor,
             fixture.ledger,
             fixture.writer,
-            fixture.machines,
-            null,
             () -> fixture.roundsRequested++,
             fixture.now());
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
-    return new ZoneCoordinator(context, failures, ZoneFailoverSettings.DEFAULT);
+    return new ZoneCoordinator(context, fixture.machines, failures, ZoneFailoverSettings.DEFAULT);
   }
 
   private int startsLeftOfOne() {
@@ -46,7 +49,8 @@
 
   private void record(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
-    fixture.core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
+    fixture.core.compareAndSwap(
+        new CompareAndSwap(Map.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
   private Entry recorded() {
@@ -81,8 +85,7 @@
     long before = recorded().revision().value();
     for (int i = 0; i < 4; i++) {
       Machine machine = fixture.machine("n-00000" + i);
-      machine.zone = 0;
-      machine.zoneName = "east";
+      machine.describe(new MachineDescription("small", 0, "east", false));
     }
     fixture.store.holdReads();
     zones.recover();
--- a/src/test/java/org/ternhinge/controller/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.heartbeat;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,18 +8,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.TermFence;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.ReportedTasks;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
 
 /** Leases that run out, and whom an answer may keep alive. */
 class LeaseMonitorTest {
@@ -48,10 +53,10 @@
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
     Resources room = Resources.offer(1, 0, 1);
-    machine.reservations.add(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
+    machine.reserve(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
     fixture.clock.runFor(ageS);
     monitor.check(fixture.now());
-    assertEquals(left, machine.reservations.size());
+    assertEquals(left, machine.reservations().size());
     assertEquals(rounds, fixture.roundsRequested);
   }
 
@@ -65,10 +70,12 @@
     monitor.check(fixture.now());
     assertEquals(open ? attempt : null, job.open(0));
     assertEquals(open, reportedTasks.isShown(attempt.task()));
-    assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.lastEndedEpoch);
+    assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
 
-  /** A late heartbeat may have shown tasks that nobody knows; they must not block starts for ever. */
+  /**
+   * A late heartbeat may have shown tasks that nobody knows; they must not block starts for ever.
+   */
   @Test
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
@@ -78,15 +85,15 @@
     assertFalse(reportedTasks.isShown(unknown));
   }
 
-  /** Time to save, to learn of the peers' saving, and to heartbeat: 3 + 5 + 2 seconds. */
+  /** Time to save, to learn of the peers' saving, and to report: 3 + 5 + 2 seconds. */
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
   void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.see(Attempt.Seen.RUNNING, fixture.now());
+    attempt.observe(AttemptState.RUNNING, fixture.now());
     fixture.attempts.stop(attempt, 3);
     fixture.clock.runFor(afterS);
-    machine.leaseEnds = fixture.now().plusSeconds(1);
+    machine.agent().extendLease(fixture.now().plusSeconds(1));
     monitor.check(fixture.now());
     assertEquals(graceS, attempt.stopGraceS());
   }
@@ -110,12 +117,12 @@
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
     Heartbeat heartbeat =
         new Heartbeat(
-            machine.id,
+            machine.id(),
             "10.0.1.1:9000",
             "small",
             "east",
             false,
-            machine.epoch,
+            machine.agent().epoch(),
             1,
             new Term(1),
             null,
@@ -128,7 +135,7 @@
   void anIdleMachineKeepsItsEpoch() {
     fixture.clock.runFor(60);
     monitor.check(fixture.now());
-    assertEquals(AgentEpoch.NONE, machine.lastEndedEpoch);
+    assertEquals(AgentEpoch.NONE, machine.agent().lastEndedEpoch());
     assertNull(job.open(0));
   }
 }
--- a/src/test/java/org/ternhinge/controller/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -1,17 +1,19 @@
-package org.ternhinge.controller;
+package org.ternhinge.leadership;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Team;
 import org.ternhinge.config.Tuning;
+import org.ternhinge.failover.ZoneControl;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
@@ -22,27 +24,32 @@
 import org.ternhinge.ledger.MachineAttributes;
 import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.ReportedTaskCounts;
+import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.WireException;
 import org.ternhinge.worker.Workers;
 
@@ -50,36 +57,37 @@
  * The parts of a leadership around the one under test: a real ledger and writer over a key-value
  * store at hand, workers that never answer, and a count of the rounds asked for.
  */
-final class LeadershipFixture {
-  static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
+public final class LeadershipFixture {
+  public static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
   private static final int VALUE_BYTES = 8 * 1024;
 
-  final SimClock clock = new SimClock();
-  final StoreCore core = new StoreCore(clock);
-  final TestAuthority authority = new TestAuthority();
-  final HeldStore store = new HeldStore(new DirectStore(core));
-  final List<Command> sent = new ArrayList<>();
-  final Map<TaskId, Integer> shown = new HashMap<>();
+  public final SimClock clock = new SimClock();
+  public final StoreCore core = new StoreCore(clock);
+  public final TestAuthority authority = new TestAuthority();
+  public final HeldStore store = new HeldStore(new DirectStore(core));
+  public final List<Command> sent = new ArrayList<>();
   private final ReentrantLock lock = new ReentrantLock();
   private final Map<String, Team> teams = Map.of("red", new Team("red", 0, 0, 0, 0));
-  final LeadershipExecutor executor;
-  final Ledger ledger;
-  final LedgerWriter writer;
-  final MachineRegistry machines;
-  final CommandDispatcher dispatcher;
-  final AttemptLifecycle attempts;
-  int roundsRequested;
+  public final LeadershipExecutor executor;
+  public final Ledger ledger;
+  public final LedgerWriter writer;
+  public final MachineRegistry machines;
+  public final CommandDispatcher dispatcher;
+  public final AttemptLifecycle attempts;
+  public int roundsRequested;
 
   /** Runs after each write, before the starts are sent. */
-  Runnable onWritten = () -> {};
+  public Runnable onWritten = () -> {};
 
-  LeadershipFixture() {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+  public LeadershipFixture() {
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     authority.revision = core.get(Keys.TERM).entry().orElseThrow().revision();
     executor = new LeadershipExecutor(clock, lock);
     ledger = new Ledger(teams, VALUE_BYTES, clock);
     writer = new LedgerWriter(ledger, store, authority, clock, lock, 16, this::written);
-    machines = new MachineRegistry(clock.now().plusSeconds(60));
+    machines = new MachineRegistry(clock.now().plusSeconds(WORKER_SETTINGS.leaseS()));
     ControllerServices services = services(null);
     dispatcher =
         new CommandDispatcher(
@@ -90,7 +98,7 @@
   }
 
   /** What a leadership is built upon, with a cloud. */
-  ControllerServices services(Cloud cloud) {
+  public ControllerServices services(Cloud cloud) {
     return new ControllerServices(
         settings(teams),
         Tuning.DEFAULT,
@@ -104,7 +112,7 @@
   }
 
   /** Records under a prefix that hold many small entries each. */
-  BucketedRecords bucketedRecords(String prefix) {
+  public BucketedRecords bucketedRecords(String prefix) {
     return new BucketedRecords(writer, prefix, VALUE_BYTES);
   }
 
@@ -134,18 +142,16 @@
   }
 
   /** A machine that has reported and takes direct commands. */
-  Machine machine(String name) {
+  public Machine machine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
-    machine.epoch = new AgentEpoch(1);
-    machine.endpoint = new Endpoint("10.0.1.1", 9000);
-    machine.heartbeatReceived = true;
-    machine.lastHeartbeat = clock.now();
-    machine.leaseEnds = clock.now().plusSeconds(WORKER_SETTINGS.leaseS());
+    machine.agent().beginEpoch(new AgentEpoch(1));
+    machine.agent().endpoint("10.0.1.1:9000");
+    machine.agent().heard(clock.now());
     return machine;
   }
 
   /** A job that the key-value store and the ledger hold. */
-  Job job(ObjectNode json) {
+  public Job job(ObjectNode json) {
     ObjectNode record = RecordCodec.fresh(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
     core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(key, record, 0))));
@@ -160,34 +166,28 @@
   }
 
   /** Opens an attempt of a job's task on a machine, and hands it to the writer. */
-  Attempt open(Job job, int index, Machine machine) {
+  public Attempt open(Job job, int index, Machine machine) {
     MachineAttributes site =
         new MachineAttributes(
-            machine.id, machine.epoch, "small", 0, "east", false, Resources.offer(8, 0, 64));
+            machine.id(),
+            machine.agent().epoch(),
+            "small",
+            0,
+            "east",
+            false,
+            Resources.offer(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
     writer.pump();
     return job.open(index);
   }
 
-  /** The tasks that machines show, counted as simply as can be. */
-  ReportedTasks reportedTasks() {
-    return new ReportedTasks() {
-      @Override
-      public boolean isShown(TaskId task) {
-        return shown.containsKey(task);
-      }
-
-      @Override
-      public void show(Machine machine, List<TaskStatus> tasks) {
-        machine.tasks.forEach(task -> shown.remove(task.task()));
-        tasks.forEach(task -> shown.put(task.task(), 1));
-        machine.tasks = tasks;
-      }
-    };
+  /** The tasks that machines show. */
+  public ReportedTasks reportedTasks() {
+    return new ReportedTaskCounts();
   }
 
   /** A leadership that holds until it is lost. */
-  static final class TestAuthority implements Authority {
+  public static final class TestAuthority implements Authority {
     private Term term = new Term(1);
     private Revision revision;
 
@@ -236,7 +236,7 @@
   }
 
   /** Carries transactions out at once, or not before it is let go on. */
-  static final class HeldStore implements KeyValueStore {
+  public static final class HeldStore implements KeyValueStore {
     private final KeyValueStore store;
     private final List<Runnable> heldBack = new ArrayList<>();
     private boolean holding;
@@ -246,16 +246,16 @@
       this.store = store;
     }
 
-    void hold() {
+    public void hold() {
       holding = true;
     }
 
     /** Reads of single keys are answered only once this is let go on. */
-    void holdReads() {
+    public void holdReads() {
       holdingReads = true;
     }
 
-    void letGo() {
+    public void letGo() {
       holding = false;
       holdingReads = false;
       List<Runnable> now = List.copyOf(heldBack);
@@ -264,12 +264,16 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(
+        CompareAndSwap compareAndSwap, RequestPriority priority) {
       if (!holding) {
         return store.compareAndSwap(compareAndSwap, priority);
       }
       CompletableFuture<Outcome<Revision>> answer = new CompletableFuture<>();
-      heldBack.add(() -> AsyncCalls.whenAnswered(store.compareAndSwap(compareAndSwap, priority), answer::complete));
+      heldBack.add(
+          () ->
+              AsyncCalls.whenAnswered(
+                  store.compareAndSwap(compareAndSwap, priority), answer::complete));
       return answer;
     }
 
@@ -320,7 +324,7 @@
     }
   }
 
-  SteadyTime now() {
+  public SteadyTime now() {
     return clock.now();
   }
 }
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
@@ -89,7 +89,8 @@
   void nothingOpensWithoutPlacementsOrForATeamThatIsNotConfigured() {
     Job job = job(Specs.json("wk-1", "batch", 2));
     assertEquals(
-        Optional.of(AdmissionRefusal.NOTHING_TO_PLACE), ledger.open(job, List.of(), t -> false, NOW));
+        Optional.of(AdmissionRefusal.NOTHING_TO_PLACE),
+        ledger.open(job, List.of(), t -> false, NOW));
     Job foreign = job(Specs.json("wk-2", "batch", 2).put("eigandi", "blue"));
     assertEquals(
         Optional.of(AdmissionRefusal.UNKNOWN_TEAM),
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -22,10 +22,10 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -87,7 +87,8 @@
   /** Only what the writer uses. */
   private final class Store implements KeyValueStore {
     @Override
-    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(
+        CompareAndSwap compareAndSwap, RequestPriority priority) {
       sent.add(compareAndSwap);
       CompletableFuture<Outcome<Revision>> out = new CompletableFuture<>();
       boolean mute = unanswered-- > 0;
@@ -146,7 +147,8 @@
     ObjectNode record = RecordCodec.fresh(Specs.of(spec), 1, ledger.valueBytes());
     String key = Keys.job(Specs.of(spec).id());
     Map<String, Revision> none = Map.of(key, Revision.NONE);
-    Outcome<Revision> put = core.compareAndSwap(new CompareAndSwap(none, List.of(new Change.Put(key, record, 0))));
+    Outcome<Revision> put =
+        core.compareAndSwap(new CompareAndSwap(none, List.of(new Change.Put(key, record, 0))));
     Revision at = ((Outcome.Applied<Revision>) put).value();
     try {
       Job job = LedgerLoader.read(record, at, clock.now());
@@ -188,7 +190,9 @@
 
   @Test
   void theEndOfALargeArrayIsSafeAtEveryStep() {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
     writer.pump();
@@ -217,7 +221,9 @@
   @ParameterizedTest(name = "carried out {0}, next leader writes the same {1}")
   @CsvSource({"true, false, true", "false, true, false"})
   void anEqualValueOfAnotherTermIsNotOurs(boolean applied, boolean another, boolean durable) {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     ledAt = termNow();
     Job cancelled = accept("wk-1", "batch", "normal", 3);
     open(cancelled, 0, 1);
@@ -248,7 +254,9 @@
    */
   @Test
   void aSegmentThatIsMergedWhileItIsWrittenIsRemoved() {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
     writer.pump();
@@ -278,7 +286,9 @@
   /** What one key's write sets off may write another key of the same transaction at once. */
   @Test
   void everyVersionOfATransactionIsKnownBeforeAnythingFollowsFromIt() {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     ledAt = termNow();
     writer.write("r/1", Json::object, null);
     writer.write("r/0", Json::object, () -> writer.write("r/0", Json::object, null));
@@ -296,7 +306,9 @@
 
   @Test
   void whatUsersWaitForMostIsWrittenFirst() {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job array = accept("wk-1", "batch", "normal", 5);
     Job service = accept("wk-2", "daemon", "production", 2);
     Job cancelled = accept("wk-3", "daemon", "production", 1);
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -20,8 +20,8 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.WireException;
 
 /** The term's and the leader's records, as both versions of an upgrade write and read them. */
@@ -55,7 +55,8 @@
   }
 
   private void put(String key, String value, long lease) throws WireException {
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put(key, json(value), lease))));
+    core.compareAndSwap(
+        new CompareAndSwap(Map.of(), List.of(new Change.Put(key, json(value), lease))));
   }
 
   private String value(String key) {
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -33,11 +33,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
@@ -79,8 +79,7 @@
     for (Attempt a : job.openAttempts()) {
       out.add(
           String.format(
-              "%02d=%s@%s#%s/%d",
-              a.task().index(), a.number(), a.machine(), a.epoch(), a.zone()));
+              "%02d=%s@%s#%s/%d", a.task().index(), a.number(), a.machine(), a.epoch(), a.zone()));
       assertTrue(a.durable() && a.recovered());
     }
     return String.join(" ", out);
@@ -237,10 +236,10 @@
   void aDependentJobsHistoryIsWrittenTheSame() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
     ledger.adopt(job);
-    assertTrue(job.waits());
+    assertTrue(job.hasUnmetDependencies());
     endOfDependency("wk-000398", JobState.Phase.DONE);
     endOfDependency("wk-000405", JobState.Phase.DONE);
-    assertFalse(job.waits());
+    assertFalse(job.hasUnmetDependencies());
     open(job, "n-000007", 1, 0, 0, 8);
     open(job, "n-000009", 3, 1, 8, 12);
     open(job, "n-000008", 2, 1, 16, 18);
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -12,7 +12,10 @@
 import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
-/** Keys, provision requests and machine types: what both versions of an upgrade store in the same form. */
+/**
+ * Keys, provision requests and machine types: what both versions of an upgrade store in the same
+ * form.
+ */
 class ProductionSharedRecordsTest {
   @Test
   void keysAreTheSame() {
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.state.Change;
+import org.ternhinge.store.Change;
 import org.ternhinge.wire.Json;
 
 /** Records with segments for 127 tasks, as under 8 KiB, where 2 KiB is the limit now. */
--- a/src/test/java/org/ternhinge/ledger/TestMachines.java
+++ b/src/test/java/org/ternhinge/ledger/TestMachines.java
@@ -1,8 +1,8 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.AgentEpoch;
 
 /** Where tests place tasks: a small ordinary machine in the first zone. */
 final class TestMachines {
--- a/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
+import org.ternhinge.store.Change;
 import org.ternhinge.wire.Json;
 
 /** How much fits into one transaction. */
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -19,8 +19,8 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
 /** What reading back proves of a transaction whose answer was lost. */
@@ -86,7 +86,8 @@
   }
 
   private static LedgerTransaction transaction(Change... changes) {
-    return new LedgerTransaction(new CompareAndSwap(Map.of(), List.of(changes)), List.of(), List.of());
+    return new LedgerTransaction(
+        new CompareAndSwap(Map.of(), List.of(changes)), List.of(), List.of());
   }
 
   private String verdict() {
--- a/src/test/java/org/ternhinge/controller/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/org/ternhinge/controller/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.machine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,7 +25,7 @@
     Machine first = registry.findOrAdd(FIRST, NOW);
     assertSame(first, registry.findOrAdd(FIRST, NOW.plusSeconds(1)));
     assertEquals(List.of(first, second), List.copyOf(registry.all()));
-    assertEquals(leaseEnd, first.leaseEnds);
+    assertEquals(leaseEnd, first.agent().leaseExpiry());
   }
 
   /** A late copy of a heartbeat must not bring a machine back that is certainly gone. */
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ModelTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
 
 /** The small types: what they parse, how they compare, what they refuse. */
 class ModelTest {
--- a/src/test/java/org/ternhinge/controller/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,11 +20,11 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
 /** Where the machine types come from. */
@@ -97,7 +97,9 @@
   @Test
   void anUnreadableCopyIsNoReasonToFail() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
-    AsyncCalls.ignore(store.compareAndSwap(new CompareAndSwap(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
+    AsyncCalls.ignore(
+        store.compareAndSwap(
+            new CompareAndSwap(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
     assertKnown();
   }
--- a/src/test/java/org/ternhinge/controller/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.election.Election;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.limit.RequestPriority;
@@ -22,8 +23,8 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
 /** What a node that does not lead finds of jobs in the key-value store. */
@@ -37,7 +38,8 @@
   private DependencyCheck.Result checked;
 
   private void put(String key, ObjectNode value) {
-    CompareAndSwap compareAndSwap = new CompareAndSwap(Map.of(), List.of(new Change.Put(key, value, 0)));
+    CompareAndSwap compareAndSwap =
+        new CompareAndSwap(Map.of(), List.of(new Change.Put(key, value, 0)));
     AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
   }
 
--- a/src/test/java/org/ternhinge/controller/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -23,8 +23,8 @@
   private Response received;
   private boolean underLock;
 
-  private final ControllerNode.Peers peers =
-      new ControllerNode.Peers() {
+  private final PeerTransport peers =
+      new PeerTransport() {
         @Override
         public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
           to.accept(given);
--- a/src/test/java/org/ternhinge/controller/SubmissionRelayTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionRelayTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.request;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -34,8 +34,8 @@
   private Response answer;
   private Optional<DependencyVerdict> verdict = Optional.empty();
 
-  private final ControllerNode.Peers peers =
-      new ControllerNode.Peers() {
+  private final PeerTransport peers =
+      new PeerTransport() {
         @Override
         public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
           asked.add(node);
--- a/src/test/java/org/ternhinge/controller/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.round;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,7 +13,10 @@
 class ArrivalRatesTest {
   private static final SteadyTime START = new SteadyTime(0);
 
-  /** Room is kept for 45 s of arrivals and their deviation, where users can't wait for a provision request. */
+  /**
+   * Room is kept for 45 s of arrivals and their deviation, where users can't wait for a provision
+   * request.
+   */
   @ParameterizedTest(name = "{1} arrivals {2} s apart, {3} s after, an aim of {0} s")
   @CsvSource({
     "18, 0, 0, 0, 0",
--- a/src/test/java/org/ternhinge/controller/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.scaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -11,13 +11,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.cloud.Cloud;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.wire.MachineType;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
 /** Lists of machines in several pages, some of which the cloud's rate holds back. */
@@ -55,7 +59,8 @@
     private static ListedMachine.Page page(MachineId after) {
       MachineId id = after == null ? FIRST : LAST;
       ListedMachine host =
-          new ListedMachine(id, "10.0.1.1:9000", "small", "east", false, ListedMachine.State.RUNNING, 5);
+          new ListedMachine(
+              id, "10.0.1.1:9000", "small", "east", false, ListedMachine.State.RUNNING, 5);
       return new ListedMachine.Page(List.of(host), after == null);
     }
 
@@ -108,7 +113,10 @@
         removal,
         fixture.dispatcher,
         new TermAnnouncer(
-            fixture.authority, fixture.dispatcher, (m, heartbeat, isHeartbeat, now) -> true, fixture.clock),
+            fixture.authority,
+            fixture.dispatcher,
+            (m, heartbeat, isHeartbeat, now) -> true,
+            fixture.clock),
         rounds,
         fixture.now());
   }
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -18,8 +18,8 @@
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /** A small fleet with jobs that a test builds up and has planned. */
 abstract class PlannerFixture {
@@ -111,7 +111,17 @@
             "green", new Team("green", 0, 0, 0, 0));
     return Planner.plan(
         new Snapshot(
-            machines, jobs, expectedJobs, teams, use, offers, pendingProvisions, startedLate, true, 40, NOW));
+            machines,
+            jobs,
+            expectedJobs,
+            teams,
+            use,
+            offers,
+            pendingProvisions,
+            startedLate,
+            true,
+            40,
+            NOW));
   }
 
   static List<String> on(Plan plan) {
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -9,8 +9,8 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The settings with which simulated controllers start. They read the limits of the key-value store at
- * each start, so a change that is announced holds for controllers that start after it.
+ * The settings with which simulated controllers start. They read the limits of the key-value store
+ * at each start, so a change that is announced holds for controllers that start after it.
  */
 final class ClusterSettings {
   /** How long a worker's tasks outlive its last answered report, in seconds. */
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -7,10 +7,10 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.ResponseTimeouts;
-import org.ternhinge.state.ResponseTimeouts.Kind;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
+import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** One node's way to the key-value store, with a delay in each direction. */
 public final class DelayedStore implements KeyValueStore {
@@ -77,7 +77,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap compareAndSwap, RequestPriority priority) {
     return measured(Kind.ofWrite(priority), () -> core.compareAndSwap(compareAndSwap));
   }
 
--- a/src/test/java/org/ternhinge/sim/DependencyCheck.java
+++ b/src/test/java/org/ternhinge/sim/DependencyCheck.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Function;
 import org.ternhinge.model.JobId;
-import org.ternhinge.state.Change;
+import org.ternhinge.store.Change;
 import org.ternhinge.wire.Command;
 
 /**
  * No task starts, and no start is recorded or sent, before all jobs that its job depends on are
  * done.
  */
-final class DependencyCheck implements TaskObserver {
+public final class DependencyCheck implements TaskObserver {
   private final RuleViolations violations;
   private final JobCatalog jobs;
   private final Function<String, JsonNode> stored;
@@ -21,7 +21,8 @@
    *
    * @param stored gives the value of a key in the key-value store, or null
    */
-  DependencyCheck(RuleViolations violations, JobCatalog jobs, Function<String, JsonNode> stored) {
+  public DependencyCheck(
+      RuleViolations violations, JobCatalog jobs, Function<String, JsonNode> stored) {
     this.violations = violations;
     this.jobs = jobs;
     this.stored = stored;
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -4,8 +4,8 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store at hand, without a network and without limits on rates. */
 public class DirectStore implements KeyValueStore {
@@ -32,7 +32,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap compareAndSwap, RequestPriority priority) {
     return now(core.compareAndSwap(compareAndSwap));
   }
 
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -6,10 +6,12 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.WireException;
 
-/** The last heartbeat of each machine, and the late copies of heartbeats that the network delivers. */
+/**
+ * The last heartbeat of each machine, and the late copies of heartbeats that the network delivers.
+ */
 final class HeartbeatHistory {
   /** Copies are from one second to one second and so many leases late. */
   private static final double LATEST_LEASES = 2.5;
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -174,7 +174,8 @@
     return hung;
   }
 
-  // ---- late heartbeats and copies ----------------------------------------------------------------
+  // ---- late heartbeats and copies
+  // ----------------------------------------------------------------
 
   /** Some machine's next heartbeat is held back and then reaches whoever leads by then. */
   public void holdHeartbeat(double seconds) {
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -8,10 +8,10 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -114,9 +114,11 @@
     }
 
     @Override
-    public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(
+        CompareAndSwap compareAndSwap, RequestPriority priority) {
       List<Change> changes = compareAndSwap.changes().stream().map(OldVersion::change).toList();
-      return behind.compareAndSwap(new CompareAndSwap(compareAndSwap.conditions(), changes), priority);
+      return behind.compareAndSwap(
+          new CompareAndSwap(compareAndSwap.conditions(), changes), priority);
     }
 
     @Override
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -6,8 +6,8 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
 /** The cloud as one controller reaches it. */
@@ -86,7 +86,8 @@
             .limit(limit)
             .toList();
     boolean more =
-        !hosts.isEmpty() && !hosts.get(hosts.size() - 1).equals(provisioned.get(provisioned.size() - 1));
+        !hosts.isEmpty()
+            && !hosts.get(hosts.size() - 1).equals(provisioned.get(provisioned.size() - 1));
     ListedMachine.Page page = new ListedMachine.Page(hosts, more);
     CompletableFuture<Outcome<ListedMachine.Page>> out = new CompletableFuture<>();
     // The list lags.
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -18,10 +18,10 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.state.Change;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
-import org.ternhinge.wire.Heartbeat;
 
 /**
  * Controllers with simulated machines, cloud, key-value store and network around them, in virtual
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -5,14 +5,15 @@
 import java.util.function.Consumer;
 import org.ternhinge.config.Settings;
 import org.ternhinge.controller.ControllerNode;
-import org.ternhinge.controller.ControllerServices;
 import org.ternhinge.election.Election;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.KeyValueStore;
+import org.ternhinge.request.PeerTransport;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
 
 /**
  * One process of a controller with everything around it simulated. Once it is killed, nothing
@@ -78,7 +79,7 @@
   }
 
   /** The way to the other controllers. */
-  private final class PeerLinks implements ControllerNode.Peers {
+  private final class PeerLinks implements PeerTransport {
     @Override
     public void ask(String to, Request request, double timeoutS, Consumer<Response> answer) {
       cluster.ask(SimController.this, to, request, timeoutS, answer);
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -10,9 +10,9 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
 
 /**
  * The one key-value store of a simulated cluster: its contents, its limits, and whom it refuses at
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
 /** What the cloud has provisioned out, to whomever. */
@@ -84,7 +84,8 @@
     Booting machine = booting.remove(id);
     if (machine != null) {
       ProvisionRequest request = machine.request;
-      SimWorker worker = new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
+      SimWorker worker =
+          new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
       cluster.workers.put(id, worker);
       cluster.machineFaults.cameUp(worker);
     }
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -8,12 +8,14 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.ResponseTimeouts;
-import org.ternhinge.state.ResponseTimeouts.Kind;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
-
-/** The key-value store as one controller process reaches it, with that process's share of limits. */
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
+import org.ternhinge.store.ResponseTimeouts.Kind;
+
+/**
+ * The key-value store as one controller process reaches it, with that process's share of limits.
+ */
 final class SimStoreClient implements KeyValueStore {
   /** Of the limit on changes, what the leader uses; the others share the rest. */
   private static final double LEADER_SHARE = 0.7;
@@ -118,7 +120,8 @@
   }
 
   @Override
-  public CompletableFuture<Outcome<Revision>> compareAndSwap(CompareAndSwap compareAndSwap, RequestPriority priority) {
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap compareAndSwap, RequestPriority priority) {
     if (!mayAsk(priority) || !changes.tryTake(priority, compareAndSwap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
@@ -131,7 +134,8 @@
     }
     return timeouts
         .<Revision>measure(
-            Kind.ofWrite(priority), limitS -> send(limitS, () -> service.compareAndSwap(owner.index(), compareAndSwap)))
+            Kind.ofWrite(priority),
+            limitS -> send(limitS, () -> service.compareAndSwap(owner.index(), compareAndSwap)))
         .thenApply(this::slowDownIfTooFast);
   }
 
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -6,19 +6,19 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.ternhinge.http.Response;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
 /** A machine with its worker as the protocol has it: epochs, tokens, leases and tasks. */
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -15,10 +15,10 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.KeyValueStore;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store's behaviour as its protocol page gives it, without a network. */
 public final class StoreCore {
@@ -71,7 +71,8 @@
   /** Applies a transaction if its conditions hold. */
   public Outcome<Revision> compareAndSwap(CompareAndSwap compareAndSwap) {
     StringBuilder failed = new StringBuilder(" ");
-    compareAndSwap.conditions()
+    compareAndSwap
+        .conditions()
         .forEach(
             (key, rev) -> {
               Value value = keys.get(key);
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -8,11 +8,13 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What the key-value store takes, as the protocol page gives it; it may become less at any time. */
+/**
+ * What the key-value store takes, as the protocol page gives it; it may become less at any time.
+ */
 final class StoreLimits {
   private static final int MAX_BODY = 64 * 1024;
   private static final int CONDITIONS_TO_A_CHANGE = 4;
@@ -37,7 +39,8 @@
   }
 
   /** Carries a transaction out where it keeps to the limits. */
-  Outcome<Revision> take(CompareAndSwap compareAndSwap, Function<CompareAndSwap, Outcome<Revision>> carryOut) {
+  Outcome<Revision> take(
+      CompareAndSwap compareAndSwap, Function<CompareAndSwap, Outcome<Revision>> carryOut) {
     String against = against(compareAndSwap);
     if (against != null) {
       tooLarge++;
@@ -54,7 +57,10 @@
 
   private String against(CompareAndSwap compareAndSwap) {
     if (compareAndSwap.changes().size() > now.maxChangesPerSwap()) {
-      return compareAndSwap.changes().size() + " changes, " + now.maxChangesPerSwap() + " are allowed";
+      return compareAndSwap.changes().size()
+          + " changes, "
+          + now.maxChangesPerSwap()
+          + " are allowed";
     }
     if (compareAndSwap.conditions().size() > CONDITIONS_TO_A_CHANGE * now.maxChangesPerSwap()) {
       return compareAndSwap.conditions().size() + " conditions";
--- a/src/test/java/org/ternhinge/state/ResponseTimeoutsTest.java
+++ b/src/test/java/org/ternhinge/store/ResponseTimeoutsTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.state;
+package org.ternhinge.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.state.ResponseTimeouts.Kind;
+import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** The time-outs of calls to the key-value store, by what they see of it. */
 class ResponseTimeoutsTest {
--- a/src/test/java/org/ternhinge/controller/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,9 +19,9 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.SteadyAuthority;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.state.Change;
-import org.ternhinge.state.Entry;
-import org.ternhinge.state.CompareAndSwap;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ProvisionRequest;
 
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Records of provision requests and returns as the version in production writes them. What is read is
-   * written back the same around what is new.
+   * Records of provision requests and returns as the version in production writes them. What is
+   * read is written back the same around what is new.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
@@ -126,7 +126,9 @@
       throws Exception {
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
-    core.compareAndSwap(new CompareAndSwap(Map.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
+    core.compareAndSwap(
+        new CompareAndSwap(
+            Map.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
     BucketedRecords written = packed(core, clock, prefix, valueBytes);
     for (int i = 1; i <= 5; i++) {
       if (prefix.equals("r/")) {
--- a/src/test/java/org/ternhinge/controller/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -1,4 +1,4 @@
-package org.ternhinge.controller;
+package org.ternhinge.term;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
@@ -74,7 +74,8 @@
     assertEquals(Json.parse(bytes(json)), Json.parse(Command.answer(new Term(41), commands)));
     String order = json.replace("41,", "41,\"vakt\":7,");
     assertEquals(
-        Json.parse(bytes(order)), Json.parse(Command.body(new Term(41), new AgentEpoch(7), commands)));
+        Json.parse(bytes(order)),
+        Json.parse(Command.body(new Term(41), new AgentEpoch(7), commands)));
   }
 
   @Test
@@ -117,8 +118,7 @@
       })
   void saysWhatIsWrong(String field, String value, String why) throws WireException {
     byte[] body = Json.bytes(change(FULL.write(), field, value));
-    assertEquals(
-        why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
@@ -137,8 +137,7 @@
     ObjectNode heartbeat = FULL.write();
     change((ObjectNode) heartbeat.get("verkbitar").get(1), field, value);
     byte[] body = Json.bytes(heartbeat);
-    assertEquals(
-        why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -275,7 +275,8 @@
     assertEquals(IntList.of(0, 2, 4), jobs.get(0).pending());
     assertEquals(3, jobs.get(0).waiting());
     assertTrue(jobs.get(1).blocked(), "a gang waits whole");
-    List<Snapshot.JobView> expectedJobs = failover.filter(snapshot(array, gang, other)).expectedJobs();
+    List<Snapshot.JobView> expectedJobs =
+        failover.filter(snapshot(array, gang, other)).expectedJobs();
     assertEquals(
         List.of(2, 3),
         expectedJobs.stream().map(spare -> spare.spec().tasks()).toList(),
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -40,7 +40,7 @@
         line(work(ZoneEvent.WorkStep.DISPLACED, "0-3"), 20),
         line(work(ZoneEvent.WorkStep.RELEASED, "0-3"), 20),
         line(work(ZoneEvent.WorkStep.MOVED, "0-2"), 24),
-        line(work(ZoneEvent.WorkStep.WAITS, "3"), 50),
+        line(work(ZoneEvent.WorkStep.DELAYED, "3"), 50),
         line(state(ZoneState.UNAVAILABLE, ZoneState.RECOVERING), 60),
         line(new ZoneEvent.ReturnStarts("west", 1, 4), 66),
         line(state(ZoneState.RECOVERING, ZoneState.AVAILABLE), 80));
@@ -51,13 +51,24 @@
     List<ZoneEvent> events =
         List.of(
             state(ZoneState.RECOVERING, ZoneState.AVAILABLE),
-            work(ZoneEvent.WorkStep.WAITS, "1,4-9"),
+            work(ZoneEvent.WorkStep.DELAYED, "1,4-9"),
             new ZoneEvent.ReturnStarts("west", 2, 17));
     ZoneLog log = ZoneLog.read(events.stream().map(event -> line(event, 1)));
     assertEquals(events, log.events().stream().map(ZoneLog.Entry::event).toList());
     assertEquals(0, log.leftOut());
   }
 
+  /** Logs of earlier versions have other words for two of the steps. */
+  @Test
+  void theWordsOfEarlierVersionsAreRead() {
+    Stream<String> earlier =
+        lossAndReturn().stream()
+            .map(text -> text.replace(" displaced ", " owed ").replace(" delayed ", " waits "));
+    ZoneLog log = ZoneLog.read(earlier);
+    assertEquals(ZoneLog.read(lossAndReturn().stream()).events(), log.events());
+    assertEquals(0, log.leftOut());
+  }
+
   @Test
   void statesMovesAndStartsArePutTogether() {
     ZoneHistory history = new ZoneHistory(ZoneLog.read(lossAndReturn().stream()).events());
