--- /dev/null
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -0,0 +1,111 @@
+package org.ternhinge;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.regex.MatchResult;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** {@code docs/architecture.md} names, in backticks, only types and packages of this program. */
+class ArchitecturePageTest {
+  private static final String ROOT = "org.ternhinge";
+  private static final Path PAGE = Path.of("docs", "architecture.md");
+
+  private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
+  private static final Pattern NAME = Pattern.compile("[\\w.-]*\\w");
+
+  /** A type, with a nested type or a member behind it where there is one. */
+  private static final Pattern TYPE = Pattern.compile("[A-Z]\\w*[a-z]\\w*(\\.\\w+)*");
+
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .importPackages(ROOT);
+
+  @Test
+  void everyNameOnThePageExists() throws IOException {
+    assertEquals(List.of(), unknownNames(Files.readString(PAGE)));
+  }
+
+  @Test
+  void everyPackageIsOnThePage() throws IOException {
+    String page = Files.readString(PAGE);
+    List<String> missing =
+        CLASSES.stream()
+            .map(JavaClass::getPackageName)
+            .distinct()
+            .filter(name -> !page.contains("`" + name + "`"))
+            .toList();
+    assertEquals(List.of(), missing);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "a type, `LedgerKeeper`, LedgerKeeper",
+    "a nested type, `Outcome.Perhaps`, Outcome.Perhaps",
+    "a method, `Ledger.admitAll`, Ledger.admitAll",
+    "a method with parentheses, `Ledger.admitAll()`, Ledger.admitAll",
+    "one of several names, `Ledger LedgerKeeper`, LedgerKeeper",
+    "a package, `org.ternhinge.nowhere`, org.ternhinge.nowhere",
+  })
+  void anUnknownNameIsFound(String kind, String text, String unknown) {
+    assertEquals(List.of(unknown), unknownNames("The " + text + " does it."), kind);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "`Ledger`",
+    "`Outcome.Applied`",
+    "`Ledger.open()`",
+    "`Keys.TERM`",
+    "`org.ternhinge.ledger`",
+    "`org.ternhinge.zone.report`",
+    "LedgerKeeper without backticks",
+    "`GET /healthz`",
+    "`docs/design.md`",
+  })
+  void aKnownNameAndOtherTextAreNotFound(String text) {
+    assertEquals(List.of(), unknownNames(text));
+  }
+
+  /** Names in the page's code spans that no class or package of the program has. */
+  private static List<String> unknownNames(String page) {
+    return CODE_SPAN
+        .matcher(page)
+        .results()
+        .map(span -> span.group(1))
+        .flatMap(code -> NAME.matcher(code).results())
+        .map(MatchResult::group)
+        .filter(name -> !exists(name))
+        .toList();
+  }
+
+  private static boolean exists(String name) {
+    if (name.equals(ROOT) || name.startsWith(ROOT + ".")) {
+      return CLASSES.containPackage(name);
+    }
+    if (!TYPE.matcher(name).matches()) {
+      return true;
+    }
+    String[] path = name.split("\\.", 2);
+    return CLASSES.stream()
+        .filter(type -> type.getSimpleName().equals(path[0]))
+        .anyMatch(type -> path.length == 1 || hasPart(type, path[1]));
+  }
+
+  /** Whether a type has a member, or a type nested in it, of this name. */
+  private static boolean hasPart(JavaClass type, String name) {
+    return type.getMembers().stream().anyMatch(member -> member.getName().equals(name))
+        || CLASSES.contain(type.getName() + "$" + name);
+  }
+}
