--- a/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
+++ b/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
@@ -4,14 +4,21 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Heartbeat;
 
-/** Takes in what a worker says of itself, wherever it was said. */
+/** Receives the status of worker agents, from heartbeats and from responses to commands. */
 @FunctionalInterface
 public interface AgentStatusSink {
+  /** What has become of a status. */
+  enum Result {
+    /** The status is the newest of its worker and was applied. */
+    APPLIED,
+    /** The status is no newer than one applied before, and changed nothing. */
+    OUTDATED
+  }
+
   /**
-   * Applies a message of a worker, under the controller's lock.
+   * Applies a worker's status. Called under the controller's lock.
    *
-   * @param isHeartbeat whether the worker sent it by itself, rather than in answer to a command
-   * @return false if a newer message was already known
+   * @param now when the message was received
    */
-  boolean take(Machine machine, Heartbeat heartbeat, boolean isHeartbeat, SteadyTime now);
+  Result apply(Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now);
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -13,14 +13,14 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Command;
 
 /**
  * Takes attempts from their durable record to their end: sends their starts, stops them, and closes
  * them on proof that they are gone. A start goes out only after the key-value store holds the
- * attempt, so that the next leader knows of everything that may run. Guarded by the controller's
- * lock.
+ * attempt, so that the next leader finds everything that may run. Guarded by the controller's lock.
  */
 public final class AttemptLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -33,53 +33,60 @@
   private final Clock clock;
   private final AttemptListener listener;
 
+  /**
+   * Creates the life cycle of one leadership's attempts.
+   *
+   * @param listener is called for each attempt that is closed
+   */
   public AttemptLifecycle(
-      Ledger ledger,
-      LedgerWriter writer,
+      LeadershipContext context,
       MachineRegistry machines,
       CommandDispatcher dispatcher,
-      RoundTrigger rounds,
-      Clock clock,
       AttemptListener listener) {
-    this.ledger = ledger;
-    this.writer = writer;
+    this.ledger = context.ledger();
+    this.writer = context.writer();
     this.machines = machines;
     this.dispatcher = dispatcher;
-    this.rounds = rounds;
-    this.clock = clock;
+    this.rounds = context.rounds();
+    this.clock = context.services().clock();
     this.listener = listener;
   }
 
-  /** Sends the starts of attempts that the key-value store now holds, unless they are unwanted. */
+  /**
+   * Sends the starts of attempts that the key-value store now holds. Those that were stopped, or
+   * whose job was cancelled, while they were being written are closed instead.
+   */
   public void startDurable(List<Attempt> attempts) {
-    Set<Machine> addressed = new LinkedHashSet<>();
+    Set<Machine> recipients = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
       Machine machine = machines.find(attempt.machine());
       if (machine == null || !attempt.epoch().equals(machine.agent().epoch())) {
         continue;
       }
       if (attempt.stopping() || attempt.job().cancelled()) {
-        attempt.stop(0, clock.now());
-        machine.invalidateView();
-        closeIfNeverSent(attempt);
-        continue;
+        stopBeforeStart(attempt, machine);
+      } else {
+        machine.outbox().add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
+        recipients.add(machine);
       }
-      machine.outbox().add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
-      addressed.add(machine);
     }
-    addressed.forEach(dispatcher::dispatch);
+    recipients.forEach(dispatcher::dispatch);
+  }
+
+  private void stopBeforeStart(Attempt attempt, Machine machine) {
+    attempt.stop(0, clock.now());
+    machine.invalidateView();
+    closeIfNeverSent(attempt);
   }
 
   /**
-   * Closes an attempt that is certainly gone. A gang that lost a task this way is stopped as a
+   * Closes an attempt that is proved to be over. A gang that loses a task this way is stopped as a
    * whole, since its other tasks can't go on alone. Does nothing for an attempt that was closed
    * before.
-   *
-   * @param done whether the task has finished its work
-   * @param evidence what shows that the attempt is gone, for the log
    */
-  public void close(Attempt attempt, boolean done, String evidence) {
+  public void close(Attempt attempt, ClosingEvidence evidence) {
     Job job = attempt.job();
+    boolean done = evidence.isTaskDone();
     if (job.open(attempt.task().index()) != attempt) {
       return;
     }
@@ -91,7 +98,7 @@
         attempt.task(),
         attempt.number(),
         attempt.machine(),
-        evidence);
+        evidence.text());
     if (!done && job.spec().isGang() && !job.cancelled()) {
       stopRestOfGang(job);
     }
@@ -110,7 +117,9 @@
     }
   }
 
-  /** Stops at once what is left of a gang; tasks that are saving already may go on with that. */
+  /**
+   * Stops the other tasks of a gang at once, except those that are saving their progress already.
+   */
   private void stopRestOfGang(Job job) {
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
       if (!attempt.stopping()) {
@@ -164,20 +173,23 @@
   }
 
   /**
-   * Closes an unwanted attempt whose start was never sent, neither by a direct command nor in the
-   * answer to a heartbeat: nothing of it can arrive, so no worker has to show that it is gone.
-   * Starts of an earlier leader's attempts may be on their way unknown to this one.
+   * Closes an attempt that is to be stopped and whose start was never sent, neither by a direct
+   * command nor in the answer to a heartbeat: nothing of it can arrive, so no status of the worker
+   * is needed as proof. Starts of an earlier leader's attempts may be in flight unknown to this
+   * one.
    */
   public void closeIfNeverSent(Attempt attempt) {
-    Machine machine = machines.find(attempt.machine());
-    boolean neverSent =
-        !attempt.recovered()
-            && attempt.state() == AttemptState.STARTING
-            && attempt.startAnswered() < 0
-            && (machine == null
-                || !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
-    if (neverSent) {
-      close(attempt, false, "never sent");
+    if (!attempt.recovered()
+        && attempt.state() == AttemptState.STARTING
+        && attempt.startAnswered() < 0
+        && !isDirectStartOutstanding(attempt)) {
+      close(attempt, ClosingEvidence.NEVER_SENT);
     }
   }
+
+  private boolean isDirectStartOutstanding(Attempt attempt) {
+    Machine machine = machines.find(attempt.machine());
+    return machine != null
+        && machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
+  }
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptListener.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptListener.java
@@ -2,11 +2,11 @@
 
 import org.ternhinge.ledger.Attempt;
 
-/** Hears of attempts that are closed. Called under the controller's lock. */
+/** Is notified of attempts that are closed. Called under the controller's lock. */
 @FunctionalInterface
 public interface AttemptListener {
   /**
-   * An attempt is proved over.
+   * An attempt was closed, on proof that it is over.
    *
    * @param done whether its task has finished its work
    */
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -1,13 +1,10 @@
 package org.ternhinge.attempt;
 
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
@@ -21,60 +18,69 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Settles open attempts by what a worker's newest message shows: what has ended, or is proven to be
- * gone, is closed in the ledger. Guarded by the controller's lock.
+ * Applies the tasks that a worker's newest status shows to the open attempts: their states, and the
+ * ends that the worker reports. Guarded by the controller's lock.
  */
 public final class AttemptObserver {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptObserver.class);
 
   private final AttemptLifecycle attempts;
-  private final Authority authority;
   private final Ledger ledger;
   private final Map<String, MachineType> machineTypes;
   private final TaskFailures failures;
   private final Metrics metrics;
 
+  /**
+   * Creates an observer of one leadership's attempts.
+   *
+   * @param machineTypes the machine types by name, as a live view
+   */
   public AttemptObserver(
       AttemptLifecycle attempts,
-      Authority authority,
       Ledger ledger,
       Map<String, MachineType> machineTypes,
       TaskFailures failures,
       Metrics metrics) {
     this.attempts = attempts;
-    this.authority = authority;
     this.ledger = ledger;
     this.machineTypes = machineTypes;
     this.failures = failures;
     this.metrics = metrics;
   }
 
-  /** Takes in the tasks that a message shows. */
-  public void observeAll(Machine machine, Heartbeat heartbeat, SteadyTime now) {
-    for (TaskStatus task : heartbeat.tasks()) {
+  /** Applies the tasks of a status that are attempts of the ledger on that machine. */
+  public void observeAll(Machine machine, Heartbeat status, SteadyTime now) {
+    for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
-      if (attempt != null
-          && attempt.number().equals(task.attempt())
-          && attempt.machine().equals(machine.id())
-          && attempt.epoch().equals(heartbeat.epoch())) {
+      if (attempt != null && isStatusOf(attempt, task, machine, status)) {
         attempt.shownIn(machine.tasksRevision());
         observe(machine, attempt, task, now);
       }
     }
   }
 
+  private static boolean isStatusOf(
+      Attempt attempt, TaskStatus task, Machine machine, Heartbeat status) {
+    return attempt.number().equals(task.attempt())
+        && attempt.machine().equals(machine.id())
+        && attempt.epoch().equals(status.epoch());
+  }
+
   private void observe(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
     if (task.ended()) {
       ended(machine, attempt, task.endReason(), now);
-      return;
+    } else {
+      running(machine, attempt, stateOf(task), now);
     }
+  }
+
+  private void running(Machine machine, Attempt attempt, AttemptState state, SteadyTime now) {
     AttemptState before = attempt.state();
-    AttemptState state = stateOf(task);
     attempt.observe(state, now);
     JobSpec spec = attempt.job().spec();
     if (state != AttemptState.FETCHING || machine.hasImage(spec.image())) {
-      hasImage(machine, spec);
+      useImage(machine, spec);
     }
     if (attempt.recovered()) {
       return;
@@ -96,90 +102,33 @@
     };
   }
 
-  private void hasImage(Machine machine, JobSpec spec) {
+  private void useImage(Machine machine, JobSpec spec) {
     MachineType machineType = machineTypes.get(machine.description().typeName());
     double cacheGb = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
     machine.useImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
-  /**
-   * Looks at the open attempts that the machine does not show.
-   *
-   * @return whether it lacks a start that an answer has carried before
-   */
-  public boolean settleUnshown(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
-    List<Attempt> unshown = null;
-    for (Attempt attempt : ledger.attemptsOn(machine.id())) {
-      if (attempt.shownIn() != machine.tasksRevision()
-          && attempt.epoch().equals(heartbeat.epoch())) {
-        unshown = unshown == null ? new ArrayList<>() : unshown;
-        unshown.add(attempt);
-      }
-    }
-    if (unshown == null) {
-      return false;
-    }
-    boolean missedStart = false;
-    for (Attempt attempt : unshown) {
-      missedStart |= absent(machine, attempt, heartbeat, isHeartbeat);
-    }
-    return missedStart;
-  }
-
-  /**
-   * The worker does not show an open attempt. That proves it gone only if no start of it can still
-   * arrive: an earlier leader's can't once the worker has seen this term; an own one can't once the
-   * worker has shown it, or if it went out in an answer alone and a later heartbeat has come.
-   *
-   * @return whether the worker has missed the answer that carried the start
-   */
-  private boolean absent(
-      Machine machine, Attempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
-    if (!attempt.durable()) {
-      return false;
-    }
-    if (attempt.recovered()) {
-      if (heartbeat.fencingToken().compareTo(authority.term()) >= 0) {
-        attempts.close(attempt, false, "never arrived or is gone");
-      }
-      return false;
-    }
-    if (attempt.state() != AttemptState.STARTING) {
-      attempts.close(attempt, false, "vanished");
-      return false;
-    }
-    boolean inAnswer = attempt.startAnswered() >= 0;
-    boolean answerSettled =
-        !inAnswer || (isHeartbeat && heartbeat.sequence() > attempt.startAnswered());
-    if (!attempt.stopping()) {
-      return isHeartbeat && inAnswer && answerSettled;
-    }
-    if (answerSettled && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number())) {
-      attempts.close(attempt, false, "stopped before it started");
-    }
-    return false;
-  }
-
   private void ended(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
     Job job = attempt.job();
-    if (LOG.isDebugEnabled()) {
-      LOG.debug(
-          "{} attempt {} on {} ended: {}",
-          attempt.task(),
-          attempt.number(),
-          machine.id(),
-          endReason);
+    LOG.debug(
+        "{} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id(), endReason);
+    recordOutcome(machine, job, endReason, now);
+    if (attempt.state() == AttemptState.RUNNING && endReason != EndReason.ERROR) {
+      useImage(machine, job.spec());
     }
+    attempts.close(attempt, ClosingEvidence.reported(endReason));
+  }
+
+  /** Records what the end of a task tells about its machine and its job. */
+  private void recordOutcome(Machine machine, Job job, EndReason endReason, SteadyTime now) {
     switch (endReason) {
       case DONE -> failures.succeeded(machine, job, now);
       case ERROR -> failures.failed(machine, job, now);
       case NO_ROOM -> failures.noRoom(machine, now);
       case UNKNOWN -> failures.unknownJob(job, now);
-      default -> {}
-    }
-    if (attempt.state() == AttemptState.RUNNING && endReason != EndReason.ERROR) {
-      hasImage(machine, job.spec());
+      default -> {
+        // The task was stopped or lost its peers, which tells nothing about machine or job.
+      }
     }
-    attempts.close(attempt, endReason == EndReason.DONE, endReason.word());
   }
 }
--- a/src/main/java/org/ternhinge/attempt/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/Cancellations.java
@@ -12,18 +12,19 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Cancels jobs for users. A user is told only what the key-value store holds: an answer before that
- * could be contradicted by the next leader, which would run the job on. Guarded by the controller's
- * lock.
+ * Cancels jobs on behalf of users. A request is answered only once the key-value store holds the
+ * cancellation: an earlier answer could be contradicted by the next leader, which would run the
+ * job. Guarded by the controller's lock.
  */
 public final class Cancellations {
   private final Ledger ledger;
   private final AttemptLifecycle attempts;
   private final LedgerWriter writer;
 
-  /** Who waits for the cancellation of a job to be durable. */
-  private final Map<Job, List<Consumer<JobState>>> waiting = new LinkedHashMap<>();
+  /** The requests whose cancellation is not durable yet, in order of arrival. */
+  private final Map<Job, List<Consumer<JobState>>> pending = new LinkedHashMap<>();
 
+  /** Creates the cancellations of one leadership, with none pending. */
   public Cancellations(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
     this.ledger = ledger;
     this.attempts = attempts;
@@ -36,20 +37,20 @@
    * @param listener gets the job's state once the key-value store holds it, and not before
    */
   public void cancel(Job job, Consumer<JobState> listener) {
-    waiting.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
+    pending.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
     ledger.cancel(job);
     attempts.stopAll(job);
     writer.pump();
     answerDurable();
   }
 
-  /** Answers those whose job's fate the key-value store now holds; called after each write. */
+  /** Answers the requests whose job's end has become durable. Called after each write. */
   public void answerDurable() {
-    Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = waiting.entrySet().iterator();
+    Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = pending.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<Job, List<Consumer<JobState>>> entry = entries.next();
       Job job = entry.getKey();
-      if (job.cancelDurable() || job.finalDurable()) {
+      if (isEndDurable(job)) {
         JobState state = durableState(job);
         entry.getValue().forEach(listener -> listener.accept(state));
         entries.remove();
@@ -57,6 +58,10 @@
     }
   }
 
+  private static boolean isEndDurable(Job job) {
+    return job.cancelDurable() || job.finalDurable();
+  }
+
   private JobState durableState(Job job) {
     JobState ended = ledger.ended(job.spec().id());
     return ended != null ? ended : Ledger.stateOf(job);
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -1,16 +1,12 @@
 package org.ternhinge.attempt;
 
-import java.util.ArrayList;
+import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.concurrent.locks.Lock;
+import java.util.Set;
 import java.util.function.Consumer;
 import org.ternhinge.config.Settings;
-import org.ternhinge.http.SocketShares;
-import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.AgentEpoch;
@@ -19,228 +15,180 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.worker.Workers;
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends commands to workers directly, one message at a time to a machine. A direct start whose
- * answer is lost stays outstanding until nothing of it can arrive. Guarded by the controller's
+ * Sends commands to workers directly, one message at a time to a machine, so that commands keep
+ * their order. Machines wait in a queue while too many messages are in flight. A direct start whose
+ * response is lost stays outstanding until nothing of it can arrive. Guarded by the controller's
  * lock.
  */
 public final class CommandDispatcher {
   /** Commands that one message carries at most. */
-  public static final int MAX_COMMANDS = 400;
+  public static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
-  /** A machine that owes so many reports is not told anything directly. */
-  private static final double SILENT_HEARTBEATS = 2.5;
+  /** A worker that has missed so many heartbeats is sent no direct commands. */
+  private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
-  private final LeadershipExecutor executor;
-  private final AgentStatusSink heartbeats;
-  private final Settings settings;
-  private final Workers workers;
+  private final AgentStatusSink statusSink;
+  private final Settings.Workers workerSettings;
   private final Clock clock;
   private final Metrics metrics;
   private final Authority authority;
-  private final Ledger ledger;
-  private final Lock lock;
-
-  /** Messages that may be under way at once; each takes a socket. */
-  private final int maxUnderWay;
-
-  private int underWay;
-
-  /** Machines with something to be told, until a message under way has come back. */
-  private final LinkedHashSet<Machine> queue = new LinkedHashSet<>();
-
-  public CommandDispatcher(
-      LeadershipExecutor executor,
-      AgentStatusSink heartbeats,
-      ControllerServices services,
-      Authority authority,
-      Ledger ledger) {
-    this.executor = executor;
-    this.heartbeats = heartbeats;
-    this.settings = services.settings();
-    this.workers = services.workers();
-    this.clock = services.clock();
-    this.metrics = services.metrics();
-    this.authority = authority;
-    this.ledger = ledger;
-    this.lock = services.lock();
-    this.maxUnderWay = SocketShares.of(settings.maxSockets()).calls();
-  }
+  private final HigherTermCheck higherTermCheck;
+  private final CommandSender sender;
+  private final CommandSelector selector;
 
-  /** Whether another message may go out now. */
-  public boolean free() {
-    return freeSlots() > 0;
-  }
+  /** Machines with commands that wait for a free slot. */
+  private final Set<Machine> queue = new LinkedHashSet<>();
 
-  /** How many more messages may go out now. */
+  /**
+   * Creates a dispatcher without messages in flight.
+   *
+   * @param statusSink receives the status that each response carries
+   */
+  public CommandDispatcher(LeadershipContext context, AgentStatusSink statusSink) {
+    this.statusSink = statusSink;
+    this.workerSettings = context.services().settings().workers();
+    this.clock = context.services().clock();
+    this.metrics = context.services().metrics();
+    this.authority = context.authority();
+    this.higherTermCheck = new HigherTermCheck(authority);
+    this.sender = new CommandSender(context);
+    this.selector = new CommandSelector(context.ledger());
+  }
+
+  /** How many more messages may be sent now. */
   public int freeSlots() {
-    return Math.max(0, maxUnderWay - underWay);
+    return sender.freeSlots();
+  }
+
+  /** Whether another message may be sent now. */
+  public boolean hasFreeSlot() {
+    return sender.hasFreeSlot();
   }
 
-  /** Sends what waits for a machine, one message at a time so that commands keep their sequence. */
+  /**
+   * Sends the commands that wait in a machine's outbox, unless a message to it is in flight. They
+   * are dropped where the machine takes no direct commands.
+   */
   void dispatch(Machine machine) {
     SteadyTime now = clock.now();
     if (machine.outbox().isInFlight() || machine.outbox().isEmpty()) {
       return;
     }
-    if (!mayCommand(machine, now)) {
+    if (!acceptsDirectCommands(machine, now)) {
       machine.outbox().clear();
       return;
     }
-    if (!free()) {
+    if (!sender.hasFreeSlot()) {
       queue.add(machine);
       return;
     }
-    List<Command> commands = takeOutbox(machine);
+    List<Command> commands = selector.takeNext(machine);
     if (!commands.isEmpty()) {
       sendCommands(machine, commands, now);
     }
   }
 
   /**
-   * Whether a machine may be told something directly. One that does not answer lately may not: its
-   * next heartbeat's answer carries the commands, and messages to a whole zone that is cut off
-   * would keep all others waiting for their time-outs.
+   * Whether direct commands may be sent to a machine. Not to one that has been silent: the answer
+   * to its next heartbeat carries the commands, and messages to a whole zone that is cut off would
+   * occupy all slots until they time out.
    */
-  private boolean mayCommand(Machine machine, SteadyTime now) {
+  private boolean acceptsDirectCommands(Machine machine, SteadyTime now) {
     if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
       return false;
     }
-    double silentS = SILENT_HEARTBEATS * settings.workers().heartbeatIntervalS();
-    return machine.agent().silentForS(now) <= silentS && !machine.outbox().isPaused(now);
+    double maxSilentS = MAX_MISSED_HEARTBEATS * workerSettings.heartbeatIntervalS();
+    return machine.agent().silentForS(now) <= maxSilentS && !machine.outbox().isPaused(now);
   }
 
-  /**
-   * Takes what is still wanted from a machine's outbox; its starts are outstanding from here on.
-   */
-  private List<Command> takeOutbox(Machine machine) {
-    List<Command> commands = new ArrayList<>();
-    while (!machine.outbox().isEmpty() && commands.size() < MAX_COMMANDS) {
-      Command command = machine.outbox().take();
-      if (command.op() == Command.Op.START) {
-        Attempt attempt = openAttempt(command);
-        if (attempt == null || !mayStart(attempt, machine)) {
-          continue;
-        }
-        machine.outstandingStarts().sent(command.task(), command.attempt());
-      }
-      commands.add(command);
+  private void dispatchQueued() {
+    while (sender.hasFreeSlot() && !queue.isEmpty()) {
+      Iterator<Machine> first = queue.iterator();
+      Machine machine = first.next();
+      first.remove();
+      dispatch(machine);
     }
-    return commands;
   }
 
-  private static boolean mayStart(Attempt attempt, Machine machine) {
-    return !attempt.stopping()
-        && attempt.durable()
-        && attempt.epoch().equals(machine.agent().epoch());
+  /** Requests the status of a worker that seems unreachable, by a message without commands. */
+  public void probe(Machine machine, SteadyTime now) {
+    sendCommands(machine, List.of(), now);
   }
 
-  private Attempt openAttempt(Command command) {
-    Job job = ledger.job(command.task().job());
-    Attempt attempt = job == null ? null : job.open(command.task().index());
-    return attempt != null && attempt.number().equals(command.attempt()) ? attempt : null;
+  /**
+   * Sends a worker the term by a message without commands, whatever is known of the machine.
+   *
+   * @param handler gets the outcome, or null where the client failed without one
+   */
+  void announceTerm(Endpoint worker, AgentEpoch epoch, Consumer<Outcome<Answer>> handler) {
+    send(worker, epoch, List.of(), handler);
   }
 
   private void sendCommands(Machine machine, List<Command> commands, SteadyTime now) {
     machine.outbox().markInFlight();
-    AgentEpoch epoch = machine.agent().epoch();
-    send(
-        machine.agent().endpoint().orElseThrow(),
-        epoch,
-        commands,
-        outcome -> answered(machine, epoch, commands, outcome, now));
+    CommandMessage message = new CommandMessage(machine, machine.agent().epoch(), commands, now);
+    Endpoint worker = machine.agent().endpoint().orElseThrow();
+    send(worker, message.epoch(), commands, outcome -> completed(message, outcome));
   }
 
-  /** The one way out to a worker, so that what is under way is counted. */
   private void send(
-      Endpoint to, AgentEpoch epoch, List<Command> commands, Consumer<Outcome<Answer>> then) {
-    underWay++;
-    executor.whenAnswered(
-        workers.command(to, authority.term(), epoch, commands, this::mayStillSend),
-        outcome -> cameBack(outcome, then));
-  }
-
-  /**
-   * Whether the authority that a command was decided on still holds as it is about to leave. The
-   * process may have stood still since, or the connection have taken long; another leader may have
-   * decided otherwise by now.
-   */
-  private boolean mayStillSend() {
-    lock.lock();
-    try {
-      return !executor.stopped() && authority.valid();
-    } finally {
-      lock.unlock();
-    }
-  }
-
-  private void cameBack(Outcome<Answer> outcome, Consumer<Outcome<Answer>> then) {
-    underWay--;
-    then.accept(outcome);
-    while (free() && !queue.isEmpty()) {
-      Machine next = queue.iterator().next();
-      queue.remove(next);
-      dispatch(next);
-    }
-  }
-
-  /** Tells a worker of this term, whatever is known of it; the answer may say that it refuses. */
-  void announceTerm(Endpoint to, AgentEpoch epoch, Consumer<Outcome<Answer>> then) {
-    send(to, epoch, List.of(), then);
+      Endpoint worker,
+      AgentEpoch epoch,
+      List<Command> commands,
+      Consumer<Outcome<Answer>> handler) {
+    sender.send(
+        worker,
+        epoch,
+        commands,
+        outcome -> {
+          handler.accept(outcome);
+          dispatchQueued();
+        });
   }
 
-  /**
-   * Asks a worker that seems unreachable for a heartbeat; a message without commands brings one.
-   */
-  public void probe(Machine machine, SteadyTime now) {
-    sendCommands(machine, List.of(), now);
-  }
+  // ---- responses --------------------------------------------------------------------------------
 
-  private void answered(
-      Machine machine,
-      AgentEpoch epoch,
-      List<Command> commands,
-      Outcome<Answer> outcome,
-      SteadyTime sent) {
-    machine.outbox().markLanded();
-    SteadyTime now = clock.now();
+  private void completed(CommandMessage message, Outcome<Answer> outcome) {
+    message.machine().outbox().markLanded();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
-      Heartbeat heartbeat = applied.value().heartbeat();
-      if (heartbeat.fencingToken().compareTo(authority.term()) > 0) {
-        authority.lost("a worker has seen term " + heartbeat.fencingToken());
+      Heartbeat status = applied.value().heartbeat();
+      if (higherTermCheck.endsLeadership(status)) {
         return;
       }
-      settleOutstandingStarts(machine, epoch, commands);
-      machine.health().reachability().probeAnswered();
-      metrics.commandAnswered(now.secondsSince(sent));
-      heartbeats.take(machine, heartbeat, false, now);
+      responded(message, status);
     } else {
-      if (outcome instanceof Outcome.NotApplied<Answer> not
-          && not.reason() != Reason.NO_CONNECTION) {
-        settleOutstandingStarts(machine, epoch, commands);
-      }
-      // Otherwise the message may yet arrive: its starts stay outstanding until the epoch ends.
-      machine.outbox().pauseUntil(now.plusSeconds(settings.workers().heartbeatIntervalS()));
+      failed(message, outcome);
     }
-    dispatch(machine);
+    dispatch(message.machine());
   }
 
-  private static void settleOutstandingStarts(
-      Machine machine, AgentEpoch epoch, List<Command> commands) {
-    if (!epoch.equals(machine.agent().epoch())) {
-      return;
-    }
-    for (Command command : commands) {
-      if (command.op() == Command.Op.START) {
-        machine.outstandingStarts().settled(command.task(), command.attempt());
-      }
+  private void responded(CommandMessage message, Heartbeat status) {
+    SteadyTime now = clock.now();
+    message.settleStarts();
+    message.machine().health().reachability().probeAnswered();
+    metrics.commandAnswered(now.secondsSince(message.sentAt()));
+    statusSink.apply(message.machine(), status, MessageOrigin.COMMAND_RESPONSE, now);
+  }
+
+  private void failed(CommandMessage message, Outcome<Answer> outcome) {
+    if (hasCertainlyNotArrived(outcome)) {
+      message.settleStarts();
     }
+    // Otherwise the message may still arrive: its starts stay outstanding until the epoch ends.
+    message
+        .machine()
+        .outbox()
+        .pauseUntil(clock.now().plusSeconds(workerSettings.heartbeatIntervalS()));
+  }
+
+  private static boolean hasCertainlyNotArrived(Outcome<Answer> outcome) {
+    return outcome instanceof Outcome.NotApplied<Answer> notApplied
+        && notApplied.reason() != Reason.NO_CONNECTION;
   }
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -0,0 +1,81 @@
+package org.ternhinge.attempt;
+
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Consumer;
+import org.ternhinge.http.SocketShares;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.wire.Command;
+import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.Workers.Answer;
+
+/**
+ * Sends messages to workers and counts those in flight, each of which takes a socket. Guarded by
+ * the controller's lock.
+ */
+final class CommandSender {
+  private final LeadershipExecutor executor;
+  private final Workers workers;
+  private final Authority authority;
+  private final Lock lock;
+  private final int maxInFlight;
+  private int inFlight;
+
+  CommandSender(LeadershipContext context) {
+    ControllerServices services = context.services();
+    this.executor = context.executor();
+    this.workers = services.workers();
+    this.authority = context.authority();
+    this.lock = services.lock();
+    this.maxInFlight = SocketShares.of(services.settings().maxSockets()).calls();
+  }
+
+  /** How many more messages may be sent now. */
+  int freeSlots() {
+    return Math.max(0, maxInFlight - inFlight);
+  }
+
+  /** Whether another message may be sent now. */
+  boolean hasFreeSlot() {
+    return freeSlots() > 0;
+  }
+
+  /**
+   * Sends a message, whether or not there is a free slot.
+   *
+   * @param handler gets the outcome under the lock, or null where the client failed without one
+   */
+  void send(
+      Endpoint worker,
+      AgentEpoch epoch,
+      List<Command> commands,
+      Consumer<Outcome<Answer>> handler) {
+    inFlight++;
+    executor.whenAnswered(
+        workers.command(worker, authority.term(), epoch, commands, this::maySend),
+        outcome -> {
+          inFlight--;
+          handler.accept(outcome);
+        });
+  }
+
+  /**
+   * Whether the authority that a command was decided on still holds as it is about to leave. The
+   * process may have been paused since, or the connection have taken long; another leader may have
+   * decided otherwise by now. Called on any thread.
+   */
+  private boolean maySend() {
+    lock.lock();
+    try {
+      return !executor.stopped() && authority.valid();
+    } finally {
+      lock.unlock();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -0,0 +1,30 @@
+package org.ternhinge.attempt;
+
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.wire.Heartbeat;
+
+/**
+ * Ends the leadership when a worker shows a fencing token above the leadership's term: another
+ * leader has been elected since. Guarded by the controller's lock.
+ */
+public final class HigherTermCheck {
+  private final Authority authority;
+
+  /** Creates a check against the term of this authority. */
+  public HigherTermCheck(Authority authority) {
+    this.authority = authority;
+  }
+
+  /**
+   * Ends the leadership if a worker has seen a higher term.
+   *
+   * @return whether it has ended, after which the status must not be applied
+   */
+  public boolean endsLeadership(Heartbeat status) {
+    if (status.fencingToken().compareTo(authority.term()) <= 0) {
+      return false;
+    }
+    authority.lost("a worker has seen term " + status.fencingToken());
+    return true;
+  }
+}
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -1,5 +1,6 @@
 package org.ternhinge.attempt;
 
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
@@ -13,33 +14,39 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * Tells workers that have not reported yet of this leadership's term. Such a worker may still
- * report to an earlier leader that is cut off from everything else; having seen this term it turns
- * away from it. Guarded by the controller's lock.
+ * Announces this leadership's term to workers that have not sent it a heartbeat. Such a worker may
+ * still send its heartbeats to an earlier leader that is cut off from everything else; once it has
+ * seen the new term it refuses that leader. Guarded by the controller's lock.
  */
 public final class TermAnnouncer {
   private static final Logger LOG = LoggerFactory.getLogger(TermAnnouncer.class);
 
-  /** The first command may be refused for its epoch; the refusal names the right one. */
-  private static final int MAX_TRIES = 2;
+  /** The first message may be refused for its epoch; the refusal names the current one. */
+  private static final int MAX_ATTEMPTS = 2;
 
   private final Authority authority;
   private final CommandDispatcher dispatcher;
-  private final AgentStatusSink heartbeats;
+  private final AgentStatusSink statusSink;
   private final Clock clock;
 
+  /**
+   * Creates an announcer of the authority's term.
+   *
+   * @param statusSink receives the status that each response carries
+   */
   public TermAnnouncer(
-      Authority authority, CommandDispatcher dispatcher, AgentStatusSink heartbeats, Clock clock) {
+      Authority authority, CommandDispatcher dispatcher, AgentStatusSink statusSink, Clock clock) {
     this.authority = authority;
     this.dispatcher = dispatcher;
-    this.heartbeats = heartbeats;
+    this.statusSink = statusSink;
     this.clock = clock;
   }
 
   /**
-   * Tells a machine's worker of the term, if it is up and has not reported.
+   * Announces the term to a machine's worker, if the cloud lists the machine as running and the
+   * worker has not sent a heartbeat.
    *
-   * @return whether it was told
+   * @return whether an announcement was made
    */
   public boolean announce(Machine machine, ListedMachine listed) {
     if (machine.agent().isHeard()
@@ -47,35 +54,41 @@
         || listed.endpoint() == null) {
       return false;
     }
-    Endpoint endpoint;
+    Optional<Endpoint> endpoint = endpointOf(machine, listed);
+    endpoint.ifPresent(worker -> send(machine, worker, machine.agent().epoch(), MAX_ATTEMPTS));
+    return endpoint.isPresent();
+  }
+
+  private static Optional<Endpoint> endpointOf(Machine machine, ListedMachine listed) {
     try {
-      endpoint = Endpoint.parse(listed.endpoint());
+      return Optional.of(Endpoint.parse(listed.endpoint()));
     } catch (IllegalArgumentException e) {
       LOG.warn("machine {} is listed without a usable endpoint", machine.id());
-      return false;
+      return Optional.empty();
     }
-    send(machine, endpoint, machine.agent().epoch(), MAX_TRIES);
-    return true;
   }
 
-  private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int triesLeft) {
+  private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int attemptsLeft) {
     if (authority.valid()) {
       dispatcher.announceTerm(
-          endpoint, epoch, outcome -> answered(machine, endpoint, outcome, triesLeft));
+          endpoint, epoch, outcome -> answered(machine, endpoint, outcome, attemptsLeft));
     }
   }
 
   private void answered(
-      Machine machine, Endpoint endpoint, Outcome<Workers.Answer> outcome, int triesLeft) {
+      Machine machine, Endpoint endpoint, Outcome<Workers.Answer> outcome, int attemptsLeft) {
     if (!(outcome instanceof Outcome.Applied<Workers.Answer> applied)) {
       return;
     }
-    Heartbeat heartbeat = applied.value().heartbeat();
-    heartbeats.take(machine, heartbeat, false, clock.now());
-    if (applied.value() instanceof Workers.Answer.Refused
-        && heartbeat.fencingToken().compareTo(authority.term()) <= 0
-        && triesLeft > 1) {
-      send(machine, endpoint, heartbeat.epoch(), triesLeft - 1);
+    Heartbeat status = applied.value().heartbeat();
+    statusSink.apply(machine, status, MessageOrigin.COMMAND_RESPONSE, clock.now());
+    if (isRefusedForEpoch(applied.value()) && attemptsLeft > 1) {
+      send(machine, endpoint, status.epoch(), attemptsLeft - 1);
     }
   }
+
+  private boolean isRefusedForEpoch(Workers.Answer answer) {
+    return answer instanceof Workers.Answer.Refused
+        && answer.heartbeat().fencingToken().compareTo(authority.term()) <= 0;
+  }
 }
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -1,5 +1,6 @@
 package org.ternhinge.attempt;
 
+import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
@@ -8,59 +9,76 @@
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.OutstandingStarts;
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Raises the own term where a start whose answer was lost may still arrive after its attempt was
- * stopped. Workers that have seen the higher term refuse commands of the lower one, so once a
- * worker shows it, the late start can do no harm and the attempt can be closed. Without this the
- * attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
+ * Raises the leadership's own term to fence outstanding starts: direct starts without a response,
+ * which may arrive after their attempt was stopped. A worker that has seen the higher term refuses
+ * them, so the attempt can be closed as soon as the worker shows that term. Otherwise it would stay
+ * open until the worker's epoch ends. Guarded by the controller's lock.
  */
 public final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
 
-  /** Seconds after the stop before a raise is worth a write: most late starts show up sooner. */
+  /** Seconds after a stop before a raise is worth a write: most late starts arrive sooner. */
   static final double FENCE_AFTER_S = 4;
 
-  /** Seconds between two raises, each of which makes every worker's token old. */
+  /** Seconds between two raises, each of which outdates the fencing tokens of all workers. */
   static final double MIN_INTERVAL_S = 10;
 
   private final Authority authority;
   private final LedgerWriter writer;
   private final MachineRegistry machines;
 
-  /** When the term was last raised, or null. */
-  private SteadyTime raisedAt;
+  /** When the last raise began; null before the first. */
+  private SteadyTime lastRaiseAt;
 
-  private boolean raising;
+  private boolean raiseInProgress;
 
+  /** Creates a fence that has not raised the term yet. */
   public TermFence(Authority authority, LedgerWriter writer, MachineRegistry machines) {
     this.authority = authority;
     this.writer = writer;
     this.machines = machines;
   }
 
-  /** Whether a stopped attempt is kept open by nothing but a start that may still arrive. */
+  /** Whether a raise of the term is needed to close any of a machine's attempts. */
+  public boolean isNeededForAny(Machine machine, List<Attempt> attempts, SteadyTime now) {
+    for (Attempt attempt : attempts) {
+      if (isNeeded(machine, attempt, now)) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Whether a stopped attempt stays open only because a start of it may still arrive unfenced. */
   public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
+    OutstandingStarts starts = machine.outstandingStarts();
     return attempt.stopping()
         && attempt.state() == AttemptState.STARTING
         && now.secondsSince(attempt.stopAt()) > FENCE_AFTER_S
-        && machine.outstandingStarts().mayArrive(attempt.task(), attempt.number())
-        && !machine.outstandingStarts().isFenced(attempt.task(), attempt.number());
+        && starts.mayArrive(attempt.task(), attempt.number())
+        && !starts.isFenced(attempt.task(), attempt.number());
   }
 
-  /** Raises the term, unless a raise is under way or was made just now. */
+  /** Raises the term, unless a raise is in progress or was made a short time ago. */
   public void raise(SteadyTime now) {
-    if (raising || (raisedAt != null && now.secondsSince(raisedAt) < MIN_INTERVAL_S)) {
+    if (raiseInProgress || wasRaisedLately(now)) {
       return;
     }
-    raising = true;
-    raisedAt = now;
+    raiseInProgress = true;
+    lastRaiseAt = now;
     writer.raiseTerm(this::raised);
   }
 
+  private boolean wasRaisedLately(SteadyTime now) {
+    return lastRaiseAt != null && now.secondsSince(lastRaiseAt) < MIN_INTERVAL_S;
+  }
+
   private void raised() {
-    raising = false;
+    raiseInProgress = false;
     LOG.info("raised the term to {} against outstanding starts", authority.term());
     for (Machine machine : machines.all()) {
       machine.outstandingStarts().fence(authority.term());
--- /dev/null
+++ b/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
@@ -0,0 +1,64 @@
+package org.ternhinge.heartbeat;
+
+import java.util.List;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.ClosingEvidence;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.SteadyTime;
+
+/**
+ * Begins a new epoch of a worker agent. The agent's lease has expired or the agent was started
+ * anew, so nothing that ran in earlier epochs runs any more. Guarded by the controller's lock.
+ */
+final class AgentEpochChange {
+  /**
+   * An epoch that ends so many seconds before its lease, as counted here, ended because the worker
+   * did not receive the answers that renewed the lease.
+   */
+  private static final double MIN_LAPSE_S = 2;
+
+  private final Ledger ledger;
+  private final AttemptLifecycle attempts;
+  private final ReachabilityMonitor reachability;
+  private final LeaseRenewal leases;
+
+  AgentEpochChange(
+      Ledger ledger,
+      AttemptLifecycle attempts,
+      ReachabilityMonitor reachability,
+      LeaseRenewal leases) {
+    this.ledger = ledger;
+    this.attempts = attempts;
+    this.reachability = reachability;
+    this.leases = leases;
+  }
+
+  /** Begins an epoch that is newer than the present one. */
+  void begin(Machine machine, AgentEpoch epoch, SteadyTime now) {
+    closeAttemptsBefore(machine, epoch);
+    machine.outstandingStarts().clear();
+    machine.outbox().clear();
+    machine.agent().beginEpoch(epoch);
+    if (hasLeaseLapsed(machine, now)) {
+      reachability.leaseLapsed(machine, now);
+    }
+    // The epoch may have begun just now, and lasts a whole lease without any answer.
+    leases.renewFrom(machine, now);
+  }
+
+  private void closeAttemptsBefore(Machine machine, AgentEpoch epoch) {
+    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
+      if (attempt.epoch().compareTo(epoch) < 0) {
+        attempts.close(attempt, ClosingEvidence.EPOCH_ENDED);
+      }
+    }
+  }
+
+  private static boolean hasLeaseLapsed(Machine machine, SteadyTime now) {
+    return machine.agent().wasAnswered()
+        && machine.agent().leaseExpiry().secondsSince(now) > MIN_LAPSE_S;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -0,0 +1,127 @@
+package org.ternhinge.heartbeat;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AbsentAttemptReconciler;
+import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
+import org.ternhinge.attempt.AgentStatusSink;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.machine.AgentState;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.ReportedTasks;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.Heartbeat;
+
+/**
+ * Applies the status of worker agents to machines and attempts, in the order in which each worker
+ * sent it. A status that is no newer than the last changes nothing, and one that shows the same
+ * tasks as the last costs one comparison of them. Guarded by the controller's lock.
+ */
+public final class AgentStatusUpdater implements AgentStatusSink {
+  private static final Logger LOG = LoggerFactory.getLogger(AgentStatusUpdater.class);
+
+  private final List<String> zones;
+  private final ReachabilityMonitor reachability;
+  private final ReportedTasks reportedTasks;
+  private final AttemptObserver observer;
+  private final AbsentAttemptReconciler absentAttempts;
+  private final AgentEpochChange epochChange;
+  private final FirstHeartbeatHandler firstHeartbeats;
+  private final ReclaimNoticeHandler reclaimNotices;
+
+  /**
+   * Creates an updater.
+   *
+   * @param observer applies the tasks that a status shows to the open attempts
+   * @param attempts stops and closes attempts
+   */
+  public AgentStatusUpdater(
+      LeadershipContext context,
+      ReachabilityMonitor reachability,
+      ReportedTasks reportedTasks,
+      AttemptObserver observer,
+      AttemptLifecycle attempts,
+      FirstHeartbeatHandler firstHeartbeats) {
+    this.zones = context.services().settings().zones();
+    this.reachability = reachability;
+    this.reportedTasks = reportedTasks;
+    this.observer = observer;
+    this.absentAttempts =
+        new AbsentAttemptReconciler(attempts, context.authority(), context.ledger());
+    this.epochChange =
+        new AgentEpochChange(
+            context.ledger(), attempts, reachability, new LeaseRenewal(context.services()));
+    this.firstHeartbeats = firstHeartbeats;
+    this.reclaimNotices = new ReclaimNoticeHandler(context.ledger(), attempts);
+  }
+
+  @Override
+  public Result apply(Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+    if (machine.agent().isOutdated(status)) {
+      return Result.OUTDATED;
+    }
+    updateEpochAndSequence(machine, status, now);
+    updateFencingToken(machine, status);
+    updateDescription(machine, status);
+    updateLastHeard(machine, now);
+    updateEndpoint(machine, status);
+    reclaimNotices.handle(machine, status, now);
+    updateTasks(machine, status, now);
+    reconcileAbsentAttempts(machine, status, origin, now);
+    return Result.APPLIED;
+  }
+
+  private void updateEpochAndSequence(Machine machine, Heartbeat status, SteadyTime now) {
+    AgentState agent = machine.agent();
+    if (status.epoch().compareTo(agent.epoch()) > 0) {
+      epochChange.begin(machine, status.epoch(), now);
+    }
+    agent.sequence(status.sequence());
+  }
+
+  private static void updateFencingToken(Machine machine, Heartbeat status) {
+    machine.agent().observeFencingToken(status.fencingToken());
+    machine.outstandingStarts().observeFencingToken(status.fencingToken());
+  }
+
+  private void updateDescription(Machine machine, Heartbeat status) {
+    if (!machine.description().matches(status.type(), status.zone(), status.spot())) {
+      machine.describe(MachineDescription.of(status.type(), status.zone(), status.spot(), zones));
+    }
+  }
+
+  private void updateLastHeard(Machine machine, SteadyTime now) {
+    boolean first = !machine.agent().isHeard();
+    machine.agent().heard(now);
+    if (first) {
+      firstHeartbeats.handle(machine, now);
+    }
+  }
+
+  private static void updateEndpoint(Machine machine, Heartbeat status) {
+    try {
+      machine.agent().endpoint(status.endpoint());
+    } catch (IllegalArgumentException e) {
+      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id());
+    }
+  }
+
+  private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
+    if (!machine.tasks().equals(status.tasks())) {
+      reportedTasks.show(machine, status.tasks());
+      observer.observeAll(machine, status, now);
+    }
+  }
+
+  private void reconcileAbsentAttempts(
+      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+    if (absentAttempts.reconcile(machine, status, origin) == Finding.ANSWER_MISSED) {
+      reachability.answerMissed(machine, now);
+    }
+  }
+}
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -6,6 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.ClosingEvidence;
 import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.attempt.TermFence;
 import org.ternhinge.config.Settings;
@@ -16,14 +17,15 @@
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Watches what runs out: workers' leases, reservations of machines, and the time that stopped
- * attempts were given. A worker whose lease has run out has killed what it ran, which is the only
- * proof that its attempts are gone while it can't be reached. Guarded by the controller's lock.
+ * Checks what expires: workers' leases, reservations of machines, and the grace of stopped
+ * attempts. A worker whose lease has expired has killed its tasks, which is the only proof that its
+ * attempts are over while it can't be reached. Guarded by the controller's lock.
  */
 public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
@@ -37,45 +39,56 @@
   private final TermFence termFence;
   private final RoundTrigger rounds;
 
+  /**
+   * Creates a monitor of these machines.
+   *
+   * @param dispatcher probes workers that commands seem not to reach
+   */
   public LeaseMonitor(
-      Settings.Workers workerSettings,
-      Ledger ledger,
+      LeadershipContext context,
       MachineRegistry machines,
       AttemptLifecycle attempts,
       ReportedTasks reportedTasks,
       CommandDispatcher dispatcher,
-      TermFence termFence,
-      RoundTrigger rounds) {
-    this.workerSettings = workerSettings;
-    this.ledger = ledger;
+      TermFence termFence) {
+    this.workerSettings = context.services().settings().workers();
+    this.ledger = context.ledger();
     this.machines = machines;
     this.attempts = attempts;
     this.reportedTasks = reportedTasks;
     this.dispatcher = dispatcher;
     this.termFence = termFence;
-    this.rounds = rounds;
+    this.rounds = context.rounds();
   }
 
   /**
-   * Whether a worker's lease may be renewed while no commands may be given: not while something on
-   * it has to be stopped, for the lease's end is then what stops it. That is so for every open
-   * attempt that is unwanted, and for every task shown that the ledger does not hold there.
+   * Whether a worker's lease may be renewed while no commands may be given. Not while something on
+   * it has to be stopped, for the expiry of the lease is then what stops it: an open attempt that
+   * is stopped or cancelled, or a task that the ledger does not hold there.
    */
   public boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
+    return !hasAttemptToStop(heartbeat) && !showsTaskWithoutAttempt(heartbeat);
+  }
+
+  private boolean hasAttemptToStop(Heartbeat heartbeat) {
     for (Attempt attempt : ledger.attemptsOn(heartbeat.machine())) {
       if (attempt.stopping() || attempt.job().cancelled()) {
-        return false;
+        return true;
       }
     }
+    return false;
+  }
+
+  private boolean showsTaskWithoutAttempt(Heartbeat heartbeat) {
     for (TaskStatus task : heartbeat.tasks()) {
       if (!task.ended() && !ledger.holds(task, heartbeat.machine())) {
-        return false;
+        return true;
       }
     }
-    return true;
+    return false;
   }
 
-  /** Looks at all machines; called every so often while the leadership certainly holds. */
+  /** Checks all machines; called periodically while the leadership certainly holds. */
   public void check(SteadyTime now) {
     boolean fenceNeeded = false;
     for (Machine machine : List.copyOf(machines.all())) {
@@ -86,12 +99,13 @@
         continue;
       }
       if (machine.agent().isLeaseExpired(now)) {
-        // Also where only tasks without an attempt are shown: a heartbeat that was held back for
-        // long
-        // may show them, and while they are shown they may start nowhere else.
-        leaseOver(machine, List.copyOf(open));
+        // Also without attempts: a delayed heartbeat may show tasks that have none, and while they
+        // are shown they may start nowhere else.
+        expireLease(machine, List.copyOf(open));
       } else {
-        fenceNeeded |= checkStops(machine, open, now);
+        List<Attempt> stopping = stoppingAttempts(open);
+        repeatOverdueStops(stopping, now);
+        fenceNeeded |= termFence.isNeededForAny(machine, stopping, now);
       }
     }
     if (fenceNeeded) {
@@ -105,25 +119,25 @@
     }
   }
 
-  /** Sends an empty command where commands seem to get lost: an answer shows that they arrive. */
+  /** Probes a worker that commands seem not to reach: a response shows that they do. */
   private void probeIfUnreachable(Machine machine, SteadyTime now) {
     if (machine.agent().hasEndpoint()
         && !machine.outbox().isInFlight()
-        && dispatcher.free()
+        && dispatcher.hasFreeSlot()
         && machine.health().reachability().isProbeDue(now)) {
       dispatcher.probe(machine, now);
     }
   }
 
-  /** The worker has killed what it ran; nothing that it showed before is there any more. */
-  private void leaseOver(Machine machine, List<Attempt> open) {
+  /** The worker has killed its tasks: nothing that it has shown runs any more. */
+  private void expireLease(Machine machine, List<Attempt> open) {
     LOG.info("machine {}: worker lease expired", machine.id());
     AgentEpoch lastEpoch = machine.agent().epoch();
     for (Attempt attempt : open) {
       if (attempt.epoch().compareTo(lastEpoch) > 0) {
         lastEpoch = attempt.epoch();
       }
-      attempts.close(attempt, false, "lease over");
+      attempts.close(attempt, ClosingEvidence.LEASE_EXPIRED);
     }
     machine.agent().endEpochs(lastEpoch);
     machine.outstandingStarts().clear();
@@ -132,21 +146,7 @@
     reportedTasks.show(machine, List.of());
   }
 
-  /** Repeats stops that are overdue; tells whether one of them needs a higher term. */
-  private boolean checkStops(Machine machine, Collection<Attempt> open, SteadyTime now) {
-    boolean fenceNeeded = false;
-    for (Attempt attempt : stoppingAttempts(open)) {
-      if (isOverdue(attempt, now)) {
-        attempts.stop(attempt, 0);
-      }
-      fenceNeeded |= termFence.isNeeded(machine, attempt, now);
-    }
-    return fenceNeeded;
-  }
-
-  /**
-   * The attempts being stopped, apart from the ledger's own collection, which a stop may change.
-   */
+  /** The attempts being stopped, as a copy, since a stop may change the ledger's own collection. */
   private static List<Attempt> stoppingAttempts(Collection<Attempt> open) {
     List<Attempt> stopping = List.of();
     for (Attempt attempt : open) {
@@ -159,15 +159,21 @@
     return stopping;
   }
 
+  private void repeatOverdueStops(List<Attempt> stopping, SteadyTime now) {
+    for (Attempt attempt : stopping) {
+      if (isStopOverdue(attempt, now)) {
+        attempts.stop(attempt, 0);
+      }
+    }
+  }
+
   /**
-   * Whether a stop with time to save was not obeyed in time. Until a gang's tasks know that their
-   * peers are saving and a heartbeat shows it, some time more may pass.
+   * Whether a stop with grace was not carried out in time. Until a gang's tasks learn that their
+   * peers are saving, and a heartbeat shows it, more time than the grace may pass.
    */
-  private boolean isOverdue(Attempt attempt, SteadyTime now) {
+  private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
     double allowedS =
         attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
-    return attempt.stopping()
-        && attempt.stopGraceS() > 0
-        && now.secondsSince(attempt.stopAt()) > allowedS;
+    return attempt.stopGraceS() > 0 && now.secondsSince(attempt.stopAt()) > allowedS;
   }
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -0,0 +1,52 @@
+package org.ternhinge.heartbeat;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobSpec;
+
+/**
+ * Evicts the tasks of a spot machine that the cloud is about to reclaim: replicas of services are
+ * started elsewhere, and tasks that can save a checkpoint do so. Guarded by the controller's lock.
+ */
+final class ReclaimNoticeHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(ReclaimNoticeHandler.class);
+
+  /** Seconds that a task may take to stop beyond the time in which it saves its checkpoint. */
+  private static final double CHECKPOINT_SLACK_S = 1;
+
+  private final Ledger ledger;
+  private final AttemptLifecycle attempts;
+
+  ReclaimNoticeHandler(Ledger ledger, AttemptLifecycle attempts) {
+    this.ledger = ledger;
+    this.attempts = attempts;
+  }
+
+  /** Handles the notice that a status carries, if it carries the first one. */
+  void handle(Machine machine, Heartbeat status, SteadyTime now) {
+    if (status.reclaimNoticeS() == null || machine.cloud().isReclaimed()) {
+      return;
+    }
+    machine.cloud().reclaimAt(now.plusSeconds(status.reclaimNoticeS()));
+    LOG.info("machine {}: spot reclaim notice, {} s left", machine.id(), status.reclaimNoticeS());
+    for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
+      evict(attempt);
+    }
+  }
+
+  private void evict(Attempt attempt) {
+    JobSpec spec = attempt.job().spec();
+    if (spec.isService()) {
+      attempts.stop(attempt, 0);
+    } else if (spec.checkpointIntervalS() > 0 && spec.checkpointSaveS() > 0) {
+      attempts.stopWithGang(attempt, spec.checkpointSaveS() + CHECKPOINT_SLACK_S);
+    }
+  }
+}
--- a/src/main/java/org/ternhinge/leadership/FleetComponents.java
+++ b/src/main/java/org/ternhinge/leadership/FleetComponents.java
@@ -1,14 +1,18 @@
 package org.ternhinge.leadership;
 
+import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.AttemptObserver;
 import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.attempt.TermFence;
 import org.ternhinge.failover.ZoneControl;
-import org.ternhinge.heartbeat.HeartbeatCommands;
+import org.ternhinge.heartbeat.AgentStatusUpdater;
+import org.ternhinge.heartbeat.FirstHeartbeatHandler;
 import org.ternhinge.heartbeat.HeartbeatProcessor;
 import org.ternhinge.heartbeat.LeaseMonitor;
+import org.ternhinge.heartbeat.ReachabilityMonitor;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
@@ -31,6 +35,7 @@
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
   private final CommandDispatcher dispatcher;
+  private final AgentStatusUpdater statusUpdater;
   private final MachineRemoval removal;
 
   final TaskFailures failures;
@@ -57,24 +62,11 @@
     this.zones = ZoneControl.of(context, machines, failures);
     this.bootTimes = new BootTimes(machines, machineTypes.byName(), context.electedAt());
     this.provisioner = provisioner();
-    this.dispatcher =
-        new CommandDispatcher(
-            context.executor(),
-            this::takeHeartbeat,
-            context.services(),
-            context.authority(),
-            context.ledger());
+    this.dispatcher = new CommandDispatcher(context, this::applyStatus);
     this.attempts = attempts();
-    this.heartbeats =
-        new HeartbeatProcessor(
-            context,
-            machines,
-            observer(),
-            reportedTaskCounts,
-            attempts,
-            provisioner,
-            new HeartbeatCommands(context.ledger()),
-            bootTimes);
+    ReachabilityMonitor reachability = new ReachabilityMonitor(machines, context.rounds());
+    this.statusUpdater = statusUpdater(reachability);
+    this.heartbeats = new HeartbeatProcessor(context, machines, statusUpdater, reachability);
     this.removal =
         new MachineRemoval(
             machines, context.ledger(), reportedTaskCounts, attempts, context.services().workers());
@@ -92,10 +84,20 @@
             context.electedAt());
   }
 
-  /** Answers to commands are reports too; the dispatcher is built before who takes them. */
-  private boolean takeHeartbeat(
-      Machine machine, Heartbeat heartbeat, boolean isHeartbeat, SteadyTime now) {
-    return heartbeats.take(machine, heartbeat, isHeartbeat, now);
+  /** Responses to commands carry a status; the dispatcher is built before what applies it. */
+  private AgentStatusSink.Result applyStatus(
+      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+    return statusUpdater.apply(machine, status, origin, now);
+  }
+
+  private AgentStatusUpdater statusUpdater(ReachabilityMonitor reachability) {
+    return new AgentStatusUpdater(
+        context,
+        reachability,
+        reportedTaskCounts,
+        observer(),
+        attempts,
+        new FirstHeartbeatHandler(context, provisioner, bootTimes));
   }
 
   private TaskFailures failures() {
@@ -117,24 +119,12 @@
   }
 
   private AttemptLifecycle attempts() {
-    return new AttemptLifecycle(
-        context.ledger(),
-        context.writer(),
-        machines,
-        dispatcher,
-        context.rounds(),
-        context.services().clock(),
-        zones);
+    return new AttemptLifecycle(context, machines, dispatcher, zones);
   }
 
   private AttemptObserver observer() {
     return new AttemptObserver(
-        attempts,
-        context.authority(),
-        context.ledger(),
-        machineTypes.byName(),
-        failures,
-        context.services().metrics());
+        attempts, context.ledger(), machineTypes.byName(), failures, context.services().metrics());
   }
 
   private MachineReleaser releaser() {
@@ -151,7 +141,8 @@
 
   private MachineInventory inventory() {
     TermAnnouncer announcer =
-        new TermAnnouncer(context.authority(), dispatcher, heartbeats, context.services().clock());
+        new TermAnnouncer(
+            context.authority(), dispatcher, statusUpdater, context.services().clock());
     return new MachineInventory(
         context.services(),
         context.executor(),
@@ -167,13 +158,11 @@
 
   private LeaseMonitor leaseMonitor() {
     return new LeaseMonitor(
-        context.services().settings().workers(),
-        context.ledger(),
+        context,
         machines,
         attempts,
         reportedTaskCounts,
         dispatcher,
-        new TermFence(context.authority(), context.writer(), machines),
-        context.rounds());
+        new TermFence(context.authority(), context.writer(), machines));
   }
 }
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -14,6 +14,7 @@
 import org.ternhinge.election.Election;
 import org.ternhinge.failover.ZoneControl;
 import org.ternhinge.heartbeat.HeartbeatProcessor;
+import org.ternhinge.heartbeat.HeartbeatResult;
 import org.ternhinge.heartbeat.LeaseMonitor;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
@@ -312,9 +313,14 @@
   }
 
   /**
-   * Takes in a heartbeat and says what the worker is to do; empty where it must not be answered.
+   * Processes a heartbeat.
+   *
+   * @param mayCommand whether commands may be given; otherwise an answer only renews the lease
+   * @return the commands for the answer; empty where the heartbeat must not be answered
    */
   public Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
-    return heartbeats.heartbeat(heartbeat, mayCommand);
+    return heartbeats.process(heartbeat, mayCommand) instanceof HeartbeatResult.Answered answered
+        ? Optional.of(answered.commands())
+        : Optional.empty();
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.ClosingEvidence;
 import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.cloud.Cloud;
@@ -213,7 +214,7 @@
 
   private void failed(Machine machine) {
     LOG.info("machine {} terminated: listed as failed", machine.id());
-    removal.lost(machine, "machine failed");
+    removal.lost(machine, ClosingEvidence.MACHINE_FAILED);
     if (!machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
@@ -232,7 +233,7 @@
       SteadyTime thereAt = machine.cloud().lastKnownAt();
       if (!shown.contains(machine.id()) && readingSince.secondsSince(thereAt) > oldestListS) {
         LOG.info("machine {} terminated: no longer listed", machine.id());
-        removal.lost(machine, "machine taken");
+        removal.lost(machine, ClosingEvidence.MACHINE_NOT_LISTED);
         removal.remove(machine);
       }
     }
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.ClosingEvidence;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
@@ -39,17 +40,17 @@
    *
    * @param evidence what shows that its attempts are gone, for the log
    */
-  void lost(Machine machine, String evidence) {
+  void lost(Machine machine, ClosingEvidence evidence) {
     machine.cloud().markTerminated();
     reportedTasks.show(machine, List.of());
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
-      attempts.close(attempt, false, evidence);
+      attempts.close(attempt, evidence);
     }
   }
 
   /** A machine is certainly gone; its name never comes back. */
   void remove(Machine machine) {
-    lost(machine, "machine gone");
+    lost(machine, ClosingEvidence.MACHINE_GONE);
     machines.remove(machine.id());
     machine.agent().endpoint().ifPresent(workers::forget);
   }
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -22,11 +22,11 @@
   /** A start that went out before its record could run without any leader knowing of it. */
   @Test
   void aStartGoesOutOnceTheStoreHoldsTheAttempt() {
-    fixture.store.hold();
+    fixture.store.pauseWrites();
     Attempt attempt = fixture.open(job, 0, machine);
     fixture.clock.runFor(1);
     assertEquals(0, fixture.sent.size());
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(1);
     assertEquals(1, fixture.sent.size());
     assertEquals(Command.Op.START, fixture.sent.get(0).op());
@@ -36,10 +36,10 @@
   /** An attempt that was stopped while its record was being written is never started. */
   @Test
   void anAttemptUnwantedByThenIsClosedInstead() {
-    fixture.store.hold();
+    fixture.store.pauseWrites();
     Attempt attempt = fixture.open(job, 0, machine);
     attempt.stop(5, fixture.now());
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(1);
     assertEquals(0, fixture.sent.size());
     assertNull(job.open(0));
@@ -59,10 +59,10 @@
   @Test
   void aClosedAttemptIsNotClosedAgain() {
     Attempt first = fixture.open(job, 0, machine);
-    fixture.attempts.close(first, false, "vanished");
+    fixture.attempts.close(first, ClosingEvidence.VANISHED);
     Attempt second = fixture.open(job, 0, machine);
     assertEquals(1, fixture.roundsRequested);
-    fixture.attempts.close(first, false, "vanished");
+    fixture.attempts.close(first, ClosingEvidence.VANISHED);
     assertEquals(second, job.open(0));
     assertEquals(1, fixture.roundsRequested);
   }
@@ -73,9 +73,9 @@
     Attempt first = fixture.open(job, 0, machine);
     Attempt second = fixture.open(job, 1, machine);
     fixture.clock.runFor(3);
-    fixture.attempts.close(first, true, "done");
+    fixture.attempts.close(first, ClosingEvidence.REPORTED_DONE);
     assertEquals(3, fixture.now().secondsSince(machine.idleSince()), 1e-6);
-    fixture.attempts.close(second, true, "done");
+    fixture.attempts.close(second, ClosingEvidence.REPORTED_DONE);
     assertEquals(fixture.now(), machine.idleSince());
   }
 }
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobState;
 
-/** What a user is told of a cancellation, and when. */
+/** When a cancellation is answered, and what becomes of the attempts of its job. */
 class CancellationsTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Cancellations cancellations =
@@ -32,26 +32,26 @@
 
   /** An answer before the write could be contradicted by the next leader. */
   @Test
-  void usersHearOfItOnceTheStoreHoldsIt() {
-    fixture.store.hold();
+  void requestsAreAnsweredOnceTheCancellationIsDurable() {
+    fixture.store.pauseWrites();
     cancellations.cancel(job, state -> answers.add(state.phase()));
     cancellations.cancel(job, state -> answers.add(state.phase()));
     fixture.clock.runFor(5);
     assertEquals(List.of(), answers);
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(5);
     assertEquals(List.of(JobState.Phase.CANCELLED, JobState.Phase.CANCELLED), answers);
   }
 
   /**
-   * What was never sent is gone at once; what may be on its way stays open until there is proof;
-   * what runs is told to stop.
+   * An attempt whose start was never sent is closed at once; one whose start may be in flight stays
+   * open until there is proof that it is over; one that runs is stopped.
    */
   @ParameterizedTest(name = "written {0}, seen {1}")
   @CsvSource({"false, STARTING, false, 0", "true, STARTING, true, 0", "true, RUNNING, true, 1"})
   void itsAttemptsAreStopped(boolean written, AttemptState seen, boolean open, int stops) {
     if (!written) {
-      fixture.store.hold();
+      fixture.store.pauseWrites();
     }
     Attempt attempt = fixture.open(job, 0, machine);
     attempt.observe(seen, fixture.now());
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -1,7 +1,9 @@
 package org.ternhinge.attempt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,14 +23,14 @@
   private final Attempt attempt =
       fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
 
-  /** Only a stopped attempt that a start under way alone keeps open is worth a higher term. */
+  /** Only a stopped attempt that stays open for an outstanding start alone is worth a raise. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "all of it,               true,  STARTING,  5,   1, 0, true",
-    "not to stop,             false, STARTING,  5,   1, 0, false",
+    "all conditions,           true,  STARTING,  5,   1, 0, true",
+    "not stopping,             false, STARTING,  5,   1, 0, false",
     "stopped just now,        true,  STARTING,  3.9, 1, 0, false",
     "the worker has shown it, true,  RUNNING, 5,   1, 0, false",
-    "no start under way,      true,  STARTING,  5,   0, 0, false",
+    "no outstanding start,      true,  STARTING,  5,   0, 0, false",
     "fenced already,          true,  STARTING,  5,   1, 1, false"
   })
   void isNeeded(
@@ -51,12 +53,14 @@
     }
     fixture.clock.runFor(stoppedForS);
     assertEquals(needed, fence.isNeeded(machine, attempt, fixture.now()));
+    assertEquals(needed, fence.isNeededForAny(machine, List.of(attempt), fixture.now()));
+    assertFalse(fence.isNeededForAny(machine, List.of(), fixture.now()));
   }
 
-  /** Every raise makes all workers' tokens old, so there is one at a time and few of them. */
+  /** Every raise outdates the fencing tokens of all workers, so there are few. */
   @ParameterizedTest(name = "again after {0} s: term {1}")
   @CsvSource({"0, 2", "9.9, 2", "10.1, 3"})
-  void raisesAreKeptApart(double againAfterS, long term) {
+  void raisesAreAMinimumIntervalApart(double againAfterS, long term) {
     fence.raise(fixture.now());
     fixture.clock.runFor(againAfterS);
     fence.raise(fixture.now());
@@ -66,11 +70,11 @@
 
   @Test
   void aSecondRaiseWaitsForTheFirst() {
-    fixture.store.hold();
+    fixture.store.pauseWrites();
     fence.raise(fixture.now());
     fixture.clock.runFor(20);
     fence.raise(fixture.now());
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(1);
     assertEquals(new Term(2), fixture.authority.term());
   }
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -18,7 +18,6 @@
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Json;
 import org.ternhinge.zone.ZoneRecord;
 
@@ -28,17 +27,9 @@
   private final ZoneCoordinator zones = coordinator();
 
   private ZoneCoordinator coordinator() {
-    LeadershipContext context =
-        new LeadershipContext(
-            fixture.services(null),
-            fixture.authority,
-            fixture.executor,
-            fixture.ledger,
-            fixture.writer,
-            () -> fixture.roundsRequested++,
-            fixture.now());
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
-    return new ZoneCoordinator(context, fixture.machines, failures, ZoneFailoverSettings.DEFAULT);
+    return new ZoneCoordinator(
+        fixture.context, fixture.machines, failures, ZoneFailoverSettings.DEFAULT);
   }
 
   private int startsLeftOfOne() {
@@ -60,17 +51,17 @@
   /** What an earlier leader held back is not known before, and would be started out of order. */
   @Test
   void nothingIsPlacedBeforeTheRecordIsRead() {
-    fixture.store.holdReads();
+    fixture.store.pauseReads();
     zones.recover();
     assertEquals(0, startsLeftOfOne());
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(0.1);
     assertEquals(1, startsLeftOfOne());
   }
 
   @Test
   void aRecordThatCanNotBeReadHoldsNothingUpForLong() {
-    fixture.store.holdReads();
+    fixture.store.pauseReads();
     zones.recover();
     fixture.clock.runFor(1.9);
     assertEquals(0, startsLeftOfOne());
@@ -87,13 +78,13 @@
       Machine machine = fixture.machine("n-00000" + i);
       machine.describe(new MachineDescription("small", 0, "east", false));
     }
-    fixture.store.holdReads();
+    fixture.store.pauseReads();
     zones.recover();
     fixture.clock.runFor(10);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
     assertEquals(before, recorded().revision().value(), "nothing is written before it is read");
-    fixture.store.letGo();
+    fixture.store.resume();
     fixture.clock.runFor(1);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -20,26 +20,23 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Leases that run out, and whom an answer may keep alive. */
+/** Expiry of leases, reservations and graces, and leases that may be renewed without commands. */
 class LeaseMonitorTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final ReportedTasks reportedTasks = fixture.reportedTasks();
   private final LeaseMonitor monitor =
       new LeaseMonitor(
-          LeadershipFixture.WORKER_SETTINGS,
-          fixture.ledger,
+          fixture.context,
           fixture.machines,
           fixture.attempts,
           reportedTasks,
           fixture.dispatcher,
-          new TermFence(fixture.authority, fixture.writer, fixture.machines),
-          () -> fixture.roundsRequested++);
+          new TermFence(fixture.authority, fixture.writer, fixture.machines));
   private final Machine machine = fixture.machine("n-1");
   private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
 
@@ -47,7 +44,7 @@
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
   }
 
-  /** Room that was kept for a job which went elsewhere must come back, and be planned with. */
+  /** Room reserved for a job that was placed elsewhere must become available again. */
   @ParameterizedTest(name = "a reservation for 12 s after {0} s")
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
@@ -73,9 +70,7 @@
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
 
-  /**
-   * A late heartbeat may have shown tasks that nobody knows; they must not block starts for ever.
-   */
+  /** A delayed heartbeat may show tasks without an attempt; they must not block starts for ever. */
   @Test
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
@@ -98,13 +93,13 @@
     assertEquals(graceS, attempt.stopGraceS());
   }
 
-  /** Where no stop may be given, the end of the lease is what stops a task. */
+  /** Where no stop may be sent, the expiry of the lease is what stops a task. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "a task that may run,       none,      false, true",
     "a task that is stopped,    stop,      false, false",
     "a task that is cancelled,  cancel,    false, false",
-    "a task nobody knows,       none,      true,  false"
+    "a task unknown here,       none,      true,  false"
   })
   void leasesThatMayBeRenewedWithoutCommands(
       String name, String unwanted, boolean unknownTask, boolean mayRenew) {
@@ -116,21 +111,11 @@
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
     Heartbeat heartbeat =
-        new Heartbeat(
-            machine.id(),
-            "10.0.1.1:9000",
-            "small",
-            "east",
-            false,
-            machine.agent().epoch(),
-            1,
-            new Term(1),
-            null,
-            List.of(running(task, attempt.number())));
+        fixture.heartbeat(machine).showing(task, attempt.number(), TaskState.RUNNING).build();
     assertEquals(mayRenew, monitor.mayRenewWithoutCommands(heartbeat));
   }
 
-  /** A machine with nothing on it and no lease costs nothing and loses nothing. */
+  /** A machine without attempts and tasks is not affected by the expiry of its lease. */
   @Test
   void anIdleMachineKeepsItsEpoch() {
     fixture.clock.runFor(60);
--- /dev/null
+++ b/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
@@ -0,0 +1,93 @@
+package org.ternhinge.leadership;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
+
+/** Builds the heartbeats of one machine: of its present epoch and without tasks, unless set. */
+public final class HeartbeatBuilder {
+  private final MachineId machine;
+  private AgentEpoch epoch;
+  private long sequence = 1;
+  private Term fencingToken = new Term(1);
+  private String endpoint = LeadershipFixture.WORKER_ENDPOINT;
+  private Double reclaimNoticeS;
+  private final List<TaskStatus> tasks = new ArrayList<>();
+
+  HeartbeatBuilder(Machine machine) {
+    this.machine = machine.id();
+    this.epoch = machine.agent().epoch();
+  }
+
+  /** Sets the epoch of the worker. */
+  public HeartbeatBuilder epoch(long value) {
+    epoch = new AgentEpoch(value);
+    return this;
+  }
+
+  /** Sets the number of the heartbeat in its epoch; 1 unless set. */
+  public HeartbeatBuilder sequence(long value) {
+    sequence = value;
+    return this;
+  }
+
+  /** Sets the term that the worker has seen; 1 unless set. */
+  public HeartbeatBuilder fencingToken(long term) {
+    fencingToken = new Term(term);
+    return this;
+  }
+
+  /** Sets the address for direct commands. */
+  public HeartbeatBuilder endpoint(String text) {
+    endpoint = text;
+    return this;
+  }
+
+  /** Adds a notice that the cloud takes the machine. */
+  public HeartbeatBuilder reclaimNotice(double seconds) {
+    reclaimNoticeS = seconds;
+    return this;
+  }
+
+  /** Shows an attempt in a state other than ended. */
+  public HeartbeatBuilder showing(Attempt attempt, TaskState state) {
+    return showing(attempt.task(), attempt.number(), state);
+  }
+
+  /** Shows an attempt, whether or not the ledger holds it, in a state other than ended. */
+  public HeartbeatBuilder showing(TaskId task, AttemptNumber attempt, TaskState state) {
+    tasks.add(new TaskStatus(task, attempt, state, null, false));
+    return this;
+  }
+
+  /** Shows the end of an attempt, whether or not the ledger holds it. */
+  public HeartbeatBuilder showingEnd(TaskId task, AttemptNumber attempt, EndReason reason) {
+    tasks.add(new TaskStatus(task, attempt, TaskState.ENDED, reason, false));
+    return this;
+  }
+
+  /** The heartbeat as it is set. */
+  public Heartbeat build() {
+    return new Heartbeat(
+        machine,
+        endpoint,
+        "small",
+        "east",
+        false,
+        epoch,
+        sequence,
+        fencingToken,
+        reclaimNoticeS,
+        List.copyOf(tasks));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ternhinge/leadership/TestAuthority.java
@@ -0,0 +1,57 @@
+package org.ternhinge.leadership;
+
+import java.util.Optional;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.Term;
+
+/** The authority of a leadership that holds. Its loss fails the test unless it is expected. */
+public final class TestAuthority implements Authority {
+  private Term term = new Term(1);
+  private Revision revision;
+  private boolean lossExpected;
+  private String lossReason;
+
+  TestAuthority(Revision revision) {
+    this.revision = revision;
+  }
+
+  @Override
+  public Term term() {
+    return term;
+  }
+
+  @Override
+  public Revision termRevision() {
+    return revision;
+  }
+
+  @Override
+  public boolean valid() {
+    return lossReason == null;
+  }
+
+  @Override
+  public void raised(Term to, Revision at) {
+    term = to;
+    revision = at;
+  }
+
+  @Override
+  public void lost(String why) {
+    if (!lossExpected) {
+      throw new AssertionError(why);
+    }
+    lossReason = why;
+  }
+
+  /** From now on the loss of the leadership is recorded and does not fail the test. */
+  public void expectLoss() {
+    lossExpected = true;
+  }
+
+  /** Why the leadership was lost; empty while it holds. */
+  public Optional<String> lossReason() {
+    return Optional.ofNullable(lossReason);
+  }
+}
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.leadership.LeadershipFixture;
@@ -115,7 +116,7 @@
         new TermAnnouncer(
             fixture.authority,
             fixture.dispatcher,
-            (m, heartbeat, isHeartbeat, now) -> true,
+            (machine, status, origin, now) -> AgentStatusSink.Result.APPLIED,
             fixture.clock),
         rounds,
         fixture.now());
