--- /dev/null
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -0,0 +1,60 @@
+package org.ternhinge.failover;
+
+import java.util.Map;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.zone.ZoneFailover;
+
+/**
+ * Finds the tasks that were displaced from zones lost under an earlier leader: those whose attempts
+ * it has closed and that have none now. Which they were is not recorded, so of each job that was
+ * accepted before the loss and has ever had an attempt, all tasks count that a scheduling round
+ * could start. Guarded by the controller's lock.
+ */
+final class DisplacedTaskRecovery {
+  private static final int MILLIS_PER_SECOND = 1000;
+
+  /** The attempt number of a displaced task where it is not known. */
+  private static final long UNKNOWN_ATTEMPT = 0;
+
+  private final Ledger ledger;
+  private final Clock clock;
+  private final ZoneFailover failover;
+
+  DisplacedTaskRecovery(LeadershipContext context, ZoneFailover failover) {
+    this.ledger = context.ledger();
+    this.clock = context.services().clock();
+    this.failover = failover;
+  }
+
+  /** Reports the displaced tasks of all zones that are lost by the adopted record. */
+  void recover() {
+    SteadyTime now = clock.now();
+    for (Map.Entry<String, SteadyTime> lost : failover.lostSince().entrySet()) {
+      recoverZone(lost.getKey(), lost.getValue(), now);
+    }
+  }
+
+  private void recoverZone(String zone, SteadyTime lostAt, SteadyTime now) {
+    long lostMillis = clock.wallMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
+    for (Job job : ledger.jobs()) {
+      if (job.highest().value() > 0
+          && !FleetView.isOver(job)
+          && job.acceptedMillis() < lostMillis) {
+        reportWaitingTasks(job, zone, now);
+      }
+    }
+  }
+
+  private void reportWaitingTasks(Job job, String zone, SteadyTime now) {
+    int task = job.nextWaiting(0);
+    for (int i = 0; i < Snapshot.JobView.MAX_PENDING && task >= 0; i++) {
+      failover.attemptLost(job.planned(), task, UNKNOWN_ATTEMPT, zone, now);
+      task = job.nextWaiting(task + 1);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -0,0 +1,58 @@
+package org.ternhinge.failover;
+
+import java.util.Collection;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.zone.PlacementFacts;
+
+/**
+ * The zones of machines, and the jobs, as zone failover sees them. Guarded by the controller's
+ * lock.
+ */
+final class FleetView implements PlacementFacts {
+  /** The zone of a machine of which it is not known. */
+  static final int UNKNOWN_ZONE = -1;
+
+  private final Ledger ledger;
+  private final MachineRegistry machines;
+
+  FleetView(LeadershipContext context, MachineRegistry machines) {
+    this.ledger = context.ledger();
+    this.machines = machines;
+  }
+
+  /**
+   * The number of a machine's zone, as its worker or the cloud names it, or else that of the
+   * attempts opened there; {@link #UNKNOWN_ZONE} where there are none.
+   */
+  int zoneIndex(Machine machine) {
+    if (machine.description().zone() >= 0) {
+      return machine.description().zone();
+    }
+    Collection<Attempt> open = ledger.attemptsOn(machine.id());
+    return open.isEmpty() ? UNKNOWN_ZONE : open.iterator().next().zone();
+  }
+
+  /** Whether no task of a job is to be started any more. */
+  static boolean isOver(Job job) {
+    return job.cancelled() || job.over();
+  }
+
+  @Override
+  public String zoneOf(MachineId id) {
+    Machine machine = machines.find(id);
+    return machine == null ? null : machine.description().zoneName();
+  }
+
+  @Override
+  public boolean isGang(JobId id) {
+    Job job = ledger.job(id);
+    return job != null && job.spec().isGang();
+  }
+}
--- a/src/main/java/org/ternhinge/failover/ZoneControl.java
+++ b/src/main/java/org/ternhinge/failover/ZoneControl.java
@@ -10,11 +10,11 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * What a leadership does about the loss and return of zones. {@link #NONE} changes nothing, and no
- * class of {@code org.ternhinge.zone} is loaded beside it.
+ * Zone failover of one leadership: the reaction to the loss and return of whole zones. {@link
+ * #NONE} does nothing, and no class of {@code org.ternhinge.zone} is loaded where it is used.
  */
 public interface ZoneControl extends AttemptListener {
-  /** Zones are not looked at. */
+  /** The null object where zone failover is not configured. */
   ZoneControl NONE =
       new ZoneControl() {
         @Override
@@ -37,7 +37,7 @@
         }
       };
 
-  /** The control that the operators' settings ask for. */
+  /** Zone failover as it is configured, or {@link #NONE}. */
   static ZoneControl of(
       LeadershipContext context, MachineRegistry machines, TaskFailures failures) {
     return context
@@ -48,15 +48,17 @@
         .orElse(NONE);
   }
 
-  /** The ledger is there; takes over what an earlier leader knew of the zones. */
+  /** Adopts the zone states of an earlier leader; called once the ledger has been recovered. */
   void recover();
 
-  /** Looks at all zones; called every so often while the leadership certainly holds. */
+  /**
+   * Checks all zones; called periodically, under the lock, while the leadership certainly holds.
+   */
   void check(SteadyTime now);
 
-  /** What the planner is to see; called without the controller's lock. */
+  /** The part of a snapshot that may be planned with; called without the controller's lock. */
   Snapshot filter(Snapshot full);
 
-  /** What may be carried out of a plan; called under the lock. */
+  /** The part of a plan that may be carried out now; called under the controller's lock. */
   Plan limit(Plan plan);
 }
