--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -45,6 +45,8 @@
       attempt.stop(0, fixture.now());
     }
     attempt.observe(seen, fixture.now());
+    // The fixture has sent the start of the attempt; the case says how many are outstanding.
+    machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
       machine.outstandingStarts().sent(attempt.task(), attempt.number());
     }
