--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -59,7 +59,7 @@
   public void startDurable(List<Attempt> attempts) {
     Set<Machine> recipients = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
-      Machine machine = machines.find(attempt.machine());
+      Machine machine = machines.find(attempt.machine()).orElse(null);
       if (machine == null || !attempt.epoch().equals(machine.agent().epoch())) {
         continue;
       }
@@ -107,7 +107,7 @@
   }
 
   private void releaseMachine(Attempt attempt) {
-    Machine machine = machines.find(attempt.machine());
+    Machine machine = machines.find(attempt.machine()).orElse(null);
     if (machine == null) {
       return;
     }
@@ -138,7 +138,7 @@
       return;
     }
     attempt.stop(graceS, clock.now());
-    Machine machine = machines.find(attempt.machine());
+    Machine machine = machines.find(attempt.machine()).orElse(null);
     if (machine == null) {
       return;
     }
@@ -188,8 +188,10 @@
   }
 
   private boolean isDirectStartOutstanding(Attempt attempt) {
-    Machine machine = machines.find(attempt.machine());
-    return machine != null
-        && machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
+    return machines
+        .find(attempt.machine())
+        .filter(
+            machine -> machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()))
+        .isPresent();
   }
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -1,6 +1,6 @@
 package org.ternhinge.attempt;
 
-import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
@@ -8,6 +8,7 @@
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.SteadyTime;
@@ -26,19 +27,17 @@
 
   private final AttemptLifecycle attempts;
   private final Ledger ledger;
-  private final Map<String, MachineType> machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final TaskFailures failures;
   private final Metrics metrics;
 
   /**
    * Creates an observer of one leadership's attempts.
-   *
-   * @param machineTypes the machine types by name, as a live view
    */
   public AttemptObserver(
       AttemptLifecycle attempts,
       Ledger ledger,
-      Map<String, MachineType> machineTypes,
+      MachineTypeCatalog machineTypes,
       TaskFailures failures,
       Metrics metrics) {
     this.attempts = attempts;
@@ -103,8 +102,8 @@
   }
 
   private void useImage(Machine machine, JobSpec spec) {
-    MachineType machineType = machineTypes.get(machine.description().typeName());
-    double cacheGb = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
+    Optional<MachineType> machineType = machineTypes.typeOf(machine);
+    double cacheGb = machineType.isPresent() ? machineType.get().cacheGb() : Double.MAX_VALUE;
     machine.useImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -143,6 +143,6 @@
   @Override
   public boolean isPlaceable(JobId id) {
     Job job = ledger.job(id);
-    return job != null && !job.hasUnmetDependencies() && !failures.isBlocked(job, now);
+    return job != null && !job.hasUnmetDependencies() && !failures.jobBackoff().isBlocked(job, now);
   }
 }
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -46,8 +46,7 @@
 
   @Override
   public String zoneOf(MachineId id) {
-    Machine machine = machines.find(id);
-    return machine == null ? null : machine.description().zoneName();
+    return machines.find(id).map(machine -> machine.description().zoneName()).orElse(null);
   }
 
   @Override
--- a/src/main/java/org/ternhinge/leadership/FleetComponents.java
+++ b/src/main/java/org/ternhinge/leadership/FleetComponents.java
@@ -13,7 +13,6 @@
 import org.ternhinge.heartbeat.HeartbeatProcessor;
 import org.ternhinge.heartbeat.LeaseMonitor;
 import org.ternhinge.heartbeat.ReachabilityMonitor;
-import org.ternhinge.ledger.Keys;
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
@@ -21,10 +20,12 @@
 import org.ternhinge.machine.ReportedTaskCounts;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.scaling.ListedTermAnnouncer;
 import org.ternhinge.scaling.MachineInventory;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.scaling.MachineRemoval;
+import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.scaling.UnusableMachineCheck;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Heartbeat;
@@ -46,6 +47,7 @@
 
   final ReportedTaskCounts reportedTaskCounts = new ReportedTaskCounts();
   final MachineProvisioner provisioner;
+  final ScaleOutOptions scaleOutOptions;
   final AttemptLifecycle attempts;
   final HeartbeatProcessor heartbeats;
   final MachineReleaser releaser;
@@ -60,8 +62,11 @@
     this.machineTypes = machineTypes;
     this.failures = failures();
     this.zones = ZoneControl.of(context, machines, failures);
-    this.bootTimes = new BootTimes(machines, machineTypes.byName(), context.electedAt());
-    this.provisioner = provisioner();
+    this.bootTimes = new BootTimes(machines, machineTypes, context.electedAt());
+    this.provisioner = new MachineProvisioner(context, machines);
+    this.scaleOutOptions =
+        new ScaleOutOptions(
+            context.services().settings().zones(), machineTypes, bootTimes, provisioner);
     this.dispatcher = new CommandDispatcher(context, this::applyStatus);
     this.attempts = attempts();
     ReachabilityMonitor reachability = new ReachabilityMonitor(machines, context.rounds());
@@ -70,18 +75,11 @@
     this.removal =
         new MachineRemoval(
             machines, context.ledger(), reportedTaskCounts, attempts, context.services().workers());
-    this.releaser = releaser();
+    this.releaser = new MachineReleaser(context, machines, removal);
     this.inventory = inventory();
     this.leaseMonitor = leaseMonitor();
     this.unusableMachines =
-        new UnusableMachineCheck(
-            context.services().settings(),
-            machines,
-            machineTypes,
-            context.ledger(),
-            releaser,
-            bootTimes,
-            context.electedAt());
+        new UnusableMachineCheck(context, machines, machineTypes, releaser, bootTimes);
   }
 
   /** Responses to commands carry a status; the dispatcher is built before what applies it. */
@@ -108,35 +106,13 @@
         context.electedAt());
   }
 
-  private MachineProvisioner provisioner() {
-    return new MachineProvisioner(
-        context.services(),
-        context.authority(),
-        context.executor(),
-        machines,
-        context.rounds(),
-        context.bucketedRecords(Keys.PROVISIONS));
-  }
-
   private AttemptLifecycle attempts() {
     return new AttemptLifecycle(context, machines, dispatcher, zones);
   }
 
   private AttemptObserver observer() {
     return new AttemptObserver(
-        attempts, context.ledger(), machineTypes.byName(), failures, context.services().metrics());
-  }
-
-  private MachineReleaser releaser() {
-    return new MachineReleaser(
-        removal,
-        context.services(),
-        context.authority(),
-        context.executor(),
-        machines,
-        context.rounds(),
-        context.bucketedRecords(Keys.RELEASES),
-        context.electedAt());
+        attempts, context.ledger(), machineTypes, failures, context.services().metrics());
   }
 
   private MachineInventory inventory() {
@@ -144,16 +120,12 @@
         new TermAnnouncer(
             context.authority(), dispatcher, statusUpdater, context.services().clock());
     return new MachineInventory(
-        context.services(),
-        context.executor(),
+        context,
         machines,
         provisioner,
         releaser,
         removal,
-        dispatcher,
-        announcer,
-        context.rounds(),
-        context.electedAt());
+        new ListedTermAnnouncer(context, dispatcher, announcer));
   }
 
   private LeaseMonitor leaseMonitor() {
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -80,7 +80,7 @@
       machines.findOrAdd(id, now);
     }
     stopCancelledJobs(now);
-    failures.recover(loaded.jobs(), now);
+    failures.jobBackoff().recover(loaded.jobs(), now);
   }
 
   /** The duty to end a cancelled job's tasks passes from leader to leader. */
--- a/src/main/java/org/ternhinge/leadership/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -26,11 +26,11 @@
             context.services(),
             context.authority(),
             context.ledger(),
-            machineTypes.byName(),
+            machineTypes,
             fleet.failures,
             machines,
             arrivalRates,
-            fleet.provisioner,
+            fleet.scaleOutOptions,
             fleet.bootTimes,
             context.electedAt());
     this.rounds =
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -9,8 +9,8 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * The worker agent of one machine, by its messages: its epoch, its lease and the fencing token that
- * it has shown. Guarded by the controller's lock.
+ * The state of the worker agent of one machine as its messages show it: epoch, lease and fencing
+ * token. Guarded by the controller's lock.
  */
 public final class AgentState {
   private AgentEpoch epoch = AgentEpoch.NONE;
@@ -22,7 +22,7 @@
   private SteadyTime leaseExpiry;
   private Endpoint endpoint;
 
-  /** The endpoint as the agent writes it, to be compared without parsing it again. */
+  /** The endpoint as in the agent's messages, so that an unchanged one is not parsed again. */
   private String endpointText = "";
 
   private boolean termAnnounced;
@@ -38,17 +38,17 @@
     return epoch;
   }
 
-  /** Epochs up to this one have ended for certain, with everything that ran in them. */
+  /** The last epoch that has certainly ended, with all earlier ones and all that ran in them. */
   public AgentEpoch lastEndedEpoch() {
     return lastEndedEpoch;
   }
 
-  /** Whether an epoch has ended for certain. */
+  /** Whether an epoch has certainly ended. */
   public boolean hasEnded(AgentEpoch other) {
     return other.compareTo(lastEndedEpoch) <= 0;
   }
 
-  /** Whether the present epoch goes on, as far as is known. */
+  /** Whether the current epoch is not known to have ended. */
   public boolean isEpochOpen() {
     return !hasEnded(epoch);
   }
@@ -63,45 +63,45 @@
     lastEndedEpoch = last;
   }
 
-  /** Whether a message is no newer than what is known, or of an epoch that has ended. */
+  /** Whether a message is not newer than the newest one, or is of an epoch that has ended. */
   public boolean isOutdated(Heartbeat message) {
     int newer = message.epoch().compareTo(epoch);
     return newer < 0 || (newer == 0 && message.sequence() <= sequence) || hasEnded(message.epoch());
   }
 
-  /** Notes the number of the newest message in the present epoch. */
+  /** Sets the sequence number of the newest message in the current epoch. */
   public void sequence(long newest) {
     sequence = newest;
   }
 
   // ---- heartbeats and the lease -----------------------------------------------------------------
 
-  /** A message that is newer than all before has come. */
+  /** A message that is newer than all earlier ones has arrived. */
   public void heard(SteadyTime now) {
     lastHeartbeat = now;
   }
 
-  /** Whether any message has come in this leadership. */
+  /** Whether any message has arrived in this leadership. */
   public boolean isHeard() {
     return lastHeartbeat != null;
   }
 
-  /** When the newest message came; the agent has to have been {@linkplain #isHeard heard}. */
+  /** When the newest message arrived; null unless the agent {@linkplain #isHeard was heard}. */
   public SteadyTime lastHeartbeat() {
     return lastHeartbeat;
   }
 
-  /** Seconds since the newest message; infinite where none has come. */
+  /** Seconds since the newest message; infinite where none has arrived. */
   public double silentForS(SteadyTime now) {
     return isHeard() ? now.secondsSince(lastHeartbeat) : Double.POSITIVE_INFINITY;
   }
 
-  /** Whether an agent that was heard has missed heartbeats since. */
+  /** Whether the agent has missed heartbeats, or was never heard. */
   public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
     return silentForS(now) >= workers.overdueS();
   }
 
-  /** Past this time the agent has killed what it ran, unless it was answered since. */
+  /** After this time the agent has killed its tasks, unless a later answer extends the lease. */
   public SteadyTime leaseExpiry() {
     return leaseExpiry;
   }
@@ -111,19 +111,19 @@
     return leaseExpiry.isBefore(now);
   }
 
-  /** The lease may last until then; an earlier time changes nothing. */
+  /** Extends the lease; an earlier expiry than the present one has no effect. */
   public void extendLease(SteadyTime until) {
     leaseExpiry = until.max(leaseExpiry);
   }
 
   // ---- terms ------------------------------------------------------------------------------------
 
-  /** The highest fencing token that the agent has shown. */
+  /** The highest fencing token in the agent's messages. */
   public Term fencingToken() {
     return fencingToken;
   }
 
-  /** The agent shows a fencing token; one that is not higher than before changes nothing. */
+  /** Records the fencing token of a message; only a higher one has an effect. */
   public void observeFencingToken(Term shown) {
     if (shown.compareTo(fencingToken) > 0) {
       fencingToken = shown;
@@ -135,7 +135,7 @@
     answeredTerm = term;
   }
 
-  /** Whether the last heartbeat that was answered was answered in this term. */
+  /** Whether the last answered heartbeat was answered in this term. */
   public boolean wasAnsweredIn(Term term) {
     return answeredTerm.equals(term);
   }
@@ -145,19 +145,19 @@
     return !answeredTerm.equals(Term.NONE);
   }
 
-  /** The agent was told of the term without having sent a heartbeat. */
+  /** The term was announced to the agent before its first heartbeat in this leadership. */
   public void markTermAnnounced() {
     termAnnounced = true;
   }
 
-  /** Whether the agent was told of the term without having sent a heartbeat. */
+  /** Whether the term was announced to the agent before its first heartbeat. */
   public boolean isTermAnnounced() {
     return termAnnounced;
   }
 
   // ---- address ----------------------------------------------------------------------------------
 
-  /** Where the agent takes direct commands, once it has said so. */
+  /** The address for direct commands; empty until a message has named it. */
   public Optional<Endpoint> endpoint() {
     return Optional.ofNullable(endpoint);
   }
@@ -168,9 +168,9 @@
   }
 
   /**
-   * The agent names its address; the one that is known already is not parsed again.
+   * Sets the address for direct commands; an unchanged one is not parsed again.
    *
-   * @throws IllegalArgumentException where the text is no address; the address so far then stands
+   * @throws IllegalArgumentException where the text is not an address; the former address is kept
    */
   public void endpoint(String text) {
     if (endpoint == null || !endpointText.equals(text)) {
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -15,114 +15,119 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * How long machines take to come up, as lately seen, and which of those that were provisioned are
- * late by that. Guarded by the controller's lock.
+ * Recent boot times of machines, and the provisioned machines that are late by these. Guarded by
+ * the controller's lock.
  *
- * <p>Times are kept by machine type and zone, as multiples of the type's usual time. A machine that
- * is not up yet counts with the time that it has taken so far. So where a few are late beside many
- * that came up, they stand out and their room is no longer counted on; where most of them are, the
- * type is slow in that zone as such, and provisioning all of them once more would only pay twice.
+ * <p>Boot times are kept by machine type and zone, as ratios to the type's nominal boot time. A
+ * machine that is still booting counts with its boot time so far. If few machines are late while
+ * many have come up, the late ones no longer count as expected capacity; if most machines are late,
+ * the type is slow in that zone, and provisioning all of them again would only cost twice.
  */
 public final class BootTimes {
-  /** Machines come up within so many times the usual time, as a rule. */
+  /** Machines usually come up within this multiple of the expected boot time. */
   private static final double USUAL_SPREAD = 1.5;
 
-  /** Until a machine that is up has reported. */
+  /** Seconds until a machine that is up has sent a heartbeat. */
   private static final double HEARTBEAT_MARGIN_S = 3;
 
-  /** Seconds for which it is remembered how long a machine took. */
-  private static final double REMEMBERED_S = 300;
+  /** Seconds for which a boot time counts as recent. */
+  private static final double RECENT_S = 300;
 
-  /** Stands for a machine that came up in the usual time, so that single ones can be late. */
-  private static final double ASSUMED_RATIO = 1;
+  /** Ratio of a machine that comes up in the nominal time; counts as one observed boot. */
+  private static final double NOMINAL_RATIO = 1;
 
   /**
-   * The part of the machines that have to come up in time for the others to count as late: so many
-   * and more are there where some never come up, hardly any where all of them are slow.
+   * Share of the machines that have to come up in time for the others to count as late. At least so
+   * many do where some machines never come up, hardly any where all of them are slow.
    */
-  private static final double PART_IN_TIME = 0.25;
+  private static final double IN_TIME_SHARE = 0.25;
 
-  /** Where most machines are slow, the part of the late ones that is replaced all the same. */
-  private static final double REPLACED_WHERE_SLOW = 0.25;
+  /** Where most machines are slow, the share of the overdue ones that count as late anyway. */
+  private static final double LATE_SHARE_WHERE_SLOW = 0.25;
 
-  /** A machine may take so many times the usual time to come up, and at least so much more. */
+  /** Multiple of the nominal boot time after which a machine is given up. */
   private static final double GIVE_UP_FACTOR = 3;
 
-  private static final double GIVE_UP_MARGIN_S = 45;
-
   /** The same where most machines of the type are slow in the zone. */
   private static final double GIVE_UP_FACTOR_WHERE_SLOW = 8;
 
-  /** A machine that came up, with the multiple of the usual time that it took. */
-  private record CameUp(SteadyTime provisionedAt, SteadyTime at, double ratio) {}
+  /** No machine is given up before this many seconds beyond its nominal boot time. */
+  private static final double GIVE_UP_MARGIN_S = 45;
+
+  private static final Comparator<Machine> BY_PROVISION_TIME =
+      Comparator.comparing(machine -> machine.cloud().provisionedAt());
+
+  /** A machine that has come up, with its boot time as a ratio to the nominal one. */
+  private record Boot(SteadyTime provisionedAt, SteadyTime upAt, double ratio) {}
+
+  /** The machines of one type in one zone. */
+  private record Pool(String typeName, String zoneName) {}
 
-  /** What is seen of one type in one zone. */
+  /** The boots in one pool. */
   private static final class BootStatistics {
-    /** Machines that came up, the last one last. */
-    private final Deque<CameUp> cameUp = new ArrayDeque<>();
+    /** Recent boots, the latest one last. */
+    private final Deque<Boot> boots = new ArrayDeque<>();
 
+    /** Machines that are still booting beyond the usual spread. */
     private List<Machine> overdue = new ArrayList<>();
 
-    /** The multiple of the usual time that a part of the machines is up in. */
-    private double usualRatio = ASSUMED_RATIO;
+    /** The ratio within which the {@link #IN_TIME_SHARE} of machines comes up. */
+    private double expectedRatio = NOMINAL_RATIO;
 
     void forgetBefore(SteadyTime time) {
-      while (!cameUp.isEmpty() && cameUp.peekFirst().at().isBefore(time)) {
-        cameUp.removeFirst();
+      while (!boots.isEmpty() && boots.peekFirst().upAt().isBefore(time)) {
+        boots.removeFirst();
       }
     }
   }
 
   private final MachineRegistry machines;
-  private final Map<String, MachineType> machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final SteadyTime electedAt;
-  private final Map<String, BootStatistics> statisticsByPlace = new HashMap<>();
+  private final Map<Pool, BootStatistics> statisticsByPool = new HashMap<>();
 
-  /**
-   * Creates a part that has seen no machine come up.
-   *
-   * @param machineTypes the machine types by name, as a live view
-   */
+  /** Creates an instance without observed boots. */
   public BootTimes(
-      MachineRegistry machines, Map<String, MachineType> machineTypes, SteadyTime electedAt) {
+      MachineRegistry machines, MachineTypeCatalog machineTypes, SteadyTime electedAt) {
     this.machines = machines;
     this.machineTypes = machineTypes;
     this.electedAt = electedAt;
   }
 
-  /** A machine has reported for the first time in this leadership. */
+  /** Records the first heartbeat of a machine in this leadership. */
   public void cameUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
-    if (machineType == null || machine.cloud().provisionedAt().isBefore(electedAt)) {
-      // When it came up is not known here.
+    SteadyTime provisionedAt = machine.cloud().provisionedAt();
+    if (machineType == null || provisionedAt.isBefore(electedAt)) {
+      // It may have come up under an earlier leader.
       return;
     }
-    double ratio = now.secondsSince(machine.cloud().provisionedAt()) / machineType.bootS();
-    seen(machine).cameUp.addLast(new CameUp(machine.cloud().provisionedAt(), now, ratio));
+    double ratio = now.secondsSince(provisionedAt) / machineType.bootS();
+    statistics(machine).boots.addLast(new Boot(provisionedAt, now, ratio));
   }
 
-  /** The machines that are not up although they should be; their room is not to be counted on. */
+  /** The machines that should be up but are not; they do not count as expected capacity. */
   public Set<MachineId> late(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
-    for (BootStatistics seen : statisticsByPlace.values()) {
-      seen.usualRatio = usualRatio(seen, now);
-      addLate(seen, now, late);
+    for (BootStatistics statistics : statisticsByPool.values()) {
+      statistics.expectedRatio = expectedRatio(statistics, now);
+      addLate(statistics, now, late);
     }
     return late;
   }
 
   private void collectOverdue(SteadyTime now) {
-    for (BootStatistics seen : statisticsByPlace.values()) {
-      seen.overdue = new ArrayList<>();
-      seen.forgetBefore(now.plusSeconds(-REMEMBERED_S));
+    for (BootStatistics statistics : statisticsByPool.values()) {
+      statistics.overdue = new ArrayList<>();
+      statistics.forgetBefore(now.plusSeconds(-RECENT_S));
     }
     for (Machine machine : machines.all()) {
       MachineType machineType = machineType(machine);
       if (machineType != null
           && isBooting(machine)
-          && takes(machine, machineType, now) > USUAL_SPREAD) {
-        seen(machine).overdue.add(machine);
+          && ratioSoFar(machine, machineType, now) > USUAL_SPREAD) {
+        statistics(machine).overdue.add(machine);
       }
     }
   }
@@ -134,82 +139,83 @@
         && !machine.cloud().isListedRunning();
   }
 
-  private void addLate(BootStatistics seen, SteadyTime now, Set<MachineId> late) {
-    List<Machine> overdue = new ArrayList<>();
-    for (Machine machine : seen.overdue) {
-      if (takes(machine, machineType(machine), now) > USUAL_SPREAD * seen.usualRatio) {
+  /** Adds the machines that are late for their pool, and the oldest of those that are overdue. */
+  private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
+    List<Machine> others = new ArrayList<>();
+    for (Machine machine : statistics.overdue) {
+      double ratio = ratioSoFar(machine, machineType(machine), now);
+      if (ratio > USUAL_SPREAD * statistics.expectedRatio) {
         late.add(machine.id());
       } else {
-        overdue.add(machine);
+        others.add(machine);
       }
     }
-    overdue.sort(Comparator.comparing((Machine machine) -> machine.cloud().provisionedAt()));
-    int replaced = (int) Math.ceil(overdue.size() * REPLACED_WHERE_SLOW);
-    overdue.subList(0, replaced).forEach(machine -> late.add(machine.id()));
+    others.sort(BY_PROVISION_TIME);
+    int lateCount = (int) Math.ceil(others.size() * LATE_SHARE_WHERE_SLOW);
+    for (Machine machine : others.subList(0, lateCount)) {
+      late.add(machine.id());
+    }
   }
 
   /**
-   * The multiple of the usual time that a part of the machines is up in, those that are overdue
-   * counted as they stand, and at least one. Machines that were provisioned long before the ones
-   * that are overdue say nothing of these.
+   * The ratio within which a share of the machines comes up, at least the nominal one. Overdue
+   * machines count with their ratio so far. Boots of machines that were provisioned long before the
+   * overdue ones are left out, since conditions may have changed since.
    */
-  private double usualRatio(BootStatistics seen, SteadyTime now) {
+  private double expectedRatio(BootStatistics statistics, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
-    ratios.add(ASSUMED_RATIO);
+    ratios.add(NOMINAL_RATIO);
     SteadyTime comparedSince = null;
-    for (Machine machine : seen.overdue) {
-      ratios.add(takes(machine, machineType(machine), now));
-      SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType(machine).bootS());
+    for (Machine machine : statistics.overdue) {
+      MachineType machineType = machineType(machine);
+      ratios.add(ratioSoFar(machine, machineType, now));
+      SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
       comparedSince =
           comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
     }
-    for (CameUp cameUp : seen.cameUp) {
-      if (comparedSince == null || !cameUp.provisionedAt().isBefore(comparedSince)) {
-        ratios.add(cameUp.ratio());
+    for (Boot boot : statistics.boots) {
+      if (comparedSince == null || !boot.provisionedAt().isBefore(comparedSince)) {
+        ratios.add(boot.ratio());
       }
     }
     Collections.sort(ratios);
-    double ratio = ratios.get((int) ((ratios.size() - 1) * PART_IN_TIME));
-    return Math.max(ASSUMED_RATIO, ratio);
+    double ratio = ratios.get((int) ((ratios.size() - 1) * IN_TIME_SHARE));
+    return Math.max(NOMINAL_RATIO, ratio);
   }
 
-  /** How many times the usual time a machine has taken so far. */
-  private static double takes(Machine machine, MachineType machineType, SteadyTime now) {
+  /** The boot time of a machine so far, as a ratio to the nominal one. */
+  private static double ratioSoFar(Machine machine, MachineType machineType, SteadyTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
 
-  /** Whether a machine that has not come up is to be returned as one that never will. */
+  /** Whether a machine that has not come up is to be released since it probably never will. */
   public boolean isGivenUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
     }
+    boolean slow = statistics(machine).expectedRatio > USUAL_SPREAD;
+    double factor = slow ? GIVE_UP_FACTOR_WHERE_SLOW : GIVE_UP_FACTOR;
     double allowedS =
-        seen(machine).usualRatio > USUAL_SPREAD
-            ? GIVE_UP_FACTOR_WHERE_SLOW * machineType.bootS()
-            : GIVE_UP_FACTOR * machineType.bootS();
-    return now.secondsSince(machine.cloud().provisionedAt())
-        > Math.max(allowedS, machineType.bootS() + GIVE_UP_MARGIN_S);
-  }
-
-  /** Seconds that a machine of a type takes to come up in a zone, as lately seen. */
-  public double expectedS(MachineType machineType, String zone) {
-    BootStatistics seen = statisticsByPlace.get(place(machineType.name(), zone));
-    return machineType.bootS() * (seen == null ? 1 : seen.usualRatio);
+        Math.max(factor * machineType.bootS(), machineType.bootS() + GIVE_UP_MARGIN_S);
+    return now.secondsSince(machine.cloud().provisionedAt()) > allowedS;
   }
 
-  private BootStatistics seen(Machine machine) {
-    return statisticsByPlace.computeIfAbsent(
-        place(machine.description().typeName(), machine.description().zoneName()),
-        key -> new BootStatistics());
+  /** Seconds that a machine of a type is expected to take to come up in a zone. */
+  public double expectedS(MachineType machineType, String zoneName) {
+    BootStatistics statistics = statisticsByPool.get(new Pool(machineType.name(), zoneName));
+    return machineType.bootS() * (statistics == null ? NOMINAL_RATIO : statistics.expectedRatio);
   }
 
-  private static String place(String type, String zone) {
-    return type + " " + zone;
+  private BootStatistics statistics(Machine machine) {
+    MachineDescription description = machine.description();
+    return statisticsByPool.computeIfAbsent(
+        new Pool(description.typeName(), description.zoneName()), pool -> new BootStatistics());
   }
 
+  /** The type of a machine; null while it is not known. */
   private MachineType machineType(Machine machine) {
-    return machineTypes.get(machine.description().typeName());
+    return machineTypes.typeOf(machine).orElse(null);
   }
 }
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -4,8 +4,8 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The life of one machine at the cloud: when it was provisioned, what listings say of it, and
- * whether it is being released or reclaimed, or is terminated. Guarded by the controller's lock.
+ * The state of one machine as the cloud sees it: when it was provisioned, what listings show of it,
+ * and whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
  */
 public final class CloudStatus {
   private final SteadyTime knownSince;
@@ -21,7 +21,7 @@
     this.provisionedAt = now;
   }
 
-  /** When this leadership first heard of the machine; it was provisioned before. */
+  /** When the machine became known in this leadership; it was provisioned before. */
   public SteadyTime knownSince() {
     return knownSince;
   }
@@ -31,7 +31,7 @@
     return provisionedAt;
   }
 
-  /** Whether the machine was provisioned before a time for certain. */
+  /** Whether the machine was certainly provisioned before a time. */
   public boolean isProvisionedBefore(SteadyTime time) {
     return provisionedAt.isBefore(time);
   }
@@ -51,7 +51,7 @@
     return listedAt != null;
   }
 
-  /** Whether the last listing that showed the machine said that it is up. */
+  /** Whether the last listing that showed the machine showed it as running. */
   public boolean isListedRunning() {
     return listedRunning;
   }
@@ -78,17 +78,17 @@
     return reclaimAt != null;
   }
 
-  /** The release of the machine is being recorded; nothing more is placed on it. */
+  /** The machine is to be released; nothing more is placed on it. */
   public void markReleasing() {
     releasing = true;
   }
 
-  /** Whether the release of the machine was asked for. */
+  /** Whether the machine is to be released. */
   public boolean isReleasing() {
     return releasing;
   }
 
-  /** The machine is certainly gone: its name never comes back. */
+  /** The machine is certainly gone; its name is never reused. */
   public void markTerminated() {
     terminated = true;
   }
@@ -98,7 +98,7 @@
     return terminated;
   }
 
-  /** Whether the machine is neither gone nor about to go. */
+  /** Whether the machine is neither terminated nor about to be released or reclaimed. */
   public boolean isStaying() {
     return !terminated && !releasing && reclaimAt == null;
   }
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -6,8 +6,8 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Commands that wait to be sent directly to one worker, one message at a time. Guarded by the
- * controller's lock.
+ * The commands that wait to be sent directly to one worker, first in, first out. At most one
+ * message is in flight at a time. Guarded by the controller's lock.
  */
 public final class CommandOutbox {
   private final Deque<Command> waiting = new ArrayDeque<>();
@@ -19,32 +19,32 @@
     waiting.add(command);
   }
 
-  /** Whether no command waits. */
+  /** Whether no command is waiting. */
   public boolean isEmpty() {
     return waiting.isEmpty();
   }
 
-  /** Takes the command that has waited longest; there has to be one. */
+  /** Removes and returns the oldest command; the outbox must not be empty. */
   public Command take() {
     return waiting.remove();
   }
 
-  /** Drops all commands that wait. */
+  /** Drops all waiting commands. */
   public void clear() {
     waiting.clear();
   }
 
-  /** A message is sent. */
+  /** A message is sent; no other one may be sent until it has landed. */
   public void markInFlight() {
     inFlight = true;
   }
 
-  /** The message in flight was answered or given up. */
+  /** The message in flight was answered, or its answer is no longer awaited. */
   public void markLanded() {
     inFlight = false;
   }
 
-  /** Whether a message is in flight, which the next one has to wait for. */
+  /** Whether a message is in flight. */
   public boolean isInFlight() {
     return inFlight;
   }
@@ -54,7 +54,7 @@
     pausedUntil = time;
   }
 
-  /** Whether nothing may be sent directly since a message has failed lately. */
+  /** Whether direct messages are paused since one has failed lately. */
   public boolean isPaused(SteadyTime now) {
     return pausedUntil != null && now.isBefore(pausedUntil);
   }
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -4,15 +4,18 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Whether answers and commands reach a worker. Its heartbeats may arrive while these don't: then
- * the leader would count its lease from answers that were lost, place tasks there and wait for
- * starts that never show.
+ * Whether answers and commands reach the worker of one machine. Its heartbeats may arrive while
+ * these are lost: then the leader would extend its lease by answers that never arrived, place tasks
+ * there and wait for starts that have no effect. Guarded by the controller's lock.
  */
 public final class CommandReachability {
-  /** Answers in a row that had no effect; a single one may be lost on a healthy connection. */
+  /**
+   * Consecutive answers without effect from which a worker counts as unreachable; a single answer
+   * may be lost on a healthy connection.
+   */
   private static final int UNREACHABLE_AFTER = 3;
 
-  /** How often a worker that seems unreachable is probed. */
+  /** Seconds between two probes of an unreachable worker. */
   private static final double PROBE_INTERVAL_S = 5;
 
   private int missedAnswers;
@@ -21,10 +24,10 @@
   private SteadyTime probedAt;
 
   /**
-   * A later heartbeat shows no trace of the last answer.
+   * A later heartbeat shows no effect of the last answer.
    *
-   * @param othersReachable whether enough other workers are reached, so that the fault is not this
-   *     node's own; asked only where it decides, since it looks at every machine
+   * @param othersReachable whether enough other workers are reachable, so that the fault is not
+   *     this node's own; evaluated only where it decides, since it visits every machine
    */
   public void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
@@ -34,37 +37,37 @@
     }
   }
 
-  /** Its epoch ended although it was being answered. */
+  /** The worker's epoch has ended although its heartbeats were answered. */
   public void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     answerMissed(now, othersReachable);
   }
 
   /**
-   * It shows the effect of a command. From an unreachable worker that is no proof: the command may
-   * have been held back for long.
+   * The worker shows the effect of a command. This does not prove that an unreachable worker is
+   * reachable again: the command may have been delayed for long.
    */
   public void effectSeen() {
     missedAnswers = 0;
   }
 
-  /** It has answered a direct command. */
+  /** The worker has answered a direct command. */
   public void probeAnswered() {
     missedAnswers = 0;
     unreachable = false;
   }
 
-  /** Whether commands are taken to be lost on their way there. */
+  /** Whether commands to the worker are presumed lost. */
   public boolean unreachable() {
     return unreachable;
   }
 
-  /** For how many seconds it has been unreachable; 0 where it is not. */
+  /** Seconds for which the worker has been unreachable; 0 where it is reachable. */
   public double unreachableFor(SteadyTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
-  /** Whether it is time to probe it; true once each time. */
+  /** Whether a probe is due; the next one is due an interval after a call that returns true. */
   public boolean isProbeDue(SteadyTime now) {
     if (!unreachable || (probedAt != null && now.secondsSince(probedAt) < PROBE_INTERVAL_S)) {
       return false;
--- a/src/main/java/org/ternhinge/machine/ImageCache.java
+++ b/src/main/java/org/ternhinge/machine/ImageCache.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * The images that one machine holds or fetches, as far as the leader can tell: a machine keeps the
- * most recently used images. Guarded by the controller's lock.
+ * The leader's model of the image cache of one machine: images that it holds or fetches. The least
+ * recently used images are evicted first. Guarded by the controller's lock.
  */
 final class ImageCache {
   private static final int INITIAL_CAPACITY = 8;
@@ -21,15 +21,16 @@
     return sizes.containsKey(image);
   }
 
-  /** The names of all images, as a copy. */
+  /** The names of all images, as an unmodifiable copy. */
   Set<String> names() {
     return Set.copyOf(sizes.keySet());
   }
 
   /**
-   * Notes the use of an image, and drops the least recently used ones where the cache is full.
+   * Records the use of an image, and evicts the least recently used ones while a new image exceeds
+   * the capacity. The new image itself is never evicted.
    *
-   * @return whether the image was not there before
+   * @return whether the image is new
    */
   boolean use(String image, double sizeGb, double capacityGb) {
     if (sizes.put(image, sizeGb) != null) {
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -7,74 +7,76 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** What went wrong with a job's tasks: on which machines, and until when the job backs off. */
+/**
+ * The failures of one job's tasks since one of them last succeeded: the machines on which they
+ * failed, and the job's back-off. Guarded by the controller's lock.
+ */
 final class JobFailures {
   /**
-   * How long a machine is avoided after a failure there. A machine that is sick is quarantined for
-   * itself; with the mark kept for ever, a job that fits few machines would wait beside free ones.
+   * Seconds for which a job avoids a machine after a failure there. A faulty machine is quarantined
+   * for all jobs; if a job avoided its machines for ever, one that fits only few machines would
+   * wait although they are free.
    */
   static final double AVOID_S = 45;
 
-  /** Machines that its tasks failed on since one of them was last done, and when last. */
-  private final Map<MachineId, SteadyTime> failures = new HashMap<>();
+  /** Time of the last failure on each machine. */
+  private final Map<MachineId, SteadyTime> lastFailures = new HashMap<>();
 
-  /** How often its back-off has grown; 0 while it does not back off. */
+  /** Number of times that the back-off has grown; 0 while the job does not back off. */
   private int backoffLevel;
 
-  /** Nothing of the job is started before, or null. */
+  /** No task of the job is started before this time; null where there is no limit. */
   private SteadyTime startsAfter;
 
+  /** Records that a task has failed on a machine. */
   void failedOn(MachineId machine, SteadyTime now) {
-    failures.put(machine, now);
+    lastFailures.put(machine, now);
   }
 
-  /** On how many machines its tasks have failed since one was done. */
+  /** Number of machines on which tasks have failed. */
   int machineCount() {
-    return failures.size();
+    return lastFailures.size();
   }
 
-  /** The machines on which its tasks have failed since one was done. */
+  /** The machines on which tasks have failed, as a copy. */
   Set<MachineId> machines() {
-    return Set.copyOf(failures.keySet());
+    return Set.copyOf(lastFailures.keySet());
   }
 
   int backoffLevel() {
     return backoffLevel;
   }
 
-  /** Nothing of the job is started before this time; an earlier one is forgotten. */
+  /** Blocks the job until a time, which replaces an earlier limit. */
   void startAfter(SteadyTime time) {
     startsAfter = time;
   }
 
-  /** The job is at fault and backs off until then; one task is tried at a time from then on. */
+  /** Blocks the job until a time and raises its back-off to a level. */
   void backOff(int level, SteadyTime until) {
     backoffLevel = level;
     startsAfter = until;
   }
 
-  /** Whether nothing of the job may be started now. */
-  boolean blocked(SteadyTime now) {
+  /** Whether no task of the job may be started now. */
+  boolean isBlocked(SteadyTime now) {
     return startsAfter != null && now.isBefore(startsAfter);
   }
 
-  /**
-   * Whether the job has failed on so many machines that only one of its tasks is tried at a time,
-   * until one is done.
-   */
+  /** Whether the job backs off, so that its tasks are tried one at a time until one succeeds. */
   boolean triesSingleTasks() {
     return backoffLevel > 0;
   }
 
-  /** Where nothing of the job should go now. */
-  Set<MachineId> avoid(SteadyTime now) {
-    Set<MachineId> out = new HashSet<>();
-    failures.forEach(
-        (machine, at) -> {
-          if (now.secondsSince(at) < AVOID_S) {
-            out.add(machine);
+  /** The machines on which no task of the job should be placed now. */
+  Set<MachineId> avoidedMachines(SteadyTime now) {
+    Set<MachineId> avoided = new HashSet<>();
+    lastFailures.forEach(
+        (machine, failedAt) -> {
+          if (now.secondsSince(failedAt) < AVOID_S) {
+            avoided.add(machine);
           }
         });
-    return out;
+    return avoided;
   }
 }
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -13,15 +13,22 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * What the leader knows of one machine. Attempts are not among it, they are the ledger's. Guarded
- * by the controller's lock.
+ * The state of one machine, except for its attempts, which the ledger holds. Guarded by the
+ * controller's lock.
  *
- * <p>The view that the planner is shown is cached. Methods that change what the view is made of
- * drop it; whoever changes attempts on the machine calls {@link #invalidateView}.
+ * <p>The planner's view of the machine is cached. Every method that changes a property in the view
+ * invalidates the cached view; whoever changes attempts on the machine has to call {@link
+ * #invalidateView}.
  */
 public final class Machine {
 
-  /** Room kept for a job after others were preempted for it. */
+  /**
+   * Room that is kept free for a job for which tasks of others were preempted.
+   *
+   * @param job the job that may use the room
+   * @param room the size of the room for one task
+   * @param until when the reservation expires
+   */
   public record Reservation(JobId job, Resources room, SteadyTime until) {}
 
   private final MachineId id;
@@ -37,13 +44,13 @@
   private long tasksRevision;
   private SteadyTime idleSince;
 
-  /** What the planner is shown, or null where something has changed since. */
+  /** The planner's cached view; null where it is out of date. */
   private Snapshot.MachineView view;
 
   /**
    * Creates a machine of which only the name is known.
    *
-   * @param leaseExpiry when the lease of its worker is over at the latest
+   * @param leaseExpiry latest expiry of the lease of its worker
    */
   Machine(MachineId id, SteadyTime now, SteadyTime leaseExpiry) {
     this.id = id;
@@ -52,29 +59,29 @@
     this.idleSince = now;
   }
 
-  /** The name that the cloud gave it. */
+  /** The name that the cloud has assigned. */
   public MachineId id() {
     return id;
   }
 
-  // ---- parts ------------------------------------------------------------------------------------
+  // ---- components -------------------------------------------------------------------------------
 
-  /** Its life at the cloud. */
+  /** Its status at the cloud. */
   public CloudStatus cloud() {
     return cloud;
   }
 
-  /** Its worker agent, by the agent's messages. */
+  /** The state of its worker agent. */
   public AgentState agent() {
     return agent;
   }
 
-  /** Whether it is fit for tasks. */
+  /** Its fitness for tasks. */
   public MachineHealth health() {
     return health;
   }
 
-  /** Commands that wait to be sent to its worker. */
+  /** The commands that wait to be sent to its worker. */
   public CommandOutbox outbox() {
     return outbox;
   }
@@ -84,20 +91,20 @@
     return outstandingStarts;
   }
 
-  // ---- what it is -------------------------------------------------------------------------------
+  // ---- description ------------------------------------------------------------------------------
 
-  /** Its type, zone and kind. */
+  /** Its type, its zone and whether it is a spot instance. */
   public MachineDescription description() {
     return description;
   }
 
-  /** Its type, zone and kind have become known, or differ from what was known. */
+  /** Replaces its description. */
   public void describe(MachineDescription known) {
     description = known;
     invalidateView();
   }
 
-  /** It was provisioned at this time at the latest. */
+  /** Sets the latest time at which it can have been provisioned. */
   public void provisionedAt(SteadyTime at) {
     cloud.provisionedAt(at);
     invalidateView();
@@ -105,7 +112,7 @@
 
   // ---- tasks and images -------------------------------------------------------------------------
 
-  /** Its tasks by the newest message of its worker. */
+  /** Its tasks as the newest message of its worker lists them. */
   public List<TaskStatus> tasks() {
     return tasks;
   }
@@ -117,12 +124,12 @@
     invalidateView();
   }
 
-  /** Counts the changes of its tasks. */
+  /** Number of times that its tasks were replaced. */
   public long tasksRevision() {
     return tasksRevision;
   }
 
-  /** The images that it is known to hold or to fetch. */
+  /** The images that it is known to hold or to fetch, as an unmodifiable copy. */
   public Set<String> images() {
     return images.names();
   }
@@ -133,9 +140,10 @@
   }
 
   /**
-   * It uses an image, which drops those that were not used for longest.
+   * Records the use of an image, which may evict the least recently used ones.
    *
-   * @param cacheGb how much its type keeps
+   * @param sizeGb size of the image in GB
+   * @param cacheGb capacity of the image cache of its type in GB
    */
   public void useImage(String image, double sizeGb, double cacheGb) {
     if (images.use(image, sizeGb, cacheGb)) {
@@ -156,18 +164,18 @@
 
   // ---- reservations -----------------------------------------------------------------------------
 
-  /** Room kept on it, as a live view that can't be changed. */
+  /** The reservations on it, as an unmodifiable live view. */
   public List<Reservation> reservations() {
     return Collections.unmodifiableList(reservations);
   }
 
-  /** Keeps room on it for a job. */
+  /** Adds a reservation. */
   public void reserve(Reservation reservation) {
     reservations.add(reservation);
     invalidateView();
   }
 
-  /** Drops one reservation of a job, if there is any. */
+  /** Removes the oldest reservation of a job, if there is any. */
   public void dropReservation(JobId job) {
     for (int i = 0; i < reservations.size(); i++) {
       if (reservations.get(i).job().equals(job)) {
@@ -178,10 +186,11 @@
     }
   }
 
-  /** Drops the reservations whose time is over, and tells whether there were any. */
+  /** Removes the expired reservations, and returns whether there were any. */
   public boolean expireReservations(SteadyTime now) {
     boolean expired =
-        !reservations.isEmpty() && reservations.removeIf(kept -> kept.until().isBefore(now));
+        !reservations.isEmpty()
+            && reservations.removeIf(reservation -> reservation.until().isBefore(now));
     if (expired) {
       invalidateView();
     }
@@ -190,16 +199,16 @@
 
   // ---- view -------------------------------------------------------------------------------------
 
-  /** Something that the planner is shown of it has changed. */
+  /** Discards the cached view, since attempts on the machine or its state have changed. */
   public void invalidateView() {
     view = null;
   }
 
   /**
-   * What the planner is shown of it.
+   * The planner's view of it, which is built again where the cached one is out of date.
    *
    * @param ready whether tasks may be placed on it now
-   * @param build makes the view where the cached one is out of date
+   * @param build builds the view
    */
   public Snapshot.MachineView view(boolean ready, Supplier<Snapshot.MachineView> build) {
     if (view == null || view.ready() != ready) {
--- a/src/main/java/org/ternhinge/machine/MachineDescription.java
+++ b/src/main/java/org/ternhinge/machine/MachineDescription.java
@@ -11,7 +11,7 @@
  * @param spot whether the cloud may reclaim the machine at any time
  */
 public record MachineDescription(String typeName, int zone, String zoneName, boolean spot) {
-  /** Stands for a machine of which only the name is known, such as one in a recovered attempt. */
+  /** Describes a machine of which only the name is known, such as one in a recovered attempt. */
   public static final MachineDescription UNKNOWN = new MachineDescription("", -1, "", false);
 
   /** Describes a machine whose zone is known by name, given the names of all zones. */
@@ -20,13 +20,13 @@
     return new MachineDescription(typeName, zones.indexOf(zoneName), zoneName, spot);
   }
 
-  /** Whether anything is known of the machine beside its name. */
+  /** Whether more than the machine's name is known. */
   @SuppressWarnings("ReferenceEquality") // a null object
   public boolean isKnown() {
     return this != UNKNOWN;
   }
 
-  /** Whether a message that names these attributes says nothing new. */
+  /** Whether the machine is known to have exactly these attributes. */
   public boolean matches(String otherType, String otherZone, boolean otherSpot) {
     return isKnown()
         && typeName.equals(otherType)
--- a/src/main/java/org/ternhinge/machine/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -4,42 +4,49 @@
 import java.util.function.Predicate;
 import org.ternhinge.model.JobId;
 
-/** The failures of tasks on one machine since a task was last done there. */
+/**
+ * The failures of tasks on one machine since a task last succeeded there. Guarded by the
+ * controller's lock.
+ */
 final class MachineFailures {
-  /** Failures of jobs that are known to be in order: these are the machine's. */
+  /** Failures of healthy jobs, which are attributed to the machine. */
   private int ofHealthyJobs;
 
-  /** Failures of jobs of which nothing is known yet. */
+  /** Failures by job, of jobs that are not known to be healthy. */
   private final Object2IntOpenHashMap<JobId> ofOtherJobs = new Object2IntOpenHashMap<>();
 
-  /** A task of a job that is known to be in order has failed. */
+  /** Records that a task of a healthy job has failed. */
   void healthyJobFailed() {
     ofHealthyJobs++;
   }
 
-  /** A task of a job of which nothing was done yet has failed. */
+  /** Records that a task of a job that is not known to be healthy has failed. */
   void otherJobFailed(JobId job) {
     ofOtherJobs.addTo(job, 1);
   }
 
-  /** A job turns out to be in order: its failures here were the machine's. */
+  /** A job has proved healthy: its failures here are attributed to the machine. */
   void jobIsHealthy(JobId job) {
     ofHealthyJobs += ofOtherJobs.removeInt(job);
   }
 
-  /** A task was done on the machine: it is well. */
+  /** A task has succeeded on the machine. */
   void clear() {
     ofHealthyJobs = 0;
     ofOtherJobs.clear();
   }
 
-  /** How many tasks of jobs in order have failed. */
+  /** Number of failed tasks of healthy jobs. */
   int countOfHealthyJobs() {
     return ofHealthyJobs;
   }
 
-  /** How many other jobs have failed, of those that a condition holds for. */
+  /** Number of other jobs with failures that satisfy a condition; each counts once. */
   int countOfOtherJobs(Predicate<JobId> condition) {
-    return (int) ofOtherJobs.keySet().stream().filter(condition).count();
+    int count = 0;
+    for (JobId job : ofOtherJobs.keySet()) {
+      count += condition.test(job) ? 1 : 0;
+    }
+    return count;
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -9,7 +9,7 @@
   private SteadyTime quarantinedUntil;
   private SteadyTime noRoomUntil;
 
-  /** Failures of tasks since one was last done on the machine. */
+  /** Failures of tasks since one last succeeded on the machine. */
   MachineFailures failures() {
     return failures;
   }
@@ -19,7 +19,7 @@
     return reachability;
   }
 
-  /** Whether the machine is in quarantine since tasks fail on it. */
+  /** Whether the machine is quarantined since tasks fail on it. */
   public boolean isQuarantined(SteadyTime now) {
     return quarantinedUntil != null && now.isBefore(quarantinedUntil);
   }
@@ -37,7 +37,7 @@
     noRoomUntil = time;
   }
 
-  /** Whether the machine has not refused a task for want of room lately. */
+  /** Whether the machine has not lately refused a task for want of room. */
   public boolean acceptsTasks(SteadyTime now) {
     return noRoomUntil == null || noRoomUntil.isBefore(now);
   }
--- a/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -2,23 +2,25 @@
 
 import java.util.Collection;
 import java.util.Collections;
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.MachineType;
 
 /**
- * The machine types that the cloud offers, read again and again, since a site may add types while a
- * leadership lasts. Guarded by the controller's lock.
+ * The machine types that the cloud offers. They are refreshed periodically, since a site may add
+ * types during a leadership. Guarded by the controller's lock.
  */
 public final class MachineTypeCatalog {
-  /** Seconds between two readings; types change by hand, a few times a year. */
+  /** Seconds between two refreshes; types are changed by hand, a few times a year. */
   private static final double REFRESH_S = 60;
 
-  /** Seconds until a reading that failed is tried again. */
+  /** Seconds until a refresh that failed is retried. */
   private static final double RETRY_S = 3;
 
   private final Cloud cloud;
@@ -26,7 +28,15 @@
   private final Map<String, MachineType> byName = new LinkedHashMap<>();
 
   /**
-   * Creates a list of machine types that begins with those that are known.
+   * The results of look-ups, each allocated once: a scheduling round looks up the type of every
+   * machine.
+   */
+  private final Map<String, Optional<MachineType>> lookups = new HashMap<>();
+
+  private final Collection<MachineType> all = Collections.unmodifiableCollection(byName.values());
+
+  /**
+   * Creates a catalog that starts with the known types.
    *
    * @param known the types that the node knew before this leadership
    */
@@ -39,10 +49,13 @@
 
   /** Adds types, or replaces those of the same names. */
   public void learn(Collection<MachineType> known) {
-    known.forEach(machineType -> byName.put(machineType.name(), machineType));
+    for (MachineType machineType : known) {
+      byName.put(machineType.name(), machineType);
+      lookups.put(machineType.name(), Optional.of(machineType));
+    }
   }
 
-  /** Reads the types from the cloud, and goes on doing so. */
+  /** Reads the types from the cloud now and periodically from then on. */
   public void refresh() {
     executor.whenAnswered(cloud.machineTypes(), this::refreshed);
   }
@@ -56,13 +69,23 @@
     }
   }
 
-  /** The type of this name, or null. */
-  public MachineType find(String name) {
-    return byName.get(name);
+  /** Whether no type is known yet. */
+  public boolean isEmpty() {
+    return byName.isEmpty();
+  }
+
+  /** The type of this name. Allocates nothing. */
+  public Optional<MachineType> find(String name) {
+    return lookups.getOrDefault(name, Optional.empty());
+  }
+
+  /** The type of a machine; empty while it is not known. Allocates nothing. */
+  public Optional<MachineType> typeOf(Machine machine) {
+    return find(machine.description().typeName());
   }
 
-  /** All types by name, as a live view that can't be changed. */
-  public Map<String, MachineType> byName() {
-    return Collections.unmodifiableMap(byName);
+  /** All types in the order in which they became known, as an unmodifiable live view. */
+  public Collection<MachineType> all() {
+    return all;
   }
 }
--- a/src/main/java/org/ternhinge/machine/OutstandingStarts.java
+++ b/src/main/java/org/ternhinge/machine/OutstandingStarts.java
@@ -7,13 +7,13 @@
 import org.ternhinge.model.Term;
 
 /**
- * Start commands sent directly to one worker whose answers are out or lost: such a start may still
- * arrive, so its attempt can't be taken for gone. A raised term fences them: a worker that has
- * shown it refuses them. Guarded by the controller's lock.
+ * Start commands sent directly to one worker that are unanswered, or whose answers were lost. Such
+ * a start may still arrive, so its attempt must not be presumed gone. Raising the term fences them:
+ * a worker refuses them once it has seen the higher term. Guarded by the controller's lock.
  */
 public final class OutstandingStarts {
   private record Start(TaskId task, AttemptNumber attempt) {
-    // By hand, as in the other small types of the model, for the speed of look-ups.
+    // Written out since look-ups by the generated methods are slower.
     @Override
     public boolean equals(Object other) {
       return other instanceof Start start
@@ -27,9 +27,10 @@
     }
   }
 
+  /** Number of outstanding starts by attempt. */
   private final Object2IntOpenHashMap<Start> counts = new Object2IntOpenHashMap<>();
 
-  /** Those of a lower term than the fence. */
+  /** Number of outstanding starts by attempt, of those with a lower term than the fence. */
   private final Object2IntOpenHashMap<Start> fenced = new Object2IntOpenHashMap<>();
 
   private Term fence = Term.NONE;
@@ -49,19 +50,21 @@
     return counts.containsKey(new Start(task, attempt));
   }
 
-  /** Whether a start of this attempt is outstanding that the present fence will make harmless. */
+  /**
+   * Whether an outstanding start of this attempt will be refused once the worker sees the fence.
+   */
   public boolean isFenced(TaskId task, AttemptNumber attempt) {
     return fenced.containsKey(new Start(task, attempt));
   }
 
-  /** The term was raised: all starts so far are of a lower one. */
+  /** The term was raised: all starts sent before carry a lower one. */
   public void fence(Term raised) {
     fenced.clear();
     fenced.putAll(counts);
     fence = raised;
   }
 
-  /** The worker has shown a fencing token: from now on it refuses the starts of lower terms. */
+  /** The worker has seen a fencing token, and refuses starts with a lower term from now on. */
   public void observeFencingToken(Term shown) {
     if (fenced.isEmpty() || shown.compareTo(fence) < 0) {
       return;
@@ -78,7 +81,7 @@
     }
   }
 
-  /** The worker's epoch has ended: nothing sent in it can have an effect any more. */
+  /** The worker's epoch has ended: starts sent in it can no longer have an effect. */
   public void clear() {
     counts.clear();
     fenced.clear();
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -6,8 +6,9 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Counts on how many machines each task shows, by the difference between a machine's messages, so
- * that a heartbeat costs by what it changes. Guarded by the controller's lock.
+ * Counts the machines that list each task. The counts are updated by the difference between
+ * consecutive messages of a machine, so that no update visits the whole fleet. Guarded by the
+ * controller's lock.
  */
 public final class ReportedTaskCounts implements ReportedTasks {
   private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
--- a/src/main/java/org/ternhinge/machine/ReportedTasks.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTasks.java
@@ -5,13 +5,13 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * The tasks that machines say they run. A task that shows on a machine without an open attempt may
- * still run there, so it must not start anywhere else.
+ * The tasks that the heartbeats of machines list. A listed task without an open attempt may still
+ * run on the machine, so it must not be started on another one. Guarded by the controller's lock.
  */
 public interface ReportedTasks {
-  /** Whether some machine shows the task as not ended. */
+  /** Whether a machine lists the task as not ended. */
   boolean isShown(TaskId task);
 
-  /** Replaces what a machine shows. */
+  /** Replaces the tasks that a machine lists. */
   void show(Machine machine, List<TaskStatus> tasks);
 }
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -11,10 +11,10 @@
 final class RetrySlots {
   private final double slotS;
   private final SteadyTime origin;
-  private final TreeSet<Long> taken = new TreeSet<>();
+  private final TreeSet<Long> reserved = new TreeSet<>();
 
   /**
-   * Creates slots of which none is taken.
+   * Creates slots that are all free.
    *
    * @param slotS length of a slot, in seconds
    */
@@ -23,11 +23,11 @@
     this.origin = origin;
   }
 
-  /** Takes the first free slot that begins at some time or later, and gives its beginning. */
+  /** Reserves the first free slot that begins at a time or later, and returns its beginning. */
   SteadyTime take(SteadyTime earliest, SteadyTime now) {
-    taken.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
+    reserved.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
     long slot = (long) Math.ceil(earliest.secondsSince(origin) / slotS);
-    while (!taken.add(slot)) {
+    while (!reserved.add(slot)) {
       slot++;
     }
     return origin.plusSeconds(slot * slotS);
--- a/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -6,23 +6,26 @@
 import java.util.function.Predicate;
 import java.util.function.ToIntFunction;
 
-/** Counts machines by zone, and how many of them are marked for some reason. */
+/** Counts by zone the machines of a group, and how many of these satisfy a condition. */
 public final class ZoneMachineCounts {
   /**
    * The machines of one zone.
    *
-   * @param counted machines that are looked at
-   * @param marked of these, how many the reason holds for
+   * @param counted number of machines in the group
+   * @param marked number of these that satisfy the condition
    */
   public record Count(int counted, int marked) {}
 
   private ZoneMachineCounts() {}
 
   /**
-   * Counts machines.
+   * Counts machines; those of an unknown zone are left out.
    *
-   * @param zones how many zones there are
-   * @param zoneOf the number of a machine's zone; negative where it is not known
+   * @param zones number of zones
+   * @param zoneOf index of a machine's zone; negative where the zone is not known
+   * @param isCounted whether a machine belongs to the group
+   * @param isMarked whether a machine of the group satisfies the condition
+   * @return the counts of each zone, by its index
    */
   public static List<Count> of(
       Collection<Machine> machines,
--- a/src/main/java/org/ternhinge/machine/package-info.java
+++ b/src/main/java/org/ternhinge/machine/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What the leader knows of the machines of its fleet: what each one is, what the cloud says of it,
- * the state of its worker agent, the tasks and images on it, and whether it is fit for tasks.
+ * The leader's model of the machines of its fleet: the description of each one, its status at the
+ * cloud, the state of its worker agent, its tasks and images, and its health.
  *
  * <p>The state lives as long as one leadership and is guarded by the controller's lock. Heartbeats,
  * listings of the cloud and plans change it through the methods of {@link
- * org.ternhinge.machine.Machine} and its parts, which keep the view that the planner is shown true.
- * Nothing here sends a message.
+ * org.ternhinge.machine.Machine} and its components, which invalidate the planner's cached view of
+ * the machine. Nothing here sends a message.
  */
 package org.ternhinge.machine;
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -109,7 +109,7 @@
   private Snapshot.JobView view(Job job, boolean guaranteed, int reservedTasks, SteadyTime now) {
     JobSpec spec = job.planned();
     JobRanking.Progress progress = progress(job);
-    int most = failures.triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
+    int most = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
     return new Snapshot.JobView(
         spec,
         JobRanking.key(spec, progress),
@@ -119,8 +119,8 @@
         pending(job, most),
         Math.min(most, progress.waiting()),
         openByZone(job),
-        failures.isBlocked(job, now),
-        failures.avoidedBy(job, now),
+        failures.jobBackoff().isBlocked(job, now),
+        failures.jobBackoff().avoidedBy(job, now),
         reservedTasks);
   }
 
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -12,6 +12,7 @@
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
@@ -29,7 +30,7 @@
   private final Settings settings;
   private final Authority authority;
   private final Ledger ledger;
-  private final Map<String, MachineType> machineTypes;
+  private final MachineTypeCatalog machineTypes;
   private final MachineRegistry machines;
   private final BootTimes bootTimes;
 
@@ -37,7 +38,7 @@
       Settings settings,
       Authority authority,
       Ledger ledger,
-      Map<String, MachineType> machineTypes,
+      MachineTypeCatalog machineTypes,
       MachineRegistry machines,
       BootTimes bootTimes) {
     this.settings = settings;
@@ -69,7 +70,7 @@
   private boolean mayEverTakeTasks(Machine machine, SteadyTime now) {
     return machine.cloud().isStaying()
         && machine.description().zone() >= 0
-        && machineTypes.containsKey(machine.description().typeName())
+        && machineTypes.typeOf(machine).isPresent()
         && !machine.health().isQuarantined(now)
         && !machine.health().reachability().unreachable();
   }
@@ -113,7 +114,7 @@
   }
 
   private Snapshot.MachineView view(Machine machine, boolean ready) {
-    MachineType machineType = machineTypes.get(machine.description().typeName());
+    MachineType machineType = machineTypes.typeOf(machine).orElseThrow();
     return new Snapshot.MachineView(
         machine.id(),
         machineType,
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -110,7 +110,7 @@
     }
     LOG.debug("{} {} goes to {}", place.job(), job.spec().jobClass(), place.machines());
     for (Ledger.Placement placement : placements) {
-      placed(job, machines.find(placement.site().machine()));
+      placed(job, machines.find(placement.site().machine()).orElseThrow());
     }
   }
 
@@ -131,7 +131,7 @@
     List<Ledger.Placement> placements = new ArrayList<>();
     for (int i = 0; i < place.tasks().size(); i++) {
       int index = place.tasks().get(i);
-      Machine machine = machines.find(place.machines().get(i));
+      Machine machine = machines.find(place.machines().get(i)).orElse(null);
       // One task that still shows somewhere must not keep the rest of its array waiting.
       boolean waits = !job.spec().isGang() && reportedTasks.isShown(new TaskId(place.job(), index));
       if (machine != null && !waits && snapshots.placeable(machine, now)) {
@@ -149,7 +149,7 @@
         machine.description().zone(),
         machine.description().zoneName(),
         machine.description().spot(),
-        machineTypes.find(machine.description().typeName()).capacity());
+        machineTypes.typeOf(machine).orElseThrow().capacity());
   }
 
   /** A task of the job has been opened on the machine. */
@@ -157,13 +157,13 @@
     machine.invalidateView();
     // One task placed uses up one reservation.
     machine.dropReservation(job.spec().id());
-    double cacheGb = machineTypes.find(machine.description().typeName()).cacheGb();
+    double cacheGb = machineTypes.typeOf(machine).orElseThrow().cacheGb();
     machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
   }
 
   /** Stops tasks of lesser urgency on a machine, and keeps their room for the job they made way. */
   private void makeRoom(Plan.Stop stop, SteadyTime now) {
-    Machine machine = machines.find(stop.machine());
+    Machine machine = machines.find(stop.machine()).orElse(null);
     if (machine == null) {
       // Gone while the plan was made.
       return;
@@ -188,7 +188,7 @@
   }
 
   private void release(MachineId id) {
-    Machine machine = machines.find(id);
+    Machine machine = machines.find(id).orElse(null);
     if (machine != null && ledger.attemptsOn(id).isEmpty() && !machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -109,7 +109,7 @@
         return null;
       }
       lastStart = clock.now();
-      if (!authority.valid() || machineTypes.byName().isEmpty()) {
+      if (!authority.valid() || machineTypes.isEmpty()) {
         return null;
       }
       running = true;
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -10,13 +10,13 @@
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.ControllerServices;
-import org.ternhinge.wire.MachineType;
 
 /**
  * What the planner is shown. A machine's view is kept until something on the machine changes, so
@@ -26,11 +26,9 @@
   private final Settings settings;
   private final Tuning tuning;
   private final Ledger ledger;
-  private final Map<String, MachineType> machineTypes;
   private final MachineRegistry machines;
   private final ArrivalRates arrivalRates;
-  private final MachineProvisioner provisioner;
-  private final BootTimes bootTimes;
+  private final ScaleOutOptions scaleOutOptions;
   private final SteadyTime electedAt;
   private final MachineViews machineViews;
   private final JobViews jobViews;
@@ -39,21 +37,19 @@
       ControllerServices services,
       Authority authority,
       Ledger ledger,
-      Map<String, MachineType> machineTypes,
+      MachineTypeCatalog machineTypes,
       TaskFailures failures,
       MachineRegistry machines,
       ArrivalRates arrivalRates,
-      MachineProvisioner provisioner,
+      ScaleOutOptions scaleOutOptions,
       BootTimes bootTimes,
       SteadyTime electedAt) {
     this.settings = services.settings();
     this.tuning = services.tuning();
     this.ledger = ledger;
-    this.machineTypes = machineTypes;
     this.machines = machines;
     this.arrivalRates = arrivalRates;
-    this.provisioner = provisioner;
-    this.bootTimes = bootTimes;
+    this.scaleOutOptions = scaleOutOptions;
     this.electedAt = electedAt;
     this.machineViews =
         new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
@@ -74,8 +70,8 @@
         arrivalRates.expectedJobs(now, settings.zones().size()),
         settings.teams(),
         teamUse(),
-        provisioner.offers(machineTypes.values(), bootTimes, now),
-        provisioner.pendingProvisions(machineTypes),
+        scaleOutOptions.offers(now),
+        scaleOutOptions.pendingProvisions(),
         jobViews.startedLate(now),
         settled(now),
         tuning.idleS(),
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -1,37 +1,33 @@
 package org.ternhinge.scaling;
 
 import com.fasterxml.jackson.databind.node.BooleanNode;
+import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Set;
 import org.ternhinge.cloud.Cloud;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.Keys;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.BucketedRecords;
-import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Returns machines. A return is recorded before it is sent and repeated until answered, so that no
- * leader places anything on a machine that may vanish at any moment. All that are due go in one
- * call, since the cloud takes few calls a second. Guarded by the controller's lock.
+ * Releases machines. A release is recorded before it is sent and repeated until it is answered, so
+ * that no leader places tasks on a machine that may disappear at any time. One request releases
+ * many machines, since the cloud accepts few requests per second. Guarded by the controller's lock.
  */
 public final class MachineReleaser {
-  /** Seconds until a call that failed, or that could not be made, is made again. */
-  private static final double RETRY_S = 1.5;
-
-  /** Seconds until a call that found the cloud's rate used up is made again. */
-  private static final double RATE_LIMIT_RETRY_S = 0.3;
-
-  /** Names that the cloud takes in one call. */
-  private static final int MAX_NAMES = 100;
+  /** Machines that the cloud releases in one request. */
+  private static final int MAX_MACHINES = 100;
 
   private final MachineRemoval removal;
   private final LeadershipExecutor executor;
@@ -42,39 +38,29 @@
   private final Authority authority;
   private final LockedExecutor locked;
   private final BucketedRecords records;
+  private final RetryPolicy retryPolicy = RetryPolicy.RECORDED_REQUESTS;
 
-  /** Machines whose return is recorded and not answered yet. */
-  private final LinkedHashSet<Machine> due = new LinkedHashSet<>();
+  /** Machines whose release is recorded and unanswered, the oldest first. */
+  private final Set<Machine> due = new LinkedHashSet<>();
 
-  /** Whether a call is under way or put off. */
-  private boolean calling;
+  /** Whether a request is in flight or waits for its retry. */
+  private boolean requestPending;
 
-  /**
-   * Creates a part that has nothing to return yet.
-   *
-   * @param records holds the returns that are not answered
-   */
+  /** Creates a releaser without open releases. */
   public MachineReleaser(
-      MachineRemoval removal,
-      ControllerServices services,
-      Authority authority,
-      LeadershipExecutor executor,
-      MachineRegistry machines,
-      RoundTrigger rounds,
-      BucketedRecords records,
-      SteadyTime electedAt) {
-    this.removal = removal;
-    this.cloud = services.cloud();
-    this.locked = new LockedExecutor(services.lock());
-    this.authority = authority;
-    this.executor = executor;
+      LeadershipContext context, MachineRegistry machines, MachineRemoval removal) {
+    this.cloud = context.services().cloud();
+    this.locked = new LockedExecutor(context.services().lock());
+    this.authority = context.authority();
+    this.executor = context.executor();
+    this.rounds = context.rounds();
+    this.records = context.bucketedRecords(Keys.RELEASES);
+    this.electedAt = context.electedAt();
     this.machines = machines;
-    this.rounds = rounds;
-    this.records = records;
-    this.electedAt = electedAt;
+    this.removal = removal;
   }
 
-  /** Goes on with what an earlier leader has begun. */
+  /** Continues the recorded releases of earlier leaders. */
   public void resume(Entry entry) {
     records.known(entry, (name, value) -> resume(new MachineId(name)));
   }
@@ -85,7 +71,7 @@
     addDue(machine);
   }
 
-  /** Returns a machine; nothing more is placed on it. */
+  /** Releases a machine; nothing more is placed on it from now on. */
   public void release(Machine machine) {
     machine.cloud().markReleasing();
     records.put(machine.id().value(), BooleanNode.TRUE, () -> addDue(machine));
@@ -93,37 +79,39 @@
 
   private void addDue(Machine machine) {
     due.add(machine);
-    call();
+    sendNext();
   }
 
-  private void call() {
-    if (calling || due.isEmpty()) {
+  private void sendNext() {
+    if (requestPending || due.isEmpty()) {
       return;
     }
-    calling = true;
+    requestPending = true;
     if (!authority.valid()) {
-      retryAfter(RETRY_S);
+      retryAfter(retryPolicy.failedDelayS());
       return;
     }
-    List<Machine> named = due.stream().limit(MAX_NAMES).toList();
-    List<MachineId> ids = named.stream().map(machine -> machine.id()).toList();
-    locked.whenAnswered(cloud.release(ids), outcome -> answered(named, outcome));
+    List<Machine> batch = due.stream().limit(MAX_MACHINES).toList();
+    List<MachineId> ids = new ArrayList<>();
+    for (Machine machine : batch) {
+      ids.add(machine.id());
+    }
+    locked.whenAnswered(cloud.release(ids), outcome -> answered(batch, outcome));
   }
 
-  private void answered(List<Machine> named, Outcome<Integer> outcome) {
+  private void answered(List<Machine> batch, Outcome<Integer> outcome) {
     if (!(outcome instanceof Outcome.Applied<Integer>)) {
-      boolean rateLimited = outcome != null && outcome.isBecause(Reason.RATE_LIMITED);
-      retryAfter(rateLimited ? RATE_LIMIT_RETRY_S : RETRY_S);
+      retryAfter(retryPolicy.delayS(outcome));
       return;
     }
-    calling = false;
-    for (Machine machine : named) {
+    requestPending = false;
+    for (Machine machine : batch) {
       due.remove(machine);
       removal.remove(machine);
       records.remove(machine.id().value());
     }
     rounds.requestRound();
-    call();
+    sendNext();
   }
 
   private void retryAfter(double seconds) {
@@ -131,7 +119,7 @@
   }
 
   private void retry() {
-    calling = false;
-    call();
+    requestPending = false;
+    sendNext();
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -11,9 +11,9 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * Ends what ran on machines that are gone. The cloud's word is proof: nothing runs on a machine
- * that it calls failed or no longer lists, so its attempts may be closed without a heartbeat.
- * Guarded by the controller's lock.
+ * Closes the attempts on machines that are gone, and removes these machines. The cloud's listing is
+ * proof: nothing runs on a machine that it lists as failed or no longer lists, so the attempts
+ * there are closed without a heartbeat. Guarded by the controller's lock.
  */
 public final class MachineRemoval {
   private final MachineRegistry machines;
@@ -22,6 +22,7 @@
   private final AttemptLifecycle attempts;
   private final Workers workers;
 
+  /** Creates an instance; it has no state of its own. */
   public MachineRemoval(
       MachineRegistry machines,
       Ledger ledger,
@@ -36,9 +37,9 @@
   }
 
   /**
-   * Nothing runs on a machine any more, and nothing will. It stays known until it is returned.
+   * Marks a machine as terminated and closes its attempts. It stays registered until it is removed.
    *
-   * @param evidence what shows that its attempts are gone, for the log
+   * @param evidence what proves that its attempts are gone, for the log
    */
   void lost(Machine machine, ClosingEvidence evidence) {
     machine.cloud().markTerminated();
@@ -48,7 +49,7 @@
     }
   }
 
-  /** A machine is certainly gone; its name never comes back. */
+  /** Removes a machine that is certainly gone; its name is never reused. */
   void remove(Machine machine) {
     lost(machine, ClosingEvidence.MACHINE_GONE);
     machines.remove(machine.id());
--- /dev/null
+++ b/src/main/java/org/ternhinge/scaling/OfferBackoff.java
@@ -0,0 +1,38 @@
+package org.ternhinge.scaling;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.ternhinge.model.SteadyTime;
+
+/**
+ * Exponential back-off of offers for which the cloud lacked capacity. Guarded by the controller's
+ * lock.
+ */
+final class OfferBackoff {
+  /** Seconds of the first pause of an offer, which doubles each time. */
+  private static final double FIRST_PAUSE_S = 5;
+
+  private static final double MAX_PAUSE_S = 30;
+
+  private record Pause(SteadyTime until, double lengthS) {}
+
+  private final Map<OfferKey, Pause> pauses = new HashMap<>();
+
+  /** Pauses an offer for which the cloud lacked capacity. */
+  void pause(OfferKey offer, SteadyTime now) {
+    Pause last = pauses.get(offer);
+    double lengthS = last == null ? FIRST_PAUSE_S : Math.min(MAX_PAUSE_S, last.lengthS() * 2);
+    pauses.put(offer, new Pause(now.plusSeconds(lengthS), lengthS));
+  }
+
+  /** Ends the back-off of an offer for which the cloud had capacity. */
+  void reset(OfferKey offer) {
+    pauses.remove(offer);
+  }
+
+  /** Whether an offer is not to be requested now. */
+  boolean isPaused(OfferKey offer, SteadyTime now) {
+    Pause pause = pauses.get(offer);
+    return pause != null && !pause.until().isBefore(now);
+  }
+}
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -1,6 +1,7 @@
 package org.ternhinge.scaling;
 
 import java.util.List;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.ternhinge.config.Settings;
@@ -11,90 +12,94 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ZoneMachineCounts;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
 /**
- * Returns idle machines that are of no use: they never came up, went silent, don't get what they
- * are told, or fail their tasks. Such machines are charged until they are returned. Guarded by the
- * controller's lock.
+ * Releases idle machines that can't be used, for the reasons in {@link ReleaseReason}. Such
+ * machines are charged until they are released. Guarded by the controller's lock.
  */
 public final class UnusableMachineCheck {
   private static final Logger LOG = LoggerFactory.getLogger(UnusableMachineCheck.class);
 
-  /** So many machines of a zone may be silent, each for a reason of its own, or such a share. */
-  private static final int FEW_SILENT = 2;
+  /** Up to this many machines of a zone may be silent for reasons of their own. */
+  private static final int MAX_UNRELATED_SILENT = 2;
 
-  private static final double ZONE_SILENT_SHARE = 0.2;
+  /** The same as a share of the zone's machines; the larger of both limits counts. */
+  private static final double MAX_UNRELATED_SILENT_SHARE = 0.2;
+
+  /** Leases that a machine may stay silent after its own lease has expired. */
+  private static final int SILENT_LEASES = 1;
 
   /**
-   * Leases after its own has ended for which a machine is kept where a good part of its zone is
-   * silent: then it is the network, and a return just before it is back would cost a boot and the
-   * images of each machine.
+   * The same where more machines of the zone are silent. The cause is the network then, and a
+   * release shortly before the network is back would cost each machine's boot and images.
    */
-  private static final int ZONE_LEASES = 3;
+  private static final int SILENT_LEASES_IN_SILENT_ZONE = 3;
 
   /**
-   * A machine that the cloud's list says is up gets so many times its type's usual time to boot to
-   * report to this leadership, and at least so much more: its way here may be cut.
+   * Multiple of its type's nominal boot time that a machine which is listed as running has for its
+   * first heartbeat in this leadership: the network between it and the leader may be cut.
    */
-  private static final double UNHEARD_FACTOR = 3;
+  private static final double FIRST_HEARTBEAT_FACTOR = 3;
 
-  private static final double UNHEARD_MARGIN_S = 45;
+  /** The machine has at least this many seconds beyond the nominal boot time. */
+  private static final double FIRST_HEARTBEAT_MARGIN_S = 45;
 
-  /** Heartbeats that a worker may owe a new leader. */
+  /** Heartbeat intervals in which workers can find a new leader. */
   private static final int HEARTBEATS_AWAITED = 2;
 
-  /** Leases for which a machine may go without getting what it is told. */
+  /** Leases for which a machine may be unreachable by commands. */
   private static final double UNREACHABLE_LEASES = 2;
 
   private final Settings settings;
+  private final Ledger ledger;
+  private final SteadyTime electedAt;
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
-  private final Ledger ledger;
   private final MachineReleaser releaser;
   private final BootTimes bootTimes;
-  private final SteadyTime electedAt;
 
+  /** Creates a check of all machines in a registry. */
   public UnusableMachineCheck(
-      Settings settings,
+      LeadershipContext context,
       MachineRegistry machines,
       MachineTypeCatalog machineTypes,
-      Ledger ledger,
       MachineReleaser releaser,
-      BootTimes bootTimes,
-      SteadyTime electedAt) {
-    this.settings = settings;
+      BootTimes bootTimes) {
+    this.settings = context.services().settings();
+    this.ledger = context.ledger();
+    this.electedAt = context.electedAt();
     this.machines = machines;
     this.machineTypes = machineTypes;
-    this.ledger = ledger;
     this.releaser = releaser;
     this.bootTimes = bootTimes;
-    this.electedAt = electedAt;
   }
 
-  /** Returns what is of no use now. */
+  /** Releases the idle machines that can't be used now. */
   public void check(SteadyTime now) {
-    boolean[] mostlySilent = mostlySilentZones(now);
+    boolean[] silentZones = silentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
-      MachineType type = machineTypes.find(machine.description().typeName());
-      if (type == null
-          || machine.cloud().isReleasing()
-          || machine.cloud().isTerminated()
-          || !ledger.attemptsOn(machine.id()).isEmpty()) {
-        continue;
-      }
-      boolean zoneSilent =
-          machine.description().zone() >= 0 && mostlySilent[machine.description().zone()];
-      String fault = fault(machine, type, zoneSilent, now);
-      if (fault != null) {
-        LOG.info("scale in: releasing machine {}: {}", machine.id(), fault);
-        releaser.release(machine);
+      if (isIdle(machine)) {
+        reasonToRelease(machine, silentZones, now).ifPresent(reason -> release(machine, reason));
       }
     }
   }
 
-  /** For each zone, whether so many machines are silent that it must be the network. */
-  private boolean[] mostlySilentZones(SteadyTime now) {
+  private void release(Machine machine, ReleaseReason reason) {
+    LOG.info("scale in: releasing machine {}: {}", machine.id(), reason);
+    releaser.release(machine);
+  }
+
+  /** Whether a machine has no attempts and is not about to go for another reason. */
+  private boolean isIdle(Machine machine) {
+    return !machine.cloud().isReleasing()
+        && !machine.cloud().isTerminated()
+        && ledger.attemptsOn(machine.id()).isEmpty();
+  }
+
+  /** For each zone, whether so many machines are silent that the cause must be the network. */
+  private boolean[] silentZones(SteadyTime now) {
     List<ZoneMachineCounts.Count> machineCounts =
         ZoneMachineCounts.of(
             machines.all(),
@@ -102,45 +107,66 @@
             machine -> machine.description().zone(),
             machine -> machine.agent().isHeard() && !machine.cloud().isTerminated(),
             machine -> machine.agent().isLeaseExpired(now));
-    boolean[] mostlySilent = new boolean[machineCounts.size()];
-    for (int zone = 0; zone < mostlySilent.length; zone++) {
-      double most = Math.max(FEW_SILENT, machineCounts.get(zone).counted() * ZONE_SILENT_SHARE);
-      mostlySilent[zone] = machineCounts.get(zone).marked() > most;
+    boolean[] silent = new boolean[machineCounts.size()];
+    for (int zone = 0; zone < silent.length; zone++) {
+      ZoneMachineCounts.Count count = machineCounts.get(zone);
+      double maxUnrelated =
+          Math.max(MAX_UNRELATED_SILENT, count.counted() * MAX_UNRELATED_SILENT_SHARE);
+      silent[zone] = count.marked() > maxUnrelated;
     }
-    return mostlySilent;
+    return silent;
   }
 
-  /** Why a machine is of no use, or null. */
-  private String fault(Machine machine, MachineType type, boolean zoneSilent, SteadyTime now) {
-    if (neverCameUp(machine, type, now)) {
-      return "never up";
+  /** Why a machine can't be used; empty where it can, or where its type is not known. */
+  private Optional<ReleaseReason> reasonToRelease(
+      Machine machine, boolean[] silentZones, SteadyTime now) {
+    Optional<MachineType> type = machineTypes.typeOf(machine);
+    if (type.isEmpty()) {
+      return Optional.empty();
     }
-    double leaseS = settings.workers().leaseS();
-    double silenceAllowedS = leaseS * (zoneSilent ? ZONE_LEASES : 1);
-    if (machine.agent().isHeard()
-        && machine.agent().leaseExpiry().plusSeconds(silenceAllowedS).isBefore(now)) {
-      return "silent";
+    if (hasNeverComeUp(machine, type.get(), now)) {
+      return Optional.of(ReleaseReason.NEVER_UP);
     }
-    if (machine.health().reachability().unreachableFor(now) > UNREACHABLE_LEASES * leaseS) {
-      return "unreachable by commands";
+    if (isSilent(machine, silentZones, now)) {
+      return Optional.of(ReleaseReason.SILENT);
     }
-    return machine.health().isQuarantined(now) ? "quarantined" : null;
+    if (isUnreachable(machine, now)) {
+      return Optional.of(ReleaseReason.UNREACHABLE);
+    }
+    return machine.health().isQuarantined(now)
+        ? Optional.of(ReleaseReason.QUARANTINED)
+        : Optional.empty();
   }
 
   /**
-   * Whether a machine has not come up in the time that it may take. That counts from its provision
-   * request, whichever leader provisioned it; but one that is up has to find a new leader first.
+   * Whether a machine has not come up within the time allowed. The time counts from its provision
+   * request, whichever leader made it; but a machine that is up has to find a new leader first.
    */
-  private boolean neverCameUp(Machine machine, MachineType type, SteadyTime now) {
+  private boolean hasNeverComeUp(Machine machine, MachineType type, SteadyTime now) {
     if (machine.agent().isHeard()) {
       return false;
     }
     if (machine.cloud().isListedRunning()) {
-      double allowedS = Math.max(UNHEARD_FACTOR * type.bootS(), type.bootS() + UNHEARD_MARGIN_S);
+      double allowedS =
+          Math.max(FIRST_HEARTBEAT_FACTOR * type.bootS(), type.bootS() + FIRST_HEARTBEAT_MARGIN_S);
       return now.secondsSince(machine.cloud().provisionedAt().max(electedAt)) > allowedS;
     }
     return now.secondsSince(electedAt)
             > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
         && bootTimes.isGivenUp(machine, now);
   }
+
+  private boolean isSilent(Machine machine, boolean[] silentZones, SteadyTime now) {
+    int zone = machine.description().zone();
+    boolean inSilentZone = zone >= 0 && silentZones[zone];
+    int leases = inSilentZone ? SILENT_LEASES_IN_SILENT_ZONE : SILENT_LEASES;
+    double allowedS = settings.workers().leaseS() * leases;
+    return machine.agent().isHeard()
+        && machine.agent().leaseExpiry().plusSeconds(allowedS).isBefore(now);
+  }
+
+  private boolean isUnreachable(Machine machine, SteadyTime now) {
+    return machine.health().reachability().unreachableFor(now)
+        > UNREACHABLE_LEASES * settings.workers().leaseS();
+  }
 }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -23,6 +23,7 @@
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
@@ -62,20 +63,20 @@
 
   private AttemptObserver observer() {
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
-    return new AttemptObserver(fixture.attempts, fixture.ledger, Map.of(), failures, new Metrics());
+    return new AttemptObserver(fixture.attempts, fixture.ledger, machineTypes(), failures, new Metrics());
   }
 
   private FirstHeartbeatHandler firstHeartbeats() {
     MachineProvisioner provisioner =
-        new MachineProvisioner(
-            fixture.services(null),
-            fixture.authority,
-            fixture.executor,
-            fixture.machines,
-            fixture.context.rounds(),
-            fixture.bucketedRecords("r/"));
+        new MachineProvisioner(fixture.context, fixture.machines);
     return new FirstHeartbeatHandler(
-        fixture.context, provisioner, new BootTimes(fixture.machines, Map.of(), fixture.now()));
+        fixture.context,
+        provisioner,
+        new BootTimes(fixture.machines, machineTypes(), fixture.now()));
+  }
+
+  private MachineTypeCatalog machineTypes() {
+    return new MachineTypeCatalog(null, fixture.executor, List.of());
   }
 
   private HeartbeatResult process(Heartbeat heartbeat) {
@@ -132,8 +133,8 @@
       MachineId id = new MachineId("n-2");
       Machine ofAnotherLeader = new LeadershipFixture().machine("n-2");
       assertEquals(List.of(), commands(fixture.heartbeat(ofAnotherLeader).build()));
-      assertEquals("small", fixture.machines.find(id).description().typeName());
-      assertEquals("east", fixture.machines.find(id).description().zoneName());
+      assertEquals("small", fixture.machines.find(id).orElseThrow().description().typeName());
+      assertEquals("east", fixture.machines.find(id).orElseThrow().description().zoneName());
     }
   }
 
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -11,7 +11,8 @@
 /** Back-off and avoided machines of a job that fails. */
 class JobFailuresTest {
   /**
-   * No job may wait for 90 s beside a machine that fits; a mark that never ends would have it so.
+   * No job may wait for 90 s although a machine is free for it; a job that fits only few machines
+   * would if it avoided them for ever.
    */
   @Test
   void aMachineIsAvoidedForAWhileAndCountedForEver() {
@@ -21,9 +22,9 @@
     JobFailures failures = new JobFailures();
     failures.failedOn(first, start);
     failures.failedOn(second, start.plusSeconds(20));
-    assertEquals(Set.of(first, second), failures.avoid(start.plusSeconds(30)));
-    assertEquals(Set.of(second), failures.avoid(start.plusSeconds(50)));
-    assertEquals(Set.of(), failures.avoid(start.plusSeconds(70)));
+    assertEquals(Set.of(first, second), failures.avoidedMachines(start.plusSeconds(30)));
+    assertEquals(Set.of(second), failures.avoidedMachines(start.plusSeconds(50)));
+    assertEquals(Set.of(), failures.avoidedMachines(start.plusSeconds(70)));
     assertEquals(2, failures.machineCount());
   }
 }
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -2,11 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
@@ -35,7 +36,21 @@
     assertFalse(registry.wasRemoved(FIRST));
     registry.remove(FIRST);
     assertTrue(registry.wasRemoved(FIRST));
-    assertNull(registry.find(FIRST));
+    assertEquals(Optional.empty(), registry.find(FIRST));
     assertFalse(registry.wasRemoved(SECOND));
   }
+
+  @Test
+  void onlyAMachineThatWasAddedIsFound() {
+    assertEquals(Optional.empty(), registry.find(FIRST));
+    Machine first = registry.findOrAdd(FIRST, NOW);
+    assertEquals(Optional.of(first), registry.find(FIRST));
+    assertEquals(Optional.empty(), registry.find(SECOND));
+  }
+
+  @Test
+  void machinesAreRemovedByTheRegistryAlone() {
+    registry.findOrAdd(FIRST, NOW);
+    assertThrows(UnsupportedOperationException.class, () -> registry.all().clear());
+  }
 }
--- /dev/null
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -0,0 +1,161 @@
+package org.ternhinge.machine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Named;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+
+/** The cached view of a machine, and the state that it is built of. */
+class MachineTest {
+  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final JobId JOB = new JobId("wk-1");
+  private static final JobId OTHER_JOB = new JobId("wk-2");
+
+  private final Machine machine = new Machine(new MachineId("n-1"), NOW, NOW.plusSeconds(30));
+  private int viewsBuilt;
+
+  private Snapshot.MachineView view(boolean ready) {
+    return machine.view(ready, () -> buildView(ready));
+  }
+
+  private Snapshot.MachineView buildView(boolean ready) {
+    viewsBuilt++;
+    return new Snapshot.MachineView(
+        machine.id(),
+        null,
+        machine.description().zone(),
+        machine.description().zoneName(),
+        machine.description().spot(),
+        Resources.ZERO,
+        ready,
+        machine.images(),
+        machine.idleSince(),
+        machine.cloud().provisionedAt(),
+        List.of(),
+        List.of());
+  }
+
+  private static Machine.Reservation reservation(JobId job, double untilS) {
+    return new Machine.Reservation(job, Resources.offer(1, 0, 1), NOW.plusSeconds(untilS));
+  }
+
+  /** When the planner's view is built again. */
+  @Nested
+  class CachedView {
+    @BeforeEach
+    void buildOnce() {
+      machine.useImage("old", 1, 10);
+      machine.reserve(reservation(JOB, 10));
+      view(true);
+      viewsBuilt = 0;
+    }
+
+    static Stream<Named<Consumer<Machine>>> changes() {
+      return Stream.of(
+          Named.of("description", m -> m.describe(MachineDescription.UNKNOWN)),
+          Named.of("provision time", m -> m.provisionedAt(NOW)),
+          Named.of("tasks", m -> m.tasks(List.of())),
+          Named.of("new image", m -> m.useImage("new", 1, 10)),
+          Named.of("idle time", m -> m.markIdle(NOW)),
+          Named.of("new reservation", m -> m.reserve(reservation(OTHER_JOB, 10))),
+          Named.of("dropped reservation", m -> m.dropReservation(JOB)),
+          Named.of("expired reservation", m -> m.expireReservations(NOW.plusSeconds(11))),
+          Named.of("attempts", Machine::invalidateView));
+    }
+
+    @ParameterizedTest
+    @MethodSource("changes")
+    void isBuiltAgainAfterAChangeOf(Consumer<Machine> change) {
+      change.accept(machine);
+      view(true);
+      assertEquals(1, viewsBuilt);
+    }
+
+    static Stream<Named<Consumer<Machine>>> nonChanges() {
+      return Stream.of(
+          Named.of("nothing", m -> {}),
+          Named.of("an image that it holds", m -> m.useImage("old", 1, 10)),
+          Named.of("a reservation of another job", m -> m.dropReservation(OTHER_JOB)),
+          Named.of("a reservation that lasts", m -> m.expireReservations(NOW.plusSeconds(10))));
+    }
+
+    @ParameterizedTest
+    @MethodSource("nonChanges")
+    void isKeptAfter(Consumer<Machine> nonChange) {
+      Snapshot.MachineView before = view(true);
+      nonChange.accept(machine);
+      assertSame(before, view(true));
+      assertEquals(0, viewsBuilt);
+    }
+
+    @Test
+    void isBuiltAgainWhenReadinessChanges() {
+      assertFalse(view(false).ready());
+      assertTrue(view(true).ready());
+      assertEquals(2, viewsBuilt);
+    }
+  }
+
+  /** Room that is kept free for jobs. */
+  @Nested
+  class Reservations {
+    @Test
+    void areDroppedOneAtATime() {
+      machine.reserve(reservation(JOB, 10));
+      machine.reserve(reservation(OTHER_JOB, 10));
+      machine.reserve(reservation(JOB, 20));
+      machine.dropReservation(JOB);
+      assertEquals(
+          List.of(reservation(OTHER_JOB, 10), reservation(JOB, 20)), machine.reservations());
+    }
+
+    @Test
+    void expireAfterTheirTime() {
+      machine.reserve(reservation(JOB, 10));
+      machine.reserve(reservation(OTHER_JOB, 20));
+      assertFalse(machine.expireReservations(NOW.plusSeconds(10)));
+      assertTrue(machine.expireReservations(NOW.plusSeconds(11)));
+      assertEquals(List.of(reservation(OTHER_JOB, 20)), machine.reservations());
+    }
+
+    @Test
+    void canNotBeChangedFromOutside() {
+      List<Machine.Reservation> view = machine.reservations();
+      assertThrows(UnsupportedOperationException.class, () -> view.add(reservation(JOB, 10)));
+    }
+  }
+
+  @Test
+  void aNewMachineIsIdleAndUnknown() {
+    assertFalse(machine.description().isKnown());
+    assertEquals(NOW, machine.idleSince());
+    assertEquals(List.of(), machine.tasks());
+    assertEquals(Set.of(), machine.images());
+    assertEquals(NOW.plusSeconds(30), machine.agent().leaseExpiry());
+  }
+
+  @Test
+  void eachReplacementOfTasksIsANewRevision() {
+    long before = machine.tasksRevision();
+    machine.tasks(List.of());
+    machine.tasks(List.of());
+    assertEquals(before + 2, machine.tasksRevision());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -0,0 +1,43 @@
+package org.ternhinge.machine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+
+/** Machines of a group by zone. */
+class ZoneMachineCountsTest {
+  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final List<String> ZONES = List.of("east", "west", "south");
+
+  private static Machine machine(String zone) {
+    Machine machine = new Machine(new MachineId("n-1"), NOW, NOW);
+    machine.describe(MachineDescription.of("small", zone, false, ZONES));
+    return machine;
+  }
+
+  @Test
+  void onlyMachinesOfTheGroupInAKnownZoneAreCounted() {
+    Machine released = machine("east");
+    released.cloud().markReleasing();
+    Machine heard = machine("west");
+    heard.agent().heard(NOW);
+    List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), heard));
+    machines.add(released);
+    machines.add(machine("north"));
+    assertEquals(
+        List.of(
+            new ZoneMachineCounts.Count(1, 0),
+            new ZoneMachineCounts.Count(2, 1),
+            new ZoneMachineCounts.Count(0, 0)),
+        ZoneMachineCounts.of(
+            machines,
+            ZONES.size(),
+            machine -> machine.description().zone(),
+            machine -> !machine.cloud().isReleasing(),
+            machine -> machine.agent().isHeard()));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
@@ -0,0 +1,24 @@
+package org.ternhinge.scaling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Outcome;
+
+/** Delays of retries by the outcome. */
+class RetryPolicyTest {
+  @ParameterizedTest
+  @CsvSource({"held, 0.3, true", "refused, 1.5, false", "lost, 1.5, false"})
+  void onlyTheRateLimitShortensTheDelay(String word, double delayS, boolean rateLimited) {
+    Outcome<Integer> outcome = ScriptedCloud.outcome(word, () -> 1);
+    assertEquals(delayS, RetryPolicy.RECORDED_REQUESTS.delayS(outcome));
+    assertEquals(rateLimited, RetryPolicy.isRateLimited(outcome));
+  }
+
+  @Test
+  void aFailureWithoutAnOutcomeIsNoRateLimit() {
+    assertEquals(1.5, RetryPolicy.RECORDED_REQUESTS.delayS(null));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
@@ -0,0 +1,84 @@
+package org.ternhinge.scaling;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Supplier;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
+
+/**
+ * Answers requests by scripts and records them. The script of listings has a word for each page;
+ * without one the whole list is in two pages. Requests beyond the script of their kind get no
+ * answer.
+ */
+final class ScriptedCloud implements Cloud {
+  static final MachineId FIRST = new MachineId("n-000001");
+  static final MachineId LAST = new MachineId("n-000999");
+
+  final Deque<String> listScript = new ArrayDeque<>();
+  final Deque<Outcome<List<MachineId>>> provisionAnswers = new ArrayDeque<>();
+  final Deque<Outcome<Integer>> releaseAnswers = new ArrayDeque<>();
+  final List<RequestPriority> listPriorities = new ArrayList<>();
+  final List<ProvisionRequest> provisionRequests = new ArrayList<>();
+  final List<List<MachineId>> releaseRequests = new ArrayList<>();
+
+  /** The state of the machines in the list. */
+  ListedMachine.State listedState = ListedMachine.State.RUNNING;
+
+  @Override
+  public CompletableFuture<Outcome<ListedMachine.Page>> list(
+      MachineId after, int limit, RequestPriority priority) {
+    listPriorities.add(priority);
+    String next = listScript.isEmpty() ? "page" : listScript.poll();
+    return CompletableFuture.completedFuture(outcome(next, () -> page(after)));
+  }
+
+  /** The outcome that a word of a script names. */
+  static <T> Outcome<T> outcome(String word, Supplier<T> value) {
+    return switch (word) {
+      case "held" -> Outcome.notApplied(Reason.RATE_LIMITED, "no tokens");
+      case "refused" -> Outcome.notApplied(Reason.REFUSED, "trouble");
+      case "invalid" -> Outcome.notApplied(Reason.INVALID, "no such type");
+      case "conflict" -> Outcome.notApplied(Reason.CONFLICT, "other content");
+      case "lost" -> Outcome.unknown("no answer");
+      default -> Outcome.applied(value.get());
+    };
+  }
+
+  private ListedMachine.Page page(MachineId after) {
+    MachineId id = after == null ? FIRST : LAST;
+    ListedMachine host =
+        new ListedMachine(id, "10.0.1.1:9000", "small", "east", false, listedState, 5);
+    return new ListedMachine.Page(List.of(host), after == null);
+  }
+
+  @Override
+  public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
+    return new CompletableFuture<>();
+  }
+
+  @Override
+  public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
+    provisionRequests.add(request);
+    return provisionAnswers.isEmpty()
+        ? new CompletableFuture<>()
+        : CompletableFuture.completedFuture(provisionAnswers.remove());
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Integer>> release(List<MachineId> machines) {
+    releaseRequests.add(machines);
+    return releaseAnswers.isEmpty()
+        ? new CompletableFuture<>()
+        : CompletableFuture.completedFuture(releaseAnswers.remove());
+  }
+}
