--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -98,7 +98,7 @@
 
   /** Sends the recorded requests of earlier leaders again, since their outcome is not known. */
   public void resume(Entry entry) {
-    records.known(entry, this::resume);
+    records.restore(entry, this::resume);
   }
 
   private void resume(String name, JsonNode record) {
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -62,7 +62,7 @@
 
   /** Continues the recorded releases of earlier leaders. */
   public void resume(Entry entry) {
-    records.known(entry, (name, value) -> resume(new MachineId(name)));
+    records.restore(entry, (name, value) -> resume(new MachineId(name)));
   }
 
   private void resume(MachineId id) {
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -15,43 +15,55 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Many small facts in few records. A change of a record costs one of the key-value store's scarce
- * changes however much of it is new: with a record for each, the provision requests of a start from
- * nothing took the changes that hundreds of services were waiting for.
+ * Stores many small entries in few records of the key-value store. A write of a record costs one
+ * unit of the store's rate limit however many entries have changed: with a record for each entry,
+ * the provision requests of a start without machines would use up the rate that hundreds of
+ * services wait for. Guarded by the controller's lock.
  */
 public final class BucketedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(BucketedRecords.class);
   private static final Pattern INDEX = Pattern.compile("0|[1-9][0-9]{0,3}");
 
+  /** The braces of a JSON object. */
+  private static final int EMPTY_OBJECT_BYTES = 2;
+
+  /** Two quotes, a colon and a comma. */
+  private static final int ENTRY_SYNTAX_BYTES = 4;
+
+  /** One record with its entries and the size of its JSON. */
   private static final class Bucket {
     private final String key;
-    private final Map<String, JsonNode> items = new HashMap<>();
-    private int bytes = 2;
+    private final Map<String, JsonNode> entries = new HashMap<>();
+    private int bytes = EMPTY_OBJECT_BYTES;
 
     Bucket(String key) {
       this.key = key;
     }
 
+    boolean hasSpace(int entryBytes, int maxBytes) {
+      return entries.isEmpty() || bytes + entryBytes <= maxBytes;
+    }
+
     JsonNode value() {
       ObjectNode out = Json.object();
-      items.forEach(out::set);
+      entries.forEach(out::set);
       return out;
     }
 
     void add(String name, JsonNode value) {
-      JsonNode before = items.put(name, value);
+      JsonNode before = entries.put(name, value);
       bytes += bytes(name, value) - (before == null ? 0 : bytes(name, before));
     }
 
     void remove(String name) {
-      JsonNode before = items.remove(name);
+      JsonNode before = entries.remove(name);
       bytes -= before == null ? 0 : bytes(name, before);
     }
   }
 
   private final LedgerWriter writer;
   private final String prefix;
-  private final int valueBytes;
+  private final int maxRecordBytes;
   private final List<Bucket> buckets = new ArrayList<>();
   private final Map<String, Bucket> bucketByName = new HashMap<>();
 
@@ -59,23 +71,27 @@
    * Creates records without entries.
    *
    * @param prefix of the records' keys, which end in a number
-   * @param valueBytes the most that a record may take
+   * @param maxRecordBytes the largest size of a record; an entry above it has a record of its own
    */
-  public BucketedRecords(LedgerWriter writer, String prefix, int valueBytes) {
+  public BucketedRecords(LedgerWriter writer, String prefix, int maxRecordBytes) {
     this.writer = writer;
     this.prefix = prefix;
-    this.valueBytes = valueBytes;
+    this.maxRecordBytes = maxRecordBytes;
   }
 
   private static int bytes(String name, JsonNode value) {
-    return name.length() + Json.bytes(value).length + 4;
+    return name.length() + Json.bytes(value).length + ENTRY_SYNTAX_BYTES;
   }
 
-  /** Takes over a record of an earlier leader. */
-  public void known(Entry entry, BiConsumer<String, JsonNode> each) {
+  /**
+   * Restores a record of an earlier leadership.
+   *
+   * @param each gets the name and value of each entry; may remove it
+   */
+  public void restore(Entry entry, BiConsumer<String, JsonNode> each) {
     String number = entry.key().substring(prefix.length());
     if (!INDEX.matcher(number).matches() || !entry.value().isObject()) {
-      // Of another version, or written by hand: a leader that stumbled here would never be ready.
+      // Of another version, or written by hand: a leader that failed here would never be ready.
       LOG.error("record {} is not one of ours and is left alone", entry.key());
       return;
     }
@@ -89,7 +105,7 @@
               bucket.add(e.getKey(), e.getValue());
               bucketByName.put(e.getKey(), bucket);
             });
-    // What each fact asks for may remove it at once, so the record has to be whole before.
+    // The callback may remove its entry at once, so the bucket has to be complete before.
     entry.value().properties().forEach(e -> each.accept(e.getKey(), e.getValue()));
   }
 
@@ -100,20 +116,27 @@
     return buckets.get(index);
   }
 
-  /** Notes a fact; the action follows once the key-value store holds it. */
-  public void put(String name, JsonNode value, Runnable durable) {
-    Bucket target = null;
-    for (int i = 0; target == null; i++) {
-      Bucket bucket = bucket(i);
-      boolean fits = bucket.items.isEmpty() || bucket.bytes + bytes(name, value) <= valueBytes;
-      target = fits ? bucket : null;
+  /**
+   * Adds an entry to the first record with space for it.
+   *
+   * @param onDurable runs once the key-value store holds the entry
+   */
+  public void put(String name, JsonNode value, Runnable onDurable) {
+    Bucket bucket = firstWithSpace(bytes(name, value));
+    bucket.add(name, value);
+    bucketByName.put(name, bucket);
+    writer.write(bucket.key, bucket::value, onDurable);
+  }
+
+  private Bucket firstWithSpace(int entryBytes) {
+    int index = 0;
+    while (!bucket(index).hasSpace(entryBytes, maxRecordBytes)) {
+      index++;
     }
-    target.add(name, value);
-    bucketByName.put(name, target);
-    writer.write(target.key, target::value, durable);
+    return bucket(index);
   }
 
-  /** Forgets a fact that has done its duty. */
+  /** Removes an entry that is no longer needed; an unknown name is ignored. */
   public void remove(String name) {
     Bucket bucket = bucketByName.remove(name);
     if (bucket != null) {
--- a/src/main/java/org/ternhinge/term/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -11,15 +11,15 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * The services that a controller is built on. They live as long as the process and so outlast every
- * leadership.
+ * The services that one controller process is built on. They are created once, live as long as the
+ * process and so outlive every leadership.
  *
- * @param settings what the site's configuration says
- * @param tuning intervals and margins of this controller
- * @param store client of the key-value store
- * @param cloud client of the cloud that provisions machines out
+ * @param settings the site's configuration
+ * @param tuning intervals and margins of this controller, in seconds
+ * @param store client of the key-value store; safe for use by several threads
+ * @param cloud client of the cloud that provisions and releases machines
  * @param workers client of the workers' command endpoints
- * @param clock source of time and of timers
+ * @param clock source of time and of timers; timers run without the lock
  * @param lock guards all shared state of the controller
  * @param scheduler runs scheduling rounds, which take too long for a network thread
  * @param metrics counters of this process
--- a/src/main/java/org/ternhinge/term/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -6,14 +6,14 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * What most parts of one leadership are built upon.
+ * What the components of one leadership are built on.
  *
- * @param services of the process, which outlive the leadership
+ * @param services the services of the process, which outlive the leadership
  * @param authority the term that the leadership acts under
- * @param executor runs actions under the lock until the leadership ends
- * @param ledger jobs and attempts
- * @param writer brings the ledger's changes to the key-value store
- * @param rounds asks for a scheduling round
+ * @param executor runs actions under the controller's lock until the leadership ends
+ * @param ledger the jobs and attempts that this leadership knows
+ * @param writer writes the ledger's changes to the key-value store
+ * @param rounds requests scheduling rounds
  * @param electedAt when the leadership began
  */
 public record LeadershipContext(
@@ -25,7 +25,11 @@
     RoundTrigger rounds,
     SteadyTime electedAt) {
 
-  /** Records of the key-value store under a prefix that hold many small entries each. */
+  /**
+   * Creates a store of many small entries in few records.
+   *
+   * @param prefix the prefix of the keys of these records
+   */
   public BucketedRecords bucketedRecords(String prefix) {
     return new BucketedRecords(writer, prefix, services.settings().storeLimits().valueBytes());
   }
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -20,6 +20,11 @@
   /** Guarded by the lock. */
   private boolean stopped;
 
+  /**
+   * Creates the executor of a leadership that has begun.
+   *
+   * @param lock the controller's lock
+   */
   public LeadershipExecutor(Clock clock, Lock lock) {
     this.clock = clock;
     this.executor = new LockedExecutor(lock);
@@ -52,11 +57,15 @@
   }
 
   /**
-   * Hands an answer on under the lock, unless the leadership is over by then.
+   * Hands the outcome of a call on under the lock, unless the leadership is over by then.
    *
-   * @param next gets the outcome, or null where the client failed without one
+   * @param next gets the outcome; {@link Outcome.Unknown} where the client failed without one
    */
   public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
-    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
+    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(orUnknown(outcome))));
+  }
+
+  private static <T> Outcome<T> orUnknown(Outcome<T> outcome) {
+    return outcome == null ? Outcome.unknown("the client failed") : outcome;
   }
 }
--- a/src/main/java/org/ternhinge/term/RoundTrigger.java
+++ b/src/main/java/org/ternhinge/term/RoundTrigger.java
@@ -1,10 +1,10 @@
 package org.ternhinge.term;
 
-/** Asks for a scheduling round, for whatever changes what could be placed where. */
+/** Requests scheduling rounds; used by whatever changes which tasks could be placed where. */
 @FunctionalInterface
 public interface RoundTrigger {
   /**
-   * Asks for a round soon. Requests made before it has begun are served by the same round. Called
+   * Requests a round soon. Requests made before it has begun are served by the same round. Called
    * under the controller's lock.
    */
   void requestRound();
--- a/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Records that hold many small facts each. */
+/** How entries are packed into records, and restored from them. */
 class BucketedRecordsTest {
   /** Records by their keys, written by the code of commit d679fcc. */
   private static final Map<String, String> D679FCC =
@@ -58,15 +58,15 @@
         "r/99999999999 | {\"a\":1} |",
         "r/1 | [1,2] |"
       })
-  void takesOverItsOwnRecordsAndLeavesOthersAlone(String key, String value, String facts)
+  void itsOwnRecordsAreRestoredAndOthersIgnored(String key, String value, String entries)
       throws Exception {
     LedgerWriter writer = new LedgerWriter(null, null, null, new SimClock(), null, 16, a -> {});
-    BucketedRecords slots = new BucketedRecords(writer, "r/", 8 * 1024);
+    BucketedRecords records = new BucketedRecords(writer, "r/", 8 * 1024);
     List<String> found = new ArrayList<>();
-    slots.known(
+    records.restore(
         new Entry(key, Json.parse(value.getBytes(StandardCharsets.UTF_8)), new Revision(7)),
-        (name, fact) -> found.add(name));
-    assertEquals(facts == null ? "" : facts, String.join(" ", found));
+        (name, entryValue) -> found.add(name));
+    assertEquals(entries == null ? "" : entries, String.join(" ", found));
   }
 
   /**
@@ -102,23 +102,24 @@
             new ReentrantLock(),
             16,
             a -> {});
-    BucketedRecords slots = new BucketedRecords(writer, key.substring(0, 2), 8192);
+    BucketedRecords records = new BucketedRecords(writer, key.substring(0, 2), 8192);
     List<String> found = new ArrayList<>();
-    slots.known(core.get(key).entry().orElseThrow(), (name, fact) -> found.add(name + fact));
-    String fact = Json.parse(value.getBytes(StandardCharsets.UTF_8)).get(known).toString();
-    assertEquals(List.of(known + fact), found);
-    slots.put(next, Json.object(), () -> found.add("durable"));
+    records.restore(
+        core.get(key).entry().orElseThrow(), (name, entryValue) -> found.add(name + entryValue));
+    String entryValue = Json.parse(value.getBytes(StandardCharsets.UTF_8)).get(known).toString();
+    assertEquals(List.of(known + entryValue), found);
+    records.put(next, Json.object(), () -> found.add("durable"));
     assertEquals("durable", found.get(1));
     assertEquals(2, core.get(key).entry().orElseThrow().value().size());
-    slots.remove(next);
+    records.remove(next);
     assertEquals(value, core.get(key).entry().orElseThrow().value().toString());
-    slots.remove(known);
+    records.remove(known);
     assertEquals("{}", core.get(key).entry().orElseThrow().value().toString());
   }
 
   /**
-   * Several facts in a record, and how many go into one under a small limit, as the code of commit
-   * d679fcc writes them: five provision requests, five returns.
+   * Several entries in a record, and how many go into one under a small limit, as the code of
+   * commit d679fcc writes them: five provision requests, five returns.
    */
   @ParameterizedTest(name = "{0} in records of {1} bytes")
   @CsvSource({"r/, 256, 3", "x/, 64, 2"})
@@ -143,7 +144,7 @@
     for (int i = 0; i < records; i++) {
       Entry entry = core.get(prefix + i).entry().orElseThrow();
       assertEquals(D679FCC.get(prefix + i), entry.value().toString());
-      read.known(entry, (name, fact) -> found.add(name + fact));
+      read.restore(entry, (name, entryValue) -> found.add(name + entryValue));
     }
     assertTrue(core.get(prefix + records).entry().isEmpty());
     TreeSet<String> all = new TreeSet<>();
--- a/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -41,7 +41,12 @@
     failed.completeExceptionally(new IllegalStateException("lost"));
     executor.locked(() -> run("action"));
     clock.runFor(6);
-    List<String> all = List.of("answer Applied[value=a]", "answer null", "action", "timer");
+    List<String> all =
+        List.of(
+            "answer Applied[value=a]",
+            "answer Unknown[detail=the client failed]",
+            "action",
+            "timer");
     assertEquals(stopped ? List.of() : all, ran);
     assertEquals(stopped, executor.stopped());
     assertFalse(lock.isLocked());
