--- a/src/main/java/org/ternhinge/api/SubmissionRejection.java
+++ b/src/main/java/org/ternhinge/api/SubmissionRejection.java
@@ -1,6 +1,7 @@
 package org.ternhinge.api;
 
-/** Why a submitted job can never run. */
+
+/** Why a submitted job is rejected: it could never run. */
 public enum SubmissionRejection {
   UNKNOWN_TEAM("unknown team"),
   NO_MACHINE_TYPE("a task fits no machine type that the job allows"),
@@ -16,7 +17,7 @@
     this.message = message;
   }
 
-  /** What the user is told. */
+  /** The message for the user. */
   public String message() {
     return message;
   }
--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -1,25 +1,26 @@
 package org.ternhinge.api;
 
-import java.util.Collection;
-import java.util.Map;
-import java.util.Optional;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Team;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.RecordSize;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.ledger.Ledger;
 import org.ternhinge.wire.MachineType;
+import org.ternhinge.ledger.RecordSize;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Team;
+
+import java.util.Collection;
+import java.util.Map;
+import java.util.Optional;
 
-/** Tells jobs that can never run from those that may, by the job's description alone. */
+/** Rejects jobs that can never run, by their description and the site's configuration alone. */
 public final class SubmissionValidator {
   private SubmissionValidator() {}
 
   /**
-   * Looks for a reason why a job can never run.
+   * Validates a job.
    *
    * @param machineTypes all machine types by their name
-   * @return the first reason found, or nothing if the job may run
+   * @return the first reason for a rejection, or nothing if the job is valid
    */
   public static Optional<SubmissionRejection> reject(
       JobSpec spec, Settings settings, Map<String, MachineType> machineTypes) {
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -1,5 +1,6 @@
 package org.ternhinge.cli;
 
+
 import java.util.Locale;
 import java.util.Set;
 
--- /dev/null
+++ b/src/main/java/org/ternhinge/controller/JobPath.java
@@ -0,0 +1,33 @@
+package org.ternhinge.controller;
+
+import org.ternhinge.model.JobId;
+
+import java.util.Optional;
+
+/** The paths of requests about one job. */
+final class JobPath {
+  static final String SUBMISSIONS = "/submissions";
+
+  private static final String JOB_PREFIX = SUBMISSIONS + "/";
+  private static final String CANCEL_SUFFIX = "/cancel";
+
+  private JobPath() {}
+
+  /** The job whose state is queried by this path; nothing for any other path. */
+  static Optional<JobId> queried(String path) {
+    return path.startsWith(JOB_PREFIX)
+        ? parse(path.substring(JOB_PREFIX.length()))
+        : Optional.empty();
+  }
+
+  /** The job that is cancelled by this path; nothing for any other path. */
+  static Optional<JobId> cancelled(String path) {
+    return path.endsWith(CANCEL_SUFFIX)
+        ? queried(path.substring(0, path.length() - CANCEL_SUFFIX.length()))
+        : Optional.empty();
+  }
+
+  private static Optional<JobId> parse(String name) {
+    return JobId.isValid(name) ? Optional.of(new JobId(name)) : Optional.empty();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ternhinge/controller/RouteTable.java
@@ -0,0 +1,135 @@
+package org.ternhinge.controller;
+
+import org.ternhinge.request.AnswerDeadline;
+import org.ternhinge.request.BootstrapMachineTypes;
+import org.ternhinge.model.Clock;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.request.DependencyCheck;
+import org.ternhinge.request.DependentSubmissionPath;
+import org.ternhinge.request.HeartbeatHandler;
+import org.ternhinge.request.JobCancellations;
+import org.ternhinge.model.JobId;
+import org.ternhinge.request.JobLookup;
+import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.JobRequestRouter;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.request.LeaderSearch;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.request.NodeConnectivity;
+import org.ternhinge.request.PeerClient;
+import org.ternhinge.http.Response;
+import org.ternhinge.request.Responses;
+import org.ternhinge.request.SubmissionForwarder;
+import org.ternhinge.request.SubmissionHandler;
+import org.ternhinge.request.SubmissionWriter;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Function;
+
+/** The routes of a node with the handlers that serve them. */
+final class RouteTable {
+  private static final String HEALTH_PATH = "/healthz";
+
+  private final Clock clock;
+  private final NodeConnectivity connectivity;
+  private final BootstrapMachineTypes machineTypes;
+  private final HeartbeatHandler heartbeats;
+  private final SubmissionHandler submissions;
+  private final JobRequestRouter queries;
+  private final JobRequestRouter cancellations;
+
+  /**
+   * Creates the handlers.
+   *
+   * @param otherNodes names of all other controllers
+   */
+  RouteTable(
+      ControllerServices services,
+      LeadershipRole role,
+      PeerClient peers,
+      List<String> otherNodes,
+      NodeConnectivity connectivity,
+      BootstrapMachineTypes machineTypes) {
+    this.clock = services.clock();
+    this.connectivity = connectivity;
+    this.machineTypes = machineTypes;
+    JobLookup lookup = new JobLookup(services.store());
+    SubmissionWriter writer = createWriter(services, role, lookup);
+    SubmissionForwarder forwarder = new SubmissionForwarder(peers, otherNodes, clock);
+    LeaderSearch search =
+        new LeaderSearch(role, peers, connectivity, otherNodes, clock, services.lock());
+    heartbeats = new HeartbeatHandler(role, peers, clock);
+    submissions =
+        new SubmissionHandler(
+            services.settings(), role, machineTypes, writer, forwarder, connectivity);
+    queries = new JobRequestRouter(new JobQueries(lookup), role, peers, search);
+    cancellations = new JobRequestRouter(new JobCancellations(lookup, clock), role, peers, search);
+  }
+
+  private static SubmissionWriter createWriter(
+      ControllerServices services, LeadershipRole role, JobLookup lookup) {
+    KeyValueStore store = services.store();
+    Lock lock = services.lock();
+    return new SubmissionWriter(
+        store,
+        lookup,
+        new DependencyCheck(role, lookup, lock),
+        role,
+        services.clock(),
+        lock,
+        services.settings().storeLimits().valueBytes());
+  }
+
+  /** The routes for users, workers and health checks. */
+  List<Route> forClients() {
+    return List.of(
+        new Route("POST", ControllerNode.WORKERS_PATH::equals, heartbeats::handle),
+        new Route(
+            "POST",
+            JobPath.SUBMISSIONS::equals,
+            withDeadline(AnswerDeadline.WRITE_S, submissions::handle)),
+        jobRoute("POST", JobPath::cancelled, AnswerDeadline.WRITE_S, cancellations),
+        jobRoute("GET", JobPath::queried, AnswerDeadline.POLL_S, queries),
+        new Route(
+            "GET", HEALTH_PATH::equals, (request, origin, answer) -> answer.accept(health())));
+  }
+
+  /** The routes for other controllers. */
+  List<Route> forPeers() {
+    List<Route> routes = new ArrayList<>(forClients());
+    routes.add(new Route("POST", DependentSubmissionPath::matches, submissions::handle));
+    return routes;
+  }
+
+  private Route jobRoute(
+      String method,
+      Function<String, Optional<JobId>> jobIn,
+      double deadlineS,
+      JobRequestRouter router) {
+    return new Route(
+        method,
+        path -> jobIn.apply(path).isPresent(),
+        withDeadline(
+            deadlineS,
+            (request, origin, answer) ->
+                router.handle(jobIn.apply(request.path()).orElseThrow(), request, origin, answer)));
+  }
+
+  private Route.Handler withDeadline(double deadlineS, Route.Handler handler) {
+    return (request, origin, answer) ->
+        handler.handle(request, origin, AnswerDeadline.within(deadlineS, clock, answer));
+  }
+
+  /**
+   * A node without machine types can't validate submissions, and an isolated one can't answer
+   * users.
+   */
+  private Response health() {
+    return machineTypes.isEmpty() || connectivity.isIsolated()
+        ? Responses.busy()
+        : Response.of(Responses.OK);
+  }
+}
--- a/src/main/java/org/ternhinge/http/Request.java
+++ b/src/main/java/org/ternhinge/http/Request.java
@@ -1,5 +1,6 @@
 package org.ternhinge.http;
 
+
 /** A whole request as a server gets it; the path has no query. */
 public final class Request {
   private final String method;
--- a/src/main/java/org/ternhinge/http/Response.java
+++ b/src/main/java/org/ternhinge/http/Response.java
@@ -1,5 +1,6 @@
 package org.ternhinge.http;
 
+
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -1,61 +1,60 @@
 package org.ternhinge.leadership;
 
-import java.util.Optional;
 import org.ternhinge.ledger.Dependencies;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.store.Entry;
+import org.ternhinge.model.JobId;
 import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+
+import java.util.Optional;
 
 /**
- * Reads how jobs ended that others wait for and that ended before this leadership, or too long ago
- * to be remembered. Each is read once however many wait for it, and only a few at a time, so that a
- * failover with many waiting jobs leaves the key-value store's rate to urgent writes. Guarded by
- * the controller's lock.
+ * Reads the ends of dependencies that the ledger does not hold: they ended before this leadership,
+ * or too long ago to be remembered. Each is read once however many jobs depend on it, and only a
+ * few at a time, so that a failover with many dependent jobs leaves the key-value store's rate to
+ * urgent writes. Guarded by the controller's lock.
  */
 final class DependencyResolver {
-  /** Reads that may be under way at once. */
+  /** Reads that may run at once. */
   private static final int MAX_READS = 8;
 
   /**
-   * Seconds until a job that was found nowhere is looked for again: it has just been accepted by
-   * another node, and the watch will bring it.
+   * Seconds until a job without an end is tried again: it has just been accepted by another node,
+   * and the watch will bring it.
    */
   private static final double RETRY_S = 0.5;
 
   private final KeyValueStore store;
-  private final Ledger ledger;
+  private final Dependencies dependencies;
   private final LeadershipExecutor executor;
   private final Runnable onResolved;
-  private int readsUnderWay;
+  private int runningReads;
 
   /**
-   * Creates a resolver that knows of no end yet.
+   * Creates a resolver that has read nothing yet.
    *
    * @param onResolved runs after the end of a job has become known
    */
-  DependencyResolver(
-      KeyValueStore store, Ledger ledger, LeadershipExecutor executor, Runnable onResolved) {
-    this.store = store;
-    this.ledger = ledger;
-    this.executor = executor;
+  DependencyResolver(LeadershipContext context, Runnable onResolved) {
+    this.store = context.services().store();
+    this.dependencies = context.ledger().dependencies();
+    this.executor = context.executor();
     this.onResolved = onResolved;
   }
 
-  /** Reads what is not known; called under the lock whenever a job may have come. */
+  /** Begins to read what is not known; called whenever jobs may have been added. */
   void pump() {
-    Dependencies dependencies = ledger.dependencies();
-    while (readsUnderWay < MAX_READS) {
+    while (runningReads < MAX_READS) {
       JobId id = dependencies.nextUnresolved();
       if (id == null) {
         return;
       }
-      readsUnderWay++;
+      runningReads++;
       executor.whenAnswered(
           store.get(Keys.end(id), RequestPriority.ENDING), outcome -> answered(id, outcome));
     }
@@ -67,8 +66,8 @@
             ? read.value().entry()
             : Optional.empty();
     if (end.isPresent()) {
-      readsUnderWay--;
-      ledger.dependencies().resolved(RecordCodec.decodeEnd(id, end.get().value()));
+      runningReads--;
+      dependencies.resolved(RecordCodec.decodeEnd(id, end.get().value()));
       onResolved.run();
       pump();
     } else {
@@ -77,8 +76,8 @@
   }
 
   private void retry(JobId id) {
-    readsUnderWay--;
-    ledger.dependencies().unknown(id);
+    runningReads--;
+    dependencies.unknown(id);
     pump();
   }
 }
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -1,72 +1,59 @@
 package org.ternhinge.leadership;
 
-import java.util.function.Consumer;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.model.Clock;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.store.Entry;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
-import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.scaling.MachineProvisioner;
-import org.ternhinge.scaling.MachineReleaser;
-import org.ternhinge.store.Entry;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipExecutor;
+
+import java.util.function.Consumer;
 
 /**
- * Starts a leadership from what earlier ones recorded: their jobs with all open attempts, the
- * provision requests and returns whose fate is not known, and the stops that cancelled jobs still
- * need. Nothing may be decided before, for a double start or a lost stop would follow.
+ * Restores what earlier leaderships recorded: their jobs with all open attempts, the provision
+ * requests and releases whose outcome is not known, and the stops that cancelled jobs still need.
+ * Nothing may be decided before, for a double start or a lost stop would follow. Guarded by the
+ * controller's lock.
  */
 final class LeadershipRecovery {
-  private final ControllerServices services;
-  private final LeadershipExecutor executor;
+  private final LeadershipContext context;
   private final Ledger ledger;
-  private final MachineRegistry machines;
-  private final MachineProvisioner provisioner;
+  private final MachineComponents fleet;
   private final MachineReleaser releaser;
-  private final TaskFailures failures;
 
-  LeadershipRecovery(
-      ControllerServices services,
-      LeadershipExecutor executor,
-      Ledger ledger,
-      MachineRegistry machines,
-      MachineProvisioner provisioner,
-      MachineReleaser releaser,
-      TaskFailures failures) {
-    this.services = services;
-    this.executor = executor;
-    this.ledger = ledger;
-    this.machines = machines;
-    this.provisioner = provisioner;
+  LeadershipRecovery(LeadershipContext context, MachineComponents fleet, MachineReleaser releaser) {
+    this.context = context;
+    this.ledger = context.ledger();
+    this.fleet = fleet;
     this.releaser = releaser;
-    this.failures = failures;
   }
 
   /**
-   * Reads the records, however often it has to ask.
+   * Reads the records, and retries until it has them all.
    *
    * @param onRecovered gets, under the lock, the revision that the ledger was loaded at; not called
    *     once the leadership is over
    */
   void start(Consumer<Revision> onRecovered) {
+    ControllerServices services = context.services();
     Clock clock = services.clock();
     new LedgerLoader(services.store(), clock, services.lock())
         .load(
             loaded -> {
-              if (!executor.stopped()) {
-                resume(loaded, clock.now());
+              if (!context.executor().stopped()) {
+                restore(loaded, clock.now());
                 onRecovered.accept(loaded.revision());
               }
             });
   }
 
-  private void resume(LedgerLoader.Loaded loaded, SteadyTime now) {
+  private void restore(LedgerLoader.Loaded loaded, SteadyTime now) {
     for (Job job : loaded.jobs()) {
       ledger.adopt(job);
     }
@@ -74,16 +61,16 @@
       releaser.resume(entry);
     }
     for (Entry entry : loaded.provisions()) {
-      provisioner.resume(entry);
+      fleet.provisioner.resume(entry);
     }
     for (MachineId id : ledger.machinesInUse()) {
-      machines.findOrAdd(id, now);
+      fleet.machines.findOrAdd(id, now);
     }
     stopCancelledJobs(now);
-    failures.jobBackoff().recover(loaded.jobs(), now);
+    fleet.failures.jobBackoff().recover(loaded.jobs(), now);
   }
 
-  /** The duty to end a cancelled job's tasks passes from leader to leader. */
+  /** An earlier leader may have ended before it had stopped all tasks of a cancelled job. */
   private void stopCancelledJobs(SteadyTime now) {
     for (Job job : ledger.jobs()) {
       if (job.cancelled()) {
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -1,50 +1,59 @@
 package org.ternhinge.leadership;
 
-import java.util.Optional;
 import org.ternhinge.election.Election;
 
+import java.util.Optional;
+
 /**
- * Who leads, as far as this node knows, and this node's own leadership while it has one. All
+ * Which node leads, as far as this node knows, and this node's own leadership while it has one. All
  * methods run under the controller's lock.
  */
 public final class LeadershipRole {
   private final String node;
   private final Election election;
-  private Leadership leadership;
+  private Optional<Leadership> leadership = Optional.empty();
 
+  /**
+   * Creates the role of a node that does not lead.
+   *
+   * @param node the name of this node
+   */
   public LeadershipRole(String node, Election election) {
     this.node = node;
     this.election = election;
   }
 
-  /** This node has been elected. */
+  /** This node has been elected and leads with this leadership. */
   public void begin(Leadership elected) {
-    leadership = elected;
+    leadership = Optional.of(elected);
   }
 
-  /** Ends this node's leadership and returns it. */
-  public Leadership end() {
-    Leadership ended = leadership;
-    leadership = null;
-    return ended;
+  /** This node no longer leads; its leadership is stopped. */
+  public void end() {
+    Optional<Leadership> ended = leadership;
+    leadership = Optional.empty();
+    ended.ifPresent(Leadership::stop);
   }
 
-  /** This node's leadership, also while it still loads the ledger or is no longer valid. */
+  /** This node's leadership, also while it still recovers the ledger or is no longer valid. */
   public Optional<Leadership> held() {
-    return Optional.ofNullable(leadership);
+    return leadership;
   }
 
-  /** This node's leadership while it has loaded the ledger, valid or not. */
+  /** This node's leadership once it has recovered the ledger, valid or not. */
   public Optional<Leadership> ready() {
     return held().filter(Leadership::ready);
   }
 
-  /** This node's leadership while it may speak for the controllers from memory. */
+  /** This node's leadership while it certainly holds, so that it may answer from memory. */
   public Optional<Leadership> valid() {
     return ready().filter(any -> election.valid());
   }
 
-  /** Whether the leadership has been valid too lately for others to act against its answers. */
+  /**
+   * Whether heartbeats may be answered: the leadership is valid, or has been so recently that no
+   * other leader acts yet.
+   */
   public boolean mayAnswerWorkers() {
     return election.mayAnswer();
   }
@@ -60,8 +69,8 @@
   }
 
   /**
-   * Another node that leads and takes jobs with dependencies; a version that doesn't know them
-   * would accept a job without them.
+   * Another node that leads and supports jobs with dependencies; a version that does not would
+   * accept a job without them.
    */
   public Optional<String> otherLeaderWithDependencies() {
     return otherLeader().filter(leader -> election.leaderKnowsDependencies());
--- a/src/main/java/org/ternhinge/leadership/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -1,15 +1,14 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.round.FleetLog;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.round.PlanExecutor;
 import org.ternhinge.round.SchedulingRounds;
 import org.ternhinge.round.SnapshotBuilder;
-import org.ternhinge.term.LeadershipContext;
 
-/** Builds the parts of a leadership that decide what starts where. */
+
+/** The components that decide which task starts on which machine. */
 final class PlanningComponents {
   final ArrivalRates arrivalRates;
   final SchedulingRounds rounds;
@@ -17,50 +16,44 @@
 
   PlanningComponents(
       LeadershipContext context,
-      MachineRegistry machines,
-      MachineTypeCatalog machineTypes,
-      FleetComponents fleet) {
-    this.arrivalRates = new ArrivalRates(context.services().settings().objectives());
+      MachineComponents fleet,
+      WorkerComponents workers,
+      ScalingComponents scaling) {
+    arrivalRates = new ArrivalRates(context.services().settings().objectives());
     SnapshotBuilder snapshots =
         new SnapshotBuilder(
             context.services(),
             context.authority(),
             context.ledger(),
-            machineTypes,
+            fleet.machineTypes,
             fleet.failures,
-            machines,
+            fleet.machines,
             arrivalRates,
             fleet.scaleOutOptions,
             fleet.bootTimes,
             context.electedAt());
-    this.rounds =
+    PlanExecutor planExecutor =
+        new PlanExecutor(
+            context.services().clock(),
+            context.ledger(),
+            context.writer(),
+            fleet.machines,
+            fleet.machineTypes,
+            snapshots,
+            fleet.reportedTaskCounts,
+            workers.attempts,
+            fleet.provisioner,
+            scaling.releaser);
+    rounds =
         new SchedulingRounds(
             context.services(),
             context.authority(),
             context.executor(),
-            machineTypes,
+            fleet.machineTypes,
             snapshots,
-            planExecutor(context, machines, machineTypes, fleet, snapshots),
+            planExecutor,
             fleet.zones);
-    this.fleetLog = new FleetLog(context.services().clock(), context.ledger(), machines, snapshots);
-  }
-
-  private static PlanExecutor planExecutor(
-      LeadershipContext context,
-      MachineRegistry machines,
-      MachineTypeCatalog machineTypes,
-      FleetComponents fleet,
-      SnapshotBuilder snapshots) {
-    return new PlanExecutor(
-        context.services().clock(),
-        context.ledger(),
-        context.writer(),
-        machines,
-        machineTypes,
-        snapshots,
-        fleet.reportedTaskCounts,
-        fleet.attempts,
-        fleet.provisioner,
-        fleet.releaser);
+    fleetLog =
+        new FleetLog(context.services().clock(), context.ledger(), fleet.machines, snapshots);
   }
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/leadership/WorkerComponents.java
@@ -0,0 +1,76 @@
+package org.ternhinge.leadership;
+
+import org.ternhinge.attempt.AgentStatusSink;
+import org.ternhinge.heartbeat.AgentStatusUpdater;
+import org.ternhinge.attempt.AttemptLifecycle;
+import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.heartbeat.FirstHeartbeatHandler;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.heartbeat.HeartbeatProcessor;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.heartbeat.LeaseMonitor;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.heartbeat.ReachabilityMonitor;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.attempt.TermFence;
+
+
+/**
+ * The components that talk with workers: commands to them, their heartbeats and leases, and the
+ * attempts that follow from both.
+ */
+final class WorkerComponents {
+  final CommandDispatcher dispatcher;
+  final AttemptLifecycle attempts;
+  final AgentStatusUpdater statusUpdater;
+  final HeartbeatProcessor heartbeats;
+  final LeaseMonitor leaseMonitor;
+
+  WorkerComponents(LeadershipContext context, MachineComponents fleet) {
+    dispatcher = new CommandDispatcher(context, this::applyStatus);
+    attempts = new AttemptLifecycle(context, fleet.machines, dispatcher, fleet.zones);
+    ReachabilityMonitor reachability = new ReachabilityMonitor(fleet.machines, context.rounds());
+    statusUpdater = createStatusUpdater(context, fleet, attempts, reachability);
+    heartbeats = new HeartbeatProcessor(context, fleet.machines, statusUpdater, reachability);
+    leaseMonitor =
+        new LeaseMonitor(
+            context,
+            fleet.machines,
+            attempts,
+            fleet.reportedTaskCounts,
+            dispatcher,
+            new TermFence(context.authority(), context.writer(), fleet.machines));
+  }
+
+  private static AgentStatusUpdater createStatusUpdater(
+      LeadershipContext context,
+      MachineComponents fleet,
+      AttemptLifecycle attempts,
+      ReachabilityMonitor reachability) {
+    AttemptObserver observer =
+        new AttemptObserver(
+            attempts,
+            context.ledger(),
+            fleet.machineTypes,
+            fleet.failures,
+            context.services().metrics());
+    return new AgentStatusUpdater(
+        context,
+        reachability,
+        fleet.reportedTaskCounts,
+        observer,
+        attempts,
+        new FirstHeartbeatHandler(context, fleet.provisioner, fleet.bootTimes));
+  }
+
+  /**
+   * Applies the status in a worker's response to commands. The dispatcher needs this receiver
+   * before the updater of agent states can be created, which depends on the dispatcher.
+   */
+  private AgentStatusSink.Result applyStatus(
+      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+    return statusUpdater.apply(machine, status, origin, now);
+  }
+}
--- a/src/main/java/org/ternhinge/leadership/package-info.java
+++ b/src/main/java/org/ternhinge/leadership/package-info.java
@@ -1,10 +1,10 @@
 /**
  * One term of leadership from election to its end: recovers jobs, attempts, provision requests and
- * releases from the key-value store, wires the parts of the leadership, and takes in the jobs that
- * other nodes accept.
+ * releases from the key-value store, wires the components of the leadership, and admits the jobs
+ * that other nodes accept.
  *
- * <p>Owns the parts, all of which end with it: nothing is carried over to the next leadership but
- * what the key-value store holds. Guarded by the controller's lock. Called by the controller for
- * elections and by the handlers of requests.
+ * <p>Owns these components, all of which end with the leadership: the next one starts from what the
+ * key-value store holds, and from nothing else. Guarded by the controller's lock. Called by the
+ * controller for elections and by the request handlers.
  */
 package org.ternhinge.leadership;
--- a/src/main/java/org/ternhinge/ledger/RecordWrite.java
+++ b/src/main/java/org/ternhinge/ledger/RecordWrite.java
@@ -1,5 +1,6 @@
 package org.ternhinge.ledger;
 
+
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/org/ternhinge/limit/RequestPriority.java
+++ b/src/main/java/org/ternhinge/limit/RequestPriority.java
@@ -1,5 +1,6 @@
 package org.ternhinge.limit;
 
+
 /**
  * Which requests go first when tokens run short. Each priority leaves a part of the bucket to those
  * before it, so that a burst of lesser requests never keeps a more urgent one waiting.
--- a/src/main/java/org/ternhinge/machine/ImageCache.java
+++ b/src/main/java/org/ternhinge/machine/ImageCache.java
@@ -1,5 +1,6 @@
 package org.ternhinge.machine;
 
+
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/org/ternhinge/machine/MachineDescription.java
+++ b/src/main/java/org/ternhinge/machine/MachineDescription.java
@@ -1,5 +1,6 @@
 package org.ternhinge.machine;
 
+
 import java.util.List;
 
 /**
--- a/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -1,5 +1,6 @@
 package org.ternhinge.machine;
 
+
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
--- a/src/main/java/org/ternhinge/model/Endpoint.java
+++ b/src/main/java/org/ternhinge/model/Endpoint.java
@@ -1,5 +1,6 @@
 package org.ternhinge.model;
 
+
 /** A TCP address by number. */
 public record Endpoint(String host, int port) {
 
--- a/src/main/java/org/ternhinge/model/LockedExecutor.java
+++ b/src/main/java/org/ternhinge/model/LockedExecutor.java
@@ -1,5 +1,6 @@
 package org.ternhinge.model;
 
+
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -1,5 +1,6 @@
 package org.ternhinge.model;
 
+
 /** A machine's name, given by the cloud. */
 public record MachineId(String value) implements Comparable<MachineId> {
   @Override
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -1,5 +1,6 @@
 package org.ternhinge.model;
 
+
 import java.util.function.Function;
 
 /**
--- a/src/main/java/org/ternhinge/model/TaskId.java
+++ b/src/main/java/org/ternhinge/model/TaskId.java
@@ -1,5 +1,6 @@
 package org.ternhinge.model;
 
+
 /** One task of a job; tasks are numbered from 0. */
 public record TaskId(JobId job, int index) {
 
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -1,10 +1,11 @@
 package org.ternhinge.peer;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
 /**
  * One message between controllers: length, id, type, then either method, path and body or status,
  * time to come back and body. Strings and bodies carry their own length.
--- a/src/main/java/org/ternhinge/request/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/AnswerDeadline.java
@@ -1,14 +1,15 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.Clock;
+import org.ternhinge.http.Response;
+
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
-import org.ternhinge.http.Response;
-import org.ternhinge.model.Clock;
 
 /**
- * Gives users an answer before they drop the request: a slow key-value store is waited for longer
- * than users wait. Only the first answer goes out. What was begun goes on all the same, and a
- * repeat of the request finds its result.
+ * Answers users before they drop the request, because the time-outs of the key-value store are
+ * longer than users wait. Only the first answer is sent. The request itself is not aborted, and a
+ * repeated request finds its result.
  */
 public final class AnswerDeadline {
   /** For submissions and cancellations, in seconds; users drop the answer after 5 s. */
@@ -19,14 +20,19 @@
 
   private AnswerDeadline() {}
 
-  /** An answer that is 503 where no other one has come within so many seconds. */
+  /**
+   * Wraps a receiver of an answer.
+   *
+   * @param seconds when the receiver gets 503 unless another answer has come before
+   * @param answer gets the first answer only
+   */
   public static Consumer<Response> within(double seconds, Clock clock, Consumer<Response> answer) {
     AtomicReference<Consumer<Response>> pending = new AtomicReference<>(answer);
     Consumer<Response> first =
         response -> {
-          Consumer<Response> to = pending.getAndSet(null);
-          if (to != null) {
-            to.accept(response);
+          Consumer<Response> unanswered = pending.getAndSet(null);
+          if (unanswered != null) {
+            unanswered.accept(response);
           }
         };
     clock.after(seconds, () -> first.accept(Responses.busy()));
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -1,21 +1,23 @@
 package org.ternhinge.request;
 
-import java.util.List;
-import java.util.Optional;
-import java.util.function.Consumer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.wire.Redirect;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 import org.ternhinge.wire.WireException;
 
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+
 /**
- * Takes workers' heartbeats. The leader answers them with commands; another node sends the worker
- * there, or relays for one that can't reach the leader.
+ * Answers workers' heartbeats. The leader answers them with commands; another node redirects the
+ * worker to the leader, or relays for a worker that can't reach the leader. Guarded by the
+ * controller's lock.
  */
 public final class HeartbeatHandler {
   /** Shorter than the time after which a worker drops the answer. */
@@ -24,37 +26,34 @@
   private final LeadershipRole role;
   private final PeerClient peers;
   private final Clock clock;
-  private final HeartbeatRelay relay = new HeartbeatRelay();
+  private final HeartbeatRelayPolicy relayPolicy = new HeartbeatRelayPolicy();
 
+  /** Creates a handler that has not redirected any worker yet. */
   public HeartbeatHandler(LeadershipRole role, PeerClient peers, Clock clock) {
     this.role = role;
     this.peers = peers;
     this.clock = clock;
   }
 
-  /**
-   * Answers a heartbeat.
-   *
-   * @param fromPeer whether another node relays it; it is not relayed once more
-   */
-  public void take(Request request, boolean fromPeer, Consumer<Response> answer) {
+  /** Answers a heartbeat; one that another node relays is not relayed a second time. */
+  public void handle(Request request, RequestOrigin origin, Consumer<Response> answer) {
     try {
-      take(Heartbeat.read(request.body()), request, fromPeer, answer);
+      handle(Heartbeat.read(request.body()), request, origin, answer);
     } catch (WireException e) {
       answer.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
     }
   }
 
-  private void take(
-      Heartbeat heartbeat, Request request, boolean fromPeer, Consumer<Response> answer) {
+  private void handle(
+      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
     Optional<Leadership> leadership = role.held();
     if (leadership.isPresent() && !leadership.get().ready()) {
       // Without the ledger a lease must not be renewed: a cancelled task might live on by it.
-      leadership.get().whenReady(() -> take(heartbeat, request, fromPeer, answer));
+      leadership.get().whenReady(() -> handle(heartbeat, request, origin, answer));
       return;
     }
     if (leadership.isEmpty() || !answerAsLeader(leadership.get(), heartbeat, answer)) {
-      sendToLeader(heartbeat, request, fromPeer, answer);
+      sendToLeader(heartbeat, request, origin, answer);
     }
   }
 
@@ -67,7 +66,7 @@
     }
     Optional<List<Command>> commands = leadership.heartbeat(heartbeat, valid);
     if (role.held().isEmpty()) {
-      // The report showed a higher term, which has ended the leadership.
+      // The heartbeat carried a higher term, which has ended the leadership.
       return false;
     }
     answer.accept(
@@ -79,11 +78,11 @@
   }
 
   private void sendToLeader(
-      Heartbeat heartbeat, Request request, boolean fromPeer, Consumer<Response> answer) {
+      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
     Optional<String> leader = role.otherLeader();
-    if (leader.isEmpty() || fromPeer) {
+    if (leader.isEmpty() || origin == RequestOrigin.PEER) {
       answer.accept(Responses.busy());
-    } else if (relay.relays(heartbeat.machine(), clock.now())) {
+    } else if (relayPolicy.shouldRelay(heartbeat.machine(), clock.now())) {
       peers.askOrBusy(leader.get(), request, RELAY_TIMEOUT_S, answer);
     } else {
       Redirect redirect = new Redirect(leader.get());
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -1,5 +1,15 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.store.Entry;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
@@ -8,35 +18,26 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.JobState;
 
 /**
- * Reads a job's state from the key-value store, which any node may ask. A job that waits for others
- * is cancelled as soon as one before it is, whatever its own record still says, so those before it
- * are read too; where they can't be, nothing is told.
+ * Reads a job's state from the key-value store, which any node may do. A job is cancelled as soon
+ * as one of its direct or indirect dependencies is, whatever its own record still says, so the
+ * dependencies are read too; where they can't be read, the state is unavailable.
  */
 public final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /** Jobs before one that are read for one answer; the leader knows longer chains from memory. */
+  /** Dependencies that are read for one lookup; the leader has longer chains in memory. */
   private static final int MAX_DEPENDENCY_READS = 64;
 
-  /** What a lookup comes to. */
+  /** The result of a lookup. */
   sealed interface Result permits Found, Absent, Unavailable {}
 
   /**
    * The job exists.
    *
-   * @param state what users are told of it
-   * @param service whether it is known to be a service; the end of a job does not tell
+   * @param state the state that users see
+   * @param service whether it is known to be a service; the record of an ended job does not say
    */
   record Found(JobState state, boolean service) implements Result {}
 
@@ -49,19 +50,20 @@
   static final Result ABSENT = new Absent();
   static final Result UNAVAILABLE = new Unavailable();
 
-  /** What the record or the end of one job says, without a look at the jobs before it. */
-  private record StoredJob(Found found, List<JobId> waitsFor) {}
+  /** One job as its record or its end says, regardless of the state of its dependencies. */
+  private record StoredJob(Found found, List<JobId> dependencies) {}
 
   private final KeyValueStore store;
   private final SharedLookups shared = new SharedLookups(this::search);
 
+  /** Creates a lookup without running reads. */
   public JobLookup(KeyValueStore store) {
     this.store = store;
   }
 
   /**
-   * Finds a job; the result may come on any thread, without the controller's lock. Requests for the
-   * same job at the same time share their reads.
+   * Finds a job; the result may come on any thread, without the controller's lock. Concurrent
+   * lookups of the same job share their reads.
    */
   void find(JobId id, RequestPriority priority, Consumer<Result> then) {
     shared.find(id, priority, then);
@@ -71,7 +73,7 @@
     new Search(id, priority, then).start();
   }
 
-  /** One lookup: the job itself, then one after the other those that it waits for. */
+  /** One lookup: the job itself, then its dependencies one after the other. */
   private final class Search {
     private final JobId id;
     private final RequestPriority priority;
@@ -92,7 +94,7 @@
 
     private void jobRead(StoredJob job) {
       found = job.found();
-      addUnread(job.waitsFor());
+      addUnread(job.dependencies());
       readNextDependency();
     }
 
@@ -121,47 +123,35 @@
         then.accept(new Found(cancelled, found.service()));
         return;
       }
-      addUnread(dependency.waitsFor());
+      addUnread(dependency.dependencies());
       readNextDependency();
     }
 
     /**
      * Reads the record of a job, then its end. A job moves from the one to the other in one
-     * transaction, so reading in this order can't miss it.
+     * compare-and-swap, so reading in this order can't miss it.
      */
     private void read(JobId job, Consumer<StoredJob> present, Runnable absent) {
-      AsyncCalls.whenAnswered(
-          store.get(Keys.job(job), priority), outcome -> recordRead(job, outcome, present, absent));
+      readEntry(
+          job,
+          Keys.job(job),
+          entry -> present.accept(fromRecord(job, entry)),
+          () ->
+              readEntry(job, Keys.end(job), entry -> present.accept(fromEnd(job, entry)), absent));
     }
 
-    private void recordRead(
-        JobId job,
-        Outcome<KeyValueStore.Read> outcome,
-        Consumer<StoredJob> present,
-        Runnable absent) {
-      if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
-        LOG.debug("{} can't be looked up: {}", job, outcome);
-        then.accept(UNAVAILABLE);
-      } else if (read.value().entry().isPresent()) {
-        present.accept(fromRecord(job, read.value().entry().get()));
-      } else {
-        AsyncCalls.whenAnswered(
-            store.get(Keys.end(job), priority), ended -> endRead(job, ended, present, absent));
-      }
+    private void readEntry(JobId job, String key, Consumer<Entry> present, Runnable absent) {
+      AsyncCalls.whenAnswered(
+          store.get(key, priority), outcome -> entryRead(job, outcome, present, absent));
     }
 
-    private void endRead(
-        JobId job,
-        Outcome<KeyValueStore.Read> outcome,
-        Consumer<StoredJob> present,
-        Runnable absent) {
-      if (!(outcome instanceof Outcome.Applied<KeyValueStore.Read> read)) {
+    private void entryRead(
+        JobId job, Outcome<KeyValueStore.Read> outcome, Consumer<Entry> present, Runnable absent) {
+      if (outcome instanceof Outcome.Applied<KeyValueStore.Read> read) {
+        read.value().entry().ifPresentOrElse(present, absent);
+      } else {
         LOG.debug("{} can't be looked up: {}", job, outcome);
         then.accept(UNAVAILABLE);
-      } else if (read.value().entry().isPresent()) {
-        present.accept(fromEnd(job, read.value().entry().get()));
-      } else {
-        absent.run();
       }
     }
   }
--- /dev/null
+++ b/src/main/java/org/ternhinge/request/JobRequestRouter.java
@@ -0,0 +1,82 @@
+package org.ternhinge.request;
+
+import org.ternhinge.model.JobId;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * Has requests about a job answered by the leader, here or on another node, and otherwise from the
+ * key-value store. If neither gives a final answer, all other nodes are asked for the leader.
+ * Guarded by the controller's lock.
+ */
+public final class JobRequestRouter {
+  private final JobRequestHandler handler;
+  private final LeadershipRole role;
+  private final PeerClient peers;
+  private final LeaderSearch search;
+
+  /**
+   * Creates the router of one kind of request.
+   *
+   * @param handler answers as the leader, or from the key-value store
+   */
+  public JobRequestRouter(
+      JobRequestHandler handler, LeadershipRole role, PeerClient peers, LeaderSearch search) {
+    this.handler = handler;
+    this.role = role;
+    this.peers = peers;
+    this.search = search;
+  }
+
+  /** Answers a request about a job, now or later, exactly once. */
+  public void handle(JobId id, Request request, RequestOrigin origin, Consumer<Response> answer) {
+    Optional<Leadership> leadership = role.valid();
+    if (leadership.isPresent()) {
+      handler.answerAsLeader(id, leadership.get(), answer);
+    } else if (origin == RequestOrigin.PEER) {
+      answer.accept(Responses.busy());
+    } else {
+      forwardToLeader(id, request, answer);
+    }
+  }
+
+  private void forwardToLeader(JobId id, Request request, Consumer<Response> answer) {
+    Optional<String> leader = search.leader();
+    if (leader.isEmpty()) {
+      answerWithoutLeader(id, request, leader, answer);
+    } else {
+      peers.askOrBusy(
+          leader.get(),
+          request,
+          handler.leaderTimeoutS(),
+          Responses.ifBusy(answer, busy -> answerWithoutLeader(id, request, leader, answer)));
+    }
+  }
+
+  /**
+   * Answers from the key-value store, or by a leader that this node does not know; the one that is
+   * more likely to answer in time comes first.
+   *
+   * @param asked the node that has been asked as the leader already
+   */
+  private void answerWithoutLeader(
+      JobId id, Request request, Optional<String> asked, Consumer<Response> answer) {
+    if (search.isStoreUnresponsive()) {
+      search.ask(
+          request,
+          asked,
+          handler.leaderTimeoutS(),
+          Responses.ifBusy(answer, busy -> handler.answerFromStore(id, answer)));
+    } else {
+      handler.answerFromStore(
+          id,
+          Responses.ifBusy(
+              answer, busy -> search.ask(request, asked, handler.leaderTimeoutS(), answer)));
+    }
+  }
+}
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -1,72 +1,86 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.Clock;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.SteadyTime;
+
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.SteadyTime;
 
 /**
  * Finds the leader by asking all other controllers. A node that the key-value store refuses, or
- * that is cut off from it, can't read who leads, and would answer its users 503 for as long as that
- * lasts while the leader could serve them. Guarded by the controller's lock.
+ * that is partitioned from it, can't read who leads, and would answer its users 503 for as long as
+ * that lasts while the leader could serve them. Guarded by the controller's lock.
  */
 public final class LeaderSearch {
-  /** Seconds for which a node is taken for the leader after it has answered as one. */
+  /** Seconds for which a node counts as the leader after it has answered as one. */
   private static final double FOUND_S = 10;
 
   /** Seconds for which nobody is asked again after no node has answered as the leader. */
-  private static final double NOBODY_S = 1;
+  private static final double BACKOFF_S = 1;
+
+  /**
+   * The last node that answered as the leader.
+   *
+   * @param storedLeader who led by the key-value store at that time
+   */
+  private record FoundLeader(String node, SteadyTime at, Optional<String> storedLeader) {}
 
   private final LeadershipRole role;
   private final PeerClient peers;
   private final NodeConnectivity connectivity;
-  private final List<String> others;
+  private final List<String> otherNodes;
   private final Clock clock;
   private final LockedExecutor locked;
+  private Optional<FoundLeader> found = Optional.empty();
+  private SteadyTime nextSearchAt;
 
-  /** The node that answered as the leader last, when, and who led by the key-value store then. */
-  private record Found(String node, SteadyTime at, Optional<String> knownLeader) {}
-
-  private Found found;
-  private SteadyTime nobodyUntil;
-
+  /**
+   * Creates a search that has found no leader yet.
+   *
+   * @param otherNodes names of all other controllers
+   * @param lock the controller's lock
+   */
   public LeaderSearch(
       LeadershipRole role,
       PeerClient peers,
       NodeConnectivity connectivity,
-      List<String> others,
+      List<String> otherNodes,
       Clock clock,
       Lock lock) {
     this.role = role;
     this.peers = peers;
     this.connectivity = connectivity;
-    this.others = others;
+    this.otherNodes = otherNodes;
     this.clock = clock;
     this.locked = new LockedExecutor(lock);
-    this.nobodyUntil = clock.now();
+    this.nextSearchAt = clock.now();
   }
 
   /**
    * The other node that leads: the one found lately, else the one that the key-value store names.
    */
   Optional<String> leader() {
-    Optional<String> known = role.otherLeader();
-    boolean holds =
-        found != null
-            && clock.now().secondsSince(found.at()) < FOUND_S
-            && known.equals(found.knownLeader());
-    return holds ? Optional.of(found.node()) : known;
+    Optional<String> storedLeader = role.otherLeader();
+    Optional<String> recentlyFound =
+        found.filter(leader -> isCurrent(leader, storedLeader)).map(FoundLeader::node);
+    return recentlyFound.or(() -> storedLeader);
+  }
+
+  /** A change of the stored leader means that the node found before may have lost its term. */
+  private boolean isCurrent(FoundLeader leader, Optional<String> storedLeader) {
+    return clock.now().secondsSince(leader.at()) < FOUND_S
+        && storedLeader.equals(leader.storedLeader());
   }
 
-  /** Whether to ask the other nodes before the key-value store, which owes answers for long. */
-  boolean isStoreSilent() {
-    return connectivity.storeSilent();
+  /** Whether to ask the other nodes before the key-value store, which has not answered for long. */
+  boolean isStoreUnresponsive() {
+    return connectivity.isStoreUnresponsive();
   }
 
   /**
@@ -81,45 +95,46 @@
 
   private void askLocked(
       Request request, Optional<String> except, double timeoutS, Consumer<Response> answer) {
-    List<String> nodes = others.stream().filter(node -> !Optional.of(node).equals(except)).toList();
-    if (nodes.isEmpty() || clock.now().isBefore(nobodyUntil)) {
+    List<String> nodes =
+        otherNodes.stream().filter(node -> !Optional.of(node).equals(except)).toList();
+    if (nodes.isEmpty() || clock.now().isBefore(nextSearchAt)) {
       answer.accept(Responses.busy());
     } else {
-      new Round(nodes, answer).ask(request, timeoutS);
+      new Broadcast(nodes, answer).send(request, timeoutS);
     }
   }
 
-  /** One question to all nodes. */
-  private final class Round {
+  /** One request sent to several nodes, answered by the first final answer. */
+  private final class Broadcast {
     private final List<String> nodes;
     private final Consumer<Response> answer;
-    private int open;
+    private int unanswered;
     private boolean answered;
 
-    Round(List<String> nodes, Consumer<Response> answer) {
+    Broadcast(List<String> nodes, Consumer<Response> answer) {
       this.nodes = nodes;
       this.answer = answer;
-      this.open = nodes.size();
+      this.unanswered = nodes.size();
     }
 
-    void ask(Request request, double timeoutS) {
+    void send(Request request, double timeoutS) {
       for (String node : nodes) {
-        peers.askOrBusy(node, request, timeoutS, response -> heard(node, response));
+        peers.askOrBusy(node, request, timeoutS, response -> received(node, response));
       }
     }
 
-    private void heard(String node, Response response) {
-      open--;
+    private void received(String node, Response response) {
+      unanswered--;
       if (answered) {
         return;
       }
       if (!Responses.isBusy(response)) {
         answered = true;
-        found = new Found(node, clock.now(), role.otherLeader());
+        found = Optional.of(new FoundLeader(node, clock.now(), role.otherLeader()));
         answer.accept(response);
-      } else if (open == 0) {
+      } else if (unanswered == 0) {
         answered = true;
-        nobodyUntil = clock.now().plusSeconds(NOBODY_S);
+        nextSearchAt = clock.now().plusSeconds(BACKOFF_S);
         answer.accept(response);
       }
     }
--- a/src/main/java/org/ternhinge/request/PeerClient.java
+++ b/src/main/java/org/ternhinge/request/PeerClient.java
@@ -1,51 +1,57 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
 
 /**
- * Asks other controllers. Answers are handed on under the controller's lock. A link that leaves a
- * request unanswered may be cut and is dropped, so that the next request opens a new one.
+ * Asks other controllers. Answers are handed on under the controller's lock. A connection that
+ * leaves a request unanswered may be broken and is closed, so that the next request opens a new
+ * one.
  */
 public final class PeerClient {
-  private final PeerTransport peers;
-  private final Lock lock;
+  private final PeerTransport transport;
+  private final LockedExecutor locked;
   private final NodeConnectivity connectivity;
 
-  public PeerClient(PeerTransport peers, Lock lock, NodeConnectivity connectivity) {
-    this.peers = peers;
-    this.lock = lock;
+  /**
+   * Creates a client.
+   *
+   * @param lock the controller's lock
+   * @param connectivity records that peers have answered
+   */
+  public PeerClient(PeerTransport transport, Lock lock, NodeConnectivity connectivity) {
+    this.transport = transport;
+    this.locked = new LockedExecutor(lock);
     this.connectivity = connectivity;
   }
 
   /**
-   * Hands a request to another controller.
+   * Sends a request to another controller.
    *
-   * @param then gets the live answer, or nothing where none came in time
+   * @param then gets the answer, or nothing where none came in time
    */
   void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> then) {
-    peers.ask(node, request, timeoutS, response -> answered(node, response, then));
+    transport.ask(
+        node, request, timeoutS, response -> locked.execute(() -> answered(node, response, then)));
   }
 
-  /** As {@link #ask}; a missing answer counts as one that the node is busy. */
+  /** As {@link #ask}; a missing answer counts as a busy one. */
   void askOrBusy(String node, Request request, double timeoutS, Consumer<Response> then) {
-    ask(node, request, timeoutS, response -> then.accept(response.orElse(Responses.busy())));
+    ask(node, request, timeoutS, response -> then.accept(response.orElseGet(Responses::busy)));
   }
 
-  private void answered(String node, Response response, Consumer<Optional<Response>> then) {
-    lock.lock();
-    try {
-      if (response == null) {
-        peers.reset(node);
-      } else {
-        connectivity.peerAnswered();
-      }
-      then.accept(Optional.ofNullable(response));
-    } finally {
-      lock.unlock();
+  private void answered(
+      String node, Optional<Response> response, Consumer<Optional<Response>> then) {
+    if (response.isPresent()) {
+      connectivity.peerAnswered();
+    } else {
+      transport.reset(node);
     }
+    then.accept(response);
   }
 }
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -1,18 +1,22 @@
 package org.ternhinge.request;
 
-import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 
+import java.util.Optional;
+import java.util.function.Consumer;
+
 /** Carries requests to the other controllers. */
 public interface PeerTransport {
   /**
-   * Hands a request to another node.
+   * Sends a request to another node.
    *
-   * @param answer gets the response, or null when none came in time
+   * @param node the other controller's name
+   * @param timeoutS how long the answer is waited for, in seconds
+   * @param answer gets the response, or nothing when none came in time; called once, on any thread
    */
-  void ask(String node, Request request, double timeoutS, Consumer<Response> answer);
+  void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> answer);
 
-  /** Drops the link to a node that did not answer. */
+  /** Closes the connection to a node that did not answer. */
   void reset(String node);
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/request/RequestOrigin.java
@@ -0,0 +1,11 @@
+package org.ternhinge.request;
+
+
+/** Who sent a request to this node. */
+public enum RequestOrigin {
+  /** A user, a worker or a health check; the request may be forwarded to another controller. */
+  CLIENT,
+
+  /** Another controller that forwards a request; it is not forwarded a second time. */
+  PEER
+}
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -1,9 +1,12 @@
 package org.ternhinge.request;
 
-import org.ternhinge.http.Response;
 import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.ErrorBody;
 import org.ternhinge.wire.JobState;
+import org.ternhinge.http.Response;
+
+import java.util.function.Consumer;
+import java.util.function.Function;
 
 /** The answers that several request handlers give. */
 public final class Responses {
@@ -16,27 +19,37 @@
   static final int UNPROCESSABLE = 422;
   static final int UNAVAILABLE = 503;
 
-  /** The shortest pause that users keep before they repeat a request anyway. */
+  /** The shortest pause that users keep before they repeat a request anyway, in seconds. */
   private static final int RETRY_AFTER_S = 1;
 
   private Responses() {}
 
-  /** This node can't take the request now; another one, or this one later, may. */
+  /** This node can't serve the request now; another one, or this one later, may. */
   public static Response busy() {
     return Response.busy(RETRY_AFTER_S);
   }
 
-  /** As {@link #busy}, with what was found out so far for the controller that has asked. */
+  /** As {@link #busy}, with the result of the dependency check for the controller that asked. */
   static Response busy(DependencyVerdict verdict) {
     return new Response(UNAVAILABLE, verdict.write(), RETRY_AFTER_S);
   }
 
-  /** Whether an answer leaves the request open, to be taken by whoever can. */
+  /** Whether an answer is not final, so that another node may be asked. */
   static boolean isBusy(Response response) {
     return response.status() == UNAVAILABLE;
   }
 
-  /** A request that never can be taken. */
+  /**
+   * A consumer that passes a final answer on.
+   *
+   * @param answer gets each answer but a busy one
+   * @param onBusy gets a busy answer instead
+   */
+  static Consumer<Response> ifBusy(Consumer<Response> answer, Consumer<Response> onBusy) {
+    return response -> (isBusy(response) ? onBusy : answer).accept(response);
+  }
+
+  /** A request that is invalid or can never be served. */
   static Response error(int status, String message) {
     return Response.of(status, new ErrorBody(message).write());
   }
@@ -45,4 +58,23 @@
   static Response known(JobState state) {
     return Response.of(OK, state.brief());
   }
+
+  /** The answer to a lookup; 404 for a job that was never accepted. */
+  static Response ofLookup(JobLookup.Result result, Function<JobState, Response> found) {
+    return ofLookup(result, found, Response.of(NOT_FOUND));
+  }
+
+  /**
+   * The answer to a lookup; busy where the key-value store can't be asked.
+   *
+   * @param found makes the answer for a job that exists
+   * @param absent the answer for a job that was never accepted
+   */
+  static Response ofLookup(
+      JobLookup.Result result, Function<JobState, Response> found, Response absent) {
+    if (result instanceof JobLookup.Found job) {
+      return found.apply(job.state());
+    }
+    return result instanceof JobLookup.Absent ? absent : busy();
+  }
 }
--- a/src/main/java/org/ternhinge/request/SharedLookups.java
+++ b/src/main/java/org/ternhinge/request/SharedLookups.java
@@ -1,18 +1,19 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.JobId;
+import org.ternhinge.limit.RequestPriority;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.JobId;
 
 /**
- * Lets requests for the same job share a lookup. One lookup of a job is under way at a time; what
- * is asked meanwhile waits for the next one, which begins when the first has ended. It must not
- * share the one under way: that may have been read before the job's state changed, and its user may
- * have been told of the change before asking. Safe for use by several threads.
+ * Coalesces concurrent lookups of the same job. One lookup of a job runs at a time; requests that
+ * arrive meanwhile share the next one, which begins when the first has ended. They must not share
+ * the running one: it may have been read before the job's state changed, and its user may know of
+ * the change before asking. Safe for use by several threads.
  */
 final class SharedLookups {
   /** Looks a job up. */
@@ -22,46 +23,48 @@
     void find(JobId id, RequestPriority priority, Consumer<JobLookup.Result> then);
   }
 
-  /** Requests that share the lookup after the one under way. */
-  private static final class Waiting {
+  /** Requests that share the lookup after the running one. */
+  private static final class Batch {
     private final List<Consumer<JobLookup.Result>> requests = new ArrayList<>();
     private RequestPriority priority = RequestPriority.QUERY;
 
-    void add(RequestPriority wanted, Consumer<JobLookup.Result> then) {
+    /** Adds a request; the most urgent priority of the batch applies to all. */
+    void add(RequestPriority requested, Consumer<JobLookup.Result> then) {
       requests.add(then);
-      priority = wanted.compareTo(priority) < 0 ? wanted : priority;
+      priority = requested.compareTo(priority) < 0 ? requested : priority;
     }
   }
 
   private final Lookup lookup;
 
-  /** For each job with a lookup under way, who waits for the next one. */
-  private final Map<JobId, Waiting> waitingByJob = new HashMap<>();
+  /** For each job with a running lookup, the requests that wait for the next one. */
+  private final Map<JobId, Batch> nextByJob = new HashMap<>();
 
   SharedLookups(Lookup lookup) {
     this.lookup = lookup;
   }
 
+  /** Looks a job up; the result comes now or later, exactly once, on any thread. */
   void find(JobId id, RequestPriority priority, Consumer<JobLookup.Result> then) {
-    synchronized (waitingByJob) {
-      Waiting waiting = waitingByJob.get(id);
-      if (waiting != null) {
-        waiting.add(priority, then);
+    synchronized (nextByJob) {
+      Batch next = nextByJob.get(id);
+      if (next != null) {
+        next.add(priority, then);
         return;
       }
-      waitingByJob.put(id, new Waiting());
+      nextByJob.put(id, new Batch());
     }
     lookup.find(id, priority, result -> found(id, List.of(then), result));
   }
 
   private void found(JobId id, List<Consumer<JobLookup.Result>> requests, JobLookup.Result result) {
-    Waiting next;
-    synchronized (waitingByJob) {
-      next = waitingByJob.get(id);
+    Batch next;
+    synchronized (nextByJob) {
+      next = nextByJob.get(id);
       if (next.requests.isEmpty()) {
-        waitingByJob.remove(id);
+        nextByJob.remove(id);
       } else {
-        waitingByJob.put(id, new Waiting());
+        nextByJob.put(id, new Batch());
       }
     }
     requests.forEach(request -> request.accept(result));
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -1,28 +1,29 @@
 package org.ternhinge.request;
 
+import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.http.Response;
+
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.ternhinge.http.Response;
-import org.ternhinge.wire.DependencyVerdict;
 
-/** Who else may take a submission that this node can't write itself. */
+/** Where a submission is forwarded that this node can't write itself. */
 interface SubmissionFallback {
   /**
-   * Offers the submission to others.
+   * Forwards the submission.
    *
-   * @param verdict what is known of the jobs that it depends on
-   * @param answer gets the final answer, or that nobody takes it
+   * @param verdict the result of the dependency check, if it was made
+   * @param answer gets the final answer, or a busy one if no node accepts the submission
    */
-  void offer(Optional<DependencyVerdict> verdict, Consumer<Response> answer);
+  void forward(Optional<DependencyVerdict> verdict, Consumer<Response> answer);
 
-  /** The fallback of a submission that all others have been offered before. */
-  static SubmissionFallback nobody() {
+  /** The fallback of a submission that has been forwarded to all others before. */
+  static SubmissionFallback none() {
     return (verdict, answer) -> answer.accept(Responses.busy());
   }
 
   /**
-   * The fallback of a submission that another node has offered: that node goes on by itself, and
-   * need not look at the same dependencies again.
+   * The fallback of a submission that another node has forwarded: that node tries the next one
+   * itself, and need not check the same dependencies again.
    */
   static SubmissionFallback backToPeer() {
     return (verdict, answer) ->
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -1,5 +1,25 @@
 package org.ternhinge.request;
 
+import org.ternhinge.store.Change;
+import org.ternhinge.model.Clock;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Revision;
+import org.ternhinge.wire.WireException;
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -7,26 +27,7 @@
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
-import org.ternhinge.http.Response;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.LedgerLoader;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Revision;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.DependencyVerdict;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.WireException;
 
 /**
  * Accepts a job by writing its record, on condition that neither the record nor the job's end
@@ -34,8 +35,16 @@
  * the same job. All methods run under the controller's lock.
  */
 public final class SubmissionWriter {
-  /** Each try after the first follows a lost answer, which has taken the store's whole time-out. */
-  private static final int MAX_TRIES = 3;
+  /** Each attempt after the first follows a lost answer, which took the store's whole time-out. */
+  private static final int MAX_ATTEMPTS = 3;
+
+  /**
+   * One job that is to be written.
+   *
+   * @param fallback where the job is forwarded if this node can't write it
+   * @param answer gets the answer for the user, exactly once
+   */
+  private record Submission(JobSpec spec, SubmissionFallback fallback, Consumer<Response> answer) {}
 
   private final KeyValueStore store;
   private final JobLookup lookup;
@@ -43,12 +52,13 @@
   private final LeadershipRole role;
   private final Clock clock;
   private final LockedExecutor locked;
-  private final int valueBytes;
+  private final int maxValueBytes;
 
   /**
    * Creates a writer.
    *
-   * @param valueBytes the largest value that the key-value store takes
+   * @param lock the controller's lock
+   * @param maxValueBytes the largest value that the key-value store accepts
    */
   public SubmissionWriter(
       KeyValueStore store,
@@ -57,117 +67,122 @@
       LeadershipRole role,
       Clock clock,
       Lock lock,
-      int valueBytes) {
+      int maxValueBytes) {
     this.store = store;
     this.lookup = lookup;
     this.dependencies = dependencies;
     this.role = role;
     this.clock = clock;
     this.locked = new LockedExecutor(lock);
-    this.valueBytes = valueBytes;
+    this.maxValueBytes = maxValueBytes;
   }
 
   /**
-   * Accepts a job that may run as far as its description tells.
+   * Accepts a job that has passed validation.
    *
-   * @param verdict what another node has found of the job's dependencies; they are looked at here
-   *     if it is missing
-   * @param fallback takes the job where this node can't
+   * @param verdict another node's result of the dependency check; without it the dependencies are
+   *     checked here
+   * @param fallback where the job is forwarded if this node can't write it
    */
   void accept(
       JobSpec spec,
       Optional<DependencyVerdict> verdict,
       SubmissionFallback fallback,
       Consumer<Response> answer) {
-    Acceptance acceptance = new Acceptance(spec, fallback, answer);
+    Submission submission = new Submission(spec, fallback, answer);
     if (spec.dependencies().isEmpty() || verdict.isPresent()) {
-      acceptance.write(verdict);
+      write(submission, verdict);
     } else {
-      dependencies.check(spec.dependencies(), acceptance::dependenciesChecked);
+      dependencies.check(spec.dependencies(), result -> dependenciesChecked(submission, result));
     }
   }
 
   /**
-   * Answers with a job's state where it is known, whatever this repeat of its submission looks
-   * like.
+   * Answers with a job's state if it was accepted before, so that a repeated submission gets the
+   * same answer whatever its body says.
+   *
+   * @param otherwise the answer for a job that was never accepted
    */
-  void answerIfKnown(JobId id, Response otherwise, Consumer<Response> answer) {
-    lookup.find(id, RequestPriority.ACCEPT, result -> answer.accept(knownOr(result, otherwise)));
+  void answerKnownOr(Response otherwise, JobId id, Consumer<Response> answer) {
+    lookup.find(
+        id,
+        RequestPriority.ACCEPT,
+        result -> answer.accept(Responses.ofLookup(result, Responses::known, otherwise)));
   }
 
-  private static Response knownOr(JobLookup.Result result, Response otherwise) {
-    if (result instanceof JobLookup.Found found) {
-      return Responses.known(found.state());
+  private void dependenciesChecked(Submission submission, DependencyCheck.Result result) {
+    if (result instanceof DependencyCheck.Passed passed) {
+      write(submission, Optional.of(passed.verdict()));
+    } else if (result instanceof DependencyCheck.Rejected rejected) {
+      Response error = Responses.error(Responses.UNPROCESSABLE, rejected.reason());
+      answerKnownOr(error, submission.spec().id(), submission.answer());
+    } else {
+      submission.fallback().forward(Optional.empty(), submission.answer());
     }
-    return result instanceof JobLookup.Absent ? otherwise : Responses.busy();
   }
 
-  /** One job on its way into the key-value store. */
-  private final class Acceptance {
-    private final JobSpec spec;
+  private void write(Submission submission, Optional<DependencyVerdict> verdict) {
+    ObjectNode record = RecordCodec.fresh(submission.spec(), clock.wallMillis(), maxValueBytes);
+    new RecordWrite(submission, verdict, record).attempt();
+  }
+
+  /** The write of one job's record, with its retries. */
+  private final class RecordWrite {
+    private final JobId id;
     private final SubmissionFallback fallback;
     private final Consumer<Response> answer;
-    private Optional<DependencyVerdict> verdict = Optional.empty();
-    private ObjectNode record;
-    private int triesLeft = MAX_TRIES;
-
-    Acceptance(JobSpec spec, SubmissionFallback fallback, Consumer<Response> answer) {
-      this.spec = spec;
-      this.fallback = fallback;
-      this.answer = answer;
-    }
-
-    private void dependenciesChecked(DependencyCheck.Result result) {
-      if (result instanceof DependencyCheck.Passed passed) {
-        write(Optional.of(passed.verdict()));
-      } else if (result instanceof DependencyCheck.Refused refused) {
-        Response refusal = Responses.error(Responses.UNPROCESSABLE, refused.reason());
-        answerIfKnown(spec.id(), refusal, answer);
-      } else {
-        fallback.offer(Optional.empty(), answer);
-      }
-    }
-
-    void write(Optional<DependencyVerdict> found) {
-      verdict = found;
-      record = RecordCodec.fresh(spec, clock.wallMillis(), valueBytes);
-      tryWrite();
+    private final Optional<DependencyVerdict> verdict;
+    private final ObjectNode record;
+    private int attemptsLeft = MAX_ATTEMPTS;
+
+    RecordWrite(Submission submission, Optional<DependencyVerdict> verdict, ObjectNode record) {
+      this.id = submission.spec().id();
+      this.fallback = submission.fallback();
+      this.answer = submission.answer();
+      this.verdict = verdict;
+      this.record = record;
     }
 
-    private void tryWrite() {
-      triesLeft--;
+    void attempt() {
+      attemptsLeft--;
       Map<String, Revision> absent = new LinkedHashMap<>();
-      absent.put(Keys.job(spec.id()), Revision.NONE);
-      absent.put(Keys.end(spec.id()), Revision.NONE);
-      Change put = new Change.Put(Keys.job(spec.id()), record, 0);
+      absent.put(Keys.job(id), Revision.NONE);
+      absent.put(Keys.end(id), Revision.NONE);
+      Change put = new Change.Put(Keys.job(id), record, 0);
       locked.whenAnswered(
           store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT),
-          this::written);
+          this::answered);
     }
 
-    private void written(Outcome<Revision> outcome) {
+    private void answered(Outcome<Revision> outcome) {
       if (outcome instanceof Outcome.Applied<Revision> applied) {
-        tellLeadership(applied.value());
+        notifyLeadership(applied.value());
         answer.accept(Response.of(Responses.CREATED, initialState().brief()));
-      } else if (outcome != null && outcome.isBecause(Reason.CONFLICT)) {
-        answerIfKnown(spec.id(), Responses.busy(), answer);
-      } else if (outcome instanceof Outcome.NotApplied) {
-        fallback.offer(verdict, answer);
-      } else if (triesLeft > 0) {
-        // The answer was lost. If the write was carried out, its record is found to stand already.
-        tryWrite();
+      } else if (outcome instanceof Outcome.NotApplied<Revision> notApplied) {
+        notWritten(notApplied.reason());
+      } else if (attemptsLeft > 0) {
+        // The answer was lost. If the write was applied, the next attempt finds its record.
+        attempt();
       } else {
         answer.accept(Responses.busy());
       }
     }
 
+    private void notWritten(Reason reason) {
+      if (reason == Reason.CONFLICT) {
+        answerKnownOr(Responses.busy(), id, answer);
+      } else {
+        fallback.forward(verdict, answer);
+      }
+    }
+
     private JobState initialState() {
       JobState.Phase phase = verdict.map(DependencyVerdict::phase).orElse(JobState.Phase.QUEUED);
-      return new JobState(spec.id(), phase, 0, 0);
+      return new JobState(id, phase, 0, 0);
     }
 
-    private void tellLeadership(Revision revision) {
-      role.ready().ifPresent(leadership -> leadership.adopt(readBack(revision), revision));
+    private void notifyLeadership(Revision revision) {
+      role.ready().ifPresent(leadership -> leadership.jobAccepted(readBack(revision), revision));
     }
 
     private Job readBack(Revision revision) {
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -1,8 +1,9 @@
 package org.ternhinge.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.ternhinge.model.Revision;
 
+import com.fasterxml.jackson.databind.JsonNode;
+
 /** One change to a key, wanted or observed. */
 public sealed interface Change {
   /** The key that is changed. */
--- a/src/main/java/org/ternhinge/store/Entry.java
+++ b/src/main/java/org/ternhinge/store/Entry.java
@@ -1,7 +1,8 @@
 package org.ternhinge.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.ternhinge.model.Revision;
 
+import com.fasterxml.jackson.databind.JsonNode;
+
 /** A key with its value and version. */
 public record Entry(String key, JsonNode value, Revision revision) {}
--- a/src/main/java/org/ternhinge/wire/DependencyVerdict.java
+++ b/src/main/java/org/ternhinge/wire/DependencyVerdict.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
--- a/src/main/java/org/ternhinge/wire/ErrorBody.java
+++ b/src/main/java/org/ternhinge/wire/ErrorBody.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 /**
  * The body of an answer that refuses a request for good.
  *
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 /** What the tasks of a job are to each other. */
 public enum JobKind {
   ARRAY("batch"),
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -1,8 +1,9 @@
 package org.ternhinge.wire;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.JobId;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
+
 /** What a user is told of a job. */
 public record JobState(JobId id, Phase phase, int done, int running) {
 
--- a/src/main/java/org/ternhinge/wire/Json.java
+++ b/src/main/java/org/ternhinge/wire/Json.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/org/ternhinge/wire/JsonStreamReader.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamReader.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 import java.util.Locale;
 
 /** A job's priority, highest first. */
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -1,5 +1,6 @@
 package org.ternhinge.wire;
 
+
 /** What a worker says of a task. */
 public enum TaskState {
   FETCHING("pulling"),
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -1,14 +1,15 @@
 package org.ternhinge.worker;
 
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
 import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.wire.Command;
 import org.ternhinge.model.Endpoint;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Term;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
+
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
 
 /** Direct commands to workers. */
 public interface Workers {
--- a/src/main/java/org/ternhinge/zone/FailoverMetrics.java
+++ b/src/main/java/org/ternhinge/zone/FailoverMetrics.java
@@ -1,5 +1,6 @@
 package org.ternhinge.zone;
 
+
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -1,5 +1,6 @@
 package org.ternhinge.zone;
 
+
 /**
  * What is seen of a zone's machines at one time.
  *
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
@@ -1,5 +1,6 @@
 package org.ternhinge.zone;
 
+
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.UnaryOperator;
 
--- a/src/main/java/org/ternhinge/zone/ZoneState.java
+++ b/src/main/java/org/ternhinge/zone/ZoneState.java
@@ -1,5 +1,6 @@
 package org.ternhinge.zone;
 
+
 import java.util.Locale;
 import java.util.Optional;
 
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -1,5 +1,6 @@
 package org.ternhinge.zone;
 
+
 /**
  * What readers are shown of a zone.
  *
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -1,40 +1,45 @@
 package org.ternhinge.controller;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.concurrent.locks.ReentrantLock;
-import java.util.function.Consumer;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.election.Election;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.model.JobId;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.election.Election;
 import org.ternhinge.request.JobCancellations;
+import org.ternhinge.model.JobId;
 import org.ternhinge.request.JobLookup;
 import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.JobRequestHandler;
+import org.ternhinge.request.JobRequestRouter;
+import org.ternhinge.wire.Json;
+import org.ternhinge.ledger.Keys;
 import org.ternhinge.request.LeaderSearch;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.request.NodeConnectivity;
 import org.ternhinge.request.PeerClient;
 import org.ternhinge.request.PeerTransport;
-import org.ternhinge.sim.DirectStore;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.http.Request;
+import org.ternhinge.request.RequestOrigin;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.http.Response;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.Json;
+import org.ternhinge.config.Tuning;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Consumer;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** How a node that does not lead answers questions and cancellations. */
 class JobRequestsTest {
@@ -53,17 +58,17 @@
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
+        public void ask(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
           asked.add(node);
-          to.accept(leaderStatus == null ? null : Response.of(leaderStatus));
+          to.accept(Optional.ofNullable(leaderStatus).map(Response::of));
         }
 
         @Override
         public void reset(String node) {}
       };
 
-  private final NodeConnectivity connectivity =
-      new NodeConnectivity(store, peers, List.of("node-1"), clock, lock);
+  private final NodeConnectivity connectivity = new NodeConnectivity(clock, true);
   private final PeerClient client = new PeerClient(peers, lock, connectivity);
   private final LeaderSearch search =
       new LeaderSearch(role, client, connectivity, List.of("node-1"), clock, lock);
@@ -107,6 +112,12 @@
     }
   }
 
+  private void handle(JobRequestHandler handler, String method, boolean fromPeer) {
+    JobRequestRouter router = new JobRequestRouter(handler, role, client, search);
+    RequestOrigin origin = fromPeer ? RequestOrigin.PEER : RequestOrigin.CLIENT;
+    router.handle(JOB, new Request(method, "/", new byte[0]), origin, r -> answer = r);
+  }
+
   @ParameterizedTest(name = "leader known {0}, answers {1}, stored {2}, from a peer {3}")
   @CsvSource({
     // leader known, its status, stored job, from a peer, nodes asked, status
@@ -130,12 +141,7 @@
     watch(leaderKnown);
     storeJob(stored);
     leaderStatus = status;
-    JobQueries queries = new JobQueries(role, client, search, lookup);
-    if (fromPeer) {
-      queries.answerPeer(JOB, r -> answer = r);
-    } else {
-      queries.answerUser(JOB, new Request("GET", "/", new byte[0]), r -> answer = r);
-    }
+    handle(new JobQueries(lookup), "GET", fromPeer);
     assertEquals(expected, answer.status());
     assertEquals(nodesAsked, asked.size());
   }
@@ -164,12 +170,7 @@
     watch(leaderKnown);
     storeJob(stored);
     leaderStatus = status;
-    JobCancellations cancellations = new JobCancellations(role, client, search, lookup, clock);
-    if (fromPeer) {
-      cancellations.cancelForPeer(JOB, r -> answer = r);
-    } else {
-      cancellations.cancelForUser(JOB, new Request("POST", "/", new byte[0]), r -> answer = r);
-    }
+    handle(new JobCancellations(lookup, clock), "POST", fromPeer);
     assertEquals(expected, answer.status());
     assertEquals(nodesAsked, asked.size());
   }
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -1,5 +1,22 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.store.Change;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.wire.Json;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.wire.ProvisionRequest;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.StoreCore;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,35 +26,19 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.ProvisionRequest;
 
-/** Where the machine types come from. */
+/** Where a node loads the machine types from. */
 class BootstrapMachineTypesTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
   private final DirectStore store = new DirectStore(core);
   private final MachineTypeCloud cloud = new MachineTypeCloud();
-  private final List<List<MachineType>> learned = new ArrayList<>();
+  private final List<List<MachineType>> loaded = new ArrayList<>();
   private final BootstrapMachineTypes types =
-      new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add);
+      new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), loaded::add);
 
-  /** A cloud that only tells its machine types, or is down. */
+  /** A cloud that only lists its machine types, or is down. */
   private static final class MachineTypeCloud implements Cloud {
     private boolean down;
     private int calls;
@@ -56,7 +57,7 @@
 
     @Override
     public CompletableFuture<Outcome<Integer>> release(List<MachineId> machines) {
-      throw new AssertionError("nothing is returned here");
+      throw new AssertionError("nothing is released here");
     }
 
     @Override
@@ -66,19 +67,19 @@
     }
   }
 
-  private void assertKnown() {
-    assertEquals(List.of(SimMachineTypes.ALL), learned);
+  private void assertLoaded() {
+    assertEquals(List.of(SimMachineTypes.ALL), loaded);
     assertEquals(SimMachineTypes.ALL, List.copyOf(types.all()));
   }
 
   @Test
-  void theCloudIsAskedOnceAndACopyKept() {
+  void theCloudIsAskedOnceAndACopyStored() {
     types.load();
-    assertKnown();
+    assertLoaded();
     cloud.down = true;
-    learned.clear();
-    new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), learned::add).load();
-    assertEquals(List.of(SimMachineTypes.ALL), learned);
+    loaded.clear();
+    new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), loaded::add).load();
+    assertEquals(List.of(SimMachineTypes.ALL), loaded);
     assertEquals(1, cloud.calls, "the second node reads the copy");
   }
 
@@ -91,16 +92,16 @@
     assertTrue(cloud.calls > 1);
     cloud.down = false;
     clock.runFor(2);
-    assertKnown();
+    assertLoaded();
   }
 
   @Test
-  void anUnreadableCopyIsNoReasonToFail() {
+  void anUnreadableCopyIsIgnored() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
     AsyncCalls.ignore(
         store.compareAndSwap(
             new CompareAndSwap(Map.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
-    assertKnown();
+    assertLoaded();
   }
 }
--- a/src/test/java/org/ternhinge/request/HeartbeatRelayTest.java
+++ b/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
@@ -1,14 +1,15 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
 
 /** When a worker's heartbeat is relayed to the leader. */
-class HeartbeatRelayTest {
+class HeartbeatRelayPolicyTest {
   private static final MachineId WORKER = new MachineId("n-1");
 
   @ParameterizedTest
@@ -21,11 +22,11 @@
     "'0 60', RR" // a heartbeat much later says nothing of the leader
   })
   void aWorkerThatComesBackSoonIsRelayed(String times, String expected) {
-    HeartbeatRelay detours = new HeartbeatRelay();
+    HeartbeatRelayPolicy policy = new HeartbeatRelayPolicy();
     StringBuilder seen = new StringBuilder();
     for (String t : times.split(" ", -1)) {
       SteadyTime at = new SteadyTime(0).plusSeconds(Double.parseDouble(t));
-      seen.append(detours.relays(WORKER, at) ? '-' : 'R');
+      seen.append(policy.shouldRelay(WORKER, at) ? '-' : 'R');
     }
     assertEquals(expected, seen.toString());
   }
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -1,5 +1,21 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.election.Election;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.Json;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.config.Tuning;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
@@ -11,21 +27,6 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.election.Election;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.Json;
 
 /** What a node that does not lead finds of jobs in the key-value store. */
 class JobLookupTest {
@@ -90,13 +91,13 @@
     "2:batch<1,                             2, unavailable",
     "1:batch 2:batch<1 3:batch<1 4:batch<2.3, 4, queued",
   })
-  void aJobIsReadWithThoseThatItWaitsFor(String jobs, int job, String expected) {
+  void aJobIsReadWithItsDependencies(String jobs, int job, String expected) {
     storeJobs(jobs);
     lookup.find(new JobId("wk-" + job), RequestPriority.QUERY, found -> result = found);
     assertEquals(expected, found());
   }
 
-  /** The leader knows longer chains from memory; here nothing is told rather than a guess. */
+  /** The leader has longer chains in memory; here the state is unavailable, and not guessed. */
   @ParameterizedTest(name = "{0} jobs")
   @CsvSource({"64, queued", "66, unavailable"})
   void aChainIsReadUpToABound(int jobs, String expected) {
@@ -143,6 +144,6 @@
     if (checked instanceof DependencyCheck.Passed passed) {
       return passed.verdict().cancelled() ? "cancelled" : "passed";
     }
-    return checked instanceof DependencyCheck.Refused refused ? refused.reason() : "unavailable";
+    return checked instanceof DependencyCheck.Rejected rejected ? rejected.reason() : "unavailable";
   }
 }
--- a/src/test/java/org/ternhinge/request/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -1,32 +1,33 @@
 package org.ternhinge.request;
 
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.sim.SimClock;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
 
 /** What an answer of another controller, or its absence, means. */
 class PeerClientTest {
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
   private final List<String> reset = new ArrayList<>();
-  private Response given;
+  private Optional<Response> given;
   private Response received;
   private boolean underLock;
 
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
+        public void ask(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
           to.accept(given);
         }
 
@@ -38,19 +39,17 @@
 
   @ParameterizedTest(name = "status {0}")
   @CsvSource({
-    // status, status handed on, whether the link is dropped
+    // status, status handed on, whether the connection is closed
     "200, 200, false",
     "503, 503, false",
     "404, 404, false",
     " ,   503, true",
   })
-  void anAnswerIsHandedOnUnderTheLock(Integer status, int expected, boolean dropped) {
-    given = status == null ? null : Response.of(status);
-    NodeConnectivity connectivity =
-        new NodeConnectivity(
-            new DirectStore(new StoreCore(clock)), peers, List.of("b"), clock, lock);
+  void anAnswerIsHandedOnUnderTheLock(Integer status, int expected, boolean closed) {
+    given = Optional.ofNullable(status).map(Response::of);
+    NodeConnectivity connectivity = new NodeConnectivity(clock, true);
     clock.runFor(6);
-    assertEquals(true, connectivity.alone(), "nobody has answered for long");
+    assertEquals(true, connectivity.isIsolated(), "nobody has answered for long");
     new PeerClient(peers, lock, connectivity)
         .askOrBusy(
             "b",
@@ -62,7 +61,7 @@
             });
     assertEquals(expected, received.status());
     assertEquals(true, underLock);
-    assertEquals(dropped ? List.of("b") : List.of(), reset);
-    assertEquals(dropped, connectivity.alone());
+    assertEquals(closed ? List.of("b") : List.of(), reset);
+    assertEquals(closed, connectivity.isIsolated());
   }
 }
--- a/src/test/java/org/ternhinge/request/SharedLookupsTest.java
+++ b/src/test/java/org/ternhinge/request/SharedLookupsTest.java
@@ -1,32 +1,33 @@
 package org.ternhinge.request;
 
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.limit.RequestPriority;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
 
 /** Lookups of the same job at the same time. */
 class SharedLookupsTest {
   private static final JobId JOB = new JobId("wk-1");
   private static final JobId OTHER = new JobId("wk-2");
 
-  private final List<Consumer<JobLookup.Result>> underWay = new ArrayList<>();
+  private final List<Consumer<JobLookup.Result>> running = new ArrayList<>();
   private final List<RequestPriority> priorities = new ArrayList<>();
-  private final List<String> told = new ArrayList<>();
+  private final List<String> answered = new ArrayList<>();
   private final SharedLookups lookups =
       new SharedLookups(
           (id, priority, then) -> {
             priorities.add(priority);
-            underWay.add(then);
+            running.add(then);
           });
 
   private void ask(String who, JobId id, RequestPriority priority) {
-    lookups.find(id, priority, result -> told.add(who + " " + phase(result)));
+    lookups.find(id, priority, result -> answered.add(who + " " + phase(result)));
   }
 
   private static String phase(JobLookup.Result result) {
@@ -34,26 +35,26 @@
   }
 
   private void answer(int lookup, JobState.Phase phase) {
-    underWay.get(lookup).accept(new JobLookup.Found(new JobState(JOB, phase, 0, 0), false));
+    running.get(lookup).accept(new JobLookup.Found(new JobState(JOB, phase, 0, 0), false));
   }
 
   /**
-   * Who asks while a lookup is under way may have been told already of what came after it was read;
-   * an answer of that lookup would be an older one.
+   * A user who asks during a lookup may have seen a later state than the lookup has read already,
+   * and would get an older one by its result.
    */
   @Test
   void aLaterRequestIsNotAnsweredByALookupThatBeganBefore() {
     ask("first", JOB, RequestPriority.QUERY);
     ask("second", JOB, RequestPriority.QUERY);
     ask("third", JOB, RequestPriority.CANCEL);
-    assertEquals(1, underWay.size());
+    assertEquals(1, running.size());
     answer(0, JobState.Phase.QUEUED);
-    assertEquals(List.of("first queued"), told);
-    assertEquals(2, underWay.size(), "all that waited share one lookup");
+    assertEquals(List.of("first queued"), answered);
+    assertEquals(2, running.size(), "all that waited share one lookup");
     assertEquals(RequestPriority.CANCEL, priorities.get(1), "the most urgent one's priority");
     answer(1, JobState.Phase.CANCELLED);
-    assertEquals(List.of("first queued", "second cancelled", "third cancelled"), told);
-    assertEquals(2, underWay.size());
+    assertEquals(List.of("first queued", "second cancelled", "third cancelled"), answered);
+    assertEquals(2, running.size());
   }
 
   @Test
@@ -63,17 +64,17 @@
     }
     answer(0, JobState.Phase.RUNNING);
     answer(1, JobState.Phase.RUNNING);
-    assertEquals(2, underWay.size());
-    assertEquals(200, told.size());
+    assertEquals(2, running.size());
+    assertEquals(200, answered.size());
   }
 
   @Test
   void otherJobsAndLaterRequestsHaveLookupsOfTheirOwn() {
     ask("first", JOB, RequestPriority.QUERY);
     ask("other", OTHER, RequestPriority.QUERY);
-    assertEquals(2, underWay.size());
+    assertEquals(2, running.size());
     answer(0, JobState.Phase.RUNNING);
     ask("later", JOB, RequestPriority.QUERY);
-    assertEquals(3, underWay.size());
+    assertEquals(3, running.size());
   }
 }
--- a/src/test/java/org/ternhinge/request/SubmissionRelayTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
@@ -1,5 +1,10 @@
 package org.ternhinge.request;
 
+import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.sim.SimClock;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,15 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.wire.DependencyVerdict;
 
-/** Which nodes are asked to take a submission, and which answer is passed on. */
-class SubmissionRelayTest {
+/** To which nodes a submission is forwarded, and which answer is passed on. */
+class SubmissionForwarderTest {
   private static final Request SUBMISSION = new Request("POST", "/submissions", new byte[] {'{'});
   private static final List<String> OTHERS = List.of("b", "c", "d", "e");
 
@@ -37,11 +36,11 @@
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(String node, Request request, double timeoutS, Consumer<Response> to) {
+        public void ask(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
           asked.add(node);
           paths.add(request.path());
-          Integer status = statuses.get(node);
-          to.accept(status == null ? null : Response.of(status));
+          to.accept(Optional.ofNullable(statuses.get(node)).map(Response::of));
         }
 
         @Override
@@ -51,17 +50,13 @@
       };
 
   private final PeerClient client =
-      new PeerClient(
-          peers,
-          new ReentrantLock(),
-          new NodeConnectivity(
-              new DirectStore(new StoreCore(clock)), peers, OTHERS, clock, new ReentrantLock()));
-  private final SubmissionRelay relay = new SubmissionRelay(client, OTHERS, clock);
-
-  private void offer(String leader, boolean dependent) {
+      new PeerClient(peers, new ReentrantLock(), new NodeConnectivity(clock, true));
+  private final SubmissionForwarder forwarder = new SubmissionForwarder(client, OTHERS, clock);
+
+  private void forward(String leader, boolean dependent) {
     answer = null;
     asked.clear();
-    relay.offer(Optional.ofNullable(leader), SUBMISSION, dependent, verdict, r -> answer = r);
+    forwarder.forward(Optional.ofNullable(leader), SUBMISSION, dependent, verdict, r -> answer = r);
   }
 
   /** Nodes that are not named give no answer. */
@@ -86,31 +81,31 @@
   })
   void theFirstFinalAnswerCounts(String leader, String answers, String expected, int status) {
     answers(answers);
-    offer(leader, false);
+    forward(leader, false);
     assertEquals(status, answer.status());
     assertEquals(List.of(expected.split(" ")), asked);
   }
 
   @Test
-  void aLeaderThatWasAskedBeforeIsLeftOut() {
+  void aLeaderThatWasAskedBeforeIsSkipped() {
     answers("b=201 c=201");
-    relay.offerToFollowers("b", SUBMISSION, verdict, r -> answer = r);
+    forwarder.forwardToFollowers("b", SUBMISSION, verdict, r -> answer = r);
     assertEquals(201, answer.status());
     assertEquals(List.of("c"), asked);
   }
 
   @Test
-  void aSilentNodeIsLeftOutForAWhileAndItsLinkIsDropped() {
+  void anUnresponsiveNodeIsSkippedForAWhileAndItsConnectionIsClosed() {
     answers("b=503 c=201 e=503");
-    offer("d", false);
+    forward("d", false);
     assertEquals(List.of("d", "b", "c"), asked);
     assertEquals(List.of("d"), reset);
-    assertTrue(relay.isSilent("d"));
-    offer("d", false);
+    assertTrue(forwarder.isUnresponsive("d"));
+    forward("d", false);
     assertEquals(List.of("c"), asked);
     clock.runFor(2.1);
     answers("d=201");
-    offer("d", false);
+    forward("d", false);
     assertEquals(List.of("d"), asked);
   }
 
@@ -119,37 +114,37 @@
     answers("b=201 c=201 d=201 e=201");
     List<String> all = new ArrayList<>();
     for (int i = 0; i < OTHERS.size(); i++) {
-      offer(null, false);
+      forward(null, false);
       all.addAll(asked);
     }
     assertEquals(OTHERS, all);
   }
 
-  /** A version that does not know dependencies would accept the job without them. */
+  /** A version that does not support dependencies would accept the job without them. */
   @Test
   void aDependentJobGoesByAPathThatOlderVersionsDoNotKnow() {
     answers("b=404 c=201");
-    offer(null, true);
+    forward(null, true);
     assertEquals(201, answer.status());
     assertEquals(List.of("/peer/submissions", "/peer/submissions"), paths);
   }
 
-  /** The leader is known to know dependencies, and may be of a version without that path. */
+  /** The leader is known to support dependencies, and its version may not know that path. */
   @Test
   void theLeaderIsAskedByTheUsersOwnRequest() {
     answers("d=503 b=201");
-    offer("d", true);
+    forward("d", true);
     assertEquals(List.of("/submissions", "/peer/submissions"), paths);
   }
 
   @ParameterizedTest(name = "cancelled {0}")
   @CsvSource({"false", "true"})
-  void whatWasFoundOfTheDependenciesGoesWithTheOffer(boolean cancelled) {
+  void theResultOfTheDependencyCheckIsForwarded(boolean cancelled) {
     verdict = Optional.of(new DependencyVerdict(cancelled));
     answers("b=201");
-    offer(null, true);
-    assertTrue(SubmissionRelay.isDependentPath(paths.get(0)));
-    assertEquals(verdict, SubmissionRelay.verdictIn(paths.get(0)));
+    forward(null, true);
+    assertTrue(DependentSubmissionPath.matches(paths.get(0)));
+    assertEquals(verdict, DependentSubmissionPath.verdictIn(paths.get(0)));
     assertEquals(verdict, DependencyVerdict.read(verdict.get().write()));
   }
 
--- a/src/test/java/org/ternhinge/sim/RuleViolations.java
+++ b/src/test/java/org/ternhinge/sim/RuleViolations.java
@@ -1,5 +1,6 @@
 package org.ternhinge.sim;
 
+
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -1,27 +1,29 @@
 package org.ternhinge.sim;
 
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.config.Settings;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.config.Tuning;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.store.Change;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
 
 /**
  * Controllers with simulated machines, cloud, key-value store and network around them, in virtual
@@ -241,7 +243,11 @@
 
   /** A controller asks another one. */
   void ask(
-      SimController from, String to, Request request, double timeoutS, Consumer<Response> answer) {
+      SimController from,
+      String to,
+      Request request,
+      double timeoutS,
+      Consumer<Optional<Response>> answer) {
     int index = Integer.parseInt(to.substring(NODE_PREFIX.length()));
     CompletableFuture<Outcome<Response>> call =
         networkFaults.call(
@@ -250,7 +256,7 @@
             () -> networkFaults.cutFromPeers(from.index()) || networkFaults.cutFromPeers(index),
             timeoutS,
             back -> askNow(index, request, back));
-    AsyncCalls.whenAnswered(from.guard(call), outcome -> answer.accept(responseOrNull(outcome)));
+    AsyncCalls.whenAnswered(from.guard(call), outcome -> answer.accept(responseOf(outcome)));
   }
 
   private void askNow(int index, Request request, Consumer<Outcome<Response>> back) {
@@ -260,8 +266,10 @@
     }
   }
 
-  private static Response responseOrNull(Outcome<Response> outcome) {
-    return outcome instanceof Outcome.Applied<Response> applied ? applied.value() : null;
+  private static Optional<Response> responseOf(Outcome<Response> outcome) {
+    return outcome instanceof Outcome.Applied<Response> applied
+        ? Optional.of(applied.value())
+        : Optional.empty();
   }
 
   // ---- requests -------------------------------------------------------------------------------
@@ -280,7 +288,7 @@
             () -> false,
             USER_TIMEOUT_S,
             to -> deliver(index, request, response -> to.accept(Outcome.applied(response))));
-    AsyncCalls.whenAnswered(call, outcome -> answer.accept(responseOrNull(outcome)));
+    AsyncCalls.whenAnswered(call, outcome -> answer.accept(responseOf(outcome).orElse(null)));
   }
 
   /** Brings a report to a controller; the answer is null where none comes within a second. */
