--- /dev/null
+++ b/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
@@ -0,0 +1,66 @@
+package org.ternhinge.request;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Consumer;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.sim.SimClock;
+
+/** Whom a node without requests probes, and what it learns of its connectivity. */
+class ConnectivityProbeTest {
+  private static final List<String> OTHERS = List.of("b", "c");
+
+  private final LeadershipFixture fixture = new LeadershipFixture();
+  private final SimClock clock = fixture.clock;
+  private final ReentrantLock lock = new ReentrantLock();
+  private final List<String> asked = new ArrayList<>();
+  private boolean peersAnswer;
+
+  private final PeerTransport transport =
+      new PeerTransport() {
+        @Override
+        public void ask(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
+          asked.add(node);
+          to.accept(peersAnswer ? Optional.of(Response.of(503)) : Optional.empty());
+        }
+
+        @Override
+        public void reset(String node) {}
+      };
+
+  @ParameterizedTest(name = "store answers {0}, peers answer {1}")
+  @CsvSource({
+    // store answers, peers answer, nodes asked in 9.5 s, store unresponsive, isolated
+    "true,  true,  b c b,         false, false",
+    "true,  false, b c b,         false, false",
+    "false, true,  b c b,         true,  false",
+    "false, false, b c b c b c b, true,  true",
+  })
+  void quietPeersAreAskedInTurnWhileTheStoreIsQuiet(
+      boolean storeAnswers,
+      boolean peersAnswer,
+      String expected,
+      boolean unresponsive,
+      boolean isolated) {
+    if (!storeAnswers) {
+      fixture.store.holdReads();
+    }
+    this.peersAnswer = peersAnswer;
+    NodeConnectivity connectivity = new NodeConnectivity(clock, true);
+    PeerClient peers = new PeerClient(transport, lock, connectivity);
+    new ConnectivityProbe(fixture.store, peers, OTHERS, connectivity, clock, lock).start();
+    clock.runFor(9.5);
+    assertEquals(expected, String.join(" ", asked));
+    assertEquals(unresponsive, connectivity.isStoreUnresponsive());
+    assertEquals(isolated, connectivity.isIsolated());
+  }
+}
