--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -1,23 +1,22 @@
 package org.ternhinge.cloud;
 
-import org.ternhinge.model.Endpoint;
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import org.ternhinge.http.HttpCaller;
+import org.ternhinge.http.Reply;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.http.Reply;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.limit.TokenBucket;
 import org.ternhinge.wire.WireException;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import org.ternhinge.model.Outcome.Reason;
-
 /** The cloud over HTTP, within its published limit. */
 public final class HttpCloud implements Cloud {
   private static final double TIMEOUT_S = 5;
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -1,13 +1,12 @@
 package org.ternhinge.config;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.wire.WireException;
-
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.Priority;
+import org.ternhinge.wire.WireException;
 
 /** Reads the block {@code zone_failover} and says what is wrong with it, by key and reason. */
 final class ZoneFailoverReader {
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -1,12 +1,11 @@
 package org.ternhinge.config;
 
+import java.util.List;
+import java.util.Set;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-import java.util.List;
-import java.util.Set;
-
 /**
  * What operators set for the loss and return of zones: the block {@code zone_failover} of the
  * tuning file.
--- a/src/main/java/org/ternhinge/http/Channels.java
+++ b/src/main/java/org/ternhinge/http/Channels.java
@@ -1,12 +1,11 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.AsyncCalls;
-
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundInvoker;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.AsyncCalls;
 
 /**
  * Channel operations whose own futures nobody needs: that a write or a connection has failed shows
--- a/src/main/java/org/ternhinge/http/HttpCaller.java
+++ b/src/main/java/org/ternhinge/http/HttpCaller.java
@@ -1,8 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Outcome;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -33,6 +30,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Future;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/http/HttpServer.java
+++ b/src/main/java/org/ternhinge/http/HttpServer.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -33,6 +31,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.model.Endpoint;
 
 /**
  * The HTTP side towards users and workers. Guards against clients that stall in the middle of a
--- a/src/main/java/org/ternhinge/http/Reply.java
+++ b/src/main/java/org/ternhinge/http/Reply.java
@@ -1,6 +1,5 @@
 package org.ternhinge.http;
 
-
 /** A whole response as a client gets it. */
 public final class Reply {
   private final int status;
--- a/src/main/java/org/ternhinge/http/Request.java
+++ b/src/main/java/org/ternhinge/http/Request.java
@@ -1,6 +1,5 @@
 package org.ternhinge.http;
 
-
 /** A whole request as a server gets it; the path has no query. */
 public final class Request {
   private final String method;
--- a/src/main/java/org/ternhinge/http/SocketShares.java
+++ b/src/main/java/org/ternhinge/http/SocketShares.java
@@ -1,6 +1,5 @@
 package org.ternhinge.http;
 
-
 /**
  * How a process shares out its sockets. Without shares, the connections of a large fleet's workers,
  * or a burst of commands to them, take the last socket, and then users, probes, other controllers
--- a/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
+++ b/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
@@ -2,7 +2,6 @@
 
 import org.ternhinge.model.Clock;
 
-
 /**
  * This controller's part of what the key-value store takes, for requests and for changes. The
  * leader uses a fixed share and the other controllers divide the rest evenly, so that all
--- a/src/main/java/org/ternhinge/limit/RequestPriority.java
+++ b/src/main/java/org/ternhinge/limit/RequestPriority.java
@@ -1,6 +1,5 @@
 package org.ternhinge.limit;
 
-
 /**
  * Which requests go first when tokens run short. Each priority leaves a part of the bucket to those
  * before it, so that a burst of lesser requests never keeps a more urgent one waiting.
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -3,7 +3,6 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
 /**
  * Tokens for calls to a system that limits its callers: a steady rate, and bursts of what comes in
  * during one second. Safe for use by several threads.
--- a/src/main/java/org/ternhinge/model/AgentEpoch.java
+++ b/src/main/java/org/ternhinge/model/AgentEpoch.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** Counts a worker's leases: every lease that runs out begins the next epoch. */
 public record AgentEpoch(long value) implements Comparable<AgentEpoch> {
   public static final AgentEpoch NONE = new AgentEpoch(0);
--- a/src/main/java/org/ternhinge/model/AttemptNumber.java
+++ b/src/main/java/org/ternhinge/model/AttemptNumber.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** Tells one start of a task from another; never used twice for the same task. */
 public record AttemptNumber(long value) implements Comparable<AttemptNumber> {
   public static final AttemptNumber NONE = new AttemptNumber(0);
--- a/src/main/java/org/ternhinge/model/Clock.java
+++ b/src/main/java/org/ternhinge/model/Clock.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** Time and timers as the service sees them; tests put virtual time in its place. */
 public interface Clock {
 
--- a/src/main/java/org/ternhinge/model/Endpoint.java
+++ b/src/main/java/org/ternhinge/model/Endpoint.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** A TCP address by number. */
 public record Endpoint(String host, int port) {
 
--- a/src/main/java/org/ternhinge/model/JobId.java
+++ b/src/main/java/org/ternhinge/model/JobId.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** A job's name, chosen by its user. */
 public record JobId(String value) implements Comparable<JobId> {
   private static final String PREFIX = "wk-";
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** A machine's name, given by the cloud. */
 public record MachineId(String value) implements Comparable<MachineId> {
   @Override
--- a/src/main/java/org/ternhinge/model/Resources.java
+++ b/src/main/java/org/ternhinge/model/Resources.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /**
  * Amounts in thousandths, so that sums of many tasks stay exact. What a task takes is rounded up
  * and what a machine or limit offers is rounded down: an error can then never overfill.
--- a/src/main/java/org/ternhinge/model/Revision.java
+++ b/src/main/java/org/ternhinge/model/Revision.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** A version of a key in the key-value store; 0 stands for a key that does not exist. */
 public record Revision(long value) implements Comparable<Revision> {
   public static final Revision NONE = new Revision(0);
--- a/src/main/java/org/ternhinge/model/SteadyTime.java
+++ b/src/main/java/org/ternhinge/model/SteadyTime.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** A reading of the steady clock of this process. */
 public record SteadyTime(long nanos) implements Comparable<SteadyTime> {
 
--- a/src/main/java/org/ternhinge/model/TaskId.java
+++ b/src/main/java/org/ternhinge/model/TaskId.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** One task of a job; tasks are numbered from 0. */
 public record TaskId(JobId job, int index) {
 
--- a/src/main/java/org/ternhinge/model/Term.java
+++ b/src/main/java/org/ternhinge/model/Term.java
@@ -1,6 +1,5 @@
 package org.ternhinge.model;
 
-
 /** The number of a leadership; workers know it as the fencing token and refuse lower ones. */
 public record Term(long value) implements Comparable<Term> {
   public static final Term NONE = new Term(0);
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -1,10 +1,9 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 
 /**
  * One message between controllers: length, id, type, then either method, path and body or status,
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -1,17 +1,16 @@
 package org.ternhinge.round;
 
+import java.util.Map;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-import java.util.Map;
-import java.util.TreeMap;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Writes one line a machine to the debug log now and then, for whoever wants to see what runs
  * where. Costs nothing while debug logging is off. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/round/JobRanking.java
+++ b/src/main/java/org/ternhinge/round/JobRanking.java
@@ -3,7 +3,6 @@
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 
-
 /**
  * Orders waiting jobs that are alike in priority and guarantee. Arrival order would make every job
  * late in a full cluster; ordering by size against waiting time lets most start early, and since
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -1,23 +1,22 @@
 package org.ternhinge.round;
 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.term.ControllerServices;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.ScaleOutOptions;
-import org.ternhinge.config.Settings;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.config.Tuning;
-
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
+import org.ternhinge.term.ControllerServices;
 
 /**
  * What the planner is shown. A machine's view is kept until something on the machine changes, so
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -1,12 +1,11 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
 import org.ternhinge.model.Resources;
-
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
 
 /** Keeps the places that tasks with accelerators need from being used up by others. */
 final class AcceleratorPlaces {
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -1,17 +1,16 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.SteadyTime;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Moves services that lie spread over accelerated machines to where their room costs less, a few at
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -1,8 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
@@ -10,8 +7,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Room for gangs that don't fit into what is free. Others are stopped only when that makes room for
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,6 +1,5 @@
 package org.ternhinge.schedule;
 
-
 /** Which places are considered for a task, and at whose cost. */
 enum PlacementScope {
   /** Places that tasks with accelerators won't miss. */
--- a/src/main/java/org/ternhinge/schedule/Plan.java
+++ b/src/main/java/org/ternhinge/schedule/Plan.java
@@ -1,12 +1,11 @@
 package org.ternhinge.schedule;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-import java.util.ArrayList;
-import java.util.List;
-
 /** What the planner wants done; admission has the last word on each. */
 public final class Plan {
   /** Tasks of a job to open together, each on the machine at its position. */
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -1,16 +1,15 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Resources;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /**
  * Finds room for tasks among what is free. Each job evaluates each machine with room once and then
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -1,16 +1,15 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Resources;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /**
  * Which kinds of jobs have found no more room in this round. Room only gets less while a plan
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -1,8 +1,7 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Revision;
-
 import com.fasterxml.jackson.databind.JsonNode;
+import org.ternhinge.model.Revision;
 
 /** One change to a key, wanted or observed. */
 public sealed interface Change {
--- a/src/main/java/org/ternhinge/store/CompareAndSwap.java
+++ b/src/main/java/org/ternhinge/store/CompareAndSwap.java
@@ -1,12 +1,11 @@
 package org.ternhinge.store;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Revision;
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.Revision;
+import org.ternhinge.wire.Json;
 
 /** Changes that happen together if every key has the stated version. */
 public record CompareAndSwap(Map<String, Revision> conditions, List<Change> changes) {
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -1,14 +1,13 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.DoubleFunction;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * How long to wait for the key-value store's answers, by how long they have taken lately. Like
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 import java.util.Locale;
 
 /** Why a task ended. */
--- a/src/main/java/org/ternhinge/wire/ErrorBody.java
+++ b/src/main/java/org/ternhinge/wire/ErrorBody.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 /**
  * The body of an answer that refuses a request for good.
  *
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -1,16 +1,15 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
 
 /**
  * A worker's heartbeat.
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 /** What the tasks of a job are to each other. */
 public enum JobKind {
   ARRAY("batch"),
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -1,8 +1,5 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Resources;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,6 +7,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
 
 /**
  * A job as its user submits it.
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -1,8 +1,7 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.model.JobId;
 
 /** What a user is told of a job. */
 public record JobState(JobId id, Phase phase, int done, int running) {
--- a/src/main/java/org/ternhinge/wire/Json.java
+++ b/src/main/java/org/ternhinge/wire/Json.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/org/ternhinge/wire/ListedMachine.java
+++ b/src/main/java/org/ternhinge/wire/ListedMachine.java
@@ -1,10 +1,9 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.MachineId;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.MachineId;
 
 /** A machine as the cloud's list shows it. */
 public record ListedMachine(
--- a/src/main/java/org/ternhinge/wire/Redirect.java
+++ b/src/main/java/org/ternhinge/wire/Redirect.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** The 421 answer of a node that may not act for the controllers. */
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 /** What a worker says of a task. */
 public enum TaskState {
   FETCHING("pulling"),
--- a/src/main/java/org/ternhinge/wire/TaskStatus.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -3,7 +3,6 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.TaskId;
 
-
 /**
  * One task in a worker's heartbeat.
  *
--- a/src/main/java/org/ternhinge/wire/WireException.java
+++ b/src/main/java/org/ternhinge/wire/WireException.java
@@ -1,6 +1,5 @@
 package org.ternhinge.wire;
 
-
 /** A message that does not have the form the protocol gives it. */
 public final class WireException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -1,20 +1,19 @@
 package org.ternhinge.worker;
 
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
+import org.ternhinge.http.HttpCaller;
+import org.ternhinge.http.Reply;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Command;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.http.HttpCaller;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Reply;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.WireException;
 
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import org.ternhinge.model.Outcome.Reason;
-
 /** Direct commands over HTTP. */
 public final class HttpWorkers implements Workers {
   private static final double TIMEOUT_S = 3;
--- a/src/main/java/org/ternhinge/zone/DisplacedWork.java
+++ b/src/main/java/org/ternhinge/zone/DisplacedWork.java
@@ -2,7 +2,6 @@
 
 import org.ternhinge.model.JobId;
 
-
 /** What has become of work that was displaced from a lost zone, as the ledger knows it. */
 public interface DisplacedWork {
   /** What has become of a task. */
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -1,10 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,6 +7,10 @@
 import org.pcollections.PMap;
 import org.pcollections.PSet;
 import org.pcollections.TreePSet;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * What was displaced from lost zones: tasks whose attempts are proved over and that have no new
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -1,8 +1,7 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.config.ZoneFailoverSettings;
-
+import org.ternhinge.model.SteadyTime;
 
 /**
  * How often a zone was lost lately: each loss adds one, and time halves it, as in route flap
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -1,10 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Tells lost zones from our own lost links, by comparing the zones with each other. Where all look
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -1,13 +1,12 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.schedule.Plan;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.schedule.Plan;
 
 /**
  * Takes out of a plan what the pace of returning zones does not permit: starts beyond it, moves of
--- a/src/main/java/org/ternhinge/zone/RateBudget.java
+++ b/src/main/java/org/ternhinge/zone/RateBudget.java
@@ -2,7 +2,6 @@
 
 import org.ternhinge.model.SteadyTime;
 
-
 /**
  * A token bucket as an immutable value, whose rate may change over time. It holds a second's worth
  * and one token more, so that rounding costs nothing, and may be overdrawn by what can't be
--- a/src/main/java/org/ternhinge/zone/ReturnPacer.java
+++ b/src/main/java/org/ternhinge/zone/ReturnPacer.java
@@ -1,10 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * How many tasks may start in zones that have returned: few at first, twice as many with each step.
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -1,12 +1,11 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.schedule.Snapshot;
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
 import java.util.List;
 import org.pcollections.PSet;
+import org.ternhinge.schedule.Snapshot;
 
 /** Shows the planner only the zones that take work, and only the tasks that are not held. */
 final class SnapshotFilter {
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -1,10 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.TaskRanges;
-
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.model.TaskRanges;
 
 /** Something that happened to a zone or to the work of a lost one, as the log has it. */
 public sealed interface ZoneEvent {
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -1,13 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.TaskRanges;
-import org.ternhinge.config.ZoneFailoverSettings;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -21,6 +13,13 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 import org.pcollections.PSet;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.TaskRanges;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.wire.JobSpec;
 import org.ternhinge.zone.ZoneEvent.WorkStep;
 
 /**
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -1,6 +1,5 @@
 package org.ternhinge.zone;
 
-
 /**
  * What is seen of a zone's machines at one time.
  *
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -1,12 +1,11 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.SteadyTime;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Json;
 
 /**
  * The state of all zones as the key-value store holds it, so that a new leader does not start over.
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshot.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshot.java
@@ -1,10 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 import org.pcollections.PSet;
+import org.ternhinge.model.JobId;
 
 /**
  * All that is known of the zones at one time, as one immutable value: readers need no lock. The
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -1,6 +1,5 @@
 package org.ternhinge.zone;
 
-
 /**
  * What readers are shown of a zone.
  *
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone.report;
 
-import org.ternhinge.zone.ZoneEvent;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,6 +17,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
+import org.ternhinge.zone.ZoneEvent;
 
 /**
  * The events of zones in a service's log, in the order of their times. The logs of several
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -4,7 +4,6 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
 
-
 /** Draws faults of some kind, step by step, for the tests that run whole days of them. */
 final class SeededFaults {
   /** Refusals of leaders last two minutes; after this step they would outlast the faulty time. */
@@ -122,8 +121,7 @@
     if (kind.includes(FaultKind.HELD_HEARTBEATS) && oneIn(4)) {
       cluster.machineFaults.holdHeartbeat(seconds(3, 50));
     }
-    boolean refusesLeader =
-        kind == FaultKind.HELD_HEARTBEATS || kind == FaultKind.SLOW_STORE;
+    boolean refusesLeader = kind == FaultKind.HELD_HEARTBEATS || kind == FaultKind.SLOW_STORE;
     if (refusesLeader && oneIn(15)) {
       cluster.stateFaults.refuse(Math.max(0, cluster.leader()), 8);
     }
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,6 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.wire.Json;
 
 /** Writes beside those of jobs. */
 class AuxiliaryWritesTest {
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,6 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 
 /** Frames between controllers, byte for byte as the version in production has them. */
 class FrameTest {
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,8 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.wire.JobSpec;
 
 /** Plans by tables of small fleets. */
 class PlannerTest extends PlannerFixture {
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -1,16 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.model.Resources;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,6 +14,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
 
 /** What zones that are lost or returning leave of the planner's snapshot and of its plan. */
 class PlanLimiterTest {
