--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -88,8 +88,8 @@
     try {
       ZoneLog read = ZoneLog.read(log);
       ZoneReport.Result result = ZoneReport.write(read, out);
-      if (read.leftOut() > 0) {
-        System.err.println("ternhinge: " + read.leftOut() + " lines could not be read");
+      if (read.malformed() > 0) {
+        System.err.println("ternhinge: " + read.malformed() + " lines could not be read");
       }
       if (result == ZoneReport.Result.NOTHING_USABLE) {
         System.err.println("ternhinge: no event of zones in " + log);
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -17,6 +17,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.TaskState;
 import org.ternhinge.zone.ZoneFailover;
 import org.ternhinge.zone.ZoneObservation;
 
@@ -132,12 +133,12 @@
   // ---- displaced tasks --------------------------------------------------------------------------
 
   @Override
-  public Fate fate(JobId id, int task) {
+  public TaskState state(JobId id, int task) {
     Job job = ledger.job(id);
     if (job == null || FleetView.isOver(job) || job.isDone(task)) {
-      return Fate.OVER;
+      return TaskState.ENDED;
     }
-    return job.open(task) == null ? Fate.WAITING : Fate.PLACED;
+    return job.open(task) == null ? TaskState.PENDING : TaskState.PLACED;
   }
 
   @Override
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -1,6 +1,7 @@
 package org.ternhinge.failover;
 
 import java.util.Collection;
+import java.util.Optional;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
@@ -45,8 +46,8 @@
   }
 
   @Override
-  public String zoneOf(MachineId id) {
-    return machines.find(id).map(machine -> machine.description().zoneName()).orElse(null);
+  public Optional<String> zoneOf(MachineId id) {
+    return machines.find(id).map(machine -> machine.description().zoneName());
   }
 
   @Override
--- a/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
@@ -93,7 +93,7 @@
 
   private void adopt(Entry entry) {
     context.writer().known(entry.key(), entry.revision());
-    failover.adopt(entry.value(), clock.now(), clock.wallMillis());
+    failover.restore(entry.value(), clock.now(), clock.wallMillis());
     onAdopted.run();
   }
 }
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -63,7 +63,7 @@
     SteadyTime now = context.services().clock().now();
     ledger.adopt(job);
     LOG.debug("accepted {} of {}", id, job.spec().jobClass());
-    arrivalRates.saw(job.spec(), now);
+    arrivalRates.recordArrival(job.spec(), now);
     refreshRaisedPriorities(now);
     dependencyResolver.pump();
     context.writer().pump();
--- a/src/main/java/org/ternhinge/leadership/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -2,6 +2,7 @@
 
 import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.round.FleetLog;
+import org.ternhinge.round.FleetState;
 import org.ternhinge.round.PlanExecutor;
 import org.ternhinge.round.SchedulingRounds;
 import org.ternhinge.round.SnapshotBuilder;
@@ -19,39 +20,20 @@
       WorkerComponents workers,
       ScalingComponents scaling) {
     arrivalRates = new ArrivalRates(context.services().settings().objectives());
-    SnapshotBuilder snapshots =
-        new SnapshotBuilder(
-            context.services(),
-            context.authority(),
-            context.ledger(),
+    FleetState fleetState =
+        new FleetState(
+            fleet.machines,
             fleet.machineTypes,
             fleet.failures,
-            fleet.machines,
-            arrivalRates,
-            fleet.scaleOutOptions,
             fleet.bootTimes,
-            context.electedAt());
+            fleet.reportedTaskCounts);
+    SnapshotBuilder snapshots =
+        new SnapshotBuilder(context, fleetState, arrivalRates, fleet.scaleOutOptions);
     PlanExecutor planExecutor =
         new PlanExecutor(
-            context.services().clock(),
-            context.ledger(),
-            context.writer(),
-            fleet.machines,
-            fleet.machineTypes,
-            snapshots,
-            fleet.reportedTaskCounts,
-            workers.attempts,
-            fleet.provisioner,
-            scaling.releaser);
+            context, fleetState, snapshots, workers.attempts, fleet.provisioner, scaling.releaser);
     rounds =
-        new SchedulingRounds(
-            context.services(),
-            context.authority(),
-            context.executor(),
-            fleet.machineTypes,
-            snapshots,
-            planExecutor,
-            fleet.zones);
+        new SchedulingRounds(context, fleet.machineTypes, snapshots, planExecutor, fleet.zones);
     fleetLog =
         new FleetLog(context.services().clock(), context.ledger(), fleet.machines, snapshots);
   }
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -12,8 +12,8 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Writes one line a machine to the debug log now and then, for whoever wants to see what runs
- * where. Costs nothing while debug logging is off. Guarded by the controller's lock.
+ * Writes one line for each machine to the debug log at intervals: its state and what runs on it.
+ * Does nothing while debug logging is off. Guarded by the controller's lock.
  */
 public final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
@@ -27,6 +27,7 @@
   private final SnapshotBuilder snapshots;
   private SteadyTime lastLogged;
 
+  /** Creates the log of one leadership. */
   public FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotBuilder snapshots) {
     this.clock = clock;
     this.ledger = ledger;
@@ -35,7 +36,7 @@
     this.lastLogged = clock.now();
   }
 
-  /** Describes the fleet if it is time to. */
+  /** Describes the fleet if the interval since the last time is over. */
   public void logIfDue() {
     SteadyTime now = clock.now();
     if (LOG.isDebugEnabled() && now.secondsSince(lastLogged) >= INTERVAL_S) {
@@ -59,6 +60,6 @@
         attemptsByClass,
         machine.agent().isHeard() ? "" : "booting ",
         machine.cloud().isReleasing() ? "releasing " : "",
-        snapshots.placeable(machine, now) ? "" : "closed");
+        snapshots.isPlaceable(machine, now) ? "" : "closed");
   }
 }
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -20,12 +20,13 @@
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The jobs with tasks to place, as the planner is shown them. Guarded by the controller's lock.
+ * Builds the planner's views of the jobs with pending tasks. Guarded by the controller's lock.
  *
- * <p>A job that waits for others costs nothing here and holds no part of its team's guarantee.
+ * <p>A job with unmet dependencies is left out and uses up no part of its team's guarantee.
  */
 final class JobViews {
   private static final double MILLIS_PER_S = 1000.0;
@@ -38,20 +39,20 @@
   private final Ledger ledger;
   private final TaskFailures failures;
 
-  JobViews(Settings settings, Clock clock, Ledger ledger, TaskFailures failures) {
-    this.settings = settings;
-    this.clock = clock;
-    this.ledger = ledger;
+  JobViews(LeadershipContext context, TaskFailures failures) {
+    this.settings = context.services().settings();
+    this.clock = context.services().clock();
+    this.ledger = context.ledger();
     this.failures = failures;
   }
 
   /**
-   * All jobs with tasks to place, in the order in which they could first start.
+   * All jobs with pending tasks, in the order in which they could first start.
    *
-   * @param reserved for how many tasks of each job room is kept
+   * @param reservedTasks the number of tasks of each job that room is reserved for
    */
-  List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reserved) {
-    Map<String, Resources> asked = new HashMap<>();
+  List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reservedTasks) {
+    Map<String, Resources> requestedByTeam = new HashMap<>();
     List<Snapshot.JobView> views = new ArrayList<>();
     for (Job job : unfinished()) {
       JobSpec spec = job.planned();
@@ -59,35 +60,41 @@
       if (team == null) {
         continue;
       }
-      Resources sum = asked.merge(spec.team(), spec.need().times(spec.tasks()), Resources::plus);
+      Resources requested =
+          requestedByTeam.merge(spec.team(), spec.need().times(spec.tasks()), Resources::plus);
       if (job.waitingCount() > 0) {
-        views.add(view(job, isGuaranteed(sum, team), reserved.getOrDefault(spec.id(), 0), now));
+        views.add(
+            view(
+                job,
+                isWithinGuarantee(requested, team),
+                reservedTasks.getOrDefault(spec.id(), 0),
+                now));
       }
     }
     return views;
   }
 
-  /** The jobs that got their first tasks after too long a wait and have none done yet. */
-  Set<JobId> startedLate(SteadyTime now) {
+  /** The jobs whose first tasks started after too long a wait and of which none is done yet. */
+  Set<JobId> lateStartedJobs(SteadyTime now) {
     Set<JobId> jobs = new HashSet<>();
     for (Job job : ledger.jobs()) {
-      if (!job.spec().isService() && !job.cancelled() && startedLate(job, now)) {
+      if (!job.spec().isService() && !job.cancelled() && hasStartedLate(job, now)) {
         jobs.add(job.spec().id());
       }
     }
     return jobs;
   }
 
-  private boolean startedLate(Job job, SteadyTime now) {
+  private boolean hasStartedLate(Job job, SteadyTime now) {
     JobRanking.Progress progress = progress(job);
-    if (progress.open() == 0 || progress.done() > 0 || progress.waitedS() <= JobRanking.LATE_S) {
+    if (progress.open() == 0 || progress.done() > 0 || progress.waitedS() <= JobRanking.OVERDUE_S) {
       return false;
     }
     double openForS = 0;
     for (Attempt attempt : job.openAttempts()) {
       openForS = Math.max(openForS, now.secondsSince(attempt.openedAt()));
     }
-    return progress.waitedS() - openForS > JobRanking.LATE_S;
+    return progress.waitedS() - openForS > JobRanking.OVERDUE_S;
   }
 
   private List<Job> unfinished() {
@@ -101,23 +108,24 @@
     return jobs;
   }
 
-  /** Whether all that a team has asked for so far fits into its guarantee. */
-  private static boolean isGuaranteed(Resources asked, Team team) {
-    return asked.cpus() <= team.cpus() && (team.gpus() == 0 || asked.gpus() <= team.gpus());
+  /** Whether what a team has requested so far fits into its guarantee. */
+  private static boolean isWithinGuarantee(Resources requested, Team team) {
+    return requested.cpus() <= team.cpus() && (team.gpus() == 0 || requested.gpus() <= team.gpus());
   }
 
-  private Snapshot.JobView view(Job job, boolean guaranteed, int reservedTasks, SteadyTime now) {
+  private Snapshot.JobView view(
+      Job job, boolean withinGuarantee, int reservedTasks, SteadyTime now) {
     JobSpec spec = job.planned();
     JobRanking.Progress progress = progress(job);
-    int most = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
+    int maxStarts = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
     return new Snapshot.JobView(
         spec,
         JobRanking.key(spec, progress),
         progress.waitedS(),
-        guaranteed,
-        progress.late(),
-        pending(job, most),
-        Math.min(most, progress.waiting()),
+        withinGuarantee,
+        progress.isOverdue(),
+        pendingTasks(job, maxStarts),
+        Math.min(maxStarts, progress.pending()),
         openByZone(job),
         failures.jobBackoff().isBlocked(job, now),
         failures.jobBackoff().avoidedBy(job, now),
@@ -133,10 +141,10 @@
   /**
    * The first tasks without an open attempt; all of them where the job is a gang.
    *
-   * @param most how many tasks may start in a round
+   * @param maxStarts how many tasks may start in a round
    */
-  private static IntList pending(Job job, int most) {
-    int limit = Math.min(most, Snapshot.JobView.MAX_PENDING);
+  private static IntList pendingTasks(Job job, int maxStarts) {
+    int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING);
     IntList pending = new IntArrayList(Math.min(job.waitingCount(), limit));
     boolean gang = job.spec().isGang();
     int task = job.nextWaiting(0);
@@ -148,12 +156,12 @@
   }
 
   private IntList openByZone(Job job) {
-    int[] zones = new int[settings.zones().size()];
+    int[] openByZone = new int[settings.zones().size()];
     for (Attempt attempt : job.openAttempts()) {
-      if (attempt.zone() >= 0 && attempt.zone() < zones.length) {
-        zones[attempt.zone()]++;
+      if (attempt.zone() >= 0 && attempt.zone() < openByZone.length) {
+        openByZone[attempt.zone()]++;
       }
     }
-    return IntArrayList.wrap(zones);
+    return IntArrayList.wrap(openByZone);
   }
 }
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -17,15 +17,16 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
 /**
- * The machines that the planner may count on. A machine's view is kept until something on the
- * machine changes. Guarded by the controller's lock.
+ * Builds the planner's views of the machines that are ready or expected to be so. A machine caches
+ * its view until something on it changes. Guarded by the controller's lock.
  */
 final class MachineViews {
-  /** A machine without a heartbeat for so long is not counted on. */
-  private static final double SILENT_S = 15;
+  /** Seconds without a heartbeat after which a machine is not expected to become ready. */
+  private static final double MAX_SILENCE_S = 15;
 
   private final Settings settings;
   private final Authority authority;
@@ -34,24 +35,18 @@
   private final MachineRegistry machines;
   private final BootTimes bootTimes;
 
-  MachineViews(
-      Settings settings,
-      Authority authority,
-      Ledger ledger,
-      MachineTypeCatalog machineTypes,
-      MachineRegistry machines,
-      BootTimes bootTimes) {
-    this.settings = settings;
-    this.authority = authority;
-    this.ledger = ledger;
-    this.machineTypes = machineTypes;
-    this.machines = machines;
-    this.bootTimes = bootTimes;
+  MachineViews(LeadershipContext context, FleetState fleet) {
+    this.settings = context.services().settings();
+    this.authority = context.authority();
+    this.ledger = context.ledger();
+    this.machineTypes = fleet.machineTypes();
+    this.machines = fleet.machines();
+    this.bootTimes = fleet.bootTimes();
   }
 
   /** Whether tasks may be placed on a machine now. */
-  boolean placeable(Machine machine, SteadyTime now) {
-    return mayEverTakeTasks(machine, now) && isReady(machine, now);
+  boolean isPlaceable(Machine machine, SteadyTime now) {
+    return isUsable(machine, now) && isReady(machine, now);
   }
 
   private boolean isReady(Machine machine, SteadyTime now) {
@@ -64,10 +59,10 @@
   }
 
   /**
-   * Whether a machine counts at all, if not now then soon. One that commands don't reach does not
-   * even count as one that is coming, or nothing would be provisioned in its place.
+   * Whether a machine may take tasks, if not now then later. One that commands don't reach may not,
+   * or nothing would be provisioned in its place.
    */
-  private boolean mayEverTakeTasks(Machine machine, SteadyTime now) {
+  private boolean isUsable(Machine machine, SteadyTime now) {
     return machine.cloud().isStaying()
         && machine.description().zone() >= 0
         && machineTypes.typeOf(machine).isPresent()
@@ -75,30 +70,30 @@
         && !machine.health().reachability().unreachable();
   }
 
-  /** The views of all machines that count, those that are coming included. */
+  /** The views of all machines that are ready or expected to be so. */
   List<Snapshot.MachineView> list(SteadyTime now) {
     List<Snapshot.MachineView> views = new ArrayList<>(machines.all().size());
-    Set<MachineId> late = bootTimes.late(now);
+    Set<MachineId> lateToBoot = bootTimes.late(now);
     for (Machine machine : machines.all()) {
-      if (!mayEverTakeTasks(machine, now)) {
+      if (!isUsable(machine, now)) {
         continue;
       }
       boolean ready = isReady(machine, now);
-      if (ready || isExpected(machine, late, now)) {
-        views.add(keptView(machine, ready));
+      if (ready || isExpected(machine, lateToBoot, now)) {
+        views.add(cachedView(machine, ready));
       }
     }
     return views;
   }
 
-  /** Whether a machine that is not ready is likely to be so before long. */
-  private static boolean isExpected(Machine machine, Set<MachineId> late, SteadyTime now) {
+  /** Whether a machine that is not ready is likely to become so soon. */
+  private static boolean isExpected(Machine machine, Set<MachineId> lateToBoot, SteadyTime now) {
     return machine.agent().isHeard()
-        ? machine.agent().silentForS(now) <= SILENT_S
-        : !late.contains(machine.id());
+        ? machine.agent().silentForS(now) <= MAX_SILENCE_S
+        : !lateToBoot.contains(machine.id());
   }
 
-  /** For how many tasks of each job room is kept, on the machines of these views. */
+  /** The number of tasks of each job that room is reserved for on these machines. */
   static Map<JobId, Integer> reservedTasks(List<Snapshot.MachineView> views) {
     Map<JobId, Integer> reserved = new HashMap<>();
     for (Snapshot.MachineView view : views) {
@@ -109,7 +104,7 @@
     return reserved;
   }
 
-  private Snapshot.MachineView keptView(Machine machine, boolean ready) {
+  private Snapshot.MachineView cachedView(Machine machine, boolean ready) {
     return machine.view(ready, () -> view(machine, ready));
   }
 
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -24,22 +24,23 @@
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.schedule.Plan;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Carries out a plan as far as it still holds. The planner works on a snapshot without the lock, so
- * jobs and machines may have changed or gone since: each decision is checked again, and the
- * ledger's admission has the last word on each placement. Guarded by the controller's lock.
+ * jobs and machines may have changed or been removed since: each decision is checked again, and
+ * each placement has to pass the ledger's admission. Guarded by the controller's lock.
  */
 public final class PlanExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
 
   /**
-   * Seconds for which room is kept for a job after others were stopped for it: long enough for them
-   * to save and go, short enough that room is not lost to a job that goes elsewhere.
+   * Seconds for which room is reserved for a job after a preemption: long enough for the victims to
+   * save and end, short enough that no room is wasted if the job is placed elsewhere.
    */
   private static final double RESERVATION_S = 12;
 
-  /** Seconds beside the time to save, for the stop to arrive and the end to be reported. */
+  /** Seconds besides the time to save, for the command to arrive and the end to be reported. */
   private static final double SAVE_MARGIN_S = 1;
 
   private final Clock clock;
@@ -53,24 +54,21 @@
   private final MachineProvisioner provisioner;
   private final MachineReleaser releaser;
 
+  /** Creates the executor of one leadership. */
   public PlanExecutor(
-      Clock clock,
-      Ledger ledger,
-      LedgerWriter writer,
-      MachineRegistry machines,
-      MachineTypeCatalog machineTypes,
+      LeadershipContext context,
+      FleetState fleet,
       SnapshotBuilder snapshots,
-      ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
       MachineProvisioner provisioner,
       MachineReleaser releaser) {
-    this.clock = clock;
-    this.ledger = ledger;
-    this.writer = writer;
-    this.machines = machines;
-    this.machineTypes = machineTypes;
+    this.clock = context.services().clock();
+    this.ledger = context.ledger();
+    this.writer = context.writer();
+    this.machines = fleet.machines();
+    this.machineTypes = fleet.machineTypes();
+    this.reportedTasks = fleet.reportedTasks();
     this.snapshots = snapshots;
-    this.reportedTasks = reportedTasks;
     this.attempts = attempts;
     this.provisioner = provisioner;
     this.releaser = releaser;
@@ -79,36 +77,38 @@
   /** Carries out what still holds; called under the lock while the leadership certainly holds. */
   void execute(Plan plan) {
     SteadyTime now = clock.now();
-    for (Plan.Place place : plan.places()) {
-      place(place, now);
+    for (Plan.Placement placement : plan.placements()) {
+      place(placement, now);
     }
-    for (Plan.Stop stop : plan.stops()) {
-      makeRoom(stop, now);
+    for (Plan.Preemption preemption : plan.preemptions()) {
+      preempt(preemption, now);
     }
     writer.pump();
-    for (Plan.ScaleOut provision : plan.scaleOuts()) {
-      provisioner.provision(provision);
+    for (Plan.ScaleOut scaleOut : plan.scaleOuts()) {
+      provisioner.provision(scaleOut);
     }
     for (MachineId id : plan.releases()) {
       release(id);
     }
   }
 
-  private void place(Plan.Place place, SteadyTime now) {
-    Job job = ledger.job(place.job());
+  // ---- placements -------------------------------------------------------------------------------
+
+  private void place(Plan.Placement planned, SteadyTime now) {
+    Job job = ledger.job(planned.job());
     if (job == null) {
       return;
     }
-    List<Ledger.Placement> placements = withRoomInRecord(job, placements(place, job, now));
+    List<Ledger.Placement> placements = withRoomInRecord(job, placements(planned, job, now));
     Optional<AdmissionRefusal> refusal =
         placements.isEmpty()
             ? Optional.of(AdmissionRefusal.NOTHING_TO_PLACE)
             : ledger.open(job, placements, reportedTasks::isShown, now);
     if (refusal.isPresent()) {
-      LOG.debug("{} not placed: {}", place.job(), refusal.get());
+      LOG.debug("{} not placed: {}", planned.job(), refusal.get());
       return;
     }
-    LOG.debug("{} {} goes to {}", place.job(), job.spec().jobClass(), place.machines());
+    LOG.debug("placed {} ({}) on {}", planned.job(), job.spec().jobClass(), planned.machines());
     for (Ledger.Placement placement : placements) {
       placed(job, machines.find(placement.site().machine()).orElseThrow());
     }
@@ -127,14 +127,15 @@
   }
 
   /** The placements whose machine still takes tasks. */
-  private List<Ledger.Placement> placements(Plan.Place place, Job job, SteadyTime now) {
+  private List<Ledger.Placement> placements(Plan.Placement planned, Job job, SteadyTime now) {
     List<Ledger.Placement> placements = new ArrayList<>();
-    for (int i = 0; i < place.tasks().size(); i++) {
-      int index = place.tasks().get(i);
-      Machine machine = machines.find(place.machines().get(i)).orElse(null);
-      // One task that still shows somewhere must not keep the rest of its array waiting.
-      boolean waits = !job.spec().isGang() && reportedTasks.isShown(new TaskId(place.job(), index));
-      if (machine != null && !waits && snapshots.placeable(machine, now)) {
+    for (int i = 0; i < planned.tasks().size(); i++) {
+      int index = planned.tasks().get(i);
+      Machine machine = machines.find(planned.machines().get(i)).orElse(null);
+      // A task that some machine still reports must not delay the rest of its array.
+      boolean isReported =
+          !job.spec().isGang() && reportedTasks.isShown(new TaskId(planned.job(), index));
+      if (machine != null && !isReported && snapshots.isPlaceable(machine, now)) {
         placements.add(new Ledger.Placement(index, attributes(machine)));
       }
     }
@@ -152,38 +153,41 @@
         machineTypes.typeOf(machine).orElseThrow().capacity());
   }
 
-  /** A task of the job has been opened on the machine. */
+  /** Updates a machine on which an attempt of the job has been opened. */
   private void placed(Job job, Machine machine) {
     machine.invalidateView();
-    // One task placed uses up one reservation.
+    // Each placed task uses up one reservation.
     machine.dropReservation(job.spec().id());
     double cacheGb = machineTypes.typeOf(machine).orElseThrow().cacheGb();
     machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
   }
 
-  /** Stops tasks of lesser urgency on a machine, and keeps their room for the job they made way. */
-  private void makeRoom(Plan.Stop stop, SteadyTime now) {
-    Machine machine = machines.find(stop.machine()).orElse(null);
+  // ---- preemptions and releases -----------------------------------------------------------------
+
+  /** Stops tasks on a machine, and reserves their room for the job that they are stopped for. */
+  private void preempt(Plan.Preemption preemption, SteadyTime now) {
+    Machine machine = machines.find(preemption.machine()).orElse(null);
     if (machine == null) {
-      // Gone while the plan was made.
+      // It was removed after the snapshot.
       return;
     }
     SteadyTime until = now.plusSeconds(RESERVATION_S);
-    machine.reserve(new Machine.Reservation(stop.forJob(), stop.room(), until));
-    for (Plan.Victim victim : stop.victims()) {
-      preempt(victim, stop.forJob());
+    machine.reserve(new Machine.Reservation(preemption.forJob(), preemption.room(), until));
+    for (Plan.Victim victim : preemption.victims()) {
+      stop(victim, preemption.forJob());
     }
   }
 
-  private void preempt(Plan.Victim victim, JobId forJob) {
+  private void stop(Plan.Victim victim, JobId forJob) {
     Job job = ledger.job(victim.job());
     Attempt attempt = job == null ? null : job.open(victim.index());
     if (attempt == null) {
       return;
     }
     LOG.debug("preempting {} for {}", attempt.task(), forJob);
-    boolean saves = job.spec().checkpointIntervalS() > 0;
-    attempts.stopWithGang(attempt, saves ? job.spec().checkpointSaveS() + SAVE_MARGIN_S : 0);
+    boolean savesCheckpoint = job.spec().checkpointIntervalS() > 0;
+    attempts.stopWithGang(
+        attempt, savesCheckpoint ? job.spec().checkpointSaveS() + SAVE_MARGIN_S : 0);
     attempts.closeIfNeverSent(attempt);
   }
 
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -1,5 +1,6 @@
 package org.ternhinge.round;
 
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
 import org.slf4j.Logger;
@@ -15,26 +16,26 @@
 import org.ternhinge.schedule.Planner;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans on it without the
- * lock, and carries the plan out under the lock. Planning takes too long to hold up heartbeats and
- * the renewal of the leadership. State is guarded by the controller's lock.
+ * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans without the lock,
+ * and carries the plan out under the lock. Planning takes too long to block heartbeats and the
+ * renewal of the leadership. State is guarded by the controller's lock.
  */
 public final class SchedulingRounds implements RoundTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /**
-   * A round is followed by a pause so many times as long: heartbeats and the renewal of the
-   * leadership come first. Planning then takes about one part in so many of the time, however large
-   * the fleet.
+   * Ratio of the pause after a round to the round's duration. It bounds the share of the processor
+   * that planning takes, however large the fleet.
    */
   private static final double PAUSE_FACTOR = 15;
 
-  /** Seconds from a request to its round at least, so that changes made together share a round. */
-  private static final double MIN_WAIT_S = 0.01;
+  /** Shortest delay from a request to its round, so that changes made together share a round. */
+  private static final double MIN_DELAY_S = 0.01;
 
   private final Tuning tuning;
   private final Clock clock;
@@ -52,23 +53,23 @@
   private boolean requested;
   private boolean running;
   private SteadyTime lastStart;
-  private double lastTookS;
+  private double lastDurationS;
 
+  /** Creates the rounds of one leadership; none runs before {@link #enable}. */
   public SchedulingRounds(
-      ControllerServices services,
-      Authority authority,
-      LeadershipExecutor executor,
+      LeadershipContext context,
       MachineTypeCatalog machineTypes,
       SnapshotBuilder snapshots,
       PlanExecutor planExecutor,
       ZoneControl zones) {
+    ControllerServices services = context.services();
     this.tuning = services.tuning();
     this.clock = services.clock();
     this.lock = services.lock();
     this.scheduler = services.scheduler();
     this.metrics = services.metrics();
-    this.authority = authority;
-    this.executor = executor;
+    this.authority = context.authority();
+    this.executor = context.executor();
     this.machineTypes = machineTypes;
     this.snapshots = snapshots;
     this.planExecutor = planExecutor;
@@ -76,7 +77,7 @@
     this.lastStart = clock.now();
   }
 
-  /** The ledger is there; requests made before had no effect. */
+  /** Permits rounds, once the ledger is loaded. Requests made before have no effect. */
   public void enable() {
     enabled = true;
   }
@@ -87,57 +88,54 @@
       return;
     }
     requested = true;
-    double pauseS = Math.min(tuning.roundS(), lastTookS * PAUSE_FACTOR);
-    double gapS = Math.max(tuning.roundGapS(), pauseS);
-    double waitS = Math.max(MIN_WAIT_S, gapS - clock.now().secondsSince(lastStart));
-    clock.after(waitS, () -> scheduler.execute(this::round));
+    double pauseS = Math.min(tuning.roundS(), lastDurationS * PAUSE_FACTOR);
+    double intervalS = Math.max(tuning.roundGapS(), pauseS);
+    double delayS = Math.max(MIN_DELAY_S, intervalS - clock.now().secondsSince(lastStart));
+    clock.after(delayS, () -> scheduler.execute(this::round));
   }
 
   private void round() {
-    Snapshot snapshot = begin();
-    if (snapshot != null) {
-      finish(plan(snapshot));
-    }
+    begin().ifPresent(snapshot -> finish(plan(snapshot)));
   }
 
-  /** What to plan on, or null where no round may run now. */
-  private Snapshot begin() {
+  /** Takes the snapshot to plan on; empty where no round may run now. */
+  private Optional<Snapshot> begin() {
     lock.lock();
     try {
       requested = false;
       if (executor.stopped() || running) {
-        return null;
+        return Optional.empty();
       }
       lastStart = clock.now();
       if (!authority.valid() || machineTypes.isEmpty()) {
-        return null;
+        return Optional.empty();
       }
       running = true;
-      return snapshots.snapshot(lastStart);
+      return Optional.of(snapshots.snapshot(lastStart));
     } finally {
       lock.unlock();
     }
   }
 
-  /** A plan, or null where the planner failed: the next round may fare better. */
-  private Plan plan(Snapshot snapshot) {
+  /** Plans; empty where the planner failed, after which the next round tries again. */
+  private Optional<Plan> plan(Snapshot snapshot) {
     try {
-      return Planner.plan(zones.filter(snapshot));
+      return Optional.of(Planner.plan(zones.filter(snapshot)));
     } catch (RuntimeException e) {
       LOG.error("the planner failed", e);
-      return null;
+      return Optional.empty();
     }
   }
 
-  private void finish(Plan plan) {
+  private void finish(Optional<Plan> plan) {
     lock.lock();
     try {
       running = false;
-      if (!executor.stopped() && plan != null && authority.valid()) {
-        planExecutor.execute(zones.limit(plan));
+      if (!executor.stopped() && plan.isPresent() && authority.valid()) {
+        planExecutor.execute(zones.limit(plan.get()));
       }
-      lastTookS = clock.now().secondsSince(lastStart);
-      metrics.round(lastTookS, plan == null ? 0 : plan.evaluations());
+      lastDurationS = clock.now().secondsSince(lastStart);
+      metrics.round(lastDurationS, plan.map(Plan::evaluations).orElse(0L));
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -5,75 +5,68 @@
 import java.util.Map;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
-import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
-import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
 
 /**
- * What the planner is shown. A machine's view is kept until something on the machine changes, so
- * that a round costs by what has changed since the last one and not by the size of the fleet.
+ * Takes the planner's snapshots of jobs and machines. Machines cache their views until something on
+ * them changes, so that the cost of a round depends on what has changed since the last one and not
+ * on the size of the fleet. Guarded by the controller's lock.
  */
 public final class SnapshotBuilder {
+  /** Heartbeat intervals in which every live machine reports to a new leader. */
+  private static final double FIRST_REPORT_INTERVALS = 2;
+
   private final Settings settings;
   private final Tuning tuning;
   private final Ledger ledger;
-  private final MachineRegistry machines;
+  private final FleetState fleet;
   private final ArrivalRates arrivalRates;
   private final ScaleOutOptions scaleOutOptions;
   private final SteadyTime electedAt;
   private final MachineViews machineViews;
   private final JobViews jobViews;
 
+  /** Creates the snapshot builder of one leadership. */
   public SnapshotBuilder(
-      ControllerServices services,
-      Authority authority,
-      Ledger ledger,
-      MachineTypeCatalog machineTypes,
-      TaskFailures failures,
-      MachineRegistry machines,
+      LeadershipContext context,
+      FleetState fleet,
       ArrivalRates arrivalRates,
-      ScaleOutOptions scaleOutOptions,
-      BootTimes bootTimes,
-      SteadyTime electedAt) {
-    this.settings = services.settings();
-    this.tuning = services.tuning();
-    this.ledger = ledger;
-    this.machines = machines;
+      ScaleOutOptions scaleOutOptions) {
+    this.settings = context.services().settings();
+    this.tuning = context.services().tuning();
+    this.ledger = context.ledger();
+    this.fleet = fleet;
     this.arrivalRates = arrivalRates;
     this.scaleOutOptions = scaleOutOptions;
-    this.electedAt = electedAt;
-    this.machineViews =
-        new MachineViews(settings, authority, ledger, machineTypes, machines, bootTimes);
-    this.jobViews = new JobViews(settings, services.clock(), ledger, failures);
+    this.electedAt = context.electedAt();
+    this.machineViews = new MachineViews(context, fleet);
+    this.jobViews = new JobViews(context, fleet.failures());
   }
 
   /** Whether tasks may be placed on a machine now. */
-  boolean placeable(Machine machine, SteadyTime now) {
-    return machineViews.placeable(machine, now);
+  boolean isPlaceable(Machine machine, SteadyTime now) {
+    return machineViews.isPlaceable(machine, now);
   }
 
-  /** What the planner is shown as of now. */
+  /** Takes a snapshot of the present state. */
   Snapshot snapshot(SteadyTime now) {
-    List<Snapshot.MachineView> views = machineViews.list(now);
+    List<Snapshot.MachineView> machines = machineViews.list(now);
     return new Snapshot(
-        views,
-        jobViews.list(now, MachineViews.reservedTasks(views)),
+        machines,
+        jobViews.list(now, MachineViews.reservedTasks(machines)),
         arrivalRates.expectedJobs(now, settings.zones().size()),
         settings.teams(),
         teamUse(),
         scaleOutOptions.offers(now),
         scaleOutOptions.pendingProvisions(),
-        jobViews.startedLate(now),
-        settled(now),
+        jobViews.lateStartedJobs(now),
+        isInventoryComplete(now),
         tuning.idleS(),
         now);
   }
@@ -85,21 +78,22 @@
   }
 
   /**
-   * Whether what is ready is all that there is: every machine that is up has reported, or has had
-   * time to. Before, work would be sent to places of last resort beside others not yet in sight.
+   * Whether every live machine has reported to this leader, or has had time to. Until then, tasks
+   * would be sent to places of last resort while better machines have not reported yet.
    */
-  private boolean settled(SteadyTime now) {
-    if (now.secondsSince(electedAt) > 2 * settings.workers().heartbeatIntervalS()) {
+  private boolean isInventoryComplete(SteadyTime now) {
+    double firstReportsS = FIRST_REPORT_INTERVALS * settings.workers().heartbeatIntervalS();
+    if (now.secondsSince(electedAt) > firstReportsS) {
       return true;
     }
-    boolean listed = false;
-    for (Machine machine : machines.all()) {
-      listed |= machine.cloud().isListed();
+    boolean isListed = false;
+    for (Machine machine : fleet.machines().all()) {
+      isListed |= machine.cloud().isListed();
       if (!machine.agent().isHeard()
           && (machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty())) {
         return false;
       }
     }
-    return listed;
+    return isListed;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.IdentityHashMap;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
@@ -13,86 +14,88 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Moves services that lie spread over accelerated machines to where their room costs less, a few at
- * a time. A service takes the room beside accelerated tasks and stays when they have ended: eighty
- * machines of the dearest type were kept through half a day for one replica each.
+ * Moves replicas of services, a few at a time, from accelerated machines on which nothing else runs
+ * any more to cheaper room. A service is placed next to tasks with accelerators and stays when
+ * these have ended: eighty machines of the most expensive type were kept for half a day for one
+ * replica each.
  */
 final class Consolidation {
-  /** Part of all replicas that may be on the move: their users miss them meanwhile. */
+  /** Share of all replicas that may be moving at one time, as they are down meanwhile. */
   private static final double MOVING_SHARE = 0.002;
 
-  /** A replica that has just come is left alone; its start would not count for its users. */
-  private static final double SETTLED_S = 60;
+  /** Seconds that a replica runs at least before it is moved. */
+  private static final double MIN_RUNNING_S = 60;
 
-  /** A place has to cost less than this part of the present one to be worth a move. */
-  private static final double WORTH = 0.6;
+  /** Cost of the new place, relative to the present one, above which a move is not worthwhile. */
+  private static final double MAX_COST_RATIO = 0.6;
 
-  /** Candidate evaluations that a round may take for this: it can wait, others can't. */
+  /** Evaluations that a round may take for consolidation, which is never urgent. */
   private static final int MAX_EVALUATIONS = Planner.MAX_EVALUATIONS / 4;
 
   private final PlanBuilder builder;
 
-  /** Replicas of each service by zone. */
-  private final IdentityHashMap<JobSpec, int[]> zones = new IdentityHashMap<>();
+  /** The number of replicas of each service in each zone. */
+  private final IdentityHashMap<JobSpec, int[]> replicasByZone = new IdentityHashMap<>();
 
   private final int zoneCount;
 
-  /** Machines with room that could take a replica. */
+  /** Machines with room for a replica. */
   private final List<MachineCapacity> targets = new ArrayList<>();
 
   /**
-   * Replicas of which service, from which zone, have found no place: the sources come with the
-   * dearest first and room only gets less, so the next one from there finds none either. When each
-   * replica on each accelerated machine asked each machine in every round, that was three quarters
-   * of a leader's work at 1,700 machines.
+   * Searches that found no place. Sources come in order of falling cost and room only gets less, so
+   * the next search for the same service and zone finds none either. Without this record the
+   * searches were three quarters of a leader's work at 1,700 machines.
    */
-  private final Set<Failed> failed = new HashSet<>();
+  private final Set<Search> failedSearches = new HashSet<>();
 
+  /** Evaluations that this round has taken for consolidation. */
   private long evaluations;
 
-  /** Replicas that are on the move or wait for a place. */
+  /** Replicas that are stopping, starting or pending. */
   private int moving;
 
-  /** How many more replicas may be moved in this round. */
+  /** How many more replicas this round may move. */
   private int movesLeft;
 
-  private record Failed(JobId service, int zone) {}
+  private record Search(JobId service, int fromZone) {}
 
   Consolidation(PlanBuilder builder) {
     this.builder = builder;
-    int most = 0;
-    for (MachineCapacity machine : builder.machines) {
-      most = Math.max(most, machine.zone);
+    int lastZone = 0;
+    for (MachineCapacity machine : builder.machines()) {
+      lastZone = Math.max(lastZone, machine.zone());
     }
-    for (Snapshot.Offer offer : builder.snapshot.offers()) {
-      most = Math.max(most, offer.zone());
+    for (Snapshot.Offer offer : builder.snapshot().offers()) {
+      lastZone = Math.max(lastZone, offer.zone());
     }
-    this.zoneCount = most + 1;
+    this.zoneCount = lastZone + 1;
   }
 
   private static double price(MachineCapacity machine) {
-    return machine.machineType.price(machine.spot);
+    return machine.machineType().price(machine.spot());
   }
 
-  /** What one replica costs on a machine that holds nothing else. */
-  private static double share(MachineCapacity machine) {
-    return price(machine) / machine.view.attempts().size();
+  /** The price of a machine divided by its replicas. */
+  private static double pricePerReplica(MachineCapacity machine) {
+    return price(machine) / machine.view().attempts().size();
   }
 
-  private boolean movable(MachineCapacity machine) {
+  /** Whether only services run on an accelerated machine, all of which may be moved now. */
+  private boolean isSource(MachineCapacity machine) {
     if (!machine.ready()
         || machine.used()
-        || machine.machineType.capacity().gpus() == 0
-        || machine.view.attempts().isEmpty()
-        || !machine.view.reservations().isEmpty()) {
+        || machine.machineType().capacity().gpus() == 0
+        || machine.view().attempts().isEmpty()
+        || !machine.view().reservations().isEmpty()) {
       return false;
     }
-    SteadyTime now = builder.snapshot.now();
-    for (AttemptView attempt : machine.view.attempts()) {
+    SteadyTime now = builder.snapshot().now();
+    for (AttemptView attempt : machine.view().attempts()) {
       if (!attempt.spec().isService()
           || attempt.stopping()
           || attempt.runningSince() == null
-          || now.secondsSince(attempt.runningSince()) < SETTLED_S) {
+          || now.secondsSince(attempt.runningSince()) < MIN_RUNNING_S) {
         return false;
       }
     }
@@ -100,38 +103,38 @@
   }
 
   /**
-   * Moves what may move now. Nothing is provisioned for it: machines provisioned for replicas that
-   * had to wait for their move idled, were returned and were provisioned again.
+   * Moves the replicas that may move now. Nothing is provisioned for them: machines that were
+   * provisioned for later moves idled, were released and were provisioned again.
    */
   void run() {
-    List<MachineCapacity> sources = survey();
-    sources.sort(Comparator.comparingDouble(Consolidation::share).reversed());
+    List<MachineCapacity> sources = findSourcesAndTargets();
+    sources.sort(Comparator.comparingDouble(Consolidation::pricePerReplica).reversed());
     for (MachineCapacity source : sources) {
       if (evaluations >= MAX_EVALUATIONS) {
         return;
       }
-      // Otherwise something moves here already.
+      // A used one is the target of another move.
       if (!source.used()) {
         moveFrom(source);
       }
     }
   }
 
-  /** Counts replicas and those on the move, and finds the machines to move from and to. */
-  private List<MachineCapacity> survey() {
+  /** Counts the replicas, and finds the machines to move from and to. */
+  private List<MachineCapacity> findSourcesAndTargets() {
     List<MachineCapacity> sources = new ArrayList<>();
     int replicas = 0;
-    for (MachineCapacity machine : builder.machines) {
+    for (MachineCapacity machine : builder.machines()) {
       replicas += countReplicas(machine);
-      if (movable(machine)) {
+      if (isSource(machine)) {
         sources.add(machine);
       }
       if (machine.ready() && machine.freeCpus() > 0) {
         targets.add(machine);
       }
     }
-    for (JobView job : builder.snapshot.jobs()) {
-      moving += job.spec().isService() ? job.waiting() : 0;
+    for (JobView job : builder.snapshot().jobs()) {
+      moving += job.spec().isService() ? job.pendingCount() : 0;
     }
     movesLeft = (int) Math.ceil(replicas * MOVING_SHARE) - moving;
     return sources;
@@ -139,10 +142,11 @@
 
   private int countReplicas(MachineCapacity machine) {
     int replicas = 0;
-    for (AttemptView attempt : machine.view.attempts()) {
+    for (AttemptView attempt : machine.view().attempts()) {
       if (attempt.spec().isService()) {
         replicas++;
-        zones.computeIfAbsent(attempt.spec(), spec -> new int[zoneCount])[machine.zone]++;
+        replicasByZone
+            .computeIfAbsent(attempt.spec(), spec -> new int[zoneCount])[machine.zone()]++;
         moving += attempt.stopping() || attempt.runningSince() == null ? 1 : 0;
       }
     }
@@ -150,81 +154,81 @@
   }
 
   private void moveFrom(MachineCapacity source) {
-    for (AttemptView replica : source.view.attempts()) {
-      Failed search = new Failed(replica.spec().id(), source.zone);
-      if (failed.contains(search)) {
+    for (AttemptView replica : source.view().attempts()) {
+      Search search = new Search(replica.spec().id(), source.zone());
+      if (failedSearches.contains(search)) {
         continue;
       }
-      MachineCapacity target = target(replica, source);
-      if (target == null) {
-        failed.add(search);
+      Optional<MachineCapacity> target = findTarget(replica, source);
+      if (target.isPresent()) {
+        move(replica, source, target.get());
       } else {
-        move(replica, source, target);
+        failedSearches.add(search);
       }
     }
   }
 
   private void move(AttemptView replica, MachineCapacity source, MachineCapacity target) {
     JobSpec spec = replica.spec();
-    zones.get(spec)[source.zone]--;
-    zones.get(spec)[target.zone]++;
-    // Room is kept also for those whose turn comes later, so that it is not returned.
-    target.stop(spec, List.of());
-    // Where the image has to be fetched a replica is missed for seconds, not for a moment: then
-    // only one moves at a time.
+    replicasByZone.get(spec)[source.zone()]--;
+    replicasByZone.get(spec)[target.zone()]++;
+    // Room is reserved also for replicas that move in a later round, so that it is not released.
+    target.reserve(spec);
+    // A replica is down for seconds where its image has to be fetched, else for a moment: replicas
+    // of the first kind move one at a time.
     boolean quick = target.hasImage(spec.image());
     if (quick ? movesLeft > 0 : moving == 0) {
       movesLeft--;
       moving++;
-      Plan.Victim victim = new Plan.Victim(spec.id(), replica.index());
-      builder
-          .plan
-          .stops()
-          .add(new Plan.Stop(target.view.id(), spec.id(), spec.need(), List.of(victim)));
+      builder.addPreemption(target, spec, List.of(replica));
     }
   }
 
-  private MachineCapacity target(AttemptView replica, MachineCapacity source) {
+  /** The machine with the best score among those that cost much less than the present one. */
+  private Optional<MachineCapacity> findTarget(AttemptView replica, MachineCapacity source) {
     JobSpec spec = replica.spec();
     MachineCapacity best = null;
-    double least = Double.MAX_VALUE;
-    double most = share(source) * WORTH;
+    double lowestScore = Double.MAX_VALUE;
+    double maxCost = pricePerReplica(source) * MAX_COST_RATIO;
     for (MachineCapacity machine : targets) {
       evaluations++;
       builder.countEvaluation();
       if (machine == source
           || !machine.fits(spec)
           || !machine.allows(spec)
-          || cost(machine, spec) > most
+          || cost(machine, spec) > maxCost
           || !zoneAllows(spec, source, machine)) {
         continue;
       }
       double score = builder.score(spec, machine);
-      if (score < least) {
-        least = score;
+      if (score < lowestScore) {
+        lowestScore = score;
         best = machine;
       }
     }
-    return best;
+    return Optional.ofNullable(best);
   }
 
-  /** What a place costs: nothing more on a machine that services keep anyhow. */
+  /** The cost of a place; an accelerated machine is a target only if services alone run on it. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
-    double whole =
-        price(machine) / Math.max(1, spec.need().timesIn(machine.machineType.capacity()));
-    if (machine.machineType.capacity().gpus() == 0) {
-      return whole;
+    double pricePerPlace =
+        price(machine) / Math.max(1, spec.need().timesIn(machine.machineType().capacity()));
+    if (machine.machineType().capacity().gpus() == 0) {
+      return pricePerPlace;
     }
     int services = 0;
-    for (AttemptView attempt : machine.view.attempts()) {
+    for (AttemptView attempt : machine.view().attempts()) {
       services += attempt.spec().isService() ? 1 : 0;
     }
-    return services == machine.view.attempts().size() && services > 0
+    return services == machine.view().attempts().size() && services > 0
         ? price(machine) / (services + 1)
         : Double.MAX_VALUE;
   }
 
+  /** Whether a scattered service may have another replica in the zone of a machine. */
   private boolean zoneAllows(JobSpec spec, MachineCapacity from, MachineCapacity to) {
-    return from.zone == to.zone || !spec.scatter() || zones.get(spec)[to.zone] < spec.zoneLimit();
+    return from.zone() == to.zone()
+        || !spec.scatter()
+        || replicasByZone.get(spec)[to.zone()] < spec.zoneLimit();
   }
 }
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -7,32 +7,33 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Room for gangs that don't fit into what is free. Others are stopped only when that makes room for
- * the whole gang. A gang that has waited long keeps the places that are free, or smaller ones that
- * come later would take each as it falls free, and the largest would never start.
+ * Makes room for gangs that do not fit into the free room. Others are preempted only where that
+ * makes room for the whole gang. A gang that has waited long reserves free places, or smaller jobs
+ * that come later would take each as it becomes free, and the largest gang would never start.
  */
 final class GangReservations {
   /**
-   * A gang waits so long for each doubling of its size before it has others stopped or keeps
+   * Seconds that a gang waits, for each doubling of its size, before it preempts others or reserves
    * places. A large gang that gets room at once makes many small ones late and costs hundreds of
-   * lesser tasks their work; the largest still begin within the four minutes that their users see.
+   * lesser tasks their work; the largest still start within the four minutes that users expect.
    */
   private static final double PATIENCE_S = 20;
 
-  /** Puts a zone without room for the whole gang behind all that have it. */
+  /** Makes a zone without room for the whole gang cost more than all that have it. */
   private static final double INCOMPLETE_COST = 1e12;
 
-  /** A place for one task; the victims have to be stopped for it. */
+  /** A place for one task, and the attempts to preempt for it. */
   record GangPlace(MachineCapacity machine, List<AttemptView> victims, double cost) {}
 
   /** Places for tasks of a gang in a zone, the cheapest first. */
-  private record Candidate(int zone, List<GangPlace> places) {
+  private record ZonePlaces(int zone, List<GangPlace> places) {
     double cost() {
       double cost = 0;
       for (GangPlace place : places) {
@@ -42,45 +43,73 @@
     }
   }
 
-  /** Tasks that no place is in sight for; the zones count the places that are. */
-  record Missing(int tasks, IntList zones) {}
+  /**
+   * What a gang lacks.
+   *
+   * @param tasks tasks without a free place
+   * @param tasksByZone tasks with a free place in each zone
+   */
+  record Missing(int tasks, IntList tasksByZone) {}
 
   private final PlanBuilder builder;
-  private final Preemption preemption;
+  private final PreemptionPlanner preemption;
   private final List<JobView> patientGangs = new ArrayList<>();
-  private final Map<Resources, List<MachineCapacity>> hosts = new HashMap<>();
+  private final Map<Resources, List<MachineCapacity>> hostsByNeed = new HashMap<>();
 
-  GangReservations(PlanBuilder builder, Preemption preemption) {
+  GangReservations(PlanBuilder builder, PreemptionPlanner preemption) {
     this.builder = builder;
     this.preemption = preemption;
   }
 
-  /** Stops others for a whole gang; otherwise says what is missing. */
-  Missing makeRoom(JobView job) {
+  /**
+   * Preempts others for a whole gang if that is possible and it has waited long enough. Otherwise
+   * reserves the free places, unless the gang is still patient.
+   *
+   * @return what the gang lacks; empty where it will have room for all its tasks
+   */
+  Optional<Missing> reserveOrFindMissing(JobView job) {
     JobSpec spec = job.spec();
-    boolean mayStop = spec.tasks() == 1 || job.late();
-    Candidate best = bestZone(job, mayStop);
-    if (best.places.size() == spec.tasks() && mayStop) {
-      best.places.forEach(place -> claim(job, place));
-      return null;
+    boolean mayPreempt = spec.tasks() == 1 || job.overdue();
+    ZonePlaces best = bestZone(job, mayPreempt);
+    if (best.places.size() == spec.tasks() && mayPreempt) {
+      for (GangPlace place : best.places) {
+        builder.preempt(place.machine, spec, place.victims);
+      }
+      return Optional.empty();
     }
-    boolean patient = job.ageS() < patienceS(spec);
+    boolean patient = job.waitedS() < patienceS(spec);
     if (patient) {
       patientGangs.add(job);
+    } else {
+      reserveFree(spec, best);
+    }
+    return Optional.of(missing(job, best));
+  }
+
+  /**
+   * Reserves places for the gangs that are still patient. These let other gangs go first, but not
+   * lesser arrays: arrays filled the machines that were provisioned for a gang as they came up, and
+   * then had to be preempted in large numbers.
+   */
+  void reserveForPatientGangs() {
+    for (JobView job : patientGangs) {
+      for (GangPlace place : mostFreePlaces(job)) {
+        place.machine.reserve(job.spec());
+      }
     }
-    return missing(job, best, patient);
+    patientGangs.clear();
   }
 
   /** The cheapest zone for the whole gang; if none holds it, the one where least is missing. */
-  private Candidate bestZone(JobView job, boolean mayStop) {
-    Candidate best = new Candidate(PlanBuilder.ANY_ZONE, List.of());
-    double least = Double.MAX_VALUE;
-    for (int zone : PlanBuilder.zonesToTry(job)) {
-      Candidate candidate = new Candidate(zone, gangPlaces(job, zone, mayStop));
+  private ZonePlaces bestZone(JobView job, boolean mayPreempt) {
+    ZonePlaces best = new ZonePlaces(PlanBuilder.ANY_ZONE, List.of());
+    double lowestCost = Double.MAX_VALUE;
+    for (int zone : PlanBuilder.candidateZones(job)) {
+      ZonePlaces candidate = new ZonePlaces(zone, findPlaces(job, zone, mayPreempt));
       int missing = job.spec().tasks() - candidate.places.size();
       double cost = missing == 0 ? candidate.cost() : INCOMPLETE_COST * (1 + missing);
-      if (cost < least) {
-        least = cost;
+      if (cost < lowestCost) {
+        lowestCost = cost;
         best = candidate;
       }
     }
@@ -92,95 +121,72 @@
     return PATIENCE_S * doublings;
   }
 
-  /**
-   * Gangs that are still patient let other gangs by, but not lesser arrays: those filled the
-   * machines that were provisioned for a gang as they came up, and then had to be stopped by
-   * hundreds.
-   */
-  void reserveForPatientGangs() {
-    for (JobView job : patientGangs) {
-      for (GangPlace place : mostPlaces(job)) {
-        place.machine.stop(job.spec(), List.of());
-      }
-    }
-    patientGangs.clear();
-  }
-
-  private List<GangPlace> mostPlaces(JobView job) {
+  private List<GangPlace> mostFreePlaces(JobView job) {
     List<GangPlace> most = List.of();
-    int free = -1;
-    for (int zone : PlanBuilder.zonesToTry(job)) {
-      List<GangPlace> gangPlaces = gangPlaces(job, zone, false);
-      if (gangPlaces.size() > free) {
-        free = gangPlaces.size();
-        most = gangPlaces;
+    int mostCount = -1;
+    for (int zone : PlanBuilder.candidateZones(job)) {
+      List<GangPlace> places = findPlaces(job, zone, false);
+      if (places.size() > mostCount) {
+        mostCount = places.size();
+        most = places;
       }
     }
     return most;
   }
 
-  private void claim(JobView job, GangPlace place) {
-    JobSpec spec = job.spec();
-    List<Plan.Victim> victims = new ArrayList<>();
-    for (AttemptView attempt : place.victims) {
-      victims.add(new Plan.Victim(attempt.spec().id(), attempt.index()));
+  private static void reserveFree(JobSpec spec, ZonePlaces zone) {
+    for (GangPlace place : zone.places) {
+      if (place.victims.isEmpty()) {
+        place.machine.reserve(spec);
+      }
     }
-    builder
-        .plan
-        .stops()
-        .add(new Plan.Stop(place.machine.view.id(), spec.id(), spec.need(), victims));
-    place.machine.stop(spec, place.victims);
   }
 
-  private Missing missing(JobView job, Candidate best, boolean patient) {
-    JobSpec spec = job.spec();
-    int[] zones = new int[job.zoneOpen().size()];
+  private static Missing missing(JobView job, ZonePlaces best) {
+    int[] tasksByZone = new int[job.openByZone().size()];
     int free = 0;
     for (GangPlace place : best.places) {
       if (place.victims.isEmpty()) {
         free++;
-        if (!patient) {
-          place.machine.stop(spec, List.of());
-        }
       }
     }
     if (best.zone != PlanBuilder.ANY_ZONE) {
-      zones[best.zone] = free;
+      tasksByZone[best.zone] = free;
     }
-    return new Missing(spec.tasks() - free, IntArrayList.wrap(zones));
+    return new Missing(job.spec().tasks() - free, IntArrayList.wrap(tasksByZone));
   }
 
-  private List<GangPlace> gangPlaces(JobView job, int zone, boolean stops) {
+  /** The cheapest places in a zone, as many as the gang has tasks. */
+  private List<GangPlace> findPlaces(JobView job, int zone, boolean mayPreempt) {
     JobSpec spec = job.spec();
-    List<GangPlace> out = new ArrayList<>();
+    List<GangPlace> places = new ArrayList<>();
     for (MachineCapacity machine : hosts(spec)) {
-      if ((zone == PlanBuilder.ANY_ZONE || machine.zone == zone)
+      if ((zone == PlanBuilder.ANY_ZONE || machine.zone() == zone)
           && machine.allows(spec)
-          && (stops || machine.freeCpus() >= spec.need().cpus())
-          && !PlanBuilder.avoided(job, machine)) {
+          && (mayPreempt || machine.freeCpus() >= spec.need().cpus())
+          && !PlanBuilder.isAvoided(job, machine)) {
         builder.countEvaluation();
-        preemption.places(job, machine, stops, out);
+        preemption.addGangPlaces(job, machine, mayPreempt, places);
       }
     }
-    // Places of one machine come in the order in which they were found, for they cost more and
-    // more.
-    out.sort(Comparator.comparingDouble(GangPlace::cost));
-    return out.size() > spec.tasks() ? out.subList(0, spec.tasks()) : out;
+    // The sort is stable and a machine's later places cost more, so theirs is the order of finding.
+    places.sort(Comparator.comparingDouble(GangPlace::cost));
+    return places.size() > spec.tasks() ? places.subList(0, spec.tasks()) : places;
   }
 
-  /** Machines that are large enough, the same for all gangs whose tasks need the same. */
+  /** The machines that a task fits on when they are empty; shared by gangs of the same size. */
   private List<MachineCapacity> hosts(JobSpec spec) {
-    return hosts.computeIfAbsent(
-        spec.need(),
-        need -> {
-          List<MachineCapacity> out = new ArrayList<>();
-          for (MachineCapacity machine : builder.machines) {
-            builder.countEvaluation();
-            if (machine.ready() && need.fitsIn(machine.machineType.capacity())) {
-              out.add(machine);
-            }
-          }
-          return out;
-        });
+    return hostsByNeed.computeIfAbsent(spec.need(), this::findHosts);
+  }
+
+  private List<MachineCapacity> findHosts(Resources need) {
+    List<MachineCapacity> hosts = new ArrayList<>();
+    for (MachineCapacity machine : builder.machines()) {
+      builder.countEvaluation();
+      if (machine.ready() && need.fitsIn(machine.machineType().capacity())) {
+        hosts.add(machine);
+      }
+    }
+    return hosts;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -16,41 +16,45 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A machine, there or coming, with the room that is left as a plan grows. Amounts are kept as plain
- * numbers: a round asks hundreds of machines about hundreds of tasks, and each question that made
- * an object cost more than its answer.
+ * A machine, present or to be provisioned, with the room that is left on it as a plan grows.
+ * Amounts are plain numbers, not {@link Resources}: a round evaluates hundreds of tasks on hundreds
+ * of machines, and an allocation for each evaluation would cost more than the evaluation.
  */
 final class MachineCapacity {
+  /** Score, in seconds, of each other task of the same service on the machine. */
   private static final double SIBLING_S = 4;
 
-  final MachineView view;
-  final MachineType machineType;
-  final int zone;
-  final String zoneName;
-  final boolean spot;
+  /** Null for a machine that is not provisioned yet. */
+  private final MachineView view;
+
+  private final MachineType machineType;
+  private final int zone;
+  private final String zoneName;
+  private final boolean spot;
 
   private final List<Reservation> reservations;
   private long cpus;
   private long gpus;
   private long memory;
 
-  /** Room of array tasks, which end by themselves before long. */
+  /** Resources of array tasks on an accelerated machine; they end by themselves before long. */
   private long arrayCpus;
 
   private long arrayGpus;
   private long arrayMemory;
 
-  /** Room that stops of this plan will free and that nothing of it has claimed. */
+  /** Room that preemptions of this plan free, less what the plan has reserved of it. */
   private Resources freedByPreemption = Resources.ZERO;
 
-  private List<AttemptView> stopped = List.of();
-  private Set<String> fetched = Set.of();
-  private List<JobSpec> taken = List.of();
-  private Set<JobId> stoppedFor = Set.of();
+  private List<AttemptView> preempted = List.of();
+  private Set<String> fetchedImages = Set.of();
+  private List<JobSpec> placedServices = List.of();
+  private Set<JobId> reservedByPlan = Set.of();
 
-  /** The least important priority of what is open here; null where nothing is. */
+  /** The lowest priority among the open attempts; null where there are none. */
   private Priority lowestPriority;
 
+  /** Whether the plan uses the machine, so that it is not released. */
   private boolean used;
 
   MachineCapacity(MachineView view) {
@@ -95,6 +99,25 @@
     arrayMemory += need.memory();
   }
 
+  /** The machine as the snapshot has it; only for machines of the snapshot. */
+  MachineView view() {
+    return view;
+  }
+
+  MachineType machineType() {
+    return machineType;
+  }
+
+  /** The index of the zone. */
+  int zone() {
+    return zone;
+  }
+
+  boolean spot() {
+    return spot;
+  }
+
+  /** Whether tasks may be placed on it now. */
   boolean ready() {
     return view != null && view.ready();
   }
@@ -103,10 +126,6 @@
     return used;
   }
 
-  void use() {
-    used = true;
-  }
-
   long freeCpus() {
     return cpus;
   }
@@ -115,19 +134,17 @@
     return new Resources(cpus, gpus, memory);
   }
 
-  /** Free room and that of the arrays that run here. */
+  /** Free room and that of the arrays on the machine, if it is accelerated. */
   Resources freeAndArrays() {
     return new Resources(cpus + arrayCpus, gpus + arrayGpus, memory + arrayMemory);
   }
 
+  /** The lowest priority among the open attempts, or null where there are none. */
   Priority lowestPriority() {
     return lowestPriority;
   }
 
-  boolean hasArrays() {
-    return arrayCpus > 0;
-  }
-
+  /** Whether a job may run on such a machine, however much room there is. */
   boolean allows(JobSpec spec) {
     return (!spot || spec.spotAllowed())
         && (spec.zone() == null || spec.zone().equals(zoneName))
@@ -135,10 +152,10 @@
   }
 
   boolean hasImage(String image) {
-    return (view != null && view.images().contains(image)) || fetched.contains(image);
+    return (view != null && view.images().contains(image)) || fetchedImages.contains(image);
   }
 
-  /** Whether a task fits into what is free and not kept for another job. */
+  /** Whether a task fits into what is free and not reserved for another job. */
   boolean fits(JobSpec spec) {
     Resources need = spec.need();
     if (need.cpus() > cpus || need.gpus() > gpus || need.memory() > memory) {
@@ -147,7 +164,7 @@
     return reservations.isEmpty() || need.fitsIn(roomFor(spec.id()));
   }
 
-  /** Whether others were stopped here to make room for this job. */
+  /** Whether an earlier round has reserved room here for a job. */
   boolean reservedFor(JobId job) {
     for (Reservation reservation : reservations) {
       if (reservation.job().equals(job)) {
@@ -157,7 +174,8 @@
     return false;
   }
 
-  Resources roomFor(JobId job) {
+  /** What is free and not reserved for another job. */
+  private Resources roomFor(JobId job) {
     Resources room = free();
     for (Reservation reservation : reservations) {
       if (!reservation.job().equals(job)) {
@@ -167,9 +185,9 @@
     return room;
   }
 
-  /** Seconds by which another task of a service would rather lie elsewhere. */
-  @SuppressWarnings("ReferenceEquality") // one description a job; asked for each machine and job
-  double siblingSeconds(JobSpec spec) {
+  /** The score of placing a service's task beside others of the same service. */
+  @SuppressWarnings("ReferenceEquality") // one spec object a job; a hot path
+  double siblingScore(JobSpec spec) {
     int siblings = 0;
     if (view != null) {
       for (AttemptView attempt : view.attempts()) {
@@ -178,7 +196,7 @@
         }
       }
     }
-    for (JobSpec other : taken) {
+    for (JobSpec other : placedServices) {
       if (other == spec) {
         siblings++;
       }
@@ -186,44 +204,46 @@
     return SIBLING_S * siblings;
   }
 
-  /** Takes room only; {@link #giveBack} follows. */
-  void reserve(JobSpec spec) {
+  /** Subtracts a task's resources for the time of a search; {@link #unassume} adds them again. */
+  void assume(JobSpec spec) {
     Resources need = spec.need();
     cpus -= need.cpus();
     gpus -= need.gpus();
     memory -= need.memory();
   }
 
-  void take(JobSpec spec) {
-    reserve(spec);
+  /** Places a task. */
+  void place(JobSpec spec) {
+    assume(spec);
     used = true;
     if (spec.kind() == JobKind.ARRAY) {
       addArrayRoom(spec.need());
     } else if (spec.isService()) {
-      taken = taken.isEmpty() ? new ArrayList<>(2) : taken;
-      taken.add(spec);
+      placedServices = placedServices.isEmpty() ? new ArrayList<>(2) : placedServices;
+      placedServices.add(spec);
     }
     if (!hasImage(spec.image())) {
-      fetched = fetched.isEmpty() ? new HashSet<>(4) : fetched;
-      fetched.add(spec.image());
+      fetchedImages = fetchedImages.isEmpty() ? new HashSet<>(4) : fetchedImages;
+      fetchedImages.add(spec.image());
     }
   }
 
-  /** Undoes {@link #reserve}. */
-  void giveBack(JobSpec spec) {
+  /** Reverts {@link #assume}. */
+  void unassume(JobSpec spec) {
     Resources need = spec.need();
     cpus += need.cpus();
     gpus += need.gpus();
     memory += need.memory();
   }
 
-  boolean stoppedFor(JobId job) {
-    return !stoppedFor.isEmpty() && stoppedFor.contains(job);
+  /** Whether this plan has reserved room here for a job. */
+  boolean reservedByPlanFor(JobId job) {
+    return !reservedByPlan.isEmpty() && reservedByPlan.contains(job);
   }
 
   @SuppressWarnings("ReferenceEquality") // a plan sees one view of an attempt, from one snapshot
-  boolean stops(AttemptView attempt) {
-    for (AttemptView victim : stopped) {
+  boolean isPreempted(AttemptView attempt) {
+    for (AttemptView victim : preempted) {
       if (victim == attempt) {
         return true;
       }
@@ -231,38 +251,41 @@
     return false;
   }
 
-  /**
-   * Room that a job could claim without a further stop, now or when stops under way are through.
-   */
-  Resources roomAfterStops(JobId job) {
+  /** Room that a job could use without a further preemption, once those under way are done. */
+  Resources roomAfterPreemptions(JobId job) {
     return roomFor(job).plus(freedByPreemption);
   }
 
+  /** Reserves free room for a task that can't start yet. */
+  void reserve(JobSpec forJob) {
+    preempt(forJob, List.of());
+  }
+
   /**
-   * Victims are stopped for a task. What it needs is taken from the room at hand first, so that
-   * nothing else of this plan goes there, then from what the stops free.
+   * Preempts tasks for a task of a job. What it needs is subtracted from the free room first, so
+   * that nothing else of this plan goes there, then from what the preemptions free.
    */
-  void stop(JobSpec forSpec, List<AttemptView> victims) {
+  void preempt(JobSpec forJob, List<AttemptView> victims) {
     Resources freed = Resources.ZERO;
     if (!victims.isEmpty()) {
-      stopped = stopped.isEmpty() ? new ArrayList<>() : stopped;
+      preempted = preempted.isEmpty() ? new ArrayList<>() : preempted;
       for (AttemptView attempt : victims) {
-        stopped.add(attempt);
+        preempted.add(attempt);
         freed = freed.plus(attempt.spec().need());
       }
     }
-    Resources need = forSpec.need();
-    Resources now =
+    Resources need = forJob.need();
+    Resources freeNow =
         new Resources(
             Math.max(0, Math.min(cpus, need.cpus())),
             Math.max(0, Math.min(gpus, need.gpus())),
             Math.max(0, Math.min(memory, need.memory())));
-    cpus -= now.cpus();
-    gpus -= now.gpus();
-    memory -= now.memory();
-    freedByPreemption = freedByPreemption.plus(freed).minus(need.minus(now));
-    stoppedFor = stoppedFor.isEmpty() ? new HashSet<>() : stoppedFor;
-    stoppedFor.add(forSpec.id());
+    cpus -= freeNow.cpus();
+    gpus -= freeNow.gpus();
+    memory -= freeNow.memory();
+    freedByPreemption = freedByPreemption.plus(freed).minus(need.minus(freeNow));
+    reservedByPlan = reservedByPlan.isEmpty() ? new HashSet<>() : reservedByPlan;
+    reservedByPlan.add(forJob.id());
     used = true;
   }
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/schedule/MachinesWithRoom.java
@@ -0,0 +1,65 @@
+package org.ternhinge.schedule;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Machines that may have room for the smallest request of a round. Full ones are removed once they
+ * are many, so that later searches do not evaluate them again. The order of the rest is kept.
+ */
+final class MachinesWithRoom {
+  /** Full machines are removed where they are more than one in so many. */
+  private static final int REMOVAL_RATIO = 4;
+
+  /** CPU of the smallest request, in millis; a machine with less is full. */
+  private final long smallestRequestCpus;
+
+  private final List<MachineCapacity> machines = new ArrayList<>();
+
+  MachinesWithRoom(long smallestRequestCpus) {
+    this.smallestRequestCpus = smallestRequestCpus;
+  }
+
+  boolean isFull(MachineCapacity machine) {
+    return machine.freeCpus() < smallestRequestCpus;
+  }
+
+  void add(MachineCapacity machine) {
+    machines.add(machine);
+  }
+
+  int size() {
+    return machines.size();
+  }
+
+  MachineCapacity get(int index) {
+    return machines.get(index);
+  }
+
+  /** All machines that were added and not removed; to be read only. */
+  List<MachineCapacity> all() {
+    return machines;
+  }
+
+  /**
+   * Removes the full machines if they are many.
+   *
+   * @param fullCount how many the caller has found full
+   */
+  void removeFullIfMany(int fullCount) {
+    if (fullCount * REMOVAL_RATIO > machines.size()) {
+      machines.removeIf(this::isFull);
+    }
+  }
+
+  /** Counts the full machines and removes them if they are many. */
+  void removeFullIfMany() {
+    int full = 0;
+    for (MachineCapacity machine : machines) {
+      if (isFull(machine)) {
+        full++;
+      }
+    }
+    removeFullIfMany(full);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
@@ -0,0 +1,62 @@
+package org.ternhinge.schedule;
+
+import java.util.List;
+import java.util.Objects;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
+
+/**
+ * The properties of a job, besides its size, that decide where its tasks may be placed. Jobs with
+ * equal constraints share the result of a search. Used as part of the keys of one round's maps.
+ */
+record PlacementConstraints(
+    JobKind kind,
+    Priority priority,
+    boolean spotAllowed,
+    boolean scatter,
+    boolean together,
+    String zone,
+    List<String> machineTypes) {
+
+  /** All constraints of a job. */
+  static PlacementConstraints of(JobSpec spec) {
+    return of(spec, spec.scatter(), spec.together());
+  }
+
+  /** The constraints that a single machine can check: how tasks spread over zones is left out. */
+  static PlacementConstraints ofSingleMachine(JobSpec spec) {
+    return of(spec, false, false);
+  }
+
+  private static PlacementConstraints of(JobSpec spec, boolean scatter, boolean together) {
+    return new PlacementConstraints(
+        spec.kind(),
+        spec.priority(),
+        spec.spotAllowed(),
+        scatter,
+        together,
+        spec.zone(),
+        spec.types());
+  }
+
+  // Written by hand, as those that the compiler derives are slow until they are optimized; they run
+  // for each job and scope of a round.
+  @Override
+  public boolean equals(Object other) {
+    return other instanceof PlacementConstraints that
+        && that.kind == kind
+        && that.priority == priority
+        && that.spotAllowed == spotAllowed
+        && that.scatter == scatter
+        && that.together == together
+        && Objects.equals(that.zone, zone)
+        && Objects.equals(that.machineTypes, machineTypes);
+  }
+
+  @Override
+  public int hashCode() {
+    int flags = (spotAllowed ? 1 : 0) + (scatter ? 2 : 0) + (together ? 4 : 0);
+    return 31 * flags + 8 * kind.word().hashCode() + priority.level();
+  }
+}
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,43 +1,43 @@
 package org.ternhinge.schedule;
 
-/** Which places are considered for a task, and at whose cost. */
+/** Which places a search considers, and whose tasks it may preempt. */
 enum PlacementScope {
-  /** Places that tasks with accelerators won't miss. */
+  /** Places that no task with accelerators loses. */
   PLAIN(false, false, false),
 
-  /** The same, where the job's image lies already. */
+  /** The same, on machines that hold the job's image. */
   CACHED(false, false, true),
 
-  /** Also places that tasks with accelerators will miss. */
+  /** Also places that tasks with accelerators lose. */
   LAST_RESORT(true, false, false),
 
-  /** Only by stopping work of the job's own team, which frees its limit too. */
+  /** Only by preempting tasks of the job's own team, which lowers the team's use as well. */
   OWN_TEAM(false, true, false),
 
-  /** The same, also in places that tasks with accelerators will miss. */
+  /** The same, also in places that tasks with accelerators lose. */
   OWN_TEAM_LAST_RESORT(true, true, false);
 
-  private final boolean mayBlock;
+  private final boolean mayUseAcceleratorPlaces;
   private final boolean ownTeam;
   private final boolean cached;
 
-  PlacementScope(boolean mayBlock, boolean ownTeam, boolean cached) {
-    this.mayBlock = mayBlock;
+  PlacementScope(boolean mayUseAcceleratorPlaces, boolean ownTeam, boolean cached) {
+    this.mayUseAcceleratorPlaces = mayUseAcceleratorPlaces;
     this.ownTeam = ownTeam;
     this.cached = cached;
   }
 
-  /** Whether places count that tasks with accelerators will miss. */
-  boolean mayBlock() {
-    return mayBlock;
+  /** Whether places are considered that tasks with accelerators lose. */
+  boolean mayUseAcceleratorPlaces() {
+    return mayUseAcceleratorPlaces;
   }
 
-  /** Whether only work of the job's own team may be stopped. */
+  /** Whether only tasks of the job's own team may be preempted. */
   boolean ownTeam() {
     return ownTeam;
   }
 
-  /** Whether only places count where the job's image lies. */
+  /** Whether only machines are considered that hold the job's image. */
   boolean cached() {
     return cached;
   }
--- a/src/main/java/org/ternhinge/schedule/Plan.java
+++ b/src/main/java/org/ternhinge/schedule/Plan.java
@@ -6,34 +6,46 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-/** What the planner wants done; admission has the last word on each. */
+/**
+ * The decisions of one scheduling round. They rest on a snapshot, so whoever carries them out has
+ * to check each of them against the present state.
+ */
 public final class Plan {
-  /** Tasks of a job to open together, each on the machine at its position. */
-  public record Place(JobId job, List<Integer> tasks, List<MachineId> machines) {}
+  /**
+   * Tasks of one job to start together.
+   *
+   * @param tasks indexes of the tasks
+   * @param machines the machine of each task, in the same order
+   */
+  public record Placement(JobId job, List<Integer> tasks, List<MachineId> machines) {}
 
-  /** Tasks to stop so that a job finds room on a machine. */
-  public record Stop(MachineId machine, JobId forJob, Resources room, List<Victim> victims) {}
+  /**
+   * Tasks to stop on a machine, so that a task of another job fits there.
+   *
+   * @param room the resources to reserve on the machine for that job
+   */
+  public record Preemption(MachineId machine, JobId forJob, Resources room, List<Victim> victims) {}
 
-  /** A task to stop; of a gang, every task is stopped. */
+  /** A task to stop. Where it belongs to a gang, the whole gang is stopped. */
   public record Victim(JobId job, int index) {}
 
-  /** Machines to provision. */
+  /** Machines of one type to provision in one zone. */
   public record ScaleOut(String type, String zone, boolean spot, int count) {}
 
-  private final List<Place> places = new ArrayList<>();
-  private final List<Stop> stops = new ArrayList<>();
+  private final List<Placement> placements = new ArrayList<>();
+  private final List<Preemption> preemptions = new ArrayList<>();
   private final List<ScaleOut> scaleOuts = new ArrayList<>();
   private final List<MachineId> releases = new ArrayList<>();
   private long evaluations;
 
-  /** Tasks to start, and where. */
-  public List<Place> places() {
-    return places;
+  /** Tasks to start, each with its machine. */
+  public List<Placement> placements() {
+    return placements;
   }
 
-  /** Tasks to stop, and for which job. */
-  public List<Stop> stops() {
-    return stops;
+  /** Tasks to stop, each with the job that gets its room. */
+  public List<Preemption> preemptions() {
+    return preemptions;
   }
 
   /** Machines to provision. */
@@ -41,12 +53,12 @@
     return scaleOuts;
   }
 
-  /** Machines to return. */
+  /** Idle machines to release. */
   public List<MachineId> releases() {
     return releases;
   }
 
-  /** Evaluations of candidate machines that this plan took. */
+  /** How many times a job was evaluated against a machine or an offer for this plan. */
   public long evaluations() {
     return evaluations;
   }
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -11,40 +11,51 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * Decides what runs where. A pure function of the snapshot: in order of priority, guarantee and
- * arrival each job's tasks go where their image lies, else where they wait least and waste least;
- * what finds no room may have others stopped for it, and what still waits is provisioned for.
+ * Plans one scheduling round, as a pure function of the snapshot. Jobs are served in order of
+ * priority, guarantee and queue position. Each job's tasks go to the free places with the best
+ * score; where there are none, lesser tasks are preempted; for what is still pending, machines are
+ * provisioned.
  */
 public final class Planner {
+  /** The order in which jobs are served. */
+  public static final Comparator<JobView> ORDER =
+      Comparator.comparing((JobView job) -> job.spec().priority() != Priority.PRODUCTION)
+          .thenComparing(job -> !job.withinGuarantee() && !job.overdue())
+          .thenComparing(job -> job.spec().priority())
+          .thenComparingDouble(JobView::sortKey);
+
   /**
-   * Candidate evaluations of a job on a machine that one round may take, production work apart.
-   * What is left waits for the next round, so that heartbeats and the renewal of the leadership
-   * never stand behind a long one.
+   * Evaluations that one round may take for jobs that are not production. What is left waits for
+   * the next round, so that a long round never delays heartbeats and the renewal of the leadership.
    */
-  public static final int MAX_EVALUATIONS = 60_000;
+  static final int MAX_EVALUATIONS = 60_000;
 
-  /** The same for a large fleet, by its machines. */
+  /** The same in a large fleet, for each of its machines. */
   private static final int MAX_EVALUATIONS_PER_MACHINE = 60;
 
   /**
-   * Share of these evaluations that gangs may take. They come first and search longest; where many
-   * of them waited for room, the arrays behind them had no turn for as long as that lasted.
+   * Share of these evaluations that gangs may take. They come first and search longest; without the
+   * limit, arrays got no evaluations for as long as many gangs were waiting for room.
    */
   private static final double GANG_SHARE = 0.5;
 
-  /** Tasks that found no room; the zones count what their job has or has room reserved for. */
-  private record Demand(JobView job, int tasks, IntList zones) {}
+  /**
+   * Tasks that found no room.
+   *
+   * @param tasksByZone tasks of the job that have room or have it reserved
+   */
+  private record Demand(JobView job, int tasks, IntList tasksByZone) {}
 
   private final PlanBuilder builder;
   private final TaskPlacer placer;
-  private final Preemption preemption;
+  private final PreemptionPlanner preemption;
   private final GangReservations gangReservations;
   private final List<Demand> unmetDemand = new ArrayList<>();
 
   private Planner(Snapshot snapshot) {
     this.builder = new PlanBuilder(snapshot);
     this.placer = new TaskPlacer(builder);
-    this.preemption = new Preemption(builder);
+    this.preemption = new PreemptionPlanner(builder);
     this.gangReservations = new GangReservations(builder, preemption);
   }
 
@@ -53,63 +64,69 @@
     return new Planner(snapshot).run();
   }
 
-  /** Order in which jobs are served. */
-  public static final Comparator<JobView> ORDER =
-      Comparator.comparing((JobView job) -> job.spec().priority() != Priority.PRODUCTION)
-          .thenComparing(job -> !job.guaranteed() && !job.late())
-          .thenComparing(job -> job.spec().priority())
-          .thenComparingDouble(JobView::rank);
-
   private Plan run() {
-    List<JobView> order = new ArrayList<>(builder.snapshot.jobs());
-    order.sort(ORDER);
-    long most =
-        Math.max(MAX_EVALUATIONS, (long) MAX_EVALUATIONS_PER_MACHINE * builder.machines.size());
-    long before = 0;
-    for (JobView job : order) {
-      boolean production = job.spec().priority() == Priority.PRODUCTION;
-      if (production) {
-        before = builder.evaluations();
+    serveJobs();
+    scale();
+    return builder.finish();
+  }
+
+  private void serveJobs() {
+    List<JobView> queue = new ArrayList<>(builder.snapshot().jobs());
+    queue.sort(ORDER);
+    long budget =
+        Math.max(MAX_EVALUATIONS, (long) MAX_EVALUATIONS_PER_MACHINE * builder.machines().size());
+    long evaluationsForProduction = 0;
+    for (JobView job : queue) {
+      JobSpec spec = job.spec();
+      if (spec.priority() == Priority.PRODUCTION) {
+        serve(job);
+        evaluationsForProduction = builder.evaluations();
+        continue;
       }
-      if (job.spec().kind() == JobKind.ARRAY && !production) {
+      if (spec.kind() == JobKind.ARRAY) {
         gangReservations.reserveForPatientGangs();
       }
-      double part = job.spec().isGang() ? GANG_SHARE : 1;
-      if (!job.blocked() && (production || builder.evaluations() - before < part * most)) {
+      double share = spec.isGang() ? GANG_SHARE : 1;
+      if (builder.evaluations() - evaluationsForProduction < share * budget) {
         serve(job);
-        if (production) {
-          before = builder.evaluations();
-        }
       }
     }
+  }
+
+  private void scale() {
     ScalingPlanner scaling = new ScalingPlanner(builder);
     for (Demand demand : unmetDemand) {
-      scaling.provisionFor(demand.job, demand.tasks, demand.zones);
+      scaling.provisionFor(demand.job, demand.tasks, demand.tasksByZone);
     }
-    if (builder.snapshot.settled()) {
+    if (builder.snapshot().inventoryComplete()) {
       new Consolidation(builder).run();
     }
-    builder.snapshot.expectedJobs().forEach(scaling::keepRoomFor);
+    builder.snapshot().expectedJobs().forEach(scaling::keepRoomFor);
     scaling.finish();
-    builder.plan.evaluations(builder.evaluations());
-    return builder.plan;
   }
 
   private void serve(JobView job) {
+    if (job.blocked()) {
+      return;
+    }
     if (job.spec().isGang()) {
       serveGang(job);
     } else {
-      serveTasks(job);
+      int unmet = new TaskAllocation(builder, placer, preemption, job).run();
+      if (unmet > 0) {
+        unmetDemand.add(new Demand(job, unmet, IntArrayList.wrap(builder.tasksByZone(job))));
+      }
     }
   }
 
   private void serveGang(JobView job) {
     JobSpec spec = job.spec();
-    if (job.waiting() < spec.tasks()) {
+    if (job.pendingCount() < spec.tasks()) {
       return;
     }
-    if (builder.limitLeft(spec) < spec.tasks()) {
-      if (builder.limitLeftWithoutArrays(spec) >= spec.tasks()) {
+    if (builder.tasksWithinLimit(spec) < spec.tasks()) {
+      if (builder.tasksWithinLimitWithoutArrays(spec) >= spec.tasks()) {
+        // Keeps the rest of the limit for the gang, or new arrays would use it up.
         builder.charge(spec, spec.tasks());
       }
       return;
@@ -119,47 +136,10 @@
     }
     builder.charge(spec, spec.tasks());
     if (job.reservedTasks() < spec.tasks()) {
-      GangReservations.Missing missing = gangReservations.makeRoom(job);
-      if (missing != null) {
-        unmetDemand.add(new Demand(job, missing.tasks(), missing.zones()));
-      }
-    }
-  }
-
-  private void serveTasks(JobView job) {
-    JobSpec spec = job.spec();
-    int allowed = Math.min(job.waiting(), builder.limitLeft(spec));
-    boolean production = spec.priority() == Priority.PRODUCTION;
-    int placed = 0;
-    int left = allowed;
-    if (production) {
-      // An image takes longer to fetch than lesser work to stop: first all places that have it.
-      placed += placer.place(job, placed, left, PlacementScope.CACHED);
-      left = allowed - placed - job.reservedTasks();
-      left -= preemption.makeRoom(job, left, PlacementScope.CACHED);
-    }
-    int more = placer.place(job, placed, left, PlacementScope.PLAIN);
-    placed += more;
-    left -= more + (production ? 0 : job.reservedTasks());
-    left -= preemption.makeRoom(job, left, PlacementScope.PLAIN);
-    if (production && builder.snapshot.settled()) {
-      // Last resort: places that tasks with accelerators will miss.
-      more = placer.place(job, placed, left, PlacementScope.LAST_RESORT);
-      placed += more;
-      left -= more;
-      left -= preemption.makeRoom(job, left, PlacementScope.LAST_RESORT);
-    }
-    if (left > 0) {
-      unmetDemand.add(new Demand(job, left, IntArrayList.wrap(builder.zones(job))));
-    }
-    // What keeps the rest may be the team's limit, taken up by its own lesser work.
-    int over = job.waiting() - Math.max(allowed, placed + job.reservedTasks());
-    if (over > 0 && spec.priority() != Priority.LOW) {
-      over -= preemption.makeRoom(job, over, PlacementScope.OWN_TEAM);
-    }
-    if (over > 0 && production) {
-      preemption.makeRoom(job, over, PlacementScope.OWN_TEAM_LAST_RESORT);
+      gangReservations
+          .reserveOrFindMissing(job)
+          .ifPresent(
+              missing -> unmetDemand.add(new Demand(job, missing.tasks(), missing.tasksByZone())));
     }
-    builder.charge(spec, Math.min(job.reservedTasks(), job.waiting() - placed));
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -14,11 +14,17 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * All that the planner decides from; nothing in it changes while it decides.
+ * The planner's whole input; nothing in it changes while a round is planned.
  *
- * @param expectedJobs jobs as they may arrive before a provisioned machine could be up
- * @param startedLate jobs that got their first tasks after too long a wait and have none done yet
- * @param settled whether this leadership is old enough for every live machine to have reported
+ * @param expectedJobs jobs that may arrive before a machine provisioned now would be up
+ * @param teamUse resources in use by team
+ * @param offers what can be provisioned
+ * @param pendingProvisions provision requests that the cloud has not answered yet
+ * @param lateStartedJobs jobs whose first tasks started after too long a wait and of which none is
+ *     done yet
+ * @param inventoryComplete whether every live machine has reported to this leader, or has had time
+ *     to
+ * @param maxIdleS seconds after which an idle machine is released
  */
 public record Snapshot(
     List<MachineView> machines,
@@ -28,16 +34,17 @@
     Map<String, Resources> teamUse,
     List<Offer> offers,
     List<PendingProvision> pendingProvisions,
-    Set<JobId> startedLate,
-    boolean settled,
-    double idleS,
+    Set<JobId> lateStartedJobs,
+    boolean inventoryComplete,
+    double maxIdleS,
     SteadyTime now) {
 
   /**
    * A machine.
    *
+   * @param zone index of its zone
    * @param ready whether tasks may be placed on it now; otherwise it is expected to come up
-   * @param images images that it is known to hold or to fetch
+   * @param images images that it holds or is fetching
    * @param idleSince since when no attempt has been open on it
    */
   public record MachineView(
@@ -54,7 +61,7 @@
       List<AttemptView> attempts,
       List<Reservation> reservations) {
 
-    /** The same machine as one on which nothing may be placed now, but before long. */
+    /** The same machine, expected to come up. */
     public MachineView notReady() {
       return new MachineView(
           id,
@@ -72,82 +79,90 @@
     }
   }
 
-  /** Room kept on a machine for a job, after tasks were stopped for it. */
+  /** Room on a machine that is reserved for a job, after tasks were preempted for it. */
   public record Reservation(JobId job, Resources room) {}
 
   /**
-   * An open attempt, as something that could be stopped.
+   * An open attempt, which may be preempted.
    *
-   * @param runningSince null while it does not run
+   * @param index index of its task in the job
+   * @param runningSince null while it is not running
    */
   public record AttemptView(JobSpec spec, int index, boolean stopping, SteadyTime runningSince) {}
 
   /**
-   * A job with tasks to place.
+   * A job with pending tasks: tasks that are neither done nor have an open attempt.
    *
-   * @param rank place in the queue, lowest first, among jobs of one priority and guarantee
-   * @param late whether it has waited too long without any start
-   * @param pending the first tasks without an open attempt, as many as a round may start
-   * @param waiting how many tasks are without an open attempt
-   * @param zoneOpen open attempts by zone
-   * @param ageS seconds since it was accepted
-   * @param guaranteed whether it lies within its team's guarantee
-   * @param avoid machines that it failed on
+   * @param sortKey its place in the queue, lowest first, among jobs of one priority and guarantee
+   * @param waitedS seconds since it could first start
+   * @param withinGuarantee whether it fits into its team's guarantee
+   * @param overdue whether it has waited too long without any start
+   * @param pendingTasks indexes of the first pending tasks, as many as a round may start
+   * @param pendingCount number of pending tasks that may start
+   * @param openByZone number of open attempts in each zone
+   * @param blocked whether nothing of it may start now
+   * @param avoidedMachines machines that it failed on
+   * @param reservedTasks number of tasks that room is reserved for
    */
   public record JobView(
       JobSpec spec,
-      double rank,
-      double ageS,
-      boolean guaranteed,
-      boolean late,
-      IntList pending,
-      int waiting,
-      IntList zoneOpen,
+      double sortKey,
+      double waitedS,
+      boolean withinGuarantee,
+      boolean overdue,
+      IntList pendingTasks,
+      int pendingCount,
+      IntList openByZone,
       boolean blocked,
-      Set<MachineId> avoid,
+      Set<MachineId> avoidedMachines,
       int reservedTasks) {
 
-    /** Tasks of one job that a round may start; more come with the next round. */
+    /** Tasks of one job that a round may start; more follow in the next round. */
     public static final int MAX_PENDING = 400;
 
-    /** The same job with other tasks to place. */
-    public JobView withTasks(IntList otherPending, int otherWaiting, boolean otherBlocked) {
+    /** The same job with other pending tasks. */
+    public JobView withTasks(IntList otherTasks, int otherCount, boolean otherBlocked) {
       return new JobView(
           spec,
-          rank,
-          ageS,
-          guaranteed,
-          late,
-          otherPending,
-          otherWaiting,
-          zoneOpen,
+          sortKey,
+          waitedS,
+          withinGuarantee,
+          overdue,
+          otherTasks,
+          otherCount,
+          openByZone,
           otherBlocked,
-          avoid,
+          avoidedMachines,
           reservedTasks);
     }
 
-    /** A job of which nothing waits yet, to keep or provision room for. */
-    public static JobView expected(JobSpec spec, double rank, int zoneCount) {
+    /** A job without pending tasks, for which room is only kept or provisioned. */
+    public static JobView expected(JobSpec spec, double sortKey, int zoneCount) {
       IntList open = IntArrayList.wrap(new int[zoneCount]);
-      return new JobView(spec, rank, 0, false, false, IntList.of(), 0, open, false, Set.of(), 0);
+      return new JobView(spec, sortKey, 0, false, false, IntList.of(), 0, open, false, Set.of(), 0);
     }
   }
 
-  /** Machines that were asked for and whose names are not known yet. */
-  public record PendingProvision(Offer of, int count) {}
+  /** Machines that were requested from the cloud and have no names yet. */
+  public record PendingProvision(Offer offer, int count) {}
 
   /**
-   * A machine type that can be provisioned in a zone, as spot or ordinary.
+   * A machine type that can be provisioned in a zone, as spot or on-demand machine.
    *
-   * @param most how many may be provisioned at once
-   * @param bootS how long such a machine takes to come up there, in seconds
+   * @param maxCount how many may be provisioned at once
+   * @param bootS seconds from the request until such a machine is up in that zone
    */
   public record Offer(
-      MachineType machineType, int zone, String zoneName, boolean spot, int most, double bootS) {
+      MachineType machineType,
+      int zone,
+      String zoneName,
+      boolean spot,
+      int maxCount,
+      double bootS) {
 
-    /** An offer of machines that come up in their type's usual time. */
-    public Offer(MachineType machineType, int zone, String zoneName, boolean spot, int most) {
-      this(machineType, zone, zoneName, spot, most, machineType.bootS());
+    /** An offer of machines that boot in their type's usual time. */
+    public Offer(MachineType machineType, int zone, String zoneName, boolean spot, int maxCount) {
+      this(machineType, zone, zoneName, spot, maxCount, machineType.bootS());
     }
   }
 }
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -1,225 +1,233 @@
 package org.ternhinge.schedule;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.function.BiConsumer;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.schedule.UnplaceableRequests.Search;
 import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
 
 /**
- * Finds room for tasks among what is free. Each job evaluates each machine with room once and then
- * fills the best ones; asking every machine for every task took a round's whole time with hundreds
- * of machines and arrays of hundreds of tasks.
+ * Places tasks in free room. Each job is evaluated once against each machine with room and then
+ * fills the best ones: an evaluation for every task of every machine took a round's whole time with
+ * hundreds of machines and arrays of hundreds of tasks.
  */
 final class TaskPlacer {
-  /** Score, in seconds, in favour of a place that was made for the job. */
+  /** Score, in seconds, in favour of room that is reserved for the job. */
   private static final double RESERVED_S = 1000;
 
-  private record Choice(MachineCapacity machine, int order, double score) {}
+  /**
+   * A machine that a task may go to.
+   *
+   * @param order its position in the search, which decides between equal scores
+   */
+  private record Candidate(MachineCapacity machine, int order, double score) {}
 
-  private final PlanBuilder builder;
-  private final UnplaceableRequests unplaceable = new UnplaceableRequests();
-
-  /** The fewest tasks of a gang, by what each needs, that found no room in this round. */
-  private final Map<GangKind, Integer> unplaceableGangs = new HashMap<>();
-
-  private record GangKind(
-      Resources need,
-      Priority priority,
-      boolean spot,
-      boolean scatter,
-      boolean together,
-      String zone,
-      List<String> types) {
-    static GangKind of(JobSpec spec) {
-      return new GangKind(
-          spec.need(),
-          spec.priority(),
-          spec.spotAllowed(),
-          spec.scatter(),
-          spec.together(),
-          spec.zone(),
-          spec.types());
-    }
-  }
+  /** What is searched for. */
+  private static final class Query {
+    private final JobView job;
 
-  private List<MachineCapacity> withRoom = new ArrayList<>();
-  private final long leastCpus;
+    /** Tasks of the job in each zone, counted up as the search finds places. */
+    private final int[] tasksByZone;
 
-  TaskPlacer(PlanBuilder builder) {
-    this.builder = builder;
-    long least = Long.MAX_VALUE;
-    for (JobView job : builder.snapshot.jobs()) {
-      least = Math.min(least, job.spec().need().cpus());
-    }
-    this.leastCpus = least;
-    for (MachineCapacity machine : builder.machines) {
-      if (machine.ready() && machine.freeCpus() >= leastCpus) {
-        withRoom.add(machine);
-      }
-    }
-  }
+    /** The zone to search, or {@link PlanBuilder#ANY_ZONE}. */
+    private final int onlyZone;
 
-  private List<MachineCapacity> withRoom() {
-    int full = 0;
-    for (MachineCapacity machine : withRoom) {
-      if (machine.freeCpus() < leastCpus) {
-        full++;
-      }
+    private final PlacementScope scope;
+
+    Query(JobView job, int[] tasksByZone, int onlyZone, PlacementScope scope) {
+      this.job = job;
+      this.tasksByZone = tasksByZone;
+      this.onlyZone = onlyZone;
+      this.scope = scope;
     }
-    if (full * 4 > withRoom.size()) {
-      List<MachineCapacity> left = new ArrayList<>(withRoom.size() - full);
-      for (MachineCapacity machine : withRoom) {
-        if (machine.freeCpus() >= leastCpus) {
-          left.add(machine);
-        }
-      }
-      withRoom = left;
+
+    boolean zoneAllows(MachineCapacity machine) {
+      return (onlyZone == PlanBuilder.ANY_ZONE || machine.zone() == onlyZone)
+          && PlanBuilder.zoneAllows(job.spec(), tasksByZone, machine.zone());
     }
-    return withRoom;
   }
 
-  private boolean eligible(
-      JobView job, MachineCapacity machine, int[] zones, int onlyZone, PlacementScope scope) {
-    JobSpec spec = job.spec();
-    return machine.fits(spec)
-        && machine.allows(spec)
-        && (onlyZone == PlanBuilder.ANY_ZONE || machine.zone == onlyZone)
-        && PlanBuilder.zoneFits(spec, zones, machine.zone)
-        && !PlanBuilder.avoided(job, machine)
-        && (builder.within(scope, spec, machine) || machine.reservedFor(spec.id()));
-  }
+  private static final Comparator<Candidate> BEST_FIRST =
+      (a, b) -> {
+        int byScore = Double.compare(a.score, b.score);
+        return byScore != 0 ? byScore : Integer.compare(a.order, b.order);
+      };
 
-  private double score(JobSpec spec, MachineCapacity machine) {
-    double score = builder.score(spec, machine);
-    return machine.reservedFor(spec.id()) ? score - RESERVED_S : score;
-  }
+  private final PlanBuilder builder;
+  private final UnplaceableRequests unplaceable = new UnplaceableRequests(Search.FREE_ROOM);
 
-  private PriorityQueue<Choice> choices(
-      JobView job, int[] zones, int onlyZone, PlacementScope scope) {
-    PriorityQueue<Choice> out =
-        new PriorityQueue<>(
-            (a, b) -> {
-              int byScore = Double.compare(a.score, b.score);
-              return byScore != 0 ? byScore : Integer.compare(a.order, b.order);
-            });
-    int order = 0;
-    for (MachineCapacity machine : withRoom()) {
-      order++;
-      builder.countEvaluation();
-      if (eligible(job, machine, zones, onlyZone, scope)) {
-        out.add(new Choice(machine, order, score(job.spec(), machine)));
+  /** The fewest tasks of a gang of each shape that found no room in this round. */
+  private final Map<TaskShape, Integer> unplaceableGangs = new HashMap<>();
+
+  private final MachinesWithRoom machinesWithRoom;
+
+  TaskPlacer(PlanBuilder builder) {
+    this.builder = builder;
+    this.machinesWithRoom =
+        new MachinesWithRoom(PlanBuilder.smallestRequestCpus(builder.snapshot().jobs()));
+    for (MachineCapacity machine : builder.machines()) {
+      if (machine.ready() && !machinesWithRoom.isFull(machine)) {
+        machinesWithRoom.add(machine);
       }
     }
-    return out;
   }
 
-  /** Places up to so many tasks, from a position among the pending ones on; says how many. */
+  /**
+   * Places pending tasks of a job.
+   *
+   * @param from position of the first of them among the job's pending tasks
+   * @param most how many to place at most
+   * @return how many were placed
+   */
   int place(JobView job, int from, int most, PlacementScope scope) {
-    int wanted = Math.min(most, job.pending().size() - from);
-    if (wanted <= 0 || unplaceable.holds(job, scope, false)) {
+    int wanted = Math.min(most, job.pendingTasks().size() - from);
+    if (wanted <= 0 || unplaceable.contains(job, scope)) {
       return 0;
     }
-    JobSpec spec = job.spec();
-    int[] zones = builder.zones(job);
-    List<Integer> tasks = new ArrayList<>();
-    List<MachineId> machines = new ArrayList<>();
-    PriorityQueue<Choice> choices = choices(job, zones, PlanBuilder.ANY_ZONE, scope);
-    while (tasks.size() < wanted && !choices.isEmpty()) {
-      Choice best = choices.poll();
-      MachineCapacity machine = best.machine;
-      machine.take(spec);
-      zones[machine.zone]++;
-      tasks.add(job.pending().getInt(from + tasks.size()));
-      machines.add(machine.view.id());
-      builder.countEvaluation();
-      // A zone may be full by now, so the next in line is looked at again as well.
-      if (eligible(job, machine, zones, PlanBuilder.ANY_ZONE, scope)) {
-        choices.add(new Choice(machine, best.order, score(spec, machine)));
-      }
-      while (!choices.isEmpty()
-          && !PlanBuilder.zoneFits(spec, zones, choices.peek().machine.zone)) {
-        choices.poll();
-      }
-    }
-    if (tasks.size() < wanted) {
-      unplaceable.note(job, zones, scope, false);
+    int[] tasksByZone = builder.tasksByZone(job);
+    Query query = new Query(job, tasksByZone, PlanBuilder.ANY_ZONE, scope);
+    List<MachineCapacity> found = search(query, wanted, MachineCapacity::place);
+    if (found.size() < wanted) {
+      unplaceable.add(job, tasksByZone, scope);
     }
-    if (!tasks.isEmpty()) {
-      builder.charge(spec, tasks.size());
-      builder.plan.places().add(new Plan.Place(spec.id(), tasks, machines));
+    if (!found.isEmpty()) {
+      List<Integer> tasks = new ArrayList<>(found.size());
+      for (int i = 0; i < found.size(); i++) {
+        tasks.add(job.pendingTasks().getInt(from + i));
+      }
+      builder.place(job.spec(), tasks, ids(found));
     }
-    return tasks.size();
+    return found.size();
   }
 
   /**
-   * Places a whole gang or nothing of it, in the zone where its last task has its image first: all
-   * wait for that one.
+   * Places a whole gang or nothing of it. Where it has to stay in one zone, that is the zone where
+   * the last of its images is fetched first, as all tasks wait for that one.
+   *
+   * @return whether it was placed
    */
   boolean placeGang(JobView job) {
     JobSpec spec = job.spec();
-    GangKind kind = GangKind.of(spec);
-    boolean ownPlaces = job.reservedTasks() > 0;
-    if (!ownPlaces && spec.tasks() >= unplaceableGangs.getOrDefault(kind, Integer.MAX_VALUE)) {
+    TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.of(spec));
+    boolean reserved = job.reservedTasks() > 0;
+    if (!reserved && spec.tasks() >= unplaceableGangs.getOrDefault(shape, Integer.MAX_VALUE)) {
       return false;
     }
-    List<MachineCapacity> best = null;
-    double soonest = Double.MAX_VALUE;
-    for (int zone : PlanBuilder.zonesToTry(job)) {
-      List<MachineCapacity> found = findGang(job, zone);
-      double last = 0;
-      for (MachineCapacity machine : found) {
-        last = Math.max(last, builder.fetchSeconds(spec, machine));
-      }
-      if (!found.isEmpty() && last < soonest) {
-        soonest = last;
-        best = found;
-      }
-    }
-    if (best == null) {
-      if (!ownPlaces && job.avoid().isEmpty()) {
-        unplaceableGangs.merge(kind, spec.tasks(), Math::min);
+    List<MachineCapacity> best = findBestGang(job);
+    if (best.isEmpty()) {
+      if (!reserved && job.avoidedMachines().isEmpty()) {
+        unplaceableGangs.merge(shape, spec.tasks(), Math::min);
       }
       return false;
     }
-    List<Integer> tasks = new ArrayList<>();
-    List<MachineId> machines = new ArrayList<>();
+    List<Integer> tasks = new ArrayList<>(best.size());
     for (MachineCapacity machine : best) {
-      machine.take(spec);
+      machine.place(spec);
       tasks.add(tasks.size());
-      machines.add(machine.view.id());
     }
-    builder.charge(spec, spec.tasks());
-    builder.plan.places().add(new Plan.Place(spec.id(), tasks, machines));
+    builder.place(spec, tasks, ids(best));
     return true;
   }
 
-  /** Machines for each task of a gang, or none where not all find room; nothing is taken yet. */
+  private static List<MachineId> ids(List<MachineCapacity> machines) {
+    List<MachineId> ids = new ArrayList<>(machines.size());
+    for (MachineCapacity machine : machines) {
+      ids.add(machine.view().id());
+    }
+    return ids;
+  }
+
+  /** The machines for a gang whose last image is fetched first; empty where none has room. */
+  private List<MachineCapacity> findBestGang(JobView job) {
+    List<MachineCapacity> best = List.of();
+    double soonestS = Double.MAX_VALUE;
+    for (int zone : PlanBuilder.candidateZones(job)) {
+      List<MachineCapacity> found = findGang(job, zone);
+      double lastFetchS = 0;
+      for (MachineCapacity machine : found) {
+        lastFetchS = Math.max(lastFetchS, builder.imageFetchS(job.spec(), machine));
+      }
+      if (!found.isEmpty() && lastFetchS < soonestS) {
+        soonestS = lastFetchS;
+        best = found;
+      }
+    }
+    return best;
+  }
+
+  /** A machine for each task of a gang, or none where not all find room; nothing is placed yet. */
   private List<MachineCapacity> findGang(JobView job, int zone) {
     JobSpec spec = job.spec();
-    int[] zones = new int[job.zoneOpen().size()];
-    PriorityQueue<Choice> choices = choices(job, zones, zone, PlacementScope.PLAIN);
+    int[] tasksByZone = new int[job.openByZone().size()];
+    Query query = new Query(job, tasksByZone, zone, PlacementScope.PLAIN);
+    List<MachineCapacity> found = search(query, spec.tasks(), MachineCapacity::assume);
+    for (MachineCapacity machine : found) {
+      machine.unassume(spec);
+    }
+    return found.size() < spec.tasks() ? List.of() : found;
+  }
+
+  /**
+   * Finds a machine for each of several tasks, the best first.
+   *
+   * @param wanted number of tasks
+   * @param allocate subtracts a task's resources from those of a machine that was found
+   * @return the machines, fewer than wanted where there is no more room
+   */
+  private List<MachineCapacity> search(
+      Query query, int wanted, BiConsumer<MachineCapacity, JobSpec> allocate) {
+    JobSpec spec = query.job.spec();
+    PriorityQueue<Candidate> candidates = candidates(query);
     List<MachineCapacity> found = new ArrayList<>();
-    while (found.size() < spec.tasks() && !choices.isEmpty()) {
-      Choice best = choices.poll();
-      best.machine.reserve(spec);
-      zones[best.machine.zone]++;
-      found.add(best.machine);
+    while (found.size() < wanted && !candidates.isEmpty()) {
+      Candidate best = candidates.poll();
+      MachineCapacity machine = best.machine;
+      allocate.accept(machine, spec);
+      query.tasksByZone[machine.zone()]++;
+      found.add(machine);
       builder.countEvaluation();
-      if (eligible(job, best.machine, zones, zone, PlacementScope.PLAIN)) {
-        choices.add(new Choice(best.machine, best.order, score(spec, best.machine)));
+      if (isEligible(query, machine)) {
+        candidates.add(new Candidate(machine, best.order, score(spec, machine)));
       }
-      while (!choices.isEmpty()
-          && !PlanBuilder.zoneFits(spec, zones, choices.peek().machine.zone)) {
-        choices.poll();
+      // This task may have been the last that its zone allows.
+      while (!candidates.isEmpty() && !query.zoneAllows(candidates.peek().machine)) {
+        candidates.poll();
       }
     }
-    found.forEach(machine -> machine.giveBack(spec));
-    return found.size() < spec.tasks() ? List.of() : found;
+    return found;
+  }
+
+  private PriorityQueue<Candidate> candidates(Query query) {
+    PriorityQueue<Candidate> candidates = new PriorityQueue<>(BEST_FIRST);
+    machinesWithRoom.removeFullIfMany();
+    int order = 0;
+    for (MachineCapacity machine : machinesWithRoom.all()) {
+      order++;
+      builder.countEvaluation();
+      if (isEligible(query, machine)) {
+        candidates.add(new Candidate(machine, order, score(query.job.spec(), machine)));
+      }
+    }
+    return candidates;
+  }
+
+  private boolean isEligible(Query query, MachineCapacity machine) {
+    JobSpec spec = query.job.spec();
+    return machine.fits(spec)
+        && machine.allows(spec)
+        && query.zoneAllows(machine)
+        && !PlanBuilder.isAvoided(query.job, machine)
+        && (builder.scopeIncludes(query.scope, spec, machine) || machine.reservedFor(spec.id()));
+  }
+
+  private double score(JobSpec spec, MachineCapacity machine) {
+    double score = builder.score(spec, machine);
+    return machine.reservedFor(spec.id()) ? score - RESERVED_S : score;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -7,81 +7,80 @@
 import java.util.Objects;
 import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.JobView;
-import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
 
 /**
- * Which kinds of jobs have found no more room in this round. Room only gets less while a plan
- * grows, so a job that asks for as much or more, with the same rights, finds none either and need
- * not look. In a full fleet of a thousand machines each waiting job asked each of them in every
- * round, and the round's bound on evaluations was used up before the last jobs in the queue had
- * their turn, round after round.
+ * The requests for which a search of this round found no more room. Room only gets less while a
+ * plan grows, so a job with the same constraints that requests as much or more finds none either,
+ * and its search is skipped. In a full fleet of a thousand machines every waiting job was evaluated
+ * against every machine in every round, which used up the round's evaluations before the last jobs
+ * in the queue had their turn.
  */
 final class UnplaceableRequests {
-  private record Kind(
-      JobKind kind,
-      Priority priority,
+  /**
+   * Jobs that share the result of a search.
+   *
+   * @param team null where the search is for free room
+   * @param image null where the scope does not ask for it
+   */
+  private record Key(
+      PlacementConstraints constraints,
+      PlacementScope scope,
+      boolean withinGuarantee,
       String team,
-      boolean guaranteed,
-      boolean spot,
-      boolean scatter,
-      boolean together,
-      String zone,
-      List<String> types,
-      String image,
-      PlacementScope scope) {
+      String image) {
 
-    // By hand for the reason given at the small types; asked for each job and scope of a round.
+    // Written by hand for the reason given at PlacementConstraints.
     @Override
     public boolean equals(Object other) {
-      return other instanceof Kind k
-          && k.kind == kind
-          && k.priority == priority
-          && k.guaranteed == guaranteed
-          && k.spot == spot
-          && k.scatter == scatter
-          && k.together == together
-          && k.scope == scope
-          && Objects.equals(k.team, team)
-          && Objects.equals(k.zone, zone)
-          && Objects.equals(k.types, types)
-          && Objects.equals(k.image, image);
+      return other instanceof Key that
+          && that.withinGuarantee == withinGuarantee
+          && that.scope == scope
+          && that.constraints.equals(constraints)
+          && Objects.equals(that.team, team)
+          && Objects.equals(that.image, image);
     }
 
     @Override
     public int hashCode() {
-      int flags = (spot ? 1 : 0) + (scatter ? 2 : 0) + (together ? 4 : 0) + (guaranteed ? 8 : 0);
-      int kinds = 8 * kind.word().hashCode() + priority.level();
-      return 31 * (31 * flags + kinds) + Objects.hashCode(team) + Objects.hashCode(image);
+      int hash = 31 * constraints.hashCode() + (withinGuarantee ? 1 : 0);
+      return 31 * hash + Objects.hashCode(team) + Objects.hashCode(image);
     }
   }
 
-  private final Map<Kind, List<Resources>> found = new HashMap<>();
+  /** How room is searched for. */
+  enum Search {
+    /** Among what is free. */
+    FREE_ROOM,
+    /** By preempting others, which depends on the job's team and its guarantee. */
+    PREEMPTION
+  }
+
+  private final Search search;
+  private final Map<Key, List<Resources>> needsByKey = new HashMap<>();
+
+  UnplaceableRequests(Search search) {
+    this.search = search;
+  }
 
-  private static Kind kind(JobView job, PlacementScope scope, boolean stops) {
+  private Key key(JobView job, PlacementScope scope) {
     JobSpec spec = job.spec();
-    return new Kind(
-        spec.kind(),
-        spec.priority(),
-        stops ? spec.team() : null,
-        stops && job.guaranteed(),
-        spec.spotAllowed(),
-        spec.scatter(),
-        spec.together(),
-        spec.zone(),
-        spec.types(),
-        scope.cached() ? spec.image() : null,
-        scope);
+    boolean preempts = search == Search.PREEMPTION;
+    return new Key(
+        PlacementConstraints.of(spec),
+        scope,
+        preempts && job.withinGuarantee(),
+        preempts ? spec.team() : null,
+        scope.cached() ? spec.image() : null);
   }
 
-  /** Whether a job need not be tried; one with reserved places always is. */
-  boolean holds(JobView job, PlacementScope scope, boolean stops) {
-    if (found.isEmpty() || job.reservedTasks() > 0) {
+  /** Whether a search would find nothing. Never so for a job with reserved room. */
+  boolean contains(JobView job, PlacementScope scope) {
+    if (needsByKey.isEmpty() || job.reservedTasks() > 0) {
       return false;
     }
-    for (Resources least : found.getOrDefault(kind(job, scope, stops), List.of())) {
-      if (least.fitsIn(job.spec().need())) {
+    for (Resources unplaceable : needsByKey.getOrDefault(key(job, scope), List.of())) {
+      if (unplaceable.fitsIn(job.spec().need())) {
         return true;
       }
     }
@@ -89,19 +88,20 @@
   }
 
   /**
-   * A job has looked everywhere and wanted more. That says nothing of others where it was kept from
-   * a machine by what is its own: tasks in a zone, or machines that it failed on.
+   * Records that a search found less room than a job requests. That does not apply to other jobs
+   * where this one's own tasks in a zone, or machines that it failed on, limited the search: then
+   * nothing is recorded.
    */
-  void note(JobView job, int[] zones, PlacementScope scope, boolean stops) {
+  void add(JobView job, int[] tasksByZone, PlacementScope scope) {
     JobSpec spec = job.spec();
-    if (!job.avoid().isEmpty()) {
+    if (!job.avoidedMachines().isEmpty()) {
       return;
     }
-    for (int there : zones) {
-      if (there >= spec.zoneLimit() || (spec.together() && there > 0)) {
+    for (int tasks : tasksByZone) {
+      if (tasks >= spec.zoneLimit() || (spec.together() && tasks > 0)) {
         return;
       }
     }
-    found.computeIfAbsent(kind(job, scope, stops), k -> new ArrayList<>()).add(spec.need());
+    needsByKey.computeIfAbsent(key(job, scope), key -> new ArrayList<>()).add(spec.need());
   }
 }
--- a/src/main/java/org/ternhinge/zone/DisplacedWork.java
+++ b/src/main/java/org/ternhinge/zone/DisplacedWork.java
@@ -2,23 +2,24 @@
 
 import org.ternhinge.model.JobId;
 
-/** What has become of work that was displaced from a lost zone, as the ledger knows it. */
+/** The present state of displaced work, as the ledger has it. */
 public interface DisplacedWork {
-  /** What has become of a task. */
-  enum Fate {
+  /** The state of a displaced task. */
+  enum TaskState {
     /** It has no attempt and is to get one. */
-    WAITING,
+    PENDING,
     /** It has a new attempt. */
     PLACED,
-    /** Nothing of it is to start any more. */
-    OVER
+    /** It is done or cancelled: it needs no new attempt. */
+    ENDED
   }
 
-  /** What has become of a task. */
-  Fate fate(JobId job, int task);
+  /** The state of a task. */
+  TaskState state(JobId job, int task);
 
   /**
-   * Whether a job could be placed if there were room: it neither backs off nor waits for others.
+   * Whether a job could be placed if there were room: it neither backs off nor has unmet
+   * dependencies.
    */
   boolean isPlaceable(JobId job);
 }
--- /dev/null
+++ b/src/main/java/org/ternhinge/zone/DisplacementLog.java
@@ -0,0 +1,153 @@
+package org.ternhinge.zone;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.pcollections.PSet;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.TaskRanges;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.zone.ZoneEvent.WorkStep;
+
+/**
+ * Turns what happens to displaced tasks into events for the log: one for all tasks of a job that
+ * take a step together, and one at intervals for each job that still waits. Guarded by its owner.
+ */
+final class DisplacementLog {
+  /** Seconds between two events about a job that still waits. */
+  private static final double DELAY_INTERVAL_S = 30;
+
+  /** Tasks of a job that were displaced since the last event about it. */
+  private static final class NewlyDisplaced {
+    private final JobSpec job;
+    private final String zone;
+    private final BitSet tasks = new BitSet();
+    private final BitSet attempts = new BitSet();
+
+    NewlyDisplaced(JobSpec job, String zone) {
+      this.job = job;
+      this.zone = zone;
+    }
+
+    void add(int task, long attempt) {
+      tasks.set(task);
+      if (attempt > 0 && attempt < Integer.MAX_VALUE) {
+        attempts.set((int) attempt);
+      }
+    }
+
+    ZoneEvent event(String tier) {
+      return new ZoneEvent.WorkChanged(
+          WorkStep.DISPLACED,
+          job.id().value(),
+          TaskRanges.encode(tasks, 0, tasks.length()),
+          TaskRanges.encode(attempts, 0, attempts.length()),
+          tier,
+          zone,
+          0,
+          DisplacementReason.ZONE_LOST.word());
+    }
+  }
+
+  private final FailoverOrder order;
+  private final Map<JobId, NewlyDisplaced> newlyDisplaced = new LinkedHashMap<>();
+  private final Map<JobId, SteadyTime> delayLoggedAt = new HashMap<>();
+
+  DisplacementLog(FailoverOrder order) {
+    this.order = order;
+  }
+
+  /** Notes a task for the next {@link #displaced}. */
+  void add(JobSpec job, int task, long attempt, String zone) {
+    newlyDisplaced
+        .computeIfAbsent(job.id(), id -> new NewlyDisplaced(job, zone))
+        .add(task, attempt);
+  }
+
+  /** Whether no displaced task was noted since the last {@link #displaced}. */
+  boolean isEmpty() {
+    return newlyDisplaced.isEmpty();
+  }
+
+  /** Events for the tasks that were displaced since the last call. */
+  List<ZoneEvent> displaced() {
+    List<ZoneEvent> events = new ArrayList<>(newlyDisplaced.size());
+    for (NewlyDisplaced displaced : newlyDisplaced.values()) {
+      events.add(displaced.event(order.name(order.tierOf(displaced.job))));
+    }
+    newlyDisplaced.clear();
+    return events;
+  }
+
+  /** An event for tasks whose turn has come. */
+  ZoneEvent released(FailoverQueue.JobTasks tasks, SteadyTime now) {
+    return event(WorkStep.RELEASED, tasks, DisplacementReason.TURN, now);
+  }
+
+  /** An event for tasks that have new attempts. */
+  ZoneEvent moved(FailoverQueue.JobTasks tasks, SteadyTime now) {
+    return event(WorkStep.MOVED, tasks, DisplacementReason.PLACED, now);
+  }
+
+  /** Events for the jobs that have waited for another interval. */
+  List<ZoneEvent> delayed(
+      List<FailoverQueue.DisplacedJob> jobs, DisplacedWork work, SteadyTime now) {
+    List<ZoneEvent> events = new ArrayList<>();
+    for (FailoverQueue.DisplacedJob job : jobs) {
+      SteadyTime last = delayLoggedAt.getOrDefault(job.spec().id(), job.since());
+      if (now.secondsSince(last) >= DELAY_INTERVAL_S) {
+        delayLoggedAt.put(job.spec().id(), now);
+        FailoverQueue.JobTasks all =
+            new FailoverQueue.JobTasks(job, job.held().plusAll(job.released()));
+        events.add(event(WorkStep.DELAYED, all, delayReason(job, work), now));
+      }
+    }
+    return events;
+  }
+
+  /** Forgets the jobs that are displaced no longer. */
+  void retain(List<FailoverQueue.DisplacedJob> jobs) {
+    Set<JobId> ids = new HashSet<>();
+    jobs.forEach(job -> ids.add(job.spec().id()));
+    delayLoggedAt.keySet().retainAll(ids);
+  }
+
+  private static DisplacementReason delayReason(
+      FailoverQueue.DisplacedJob job, DisplacedWork work) {
+    if (job.pinned()) {
+      return DisplacementReason.PINNED_TO_ZONE;
+    }
+    if (!work.isPlaceable(job.spec().id())) {
+      return DisplacementReason.BACKOFF_OR_DEPENDENCY;
+    }
+    return job.held().isEmpty()
+        ? DisplacementReason.NO_ROOM_OR_LIMIT
+        : DisplacementReason.HIGHER_TIER_FIRST;
+  }
+
+  private ZoneEvent event(
+      WorkStep step, FailoverQueue.JobTasks tasks, DisplacementReason reason, SteadyTime now) {
+    FailoverQueue.DisplacedJob job = tasks.job();
+    return new ZoneEvent.WorkChanged(
+        step,
+        job.spec().id().value(),
+        ranges(tasks.tasks()),
+        "",
+        order.name(job.tier()),
+        job.zone(),
+        now.secondsSince(job.since()),
+        reason.word());
+  }
+
+  private static String ranges(PSet<Integer> tasks) {
+    BitSet set = new BitSet();
+    tasks.forEach(set::set);
+    return TaskRanges.encode(set, 0, set.length());
+  }
+}
--- a/src/main/java/org/ternhinge/zone/FailoverOrder.java
+++ b/src/main/java/org/ternhinge/zone/FailoverOrder.java
@@ -4,7 +4,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.wire.JobSpec;
 
-/** The order in which the work of a lost zone moves: tiers, the most important first. */
+/** The tiers in which the work of a lost zone moves, the most important first. */
 final class FailoverOrder {
   private final List<ZoneFailoverSettings.Tier> tiers;
 
@@ -22,12 +22,12 @@
     return tiers.size() - 1;
   }
 
-  /** How operators call a tier. */
+  /** The name that the operators gave a tier. */
   String name(int tier) {
     return tiers.get(tier).name();
   }
 
-  /** How many tiers there are. */
+  /** The number of tiers. */
   int size() {
     return tiers.size();
   }
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -13,23 +13,23 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * What was displaced from lost zones: tasks whose attempts are proved over and that have no new
- * one. They are held until their tier's turn comes and then released at a bounded rate; the planner
- * decides the rest.
+ * The tasks that were displaced from lost zones: their attempts have certainly ended and they have
+ * no new ones. They are held until their tier's turn comes and then released at a bounded rate;
+ * where they are placed is left to the planner.
  *
- * <p>No hold is without an end: a job of tier k is released k times {@code tier_hold_s} after it
- * was displaced at the latest, and a job that finds no room keeps lower tiers waiting only for as
- * long as its own tier's turn lasts.
+ * <p>Every hold ends: a job of tier k is released no later than k times {@code tier_hold_s} after
+ * it was displaced, and a job that finds no room delays lower tiers only for as long as its own
+ * tier's turn lasts.
  */
 final class FailoverQueue {
   /**
-   * A job that has displaced tasks.
+   * A job with displaced tasks.
    *
    * @param zone the lost zone
    * @param pinned whether the job may run in that zone only
    * @param held tasks that are not to be placed yet
    * @param released tasks that may be placed
-   * @param since when the first of them was displaced
+   * @param since time at which the first of them was displaced
    */
   record DisplacedJob(
       JobSpec spec,
@@ -48,8 +48,8 @@
     }
   }
 
-  /** Tasks of a job that were dealt with together. */
-  record Tasks(DisplacedJob job, PSet<Integer> tasks) {}
+  /** Tasks of one job that take a step together. */
+  record JobTasks(DisplacedJob job, PSet<Integer> tasks) {}
 
   private static final Comparator<DisplacedJob> RELEASE_ORDER =
       Comparator.comparingInt(DisplacedJob::tier)
@@ -59,34 +59,32 @@
 
   private final ZoneFailoverSettings.Release settings;
   private final FailoverOrder order;
-  private final double leastRate;
+  private final double minRate;
   private PMap<JobId, DisplacedJob> displaced = HashTreePMap.empty();
   private RateBudget budget;
 
-  /** The most tasks that were held at once since none was. */
-  private int mostHeld;
+  /** The largest number of held tasks since the queue was last without any. */
+  private int peakHeld;
 
   /**
    * Creates an empty queue.
    *
-   * @param leastRate tasks a second that may be released at least
+   * @param minRate lowest rate at which tasks are released, a second
    */
   FailoverQueue(
-      ZoneFailoverSettings.Release settings,
-      FailoverOrder order,
-      double leastRate,
-      SteadyTime now) {
+      ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, SteadyTime now) {
     this.settings = settings;
     this.order = order;
-    this.leastRate = leastRate;
+    this.minRate = minRate;
     this.budget = RateBudget.starting(now);
   }
 
+  /** Whether no task is displaced. */
   boolean isEmpty() {
     return displaced.isEmpty();
   }
 
-  /** A task has lost its attempt with a zone. */
+  /** Adds a task that has lost its attempt with a zone; one that is released is not held again. */
   void displace(JobSpec spec, int task, String zone, SteadyTime now) {
     DisplacedJob before = displaced.get(spec.id());
     if (before == null) {
@@ -100,25 +98,25 @@
     }
   }
 
-  // ---- what has become of it --------------------------------------------------------------------
+  // ---- settlement -------------------------------------------------------------------------------
 
-  /** Drops what is displaced no longer, and says which tasks have a new attempt. */
-  List<Tasks> settle(DisplacedWork work) {
-    List<Tasks> placed = new ArrayList<>();
+  /** Removes the tasks that are displaced no longer, and returns those with a new attempt. */
+  List<JobTasks> settle(DisplacedWork work) {
+    List<JobTasks> placed = new ArrayList<>();
     for (DisplacedJob job : displaced.values()) {
-      PSet<Integer> found = TreePSet.empty();
+      PSet<Integer> replaced = TreePSet.empty();
       PSet<Integer> held = job.held;
       PSet<Integer> released = job.released;
       for (Integer task : job.held.plusAll(job.released)) {
-        DisplacedWork.Fate fate = work.fate(job.spec.id(), task);
-        if (fate != DisplacedWork.Fate.WAITING) {
-          found = fate == DisplacedWork.Fate.PLACED ? found.plus(task) : found;
+        DisplacedWork.TaskState state = work.state(job.spec.id(), task);
+        if (state != DisplacedWork.TaskState.PENDING) {
+          replaced = state == DisplacedWork.TaskState.PLACED ? replaced.plus(task) : replaced;
           held = held.minus(task);
           released = released.minus(task);
         }
       }
-      if (!found.isEmpty()) {
-        placed.add(new Tasks(job, found));
+      if (!replaced.isEmpty()) {
+        placed.add(new JobTasks(job, replaced));
       }
       replace(job.with(held, released));
     }
@@ -133,33 +131,33 @@
   // ---- release ----------------------------------------------------------------------------------
 
   /**
-   * Releases what may be placed from now on.
+   * Releases the tasks whose turn has come, as far as the rate permits.
    *
-   * @param lowestOpenTier the most important tier of which attempts in lost zones are still open
+   * @param firstOpenTier the most important tier of which attempts in lost zones are still open
    */
-  List<Tasks> release(DisplacedWork work, int lowestOpenTier, SteadyTime now) {
-    budget = budget.filled(rate(), now);
+  List<JobTasks> release(DisplacedWork work, int firstOpenTier, SteadyTime now) {
+    budget = budget.refilled(rate(), now);
     List<DisplacedJob> jobs = new ArrayList<>(displaced.values());
     jobs.sort(RELEASE_ORDER);
-    int blockingTier = Math.min(lowestOpenTier, firstBlockingTier(jobs, work, now));
-    List<Tasks> out = new ArrayList<>();
+    int blockingTier = Math.min(firstOpenTier, firstBlockingTier(jobs, work, now));
+    List<JobTasks> released = new ArrayList<>();
     for (DisplacedJob job : jobs) {
       boolean itsTurn = job.pinned || job.tier <= blockingTier || isDue(job, now);
       if (itsTurn && !job.held.isEmpty() && budget.allows()) {
-        out.add(release(job));
+        released.add(release(job));
       }
     }
-    return out;
+    return released;
   }
 
-  /** So many tasks a second empty the queue in time. */
+  /** The rate, in tasks a second, that empties the queue in the time that the settings ask for. */
   private double rate() {
     int tasks = 0;
     for (DisplacedJob job : displaced.values()) {
       tasks += job.held.size();
     }
-    mostHeld = tasks == 0 ? 0 : Math.max(mostHeld, tasks);
-    return Math.max(leastRate, mostHeld / settings.drainS());
+    peakHeld = tasks == 0 ? 0 : Math.max(peakHeld, tasks);
+    return Math.max(minRate, peakHeld / settings.drainS());
   }
 
   private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, SteadyTime now) {
@@ -182,24 +180,24 @@
     return now.secondsSince(job.since) >= job.tier * settings.tierHoldS();
   }
 
-  private Tasks release(DisplacedJob job) {
+  private JobTasks release(DisplacedJob job) {
     PSet<Integer> chosen = TreePSet.empty();
     for (Integer task : job.held) {
       if (!job.spec.isGang() && !budget.allows()) {
         break;
       }
       chosen = chosen.plus(task);
-      budget = budget.less(1);
+      budget = budget.minus(1);
     }
     displaced =
         displaced.plus(
             job.spec.id(), job.with(job.held.minusAll(chosen), job.released.plusAll(chosen)));
-    return new Tasks(job, chosen);
+    return new JobTasks(job, chosen);
   }
 
-  // ---- for readers ------------------------------------------------------------------------------
+  // ---- queries ----------------------------------------------------------------------------------
 
-  /** Tasks that are not to be placed yet, by job. */
+  /** The held tasks by job. */
   PMap<JobId, PSet<Integer>> held() {
     PMap<JobId, PSet<Integer>> held = HashTreePMap.empty();
     for (DisplacedJob job : displaced.values()) {
@@ -210,12 +208,12 @@
     return held;
   }
 
-  /** The tasks of an displaced job that are not to be placed yet. */
+  /** The held tasks of a displaced job. */
   PSet<Integer> held(JobId job) {
     return displaced.get(job).held;
   }
 
-  /** Everything that is displaced. */
+  /** All jobs with displaced tasks. */
   List<DisplacedJob> jobs() {
     return List.copyOf(displaced.values());
   }
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -6,12 +6,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Tells lost zones from our own lost links, by comparing the zones with each other. Where all look
- * impaired it is taken to be us; where many became so at once, that is in doubt for a while.
+ * Distinguishes lost zones from lost links of the leader itself, by comparing the zones. Where all
+ * zones are impaired, the leader is assumed to be cut off; where many became so at once, no loss is
+ * confirmed for a while.
  */
 final class FleetAssessment {
-  /** Where one in so many zones, and more than one, is impaired at once, the cause is in doubt. */
-  private static final int DOUBT_PART = 2;
+  /** The cause is in doubt where one in so many zones, and more than one, is impaired at once. */
+  private static final int DOUBT_RATIO = 2;
 
   private final ZoneFailoverSettings settings;
   private final double leaseS;
@@ -19,48 +20,51 @@
   /**
    * Creates an assessment.
    *
-   * @param leaseS after so long what can't be reached has ended its tasks, whatever the cause
+   * @param leaseS duration of a worker's lease in seconds, after which the tasks of a machine that
+   *     is not reached have ended, whatever the cause
    */
   FleetAssessment(ZoneFailoverSettings settings, double leaseS) {
     this.settings = settings;
     this.leaseS = leaseS;
   }
 
-  /** All zones after an observation of each, in the same order. */
-  List<ZoneHealth> next(List<ZoneHealth> before, List<ZoneObservation> seen, SteadyTime now) {
-    List<ZoneHealth> next = new ArrayList<>(before.size());
+  /** The health of all zones after an observation of each, in the same order. */
+  List<ZoneHealth> assess(
+      List<ZoneHealth> before, List<ZoneObservation> observations, SteadyTime now) {
+    List<ZoneHealth> after = new ArrayList<>(before.size());
     for (int zone = 0; zone < before.size(); zone++) {
-      boolean confirmable = confirmable(zone, before, seen, now);
-      next.add(before.get(zone).next(seen.get(zone), confirmable, settings, now));
+      boolean confirmable = isConfirmable(zone, before, observations, now);
+      after.add(before.get(zone).after(observations.get(zone), confirmable, settings, now));
     }
-    return next;
+    return after;
   }
 
-  private boolean confirmable(
-      int zone, List<ZoneHealth> zones, List<ZoneObservation> seen, SteadyTime now) {
+  /** Whether the impairment of a zone may be its loss rather than that of the leader's links. */
+  private boolean isConfirmable(
+      int zone, List<ZoneHealth> zones, List<ZoneObservation> observations, SteadyTime now) {
     SteadyTime onset = zones.get(zone).impairedSince();
     if (onset == null) {
       return false;
     }
     int populated = 0;
     int impaired = 0;
-    int together = 0;
+    int impairedTogether = 0;
     for (int i = 0; i < zones.size(); i++) {
-      if (seen.get(i).expected() > 0) {
+      if (observations.get(i).expected() > 0) {
         populated++;
         SteadyTime other = zones.get(i).impairedSince();
         impaired += other == null ? 0 : 1;
-        together += other != null && near(other, onset) ? 1 : 0;
+        impairedTogether += other != null && isCorrelated(other, onset) ? 1 : 0;
       }
     }
     if (impaired == populated) {
       return false;
     }
-    boolean inDoubt = together > 1 && together * DOUBT_PART >= populated;
+    boolean inDoubt = impairedTogether > 1 && impairedTogether * DOUBT_RATIO >= populated;
     return !inDoubt || now.secondsSince(onset) >= leaseS;
   }
 
-  private boolean near(SteadyTime one, SteadyTime other) {
+  private boolean isCorrelated(SteadyTime one, SteadyTime other) {
     return Math.abs(one.secondsSince(other)) <= settings.detection().correlationS();
   }
 }
--- a/src/main/java/org/ternhinge/zone/PlacementFacts.java
+++ b/src/main/java/org/ternhinge/zone/PlacementFacts.java
@@ -1,12 +1,13 @@
 package org.ternhinge.zone;
 
+import java.util.Optional;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 
-/** What has to be known of a plan's jobs and machines to limit it. */
+/** Facts about the jobs and machines of a plan that are needed to limit it. */
 public interface PlacementFacts {
-  /** The name of a machine's zone, or null where it is not known. */
-  String zoneOf(MachineId machine);
+  /** The name of a machine's zone; empty where the machine or its zone is unknown. */
+  Optional<String> zoneOf(MachineId machine);
 
   /** Whether the tasks of a job start together or not at all. */
   boolean isGang(JobId job);
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -4,13 +4,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.schedule.Plan;
 
 /**
- * Takes out of a plan what the pace of returning zones does not permit: starts beyond it, moves of
- * running replicas, and returns of idle machines in numbers.
+ * Removes from a plan what exceeds the pace of returning zones: starts there, moves of running
+ * replicas, and releases of many machines at once.
  */
 final class PlanLimiter {
   private final ReturnPacer pacer;
@@ -23,75 +24,83 @@
   }
 
   /**
-   * The plan without what has to wait.
+   * The plan within the limits.
    *
-   * @param paced names of the zones whose starts are counted
-   * @param mostReleases how many idle machines may be returned now
+   * @param pacedZones names of the zones with a limited number of starts
+   * @param maxReleases how many idle machines may be released now
    */
-  Plan limited(Plan plan, Set<String> paced, int mostReleases) {
-    Plan out = new Plan();
-    for (Plan.Place place : plan.places()) {
-      Plan.Place kept = limited(place, paced);
-      if (!kept.tasks().isEmpty()) {
-        out.places().add(kept);
+  Plan limited(Plan plan, Set<String> pacedZones, int maxReleases) {
+    Plan limited = new Plan();
+    for (Plan.Placement placement : plan.placements()) {
+      Plan.Placement permitted = limited(placement, pacedZones);
+      if (!permitted.tasks().isEmpty()) {
+        limited.placements().add(permitted);
       }
     }
-    plan.stops().stream().filter(stop -> !isMove(stop)).forEach(out.stops()::add);
-    out.scaleOuts().addAll(plan.scaleOuts());
-    plan.releases().stream().limit(Math.max(0, mostReleases)).forEach(out.releases()::add);
-    return out;
+    plan.preemptions().stream()
+        .filter(preemption -> !isMove(preemption))
+        .forEach(limited.preemptions()::add);
+    limited.scaleOuts().addAll(plan.scaleOuts());
+    plan.releases().stream().limit(Math.max(0, maxReleases)).forEach(limited.releases()::add);
+    return limited;
   }
 
-  /** Starts that were let through, by zone, as far as they are counted. */
+  /** The permitted starts in each of the paced zones. */
   Map<String, Integer> startsByZone() {
     return startsByZone;
   }
 
-  private Plan.Place limited(Plan.Place place, Set<String> paced) {
-    return facts.isGang(place.job()) ? wholeOrNone(place, paced) : oneByOne(place, paced);
+  private Plan.Placement limited(Plan.Placement placement, Set<String> pacedZones) {
+    return facts.isGang(placement.job())
+        ? wholeOrNone(placement, pacedZones)
+        : oneByOne(placement, pacedZones);
   }
 
-  private Plan.Place oneByOne(Plan.Place place, Set<String> paced) {
+  private Plan.Placement oneByOne(Plan.Placement placement, Set<String> pacedZones) {
     List<Integer> tasks = new ArrayList<>();
     List<MachineId> machines = new ArrayList<>();
-    for (int i = 0; i < place.tasks().size(); i++) {
-      MachineId machine = place.machines().get(i);
-      String zone = facts.zoneOf(machine);
-      if (!paced.contains(zone) || take(zone)) {
-        tasks.add(place.tasks().get(i));
+    for (int i = 0; i < placement.tasks().size(); i++) {
+      MachineId machine = placement.machines().get(i);
+      Optional<String> pacedZone = facts.zoneOf(machine).filter(pacedZones::contains);
+      if (pacedZone.isEmpty() || startIfPermitted(pacedZone.get())) {
+        tasks.add(placement.tasks().get(i));
         machines.add(machine);
       }
     }
-    return new Plan.Place(place.job(), tasks, machines);
+    return new Plan.Placement(placement.job(), tasks, machines);
   }
 
-  private boolean take(String zone) {
+  private boolean startIfPermitted(String zone) {
     if (!pacer.allows(zone)) {
       return false;
     }
-    count(zone);
+    start(zone);
     return true;
   }
 
-  private void count(String zone) {
+  private void start(String zone) {
     pacer.take(zone, 1);
     startsByZone.merge(zone, 1, Integer::sum);
   }
 
-  /** A gang may overdraw: it would never start where its size is above what the pace permits. */
-  private Plan.Place wholeOrNone(Plan.Place place, Set<String> paced) {
-    List<String> counted =
-        place.machines().stream().map(facts::zoneOf).filter(paced::contains).toList();
-    if (!counted.stream().allMatch(pacer::allows)) {
-      return new Plan.Place(place.job(), List.of(), List.of());
+  /** A gang may overdraw the budget: otherwise one larger than the budget would never start. */
+  private Plan.Placement wholeOrNone(Plan.Placement placement, Set<String> pacedZones) {
+    List<String> starts =
+        placement.machines().stream()
+            .flatMap(machine -> facts.zoneOf(machine).stream())
+            .filter(pacedZones::contains)
+            .toList();
+    if (!starts.stream().allMatch(pacer::allows)) {
+      return new Plan.Placement(placement.job(), List.of(), List.of());
     }
-    counted.forEach(this::count);
-    return place;
+    starts.forEach(this::start);
+    return placement;
   }
 
-  /** Whether a stop moves a running task of the job itself, and makes no room for another. */
-  private static boolean isMove(Plan.Stop stop) {
-    return !stop.victims().isEmpty()
-        && stop.victims().stream().allMatch(victim -> victim.job().equals(stop.forJob()));
+  /** Whether a preemption moves a running task of the job itself, and makes no room for another. */
+  private static boolean isMove(Plan.Preemption preemption) {
+    return !preemption.victims().isEmpty()
+        && preemption.victims().stream()
+            .allMatch(victim -> victim.job().equals(preemption.forJob()));
   }
 }
--- a/src/main/java/org/ternhinge/zone/RateBudget.java
+++ b/src/main/java/org/ternhinge/zone/RateBudget.java
@@ -3,33 +3,33 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * A token bucket as an immutable value, whose rate may change over time. It holds a second's worth
- * and one token more, so that rounding costs nothing, and may be overdrawn by what can't be
- * divided, such as a gang.
+ * A token bucket as an immutable value, whose rate may change over time. It holds the tokens of one
+ * second and one more, so that rounding loses none, and may be overdrawn by what can't be divided,
+ * such as a gang.
  *
- * @param tokens at that time; negative after an overdraft
- * @param at when there were so many
+ * @param tokens number of tokens at that time; negative after an overdraft
+ * @param at time of that number
  */
 record RateBudget(double tokens, SteadyTime at) {
-  /** A budget that permits one thing at once. */
+  /** A budget with one token. */
   static RateBudget starting(SteadyTime now) {
     return new RateBudget(1, now);
   }
 
-  /** The budget after it was filled at a rate since it was last looked at. */
-  RateBudget filled(double perSecond, SteadyTime now) {
+  /** The budget with the tokens that were added since its time. */
+  RateBudget refilled(double perSecond, SteadyTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
-    double most = perSecond + 1;
-    return new RateBudget(Math.min(most, tokens + perSecond * elapsedS), now);
+    double capacity = perSecond + 1;
+    return new RateBudget(Math.min(capacity, tokens + perSecond * elapsedS), now);
   }
 
-  /** Whether anything may be taken. */
+  /** Whether a token is left. */
   boolean allows() {
     return tokens >= 1;
   }
 
-  /** The budget after so many were taken. */
-  RateBudget less(int count) {
+  /** The budget after tokens were taken, which may be more than there are. */
+  RateBudget minus(int count) {
     return new RateBudget(tokens - count, at);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ReturnPacer.java
+++ b/src/main/java/org/ternhinge/zone/ReturnPacer.java
@@ -6,8 +6,8 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * How many tasks may start in zones that have returned: few at first, twice as many with each step.
- * Keeps one budget a zone; guarded by whoever owns it.
+ * Limits how many tasks start in zones that are recovering: few at first, twice as many with each
+ * step. Keeps one budget for each zone; guarded by its owner.
  */
 final class ReturnPacer {
   private final ZoneFailoverSettings.Pace pace;
@@ -17,12 +17,12 @@
     this.pace = pace;
   }
 
-  /** Starts a second that a zone with so many machines may take at a step. */
+  /** Permitted starts a second in a zone of this size at a step. */
   double rate(int step, int machines) {
     return Math.max(1, pace.startsPerMachine() * machines) * Math.pow(2, step);
   }
 
-  /** Brings the budgets up to date; zones that are not recovering have none. */
+  /** Refills the budgets; zones that are not recovering have none. */
   void refill(ZoneSnapshot zones, SteadyTime now) {
     budgets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
     zones
@@ -31,7 +31,7 @@
             (name, status) -> {
               if (status.state() == ZoneState.RECOVERING) {
                 RateBudget budget = budgets.computeIfAbsent(name, key -> RateBudget.starting(now));
-                budgets.put(name, budget.filled(rate(status.step(), status.expected()), now));
+                budgets.put(name, budget.refilled(rate(status.step(), status.expected()), now));
               }
             });
   }
@@ -42,8 +42,8 @@
     return budget == null || budget.allows();
   }
 
-  /** So many tasks start in a zone. */
+  /** Takes the starts of tasks in a zone from its budget, which may overdraw it. */
   void take(String zone, int starts) {
-    budgets.computeIfPresent(zone, (name, budget) -> budget.less(starts));
+    budgets.computeIfPresent(zone, (name, budget) -> budget.minus(starts));
   }
 }
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -7,7 +7,7 @@
 import org.pcollections.PSet;
 import org.ternhinge.schedule.Snapshot;
 
-/** Shows the planner only the zones that take work, and only the tasks that are not held. */
+/** Removes from the planner's snapshot the zones that take no work and the tasks that are held. */
 final class SnapshotFilter {
   private final ZoneSnapshot zones;
 
@@ -15,8 +15,9 @@
     this.zones = zones;
   }
 
+  /** The snapshot that the planner gets. */
   Snapshot filter(Snapshot full) {
-    if (zones.isCalm()) {
+    if (zones.isUnrestricted()) {
       return full;
     }
     return new Snapshot(
@@ -27,11 +28,11 @@
         full.teamUse(),
         full.offers().stream().filter(offer -> takesWork(offer.zoneName())).toList(),
         full.pendingProvisions().stream()
-            .filter(pendingProvisions -> isCounted(pendingProvisions.of().zoneName()))
+            .filter(provision -> isCounted(provision.offer().zoneName()))
             .toList(),
-        full.startedLate(),
-        full.settled(),
-        full.idleS(),
+        full.lateStartedJobs(),
+        full.inventoryComplete(),
+        full.maxIdleS(),
         full.now());
   }
 
@@ -39,7 +40,7 @@
     return zones.state(zone).takesWork();
   }
 
-  /** Whether machines of a zone count, if not now then as machines that are coming. */
+  /** Whether machines of a zone take tasks, if not now then soon. */
   private boolean isCounted(String zone) {
     return zones.state(zone) != ZoneState.UNAVAILABLE;
   }
@@ -52,31 +53,31 @@
   }
 
   private List<Snapshot.MachineView> machines(List<Snapshot.MachineView> all) {
-    List<Snapshot.MachineView> shown = new ArrayList<>(all.size());
+    List<Snapshot.MachineView> remaining = new ArrayList<>(all.size());
     for (Snapshot.MachineView machine : all) {
       if (isCounted(machine.zoneName())) {
-        boolean ready = !machine.ready() || takesStartsNow(machine.zoneName());
-        shown.add(ready ? machine : machine.notReady());
+        boolean unchanged = !machine.ready() || takesStartsNow(machine.zoneName());
+        remaining.add(unchanged ? machine : machine.notReady());
       }
     }
-    return shown;
+    return remaining;
   }
 
   private List<Snapshot.JobView> jobs(List<Snapshot.JobView> all) {
     if (zones.held().isEmpty()) {
       return all;
     }
-    List<Snapshot.JobView> shown = new ArrayList<>(all.size());
+    List<Snapshot.JobView> remaining = new ArrayList<>(all.size());
     for (Snapshot.JobView job : all) {
       PSet<Integer> held = zones.held().get(job.spec().id());
-      shown.add(held == null ? job : without(job, held));
+      remaining.add(held == null ? job : withoutHeld(job, held));
     }
-    return shown;
+    return remaining;
   }
 
   /**
-   * Room is kept for held tasks, or provisioned, so that they find machines that are up when their
-   * turn comes; otherwise each tier would wait once more for machines to boot.
+   * Held tasks become expected jobs: room is kept or provisioned for them, so that machines are up
+   * when their turn comes. Otherwise each tier would wait for machines to boot once more.
    */
   private List<Snapshot.JobView> expectedJobs(Snapshot full) {
     if (zones.held().isEmpty()) {
@@ -87,28 +88,28 @@
       PSet<Integer> held = zones.held().get(job.spec().id());
       if (held != null && !job.blocked()) {
         int tasks = job.spec().isGang() ? job.spec().tasks() : held.size();
-        int zoneCount = job.zoneOpen().size();
+        int zoneCount = job.openByZone().size();
         expectedJobs.add(
-            Snapshot.JobView.expected(job.spec().withTasks(tasks), job.rank(), zoneCount));
+            Snapshot.JobView.expected(job.spec().withTasks(tasks), job.sortKey(), zoneCount));
       }
     }
     return expectedJobs;
   }
 
   /** A job without its held tasks; a gang starts whole or not at all. */
-  private static Snapshot.JobView without(Snapshot.JobView job, PSet<Integer> held) {
+  private static Snapshot.JobView withoutHeld(Snapshot.JobView job, PSet<Integer> held) {
     if (job.spec().isGang()) {
-      return job.withTasks(job.pending(), job.waiting(), true);
+      return job.withTasks(job.pendingTasks(), job.pendingCount(), true);
     }
-    IntList pending = new IntArrayList(job.pending().size());
-    for (int i = 0; i < job.pending().size(); i++) {
-      int task = job.pending().getInt(i);
+    IntList pending = new IntArrayList(job.pendingTasks().size());
+    for (int i = 0; i < job.pendingTasks().size(); i++) {
+      int task = job.pendingTasks().getInt(i);
       if (!held.contains(task)) {
         pending.add(task);
       }
     }
-    int waiting = Math.max(pending.size(), job.waiting() - held.size());
+    int pendingCount = Math.max(pending.size(), job.pendingCount() - held.size());
     boolean nothingLeft = pending.isEmpty();
-    return job.withTasks(pending, nothingLeft ? 0 : waiting, job.blocked() || nothingLeft);
+    return job.withTasks(pending, nothingLeft ? 0 : pendingCount, job.blocked() || nothingLeft);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -2,18 +2,19 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.Optional;
-import org.ternhinge.model.TaskRanges;
 
-/** Something that happened to a zone or to the work of a lost one, as the log has it. */
+/**
+ * An event of a zone or of the work of a lost zone, as the log has it. {@link ZoneEventParser}
+ * reads what {@link #line} writes.
+ */
 public sealed interface ZoneEvent {
-  /** What each line of the log that holds an event contains, before its fields. */
+  /** The word before the kind and the fields of an event in a line of the log. */
   String MARK = "zone-event";
 
   /** The name of the kind of event in the log. */
   String kind();
 
-  /** Its fields in the log; no value contains a space. */
+  /** The fields in the log, in order; no value contains a space. */
   Map<String, String> fields();
 
   /** The event as a line of the log, without time and level. */
@@ -24,9 +25,9 @@
   }
 
   /**
-   * A zone is taken to be something else.
+   * A zone has changed its state.
    *
-   * @param suppressed whether it is kept out of use since it was lost repeatedly
+   * @param suppressed whether it stays out of use because it was lost repeatedly
    */
   record StateChanged(
       String zone,
@@ -56,9 +57,9 @@
     }
   }
 
-  /** What happened to tasks that have lost their attempts with a zone. */
+  /** A step of displaced tasks on their way to new attempts. */
   enum WorkStep {
-    /** Their attempts are proved over; they wait for their turn. */
+    /** Their attempts have certainly ended; they wait for their turn. */
     DISPLACED("displaced", "owed"),
     /** Their turn has come: the planner may place them. */
     RELEASED("released", "released"),
@@ -69,7 +70,7 @@
 
     private final String word;
 
-    /** The word in logs of versions before 2026-12-02, which are read as well. */
+    /** The word in logs of versions before 2026-12-02, which are parsed as well. */
     private final String earlierWord;
 
     WorkStep(String word, String earlierWord) {
@@ -85,7 +86,7 @@
     /**
      * Reads a step as logs have it, or had it.
      *
-     * @throws IllegalArgumentException where the word is no step
+     * @throws IllegalArgumentException where the word is not a step
      */
     static WorkStep of(String word) {
       for (WorkStep step : values()) {
@@ -98,12 +99,12 @@
   }
 
   /**
-   * Tasks of a job that have lost their attempts with a zone come a step further.
+   * Displaced tasks of a job have taken a step.
    *
    * @param tasks ranges such as {@code 0-3,7}
-   * @param attempts ranges of the numbers of their last attempts; empty where these are not known
+   * @param attempts ranges of the numbers of their last attempts; empty where these are unknown
    * @param waitedS seconds since the first of them was displaced
-   * @param reason why they wait, as one word
+   * @param reason reason for the step, as one word
    */
   record WorkChanged(
       WorkStep step,
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Tasks start in a zone that has returned. */
+  /** Tasks start in a zone that is recovering. */
   record ReturnStarts(String zone, int step, int starts) implements ZoneEvent {
     @Override
     public String kind() {
@@ -150,66 +151,4 @@
       return fields;
     }
   }
-
-  // ---- reading ----------------------------------------------------------------------------------
-
-  /** Reads an event from its kind and fields; empty where they are not those of an event. */
-  static Optional<ZoneEvent> read(String kind, Map<String, String> fields) {
-    try {
-      return Optional.of(readOrThrow(kind, fields));
-    } catch (IllegalArgumentException e) {
-      return Optional.empty();
-    }
-  }
-
-  private static ZoneEvent readOrThrow(String kind, Map<String, String> fields) {
-    return switch (kind) {
-      case "state" ->
-          new StateChanged(
-              text(fields, "zone"),
-              state(fields, "from"),
-              state(fields, "to"),
-              Integer.parseInt(text(fields, "impaired")),
-              Integer.parseInt(text(fields, "expected")),
-              Double.parseDouble(text(fields, "penalty")),
-              Boolean.parseBoolean(text(fields, "suppressed")));
-      case "return-starts" ->
-          new ReturnStarts(
-              text(fields, "zone"),
-              Integer.parseInt(text(fields, "step")),
-              Integer.parseInt(text(fields, "starts")));
-      default ->
-          new WorkChanged(
-              WorkStep.of(kind),
-              text(fields, "job"),
-              ranges(fields, "tasks"),
-              text(fields, "attempts").equals("-") ? "" : text(fields, "attempts"),
-              text(fields, "tier"),
-              text(fields, "zone"),
-              Double.parseDouble(text(fields, "waited_s")),
-              text(fields, "reason"));
-    };
-  }
-
-  private static String text(Map<String, String> fields, String name) {
-    String value = fields.get(name);
-    if (value == null) {
-      throw new IllegalArgumentException(name + " is missing");
-    }
-    return value;
-  }
-
-  private static String ranges(Map<String, String> fields, String name) {
-    String value = text(fields, name);
-    // Fails where these are no ranges.
-    if (TaskRanges.decode(value).isEmpty()) {
-      throw new IllegalArgumentException(name + " is empty");
-    }
-    return value;
-  }
-
-  private static ZoneState state(Map<String, String> fields, String name) {
-    return ZoneState.of(text(fields, name))
-        .orElseThrow(() -> new IllegalArgumentException(name + " is not a state"));
-  }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -6,17 +6,18 @@
 /**
  * The state machine of one zone, as an immutable value: each observation gives the next one.
  *
- * @param state what the zone is taken to be
- * @param since when it became so
- * @param impairedSince since when its share of impaired machines has been suspicious, or null
- * @param lostSince since when that share has been one of a lost zone, or null
- * @param wellSince since when hardly a machine has been impaired, or null
- * @param penalty how often it was lost lately
- * @param suppressed whether it is kept out of use for that
- * @param step how many times the pace of its return has doubled
- * @param tolerated impaired machines that are known to be single failures
+ * @param state state of the zone
+ * @param since time of its last change of state
+ * @param impairedSince since when the share of impaired machines has been suspicious; null if it is
+ *     not
+ * @param lostSince since when that share has been one of a lost zone; null if it is not
+ * @param wellSince since when hardly any machine has been impaired; null if that is not so
+ * @param penalty flap penalty: how often it was lost recently
+ * @param suppressed whether it stays out of use because of its penalty
+ * @param step number of times that the pace of its return has doubled
+ * @param tolerated number of impaired machines that are treated as single failures
  */
-public record ZoneHealth(
+record ZoneHealth(
     ZoneState state,
     SteadyTime since,
     SteadyTime impairedSince,
@@ -27,8 +28,8 @@
     int step,
     int tolerated) {
 
-  /** A zone of which nothing is known yet. */
-  public static ZoneHealth available(SteadyTime now) {
+  /** The initial health of a zone. */
+  static ZoneHealth available(SteadyTime now) {
     return new ZoneHealth(
         ZoneState.AVAILABLE, now, null, null, null, FlapPenalty.none(now), false, 0, 0);
   }
@@ -36,47 +37,51 @@
   /**
    * The zone after an observation.
    *
-   * @param confirmable whether what is seen may be the zone's loss, and not that of our own links
+   * @param confirmable whether the observation may show the zone's loss rather than the loss of the
+   *     leader's own links
    */
-  ZoneHealth next(
-      ZoneObservation seen, boolean confirmable, ZoneFailoverSettings settings, SteadyTime now) {
-    if (!seen.isConclusive()) {
-      // A new leader: what it has not heard of yet is neither lost nor well.
+  ZoneHealth after(
+      ZoneObservation observation,
+      boolean confirmable,
+      ZoneFailoverSettings settings,
+      SteadyTime now) {
+    if (!observation.isConclusive()) {
+      // A new leader draws no conclusion from machines that have not reported yet.
       return this;
     }
-    ZoneHealth measured = measured(seen, settings.detection(), now);
+    ZoneHealth measured = measured(observation, settings.detection(), now);
     return switch (state) {
       case AVAILABLE -> measured.impairedSince == null ? measured : measured.suspected(now);
-      case SUSPECT -> measured.afterSuspicion(seen, confirmable, settings, now);
+      case SUSPECT -> measured.afterSuspicion(observation, confirmable, settings, now);
       case UNAVAILABLE -> {
-        // A zone that fails again while it is out of use keeps itself out of use for longer.
+        // A zone that fails again while it is out of use stays out of use for longer.
         boolean again = impairedSince == null && measured.impairedSince != null;
         ZoneHealth current = again ? measured.penalized(settings.flaps(), now) : measured;
-        yield current.afterLoss(seen, settings, now);
+        yield current.afterLoss(observation, settings, now);
       }
       case RECOVERING -> measured.afterReturn(settings, now);
     };
   }
 
-  /** Takes in the share of impaired machines, and since when it has been as it is. */
+  /** The same state with the times since which the share of impaired machines is what it is. */
   private ZoneHealth measured(
-      ZoneObservation seen, ZoneFailoverSettings.Detection detection, SteadyTime now) {
-    int stillTolerated = Math.min(tolerated, seen.impaired());
-    double share = seen.share(stillTolerated);
-    boolean enough = seen.expected() - stillTolerated >= detection.minMachines();
+      ZoneObservation observation, ZoneFailoverSettings.Detection detection, SteadyTime now) {
+    int stillTolerated = Math.min(tolerated, observation.impaired());
+    double share = observation.share(stillTolerated);
+    boolean enoughMachines = observation.expected() - stillTolerated >= detection.minMachines();
     return new ZoneHealth(
         state,
         since,
-        startOf(enough && share >= detection.suspectShare(), impairedSince, now),
-        startOf(enough && share >= detection.lostShare(), lostSince, now),
-        startOf(share < detection.clearShare(), wellSince, now),
+        sinceWhen(enoughMachines && share >= detection.suspectShare(), impairedSince, now),
+        sinceWhen(enoughMachines && share >= detection.lostShare(), lostSince, now),
+        sinceWhen(share < detection.clearShare(), wellSince, now),
         penalty,
         suppressed,
         step,
         stillTolerated);
   }
 
-  private static SteadyTime startOf(boolean holds, SteadyTime before, SteadyTime now) {
+  private static SteadyTime sinceWhen(boolean holds, SteadyTime before, SteadyTime now) {
     if (!holds) {
       return null;
     }
@@ -88,7 +93,10 @@
   }
 
   private ZoneHealth afterSuspicion(
-      ZoneObservation seen, boolean confirmable, ZoneFailoverSettings settings, SteadyTime now) {
+      ZoneObservation observation,
+      boolean confirmable,
+      ZoneFailoverSettings settings,
+      SteadyTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
     if (confirmable && lasts(lostSince, detection.confirmS(), now)) {
       return lost(settings.flaps(), now);
@@ -96,9 +104,10 @@
     if (wellSince != null) {
       return to(ZoneState.AVAILABLE, tolerated, now);
     }
-    boolean partOfIt = lostSince == null && lasts(since, detection.suspectMaxS(), now);
-    // What is impaired now is left to the rules for single machines; the rest takes work again.
-    return partOfIt ? to(ZoneState.AVAILABLE, seen.impaired(), now) : this;
+    boolean partlyImpaired = lostSince == null && lasts(since, detection.suspectMaxS(), now);
+    // The machines that are impaired now are handled as single failures; the others take work
+    // again.
+    return partlyImpaired ? to(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
   private ZoneHealth lost(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
@@ -113,16 +122,16 @@
   }
 
   private ZoneHealth afterLoss(
-      ZoneObservation seen, ZoneFailoverSettings settings, SteadyTime now) {
+      ZoneObservation observation, ZoneFailoverSettings settings, SteadyTime now) {
     ZoneFailoverSettings.Flaps flaps = settings.flaps();
-    boolean still = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
-    ZoneHealth current = still == suppressed ? this : withSuppressed(still);
-    if (still || !lasts(wellSince, settings.detection().settleS(), now)) {
+    boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
+    ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
+    if (stillSuppressed || !lasts(wellSince, settings.detection().settleS(), now)) {
       return current;
     }
-    // A zone without machines shows nothing; after a while it may be tried again, at a pace.
-    boolean nothingSeen = seen.expected() == 0;
-    boolean tryAgain = !nothingSeen || lasts(since, settings.release().tierHoldS(), now);
+    // A zone without machines can't prove its recovery; it is tried again after a while.
+    boolean hasNoMachines = observation.expected() == 0;
+    boolean tryAgain = !hasNoMachines || lasts(since, settings.release().tierHoldS(), now);
     return tryAgain ? to(ZoneState.RECOVERING, 0, now) : current;
   }
 
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -1,24 +1,24 @@
 package org.ternhinge.zone;
 
 /**
- * What is seen of a zone's machines at one time.
+ * The condition of a zone's machines at one time.
  *
- * @param expected machines that should report
- * @param impaired of these, how many have missed heartbeats or are not reached by commands
- * @param unheard machines that are in use and still have time for their first report to this leader
+ * @param expected number of machines that should report
+ * @param impaired how many of these have missed heartbeats or are not reached by commands
+ * @param unheard number of machines in use whose first heartbeat to this leader is not due yet
  */
 public record ZoneObservation(int expected, int impaired, int unheard) {
-  /** An observation of machines all of which have been heard or are overdue. */
+  /** An observation without machines that are not due to report yet. */
   ZoneObservation(int expected, int impaired) {
     this(expected, impaired, 0);
   }
 
-  /** Whether enough machines were heard to judge the zone by them. */
+  /** Whether enough machines have reported to judge the zone by them. */
   boolean isConclusive() {
     return unheard <= expected;
   }
 
-  /** Share of impaired machines, some of which may be accounted for already; 0 without machines. */
+  /** Share of impaired machines without the tolerated ones; 0 where no machine is left. */
   double share(int tolerated) {
     int counted = expected - tolerated;
     return counted <= 0 ? 0 : Math.max(0, impaired - tolerated) / (double) counted;
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -8,9 +8,9 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The state of all zones as the key-value store holds it, so that a new leader does not start over.
- * Versions without zone failover never read this key. A field that is missing or of another type
- * makes its zone an available one: the record is a hint, and heartbeats tell the rest.
+ * The record of all zones in the key-value store, from which a new leader continues. Versions
+ * without zone failover never read this key. A field that is missing or of another type makes its
+ * zone an available one: the record is a hint, and heartbeats are what decides.
  */
 public final class ZoneRecord {
   /** The key of the record. */
@@ -23,20 +23,20 @@
   private static final String SUPPRESSED = "u";
   private static final double MILLIS_PER_S = 1000;
 
-  /** Longer ago than anything that still matters here. */
-  private static final double OLDEST_S = 86_400;
+  /** Upper limit of recorded ages; older times have no effect any more. */
+  private static final double MAX_AGE_S = 86_400;
 
   private ZoneRecord() {}
 
   /**
    * The record of all zones.
    *
-   * @param wallMillis time of day that is now
+   * @param wallMillis the present time of day
    */
   static ObjectNode write(Map<String, ZoneHealth> zones, SteadyTime now, long wallMillis) {
-    ObjectNode out = Json.object();
-    zones.forEach((name, health) -> out.set(name, write(health, now, wallMillis)));
-    return out;
+    ObjectNode record = Json.object();
+    zones.forEach((name, health) -> record.set(name, write(health, now, wallMillis)));
+    return record;
   }
 
   private static ObjectNode write(ZoneHealth health, SteadyTime now, long wallMillis) {
@@ -49,7 +49,7 @@
     return out.put(SUPPRESSED, health.suppressed());
   }
 
-  /** The zones that a record holds something of. */
+  /** The zones with a valid state in a record. */
   static Map<String, ZoneHealth> read(JsonNode record, SteadyTime now, long wallMillis) {
     Map<String, ZoneHealth> zones = new LinkedHashMap<>();
     record
@@ -74,6 +74,6 @@
 
   private static SteadyTime time(JsonNode value, String field, SteadyTime now, long wallMillis) {
     double ageS = (wallMillis - value.path(field).asLong(wallMillis)) / MILLIS_PER_S;
-    return now.plusSeconds(-Math.min(OLDEST_S, Math.max(0, ageS)));
+    return now.plusSeconds(-Math.min(MAX_AGE_S, Math.max(0, ageS)));
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
@@ -3,16 +3,16 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.UnaryOperator;
 
-/** Where the present {@link ZoneSnapshot} hangs: swapped whole, read by any thread. */
-public final class ZoneSnapshotReference {
+/** Publishes the present {@link ZoneSnapshot}: replaced as a whole, read by any thread. */
+final class ZoneSnapshotReference {
   private final AtomicReference<ZoneSnapshot> present = new AtomicReference<>(ZoneSnapshot.EMPTY);
 
   /** The present value. */
-  public ZoneSnapshot read() {
+  ZoneSnapshot read() {
     return present.get();
   }
 
-  /** Replaces the value by one made of it. */
+  /** Replaces the value by one computed from it. */
   ZoneSnapshot update(UnaryOperator<ZoneSnapshot> change) {
     return present.updateAndGet(change);
   }
--- a/src/main/java/org/ternhinge/zone/ZoneState.java
+++ b/src/main/java/org/ternhinge/zone/ZoneState.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What a zone is taken to be. */
+/** The state of a zone. */
 public enum ZoneState {
   /** It takes new work without a limit. */
   AVAILABLE,
-  /** A good part of its machines is impaired: nothing new is placed there for now. */
+  /** Many of its machines are impaired: nothing new is placed there for now. */
   SUSPECT,
-  /** It is lost: its work moves elsewhere as its attempts are proved over. */
+  /** It is lost: its work moves to other zones once its attempts have certainly ended. */
   UNAVAILABLE,
   /** It has returned and takes new work at a limited pace. */
   RECOVERING;
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -1,13 +1,13 @@
 package org.ternhinge.zone;
 
 /**
- * What readers are shown of a zone.
+ * The published status of a zone.
  *
- * @param expected machines that should report
- * @param impaired of these, how many don't or are not reached
- * @param penalty how often it was lost lately
- * @param step of its return
+ * @param expected number of machines that should report
+ * @param impaired how many of these have missed heartbeats or are not reached by commands
+ * @param penalty flap penalty: how often the zone was lost recently
+ * @param step step of its return
  * @param startsLeft whether its pace permits another start now
  */
-public record ZoneStatus(
+record ZoneStatus(
     ZoneState state, int expected, int impaired, double penalty, int step, boolean startsLeft) {}
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -13,25 +13,27 @@
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneState;
 
-/** What has become of zones and of their work, put together from the events of a log. */
+/**
+ * The states of zones and the steps of their work over time, collected from the events of a log.
+ */
 final class ZoneHistory {
-  /** A zone was in a state from one time to another. */
+  /** A time for which a zone was in one state. */
   record Interval(String zone, ZoneState state, long fromMillis, long toMillis) {}
 
-  /** Tasks of a tier got new attempts. */
+  /** Tasks of a job have got new attempts. */
   record Move(long atMillis, String job, String tier, int tasks, double waitedS) {}
 
-  /** Tasks started in a zone that had returned. */
+  /** Starts of tasks in a zone that was recovering. */
   record Starts(long atMillis, String zone, int step, int tasks) {}
 
-  /** A job waited, or still does. */
-  record Wait(
+  /** A job was delayed. */
+  record Delay(
       long atMillis, String job, String tier, String tasks, String reason, double waitedS) {}
 
-  /** A task that got another attempt although its last one was not proved over. */
-  record Doubled(long atMillis, String task) {}
+  /** A task that got another attempt although its last one was not known to have ended. */
+  record DuplicateAttempt(long atMillis, String task) {}
 
-  /** What a tier owed and what of it has moved. */
+  /** Numbers of displaced and of moved tasks of a tier. */
   static final class TierTotals {
     private int displaced;
     private int moved;
@@ -53,11 +55,11 @@
   private final List<Interval> intervals = new ArrayList<>();
   private final List<Move> moves = new ArrayList<>();
   private final List<Starts> starts = new ArrayList<>();
-  private final List<Wait> waits = new ArrayList<>();
-  private final List<Doubled> doubled = new ArrayList<>();
+  private final List<Delay> delays = new ArrayList<>();
+  private final List<DuplicateAttempt> duplicateAttempts = new ArrayList<>();
   private final Map<String, TierTotals> tiers = new LinkedHashMap<>();
 
-  /** Tasks whose attempts are proved over and that have no new one. */
+  /** Displaced tasks without a new attempt. */
   private final Set<String> displacedTasks = new HashSet<>();
 
   private final Map<String, ZoneState> states = new TreeMap<>();
@@ -65,15 +67,15 @@
   private final long fromMillis;
   private final long toMillis;
 
-  /** Puts a log's events together. */
+  /** Creates the history from events in order of time. */
   ZoneHistory(List<ZoneLog.Entry> events) {
     this.fromMillis = events.isEmpty() ? 0 : events.get(0).atMillis();
     this.toMillis = events.isEmpty() ? 0 : events.get(events.size() - 1).atMillis();
-    events.forEach(this::take);
+    events.forEach(this::add);
     states.forEach((zone, state) -> endState(zone, state, toMillis));
   }
 
-  private void take(ZoneLog.Entry entry) {
+  private void add(ZoneLog.Entry entry) {
     if (entry.event() instanceof ZoneEvent.StateChanged changed) {
       stateChanged(entry.atMillis(), changed);
     } else if (entry.event() instanceof ZoneEvent.ReturnStarts returned) {
@@ -102,31 +104,31 @@
     switch (work.step()) {
       case DISPLACED -> {
         totals.displaced += tasks.size();
-        tasks.forEach(task -> displacedTasks.add(name(work.job(), task)));
+        tasks.forEach(task -> displacedTasks.add(taskName(work.job(), task)));
       }
       case MOVED -> {
         totals.moved += tasks.size();
         totals.longestWaitS = Math.max(totals.longestWaitS, work.waitedS());
         moves.add(new Move(atMillis, work.job(), work.tier(), tasks.size(), work.waitedS()));
-        tasks.forEach(task -> moved(atMillis, name(work.job(), task)));
+        tasks.forEach(task -> moved(atMillis, taskName(work.job(), task)));
       }
       case DELAYED ->
-          waits.add(
-              new Wait(
+          delays.add(
+              new Delay(
                   atMillis, work.job(), work.tier(), work.tasks(), work.reason(), work.waitedS()));
       default -> {
-        // Released tasks are on their way: their move shows when.
+        // The move that follows a release shows when the tasks got new attempts.
       }
     }
   }
 
-  private static String name(String job, int task) {
+  private static String taskName(String job, int task) {
     return job + "/" + task;
   }
 
   private void moved(long atMillis, String task) {
     if (!displacedTasks.remove(task)) {
-      doubled.add(new Doubled(atMillis, task));
+      duplicateAttempts.add(new DuplicateAttempt(atMillis, task));
     }
   }
 
@@ -150,19 +152,19 @@
     return starts;
   }
 
-  List<Wait> waits() {
-    return waits;
+  List<Delay> delays() {
+    return delays;
   }
 
-  List<Doubled> doubled() {
-    return doubled;
+  List<DuplicateAttempt> duplicateAttempts() {
+    return duplicateAttempts;
   }
 
   Map<String, TierTotals> tiers() {
     return tiers;
   }
 
-  /** The zones of which the log says anything. */
+  /** The zones with a change of state in the log. */
   Set<String> zones() {
     return states.keySet();
   }
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -18,19 +18,20 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 import org.ternhinge.zone.ZoneEvent;
+import org.ternhinge.zone.ZoneEventParser;
 
 /**
- * The events of zones in a service's log, in the order of their times. The logs of several
- * controllers may stand one after the other.
+ * The events of zones in a controller's log, in order of time. The log may be a concatenation of
+ * those of several controllers.
  *
- * @param lines how many lines were read
- * @param leftOut lines that have an event's mark and could not be read as one
+ * @param lines number of lines that were read
+ * @param malformed number of lines with an event's mark that could not be parsed
  */
-public record ZoneLog(List<Entry> events, int lines, int leftOut) {
+public record ZoneLog(List<Entry> events, int lines, int malformed) {
   /** An event, with the time of day and the term of the leader that logged it. */
   public record Entry(long atMillis, long term, ZoneEvent event) {}
 
-  /** Reads a log file; bytes that are no text are replaced and cost their line at most. */
+  /** Reads a log file; invalid bytes are replaced, which affects their line only. */
   public static ZoneLog read(Path file) throws IOException {
     CharsetDecoder decoder =
         StandardCharsets.UTF_8
@@ -48,25 +49,25 @@
   /** Reads the lines of a log. */
   static ZoneLog read(Stream<String> lines) {
     Reader reader = new Reader();
-    lines.forEach(reader::take);
+    lines.forEach(reader::read);
     reader.events.sort(Comparator.comparingLong(Entry::atMillis).thenComparingLong(Entry::term));
-    return new ZoneLog(List.copyOf(reader.events), reader.lines, reader.leftOut);
+    return new ZoneLog(List.copyOf(reader.events), reader.lines, reader.malformed);
   }
 
-  /** Takes one line after the other. */
+  /** Collects the events of one line after the other. */
   private static final class Reader {
     private final List<Entry> events = new ArrayList<>();
     private int lines;
-    private int leftOut;
+    private int malformed;
 
-    void take(String line) {
+    void read(String line) {
       lines++;
       int mark = line.indexOf(ZoneEvent.MARK + " ");
       if (mark < 0) {
         return;
       }
       Optional<Entry> entry = entry(line.substring(mark + ZoneEvent.MARK.length() + 1));
-      entry.ifPresentOrElse(events::add, () -> leftOut++);
+      entry.ifPresentOrElse(events::add, () -> malformed++);
     }
 
     private static Optional<Entry> entry(String text) {
@@ -79,7 +80,7 @@
         }
         fields.put(words[i].substring(0, equals), words[i].substring(equals + 1));
       }
-      return ZoneEvent.read(words[0], fields).flatMap(event -> timed(event, fields));
+      return ZoneEventParser.parse(words[0], fields).flatMap(event -> timed(event, fields));
     }
 
     private static Optional<Entry> timed(ZoneEvent event, Map<String, String> fields) {
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -33,7 +33,7 @@
 
 /** Writes the report on zones as one HTML file that needs nothing else. */
 public final class ZoneReport {
-  /** What came of a report. */
+  /** The result of writing a report. */
   public enum Result {
     /** The file was written from all events of the log. */
     WHOLE,
@@ -61,10 +61,10 @@
     if (log.events().isEmpty()) {
       return Result.NOTHING_USABLE;
     }
-    // The program may run where there is no screen.
+    // The machine may have no display.
     System.setProperty("java.awt.headless", "true");
     Files.writeString(out, new ZoneReport(log).page());
-    return log.leftOut() > 0 ? Result.PARTIAL : Result.WHOLE;
+    return log.malformed() > 0 ? Result.PARTIAL : Result.WHOLE;
   }
 
   private String page() throws IOException {
@@ -82,7 +82,7 @@
                         Instant.ofEpochMilli(history.toMillis()),
                         log.events().size(),
                         log.lines(),
-                        log.leftOut())),
+                        log.malformed())),
                 h2("States"),
                 history.zones().isEmpty()
                     ? p("No zone changed its state.")
@@ -94,9 +94,9 @@
                 h2("Starts in zones that have returned"),
                 history.starts().isEmpty() ? p("None.") : image(charts.starts()),
                 h2("Doubled attempts"),
-                doubled(),
+                duplicateAttempts(),
                 h2("Work that waited"),
-                waits())));
+                delays())));
   }
 
   private static DomContent image(byte[] png) {
@@ -141,32 +141,32 @@
             .toList());
   }
 
-  private DomContent doubled() {
-    if (history.doubled().isEmpty()) {
+  private DomContent duplicateAttempts() {
+    if (history.duplicateAttempts().isEmpty()) {
       return p("None.");
     }
     return ul(
         each(
-            history.doubled(),
-            doubled -> li(Instant.ofEpochMilli(doubled.atMillis()) + " " + doubled.task())));
+            history.duplicateAttempts(),
+            duplicate -> li(Instant.ofEpochMilli(duplicate.atMillis()) + " " + duplicate.task())));
   }
 
-  private DomContent waits() {
-    if (history.waits().isEmpty()) {
+  private DomContent delays() {
+    if (history.delays().isEmpty()) {
       return p("None for longer than half a minute.");
     }
     return rows(
         List.of("at", "job", "tier", "tasks", "reason", "waited, s"),
-        history.waits().stream()
+        history.delays().stream()
             .map(
-                wait ->
+                delay ->
                     List.of(
-                        Instant.ofEpochMilli(wait.atMillis()).toString(),
-                        wait.job(),
-                        wait.tier(),
-                        wait.tasks(),
-                        wait.reason(),
-                        seconds(wait.waitedS())))
+                        Instant.ofEpochMilli(delay.atMillis()).toString(),
+                        delay.job(),
+                        delay.tier(),
+                        delay.tasks(),
+                        delay.reason(),
+                        seconds(delay.waitedS())))
             .toList());
   }
 }
--- a/src/main/java/org/ternhinge/zone/report/package-info.java
+++ b/src/main/java/org/ternhinge/zone/report/package-info.java
@@ -1,2 +1,2 @@
-/** What the log says of the loss and return of zones, as one HTML file with plots. */
+/** A report on the loss and return of zones, from a log, as one HTML file with plots. */
 package org.ternhinge.zone.report;
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -251,7 +251,7 @@
     Files.writeString(log, cluster.logs());
     ZoneLog events = ZoneLog.read(log);
     assertTrue(events.events().size() > 5, "the log tells what happened");
-    assertEquals(0, events.leftOut());
+    assertEquals(0, events.malformed());
     Path page = dir.resolve("zones.html");
     assertEquals(ZoneReport.Result.WHOLE, ZoneReport.write(events, page));
     String text = Files.readString(page);
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.zone.DisplacedWork.Fate;
+import org.ternhinge.zone.DisplacedWork.TaskState;
 import org.ternhinge.zone.ZoneObservation;
 
 /** Which machines count as expected, impaired and unheard, and what becomes of displaced tasks. */
@@ -99,13 +99,13 @@
   void aDisplacedTaskWaitsUntilItIsPlacedOrOver() {
     Job job = fixture.job(Specs.json("wk-1", "batch", 1));
     JobId id = job.spec().id();
-    assertEquals(Fate.WAITING, observations().fate(id, 0));
+    assertEquals(TaskState.PENDING, observations().state(id, 0));
     assertTrue(observations().isPlaceable(id));
     Attempt attempt = fixture.open(job, 0, fixture.machine("n-1"));
-    assertEquals(Fate.PLACED, observations().fate(id, 0));
+    assertEquals(TaskState.PLACED, observations().state(id, 0));
     fixture.ledger.close(attempt, true);
-    assertEquals(Fate.OVER, observations().fate(id, 0));
-    assertEquals(Fate.OVER, observations().fate(new JobId("wk-9"), 0));
+    assertEquals(TaskState.ENDED, observations().state(id, 0));
+    assertEquals(TaskState.ENDED, observations().state(new JobId("wk-9"), 0));
     assertFalse(observations().isPlaceable(new JobId("wk-9")));
   }
 }
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -34,8 +34,9 @@
 
   private int startsLeftOfOne() {
     Plan plan = new Plan();
-    plan.places().add(new Plan.Place(new JobId("wk-1"), List.of(0), List.of(new MachineId("n-1"))));
-    return zones.limit(plan).places().size();
+    plan.placements()
+        .add(new Plan.Placement(new JobId("wk-1"), List.of(0), List.of(new MachineId("n-1"))));
+    return zones.limit(plan).placements().size();
   }
 
   private void record(String state) {
--- a/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
+++ b/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
@@ -52,7 +52,7 @@
       boolean unresponsive,
       boolean isolated) {
     if (!storeAnswers) {
-      fixture.store.holdReads();
+      fixture.store.pauseReads();
     }
     this.peersAnswer = peersAnswer;
     NodeConnectivity connectivity = new NodeConnectivity(clock, true);
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -14,10 +14,10 @@
   private static final SteadyTime START = new SteadyTime(0);
 
   /**
-   * Room is kept for 45 s of arrivals and their deviation, where users can't wait for a provision
-   * request.
+   * Room is kept for 45 s of arrivals and their deviation, where jobs have to start sooner than a
+   * machine boots.
    */
-  @ParameterizedTest(name = "{1} arrivals {2} s apart, {3} s after, an aim of {0} s")
+  @ParameterizedTest(name = "{1} arrivals {2} s apart, {3} s after, a permitted wait of {0} s")
   @CsvSource({
     "18, 0, 0, 0, 0",
     "18, 1, 0, 0, 1",
@@ -30,18 +30,18 @@
     "45, 4, 0, 0, 0",
     "350, 4, 0, 0, 0"
   })
-  void expectedJobs(double aimS, int arrivals, double apartS, double afterS, int expected) {
+  void expectedJobs(double maxWaitS, int arrivals, double apartS, double afterS, int expected) {
     ArrivalRates rates =
         new ArrivalRates(
             List.of(
                 new Objective("wait", "c", 400),
-                new Objective("wait", "c", aimS),
+                new Objective("wait", "c", maxWaitS),
                 new Objective("finished", "c", 1),
                 new Objective("wait", null, 1)));
     SteadyTime now = START;
     for (int i = 0; i < arrivals; i++) {
       now = START.plusSeconds(i * apartS);
-      rates.saw(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
+      rates.recordArrival(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
     }
     assertEquals(expected, rates.expectedJobs(now.plusSeconds(afterS), 1).size());
   }
--- a/src/test/java/org/ternhinge/round/JobRankingTest.java
+++ b/src/test/java/org/ternhinge/round/JobRankingTest.java
@@ -45,7 +45,7 @@
 
   @ParameterizedTest(name = "open {0}, done {1}, waited {2}: {3}")
   @CsvSource({"0, 0, 120, false", "0, 0, 121, true", "1, 0, 121, false", "0, 1, 121, false"})
-  void onlyWhatNeverStartedIsLate(int open, int done, double waited, boolean late) {
-    assertEquals(late, new JobRanking.Progress(3, done, open, waited).late());
+  void onlyAJobWithoutAnyStartIsOverdue(int open, int done, double waited, boolean overdue) {
+    assertEquals(overdue, new JobRanking.Progress(3, done, open, waited).isOverdue());
   }
 }
--- /dev/null
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -0,0 +1,49 @@
+package org.ternhinge.schedule;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.ternhinge.wire.JobSpec;
+
+/** Full machines are removed once they are more than a quarter. */
+class MachinesWithRoomTest extends PlannerFixture {
+  private static final JobSpec WHOLE_MACHINE = spec("wk-1", "batch", 1, Map.of("cpus", 4.0));
+
+  private final MachinesWithRoom machinesWithRoom =
+      new MachinesWithRoom(WHOLE_MACHINE.need().cpus());
+
+  private MachineCapacity add(String name) {
+    MachineCapacity machine = new MachineCapacity(machine(name, PLAIN, 0, Set.of()));
+    machinesWithRoom.add(machine);
+    return machine;
+  }
+
+  @Test
+  void aMachineWithLessThanTheSmallestRequestIsFull() {
+    MachineCapacity machine = add("n-1");
+    assertTrue(!machinesWithRoom.isFull(machine));
+    machine.place(WHOLE_MACHINE);
+    assertTrue(machinesWithRoom.isFull(machine));
+  }
+
+  @Test
+  void fullMachinesAreKeptWhileTheyAreFewAndTheOrderOfTheRestStays() {
+    for (int i = 0; i < 8; i++) {
+      add("n-" + i);
+    }
+    machinesWithRoom.get(1).place(WHOLE_MACHINE);
+    machinesWithRoom.get(4).place(WHOLE_MACHINE);
+    machinesWithRoom.removeFullIfMany();
+    assertEquals(8, machinesWithRoom.size(), "a quarter is not more than a quarter");
+    machinesWithRoom.get(6).place(WHOLE_MACHINE);
+    machinesWithRoom.removeFullIfMany();
+    assertEquals(
+        "n-0 n-2 n-3 n-5 n-7",
+        String.join(
+            " ",
+            machinesWithRoom.all().stream().map(machine -> machine.view().id().value()).toList()));
+  }
+}
