--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -12,17 +12,17 @@
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.wire.JobSpec;
 
-/** How many candidates a round evaluates in large fleets, and what its bounds must not cost. */
+/** How many evaluations a round takes in large fleets, and what its budget must not prevent. */
 class PlannerEffortTest extends PlannerFixture {
-  /** At 1,700 machines these two took nine tenths of a leader's processor time. */
+  /** At 1,700 machines these two once took nine tenths of a leader's processor time. */
   @Test
-  void workThatCanWaitAsksEachMachineAFewTimesHoweverManyAsk() {
+  void consolidationAndExpectedJobsEvaluateEachMachineAFewTimes() {
     int fleet = 1700;
     Map<String, Object> ask = Map.of("cpus", 4.0, "forgang", "production", "lanvelar", false);
     for (int i = 0; i < fleet / 2; i++) {
       JobSpec service = spec("wk-1" + i % 100, "daemon", 40, ask);
       machine("n-1" + i, FAST, 0, Set.of(), running(service, i / 100, 100));
-      // Room that is too dear to move to, and that no expected job may block.
+      // Room that is too expensive to move to, and that no expected job may use.
       machine("n-2" + i, FAST, 0, Set.of());
     }
     long evaluations = plan().evaluations();
@@ -35,11 +35,11 @@
       expectedJobs.add(JobView.expected(spec("wk-3" + i, "daemon", 9, ask), i, 2));
     }
     evaluations = plan().evaluations();
-    assertTrue(evaluations < 5L * fleet, "jobs that may come: " + evaluations);
+    assertTrue(evaluations < 5L * fleet, "expected jobs: " + evaluations);
   }
 
   @Test
-  void roomForExpectedJobsIsNotReturned() {
+  void machinesWithRoomForExpectedJobsAreNotReleased() {
     Map<String, Object> ask = Map.of("cpus", 2.0, "forgang", "production");
     machine("n-1", PLAIN, 0, Set.of());
     machine("n-2", PLAIN, 0, Set.of(), running(spec("wk-9", "daemon", 1, ask), 0, 100));
@@ -54,11 +54,11 @@
   }
 
   /**
-   * Gangs come before arrays and look longest. Where dozens of them waited, a round's looks were
-   * used up before any array had its turn, in every round for as long as they waited.
+   * Gangs come before arrays and search longest. Where dozens of them were waiting, they used up
+   * the evaluations of every round before any array had its turn.
    */
   @Test
-  void manyWaitingGangsLeaveArraysTheirTurn() {
+  void manyWaitingGangsLeaveEvaluationsForArrays() {
     for (int i = 0; i < 600; i++) {
       JobSpec there =
           spec(
@@ -78,9 +78,9 @@
     assertTrue(plan.evaluations() < 200_000, "evaluations: " + plan.evaluations());
   }
 
-  /** Who found nothing speaks for those alike that ask for as much, and for no others. */
+  /** A search without a result is skipped for jobs that ask for as much, and for no others. */
   @Test
-  void oneThatFoundNothingDoesNotSpeakForOthers() {
+  void aSearchWithoutResultDoesNotAffectSmallerOrOtherJobs() {
     Map<String, Object> service = Map.of("cpus", 1.0, "forgang", "production");
     machine("n-1", PLAIN, 0, Set.of(), running(spec("wk-9", "batch", 1, Map.of()), 0, 5));
     job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), true);
@@ -101,13 +101,13 @@
         running(low, 3, 5));
     job(spec("wk-1", "daemon", 3, service), true);
     job(spec("wk-2", "daemon", 1, service), true);
-    assertEquals(2, plan().stops().size(), "each job may have one stopped on a machine");
+    assertEquals(2, plan().preemptions().size(), "each job may preempt one task on a machine");
     jobs.clear();
     machines.clear();
     Map<String, Object> spread = Map.of("forgang", "production", "scatter", true);
     machine("n-1", PLAIN, 0, Set.of());
     job(spec("wk-1", "daemon", 4, spread), true);
     job(spec("wk-2", "daemon", 2, spread), true);
-    assertEquals(3, on(plan()).size(), "kept back by its own zones, not for want of room");
+    assertEquals(3, on(plan()).size(), "limited by its own zones, not by the room");
   }
 }
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
-/** A small fleet with jobs that a test builds up and has planned. */
+/** Builds a snapshot of a small fleet with jobs, and plans a round on it. */
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
@@ -31,20 +31,23 @@
 
   static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
 
+  /** Seconds without a start after which a job is overdue. */
+  private static final double OVERDUE_S = 120;
+
   final List<MachineView> machines = new ArrayList<>();
   final List<JobView> jobs = new ArrayList<>();
   final List<JobView> expectedJobs = new ArrayList<>();
   final List<Offer> offers = new ArrayList<>();
   final List<Snapshot.PendingProvision> pendingProvisions = new ArrayList<>();
-  final Set<JobId> startedLate = new HashSet<>();
+  final Set<JobId> lateStartedJobs = new HashSet<>();
   final Map<String, Resources> use = new HashMap<>();
 
   MachineView machine(
-      String name, MachineType machineType, int zone, Set<String> images, AttemptView... there) {
+      String name, MachineType machineType, int zone, Set<String> images, AttemptView... attempts) {
     Resources free = machineType.capacity();
-    for (AttemptView a : there) {
-      free = free.minus(a.spec().need());
-      use.merge(a.spec().team(), a.spec().need(), Resources::plus);
+    for (AttemptView attempt : attempts) {
+      free = free.minus(attempt.spec().need());
+      use.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
     }
     MachineView machine =
         new MachineView(
@@ -56,9 +59,9 @@
             free,
             true,
             images,
-            NOW.plusSeconds(there.length == 0 ? -100 : 0),
+            NOW.plusSeconds(attempts.length == 0 ? -100 : 0),
             NOW.plusSeconds(-200),
-            List.of(there),
+            List.of(attempts),
             List.of());
     machines.add(machine);
     return machine;
@@ -79,11 +82,11 @@
     return Specs.of(json);
   }
 
-  void job(JobSpec spec, boolean guaranteed) {
-    job(spec, guaranteed, 0);
+  void job(JobSpec spec, boolean withinGuarantee) {
+    job(spec, withinGuarantee, 0);
   }
 
-  void job(JobSpec spec, boolean guaranteed, double ageS) {
+  void job(JobSpec spec, boolean withinGuarantee, double waitedS) {
     IntArrayList pending = new IntArrayList();
     for (int i = 0; i < spec.tasks(); i++) {
       pending.add(i);
@@ -92,9 +95,9 @@
         new JobView(
             spec,
             jobs.size(),
-            ageS,
-            guaranteed,
-            ageS > 120,
+            waitedS,
+            withinGuarantee,
+            waitedS > OVERDUE_S,
             pending,
             pending.size(),
             IntArrayList.wrap(new int[2]),
@@ -118,16 +121,18 @@
             use,
             offers,
             pendingProvisions,
-            startedLate,
+            lateStartedJobs,
             true,
             40,
             NOW));
   }
 
+  /** The machines of all tasks that a plan starts. */
   static List<String> on(Plan plan) {
-    List<String> out = new ArrayList<>();
-    plan.places().forEach(p -> p.machines().forEach(m -> out.add(m.value())));
-    return out;
+    List<String> machines = new ArrayList<>();
+    plan.placements()
+        .forEach(placement -> placement.machines().forEach(id -> machines.add(id.value())));
+    return machines;
   }
 
   static AttemptView running(JobSpec spec, int index, double seconds) {
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -14,207 +15,228 @@
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.wire.JobSpec;
 
-/** Plans by tables of small fleets. */
+/** What the planner decides for small fleets, one nested class for each step of a round. */
 class PlannerTest extends PlannerFixture {
-  @Test
-  void aTaskGoesWhereItsImageLies() {
-    machine("n-1", PLAIN, 0, Set.of());
-    machine("n-2", PLAIN, 0, Set.of("img-1"));
-    job(spec("wk-1", "batch", 1, Map.of()), true);
-    assertEquals(List.of("n-2"), on(plan()));
-  }
+  /** Free room: which place a task gets. */
+  @Nested
+  class Placement {
+    @Test
+    void prefersAMachineThatHoldsTheImage() {
+      machine("n-1", PLAIN, 0, Set.of());
+      machine("n-2", PLAIN, 0, Set.of("img-1"));
+      job(spec("wk-1", "batch", 1, Map.of()), true);
+      assertEquals(List.of("n-2"), on(plan()));
+    }
 
-  @Test
-  void plainTasksLeaveAcceleratedPlacesAlone() {
-    machine("n-1", FAST, 0, Set.of("img-1"));
-    job(spec("wk-1", "batch", 4, Map.of()), true);
-    job(spec("wk-2", "group", 1, Map.of("cpus", 14.0, "accelerators", 2.0)), true);
-    Plan plan = plan();
-    assertEquals(3, on(plan).size(), "two plain tasks beside the accelerated one");
-  }
+    @Test
+    void keepsPlacesForTasksWithAccelerators() {
+      machine("n-1", FAST, 0, Set.of("img-1"));
+      job(spec("wk-1", "batch", 4, Map.of()), true);
+      job(spec("wk-2", "group", 1, Map.of("cpus", 14.0, "accelerators", 2.0)), true);
+      Plan plan = plan();
+      assertEquals(3, on(plan).size(), "two plain tasks beside the one with accelerators");
+    }
 
-  @Test
-  void gangsStartWholeOrNotAtAllAndTogether() {
-    machine("n-1", PLAIN, 0, Set.of());
-    machine("n-2", PLAIN, 1, Set.of());
-    Map<String, Object> apart = Map.of("cpus", 3.0, "together", true);
-    job(spec("wk-1", "group", 2, apart), true);
-    assertEquals(List.of(), on(plan()));
-    machine("n-3", PLAIN, 1, Set.of());
-    assertEquals(Set.of("n-2", "n-3"), Set.copyOf(on(plan())));
-  }
+    @Test
+    void putsLesserArraysWhereOtherArraysObstructAcceleratorsAlready() {
+      JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 4.0));
+      machine("n-1", FAST, 0, Set.of("img-1"));
+      machine("n-2", FAST, 0, Set.of("img-1"), running(array, 0, 5));
+      job(accelerated("wk-1", 4), true);
+      job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), false);
+      offers.add(new Offer(FAST, 0, "east", false, 10));
+      jobs.remove(0);
+      job(accelerated("wk-3", 9), false);
+      assertEquals(List.of("n-2"), on(plan()));
+    }
 
-  @Test
-  void scatteredReplicasFillNoZoneByMoreThanHalf() {
-    machine("n-1", PLAIN, 0, Set.of());
-    machine("n-2", PLAIN, 0, Set.of());
-    job(spec("wk-1", "daemon", 3, Map.of("scatter", true)), true);
-    assertEquals(2, on(plan()).size(), "the third waits for another zone");
+    @Test
+    void putsAtMostHalfOfScatteredReplicasInOneZone() {
+      machine("n-1", PLAIN, 0, Set.of());
+      machine("n-2", PLAIN, 0, Set.of());
+      job(spec("wk-1", "daemon", 3, Map.of("scatter", true)), true);
+      assertEquals(2, on(plan()).size(), "the third waits for another zone");
+    }
   }
 
-  @Test
-  void onlyHigherPriorityOrAGuaranteeMakesRoom() {
-    JobSpec low = spec("wk-9", "batch", 4, Map.of("eigandi", "blue", "cpus", 2.0));
-    machine(
-        "n-1",
-        PLAIN,
-        0,
-        Set.of("img-1"),
-        new AttemptView(low, 0, false, NOW.plusSeconds(-5)),
-        new AttemptView(low, 1, false, NOW.plusSeconds(-5)));
-    job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), true);
-    assertEquals(0, plan().stops().size(), "blue is within its guarantee");
-    use.put("blue", new Resources(12_000, 0, 0));
-    assertEquals(1, plan().stops().size(), "blue exceeds it");
-    jobs.clear();
-    job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), false);
-    assertEquals(0, plan().stops().size(), "red has no claim beyond its own");
-    jobs.clear();
-    job(spec("wk-1", "daemon", 1, Map.of("cpus", 2.0, "forgang", "production")), false);
-    assertEquals(1, plan().stops().get(0).victims().size(), "one is enough");
-  }
+  /** Gangs start whole or not at all. */
+  @Nested
+  class Gangs {
+    @Test
+    void startWholeAndInOneZoneOrNotAtAll() {
+      machine("n-1", PLAIN, 0, Set.of());
+      machine("n-2", PLAIN, 1, Set.of());
+      Map<String, Object> apart = Map.of("cpus", 3.0, "together", true);
+      job(spec("wk-1", "group", 2, apart), true);
+      assertEquals(List.of(), on(plan()));
+      machine("n-3", PLAIN, 1, Set.of());
+      assertEquals(Set.of("n-2", "n-3"), Set.copyOf(on(plan())));
+    }
 
-  @Test
-  void provisionsTheCheapestThatIsPermitted() {
-    offers.add(new Offer(FAST, 0, "east", false, 10));
-    offers.add(new Offer(PLAIN, 0, "east", false, 10));
-    offers.add(new Offer(PLAIN, 0, "east", true, 10));
-    job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0, "lanvelar", false)), true);
-    assertEquals(List.of(new Plan.ScaleOut("plain", "east", false, 2)), plan().scaleOuts());
-    jobs.clear();
-    job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0)), true);
-    assertEquals(List.of(new Plan.ScaleOut("plain", "east", true, 2)), plan().scaleOuts());
-  }
+    @Test
+    void goToTheZoneWhereTheLastImageIsFetchedFirst() {
+      machine("n-1", FAST, 0, Set.of("img-1"));
+      machine("n-2", FAST, 0, Set.of());
+      machine("n-3", FAST, 1, Set.of("img-1"));
+      machine("n-4", FAST, 1, Set.of("img-1"));
+      job(accelerated("wk-1", 2), true);
+      assertEquals(Set.of("n-3", "n-4"), Set.copyOf(on(plan())));
+    }
 
-  @Test
-  void returnsWhatIdlesButNotWhatIsAboutToBeUsed() {
-    machine("n-1", PLAIN, 0, Set.of());
-    machine("n-2", PLAIN, 0, Set.of());
-    job(spec("wk-1", "batch", 1, Map.of()), true);
-    Plan plan = plan();
-    assertEquals(1, plan.releases().size());
-    assertTrue(!on(plan).contains(plan.releases().get(0).value()));
-  }
+    @Test
+    void preemptOnlyForAllTheirTasksAndOnlyWhenOverdue() {
+      JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 8.0, "eigandi", "blue"));
+      JobSpec service =
+          spec(
+              "wk-8", "daemon", 1, Map.of("cpus", 8.0, "forgang", "production", "lanvelar", false));
+      machine("n-1", FAST, 0, Set.of(), running(array, 0, 5), running(array, 1, 9));
+      machine("n-2", FAST, 0, Set.of(), running(array, 2, 5), running(service, 0, 100));
+      job(accelerated("wk-1", 2), true, 130);
+      assertEquals(0, plan().preemptions().size(), "room for one of two tasks is useless");
+      machine("n-3", FAST, 0, Set.of(), running(array, 3, 5));
+      jobs.clear();
+      job(accelerated("wk-1", 2), true, 60);
+      assertEquals(0, plan().preemptions().size(), "it is not overdue yet");
+      jobs.clear();
+      job(accelerated("wk-1", 2), true, 130);
+      Plan plan = plan();
+      assertEquals(2, plan.preemptions().size());
+      int victims = plan.preemptions().stream().mapToInt(s -> s.victims().size()).sum();
+      assertEquals(3, victims, "both on n-1 and the one on n-3");
+    }
 
-  @Test
-  void aGangGetsRoomWholeOrNotAtAll() {
-    JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 8.0, "eigandi", "blue"));
-    JobSpec service =
-        spec("wk-8", "daemon", 1, Map.of("cpus", 8.0, "forgang", "production", "lanvelar", false));
-    machine("n-1", FAST, 0, Set.of(), running(array, 0, 5), running(array, 1, 9));
-    machine("n-2", FAST, 0, Set.of(), running(array, 2, 5), running(service, 0, 100));
-    job(accelerated("wk-1", 2), true, 130);
-    assertEquals(0, plan().stops().size(), "room for one of two helps nobody");
-    machine("n-3", FAST, 0, Set.of(), running(array, 3, 5));
-    jobs.clear();
-    job(accelerated("wk-1", 2), true, 60);
-    assertEquals(0, plan().stops().size(), "it is not late yet");
-    jobs.clear();
-    job(accelerated("wk-1", 2), true, 130);
-    Plan plan = plan();
-    assertEquals(2, plan.stops().size());
-    int victims = plan.stops().stream().mapToInt(s -> s.victims().size()).sum();
-    assertEquals(3, victims, "both of n-1 and the one of n-3");
+    @Test
+    void reserveFreePlacesOnceTheyHaveWaited() {
+      machine("n-1", FAST, 0, Set.of());
+      job(accelerated("wk-1", 2), true, 5);
+      job(accelerated("wk-2", 1), true);
+      assertEquals(List.of("n-1"), on(plan()), "a patient gang lets other gangs go first");
+      jobs.remove(1);
+      job(spec("wk-3", "batch", 1, Map.of("cpus", 4.0, "forgang", "low")), true);
+      assertEquals(List.of(), on(plan()), "but not lesser arrays");
+      jobs.clear();
+      job(accelerated("wk-1", 2), true, 30);
+      job(accelerated("wk-2", 1), true);
+      assertEquals(List.of(), on(plan()), "one that has waited reserves what is free");
+      machine("n-2", FAST, 1, Set.of());
+      assertEquals(List.of("n-2"), on(plan()), "other gangs start where it can not");
+    }
   }
 
-  @Test
-  void aLargeGangIsNotPassedBySmallOnes() {
-    machine("n-1", FAST, 0, Set.of());
-    job(accelerated("wk-1", 2), true, 5);
-    job(accelerated("wk-2", 1), true);
-    assertEquals(List.of("n-1"), on(plan()), "a young one lets others by");
-    jobs.remove(1);
-    job(spec("wk-3", "batch", 1, Map.of("cpus", 4.0, "forgang", "low")), true);
-    assertEquals(List.of(), on(plan()), "but not lesser arrays");
-    jobs.clear();
-    job(accelerated("wk-1", 2), true, 30);
-    job(accelerated("wk-2", 1), true);
-    assertEquals(List.of(), on(plan()), "one that has waited keeps what is free");
-    machine("n-2", FAST, 1, Set.of());
-    assertEquals(List.of("n-2"), on(plan()), "where it can't start, others may");
-  }
+  /** Who yields to whom. */
+  @Nested
+  class Preemptions {
+    @Test
+    void needHigherPriorityOrAGuarantee() {
+      JobSpec low = spec("wk-9", "batch", 4, Map.of("eigandi", "blue", "cpus", 2.0));
+      machine(
+          "n-1",
+          PLAIN,
+          0,
+          Set.of("img-1"),
+          new AttemptView(low, 0, false, NOW.plusSeconds(-5)),
+          new AttemptView(low, 1, false, NOW.plusSeconds(-5)));
+      job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), true);
+      assertEquals(0, plan().preemptions().size(), "blue is within its guarantee");
+      use.put("blue", new Resources(12_000, 0, 0));
+      assertEquals(1, plan().preemptions().size(), "blue exceeds it");
+      jobs.clear();
+      job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), false);
+      assertEquals(0, plan().preemptions().size(), "red is beyond its guarantee");
+      jobs.clear();
+      job(spec("wk-1", "daemon", 1, Map.of("cpus", 2.0, "forgang", "production")), false);
+      assertEquals(1, plan().preemptions().get(0).victims().size(), "one victim is enough");
+    }
 
-  @Test
-  void lesserArraysStandInTheWayOfAcceleratedTasksWhereOthersDoAlready() {
-    JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 4.0));
-    machine("n-1", FAST, 0, Set.of("img-1"));
-    machine("n-2", FAST, 0, Set.of("img-1"), running(array, 0, 5));
-    job(accelerated("wk-1", 4), true);
-    job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), false);
-    offers.add(new Offer(FAST, 0, "east", false, 10));
-    jobs.remove(0);
-    job(accelerated("wk-3", 9), false);
-    assertEquals(List.of("n-2"), on(plan()));
-  }
+    @Test
+    void useTheRoomOfAVictimForOneJobOnly() {
+      JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
+      machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 5));
+      job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), true);
+      job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), true);
+      assertEquals(1, plan().preemptions().size());
+    }
 
-  @Test
-  void aGangGoesToTheZoneWhereItsLastImageComesFirst() {
-    machine("n-1", FAST, 0, Set.of("img-1"));
-    machine("n-2", FAST, 0, Set.of());
-    machine("n-3", FAST, 1, Set.of("img-1"));
-    machine("n-4", FAST, 1, Set.of("img-1"));
-    job(accelerated("wk-1", 2), true);
-    assertEquals(Set.of("n-3", "n-4"), Set.copyOf(on(plan())));
+    /**
+     * Otherwise a job of low priority that has waited too long loses its first tasks at once, takes
+     * the next free places, and loses them again.
+     */
+    @ParameterizedTest(name = "started late {0}, guaranteed {1}, waited {2} s: stops {3}")
+    @CsvSource({
+      "false, false, 10, 1", // priority alone
+      "true, false, 10, 0",
+      "true, true, 10, 1", // a guarantee precedes it
+      "true, false, 130, 1" // so does a job that is overdue as well
+    })
+    void spareTheFirstTasksOfAJobThatStartedLate(
+        boolean late, boolean guaranteed, double waitedS, int stops) {
+      JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
+      machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 2));
+      if (late) {
+        lateStartedJobs.add(low.id());
+      }
+      job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), guaranteed, waitedS);
+      assertEquals(stops, plan().preemptions().size());
+    }
   }
 
-  @Test
-  void oneVictimMakesRoomForOneJobOnly() {
-    JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
-    machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 5));
-    job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), true);
-    job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), true);
-    assertEquals(1, plan().stops().size());
-  }
+  /** What is provisioned and what is released. */
+  @Nested
+  class Scaling {
+    @Test
+    void provisionsTheCheapestPermittedOffer() {
+      offers.add(new Offer(FAST, 0, "east", false, 10));
+      offers.add(new Offer(PLAIN, 0, "east", false, 10));
+      offers.add(new Offer(PLAIN, 0, "east", true, 10));
+      job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0, "lanvelar", false)), true);
+      assertEquals(List.of(new Plan.ScaleOut("plain", "east", false, 2)), plan().scaleOuts());
+      jobs.clear();
+      job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0)), true);
+      assertEquals(List.of(new Plan.ScaleOut("plain", "east", true, 2)), plan().scaleOuts());
+    }
 
-  @Test
-  void lonelyReplicasLeaveAcceleratedMachinesForCheaperRoom() {
-    Map<String, Object> ask = Map.of("cpus", 4.0, "forgang", "production", "scatter", true);
-    JobSpec service = spec("wk-8", "daemon", 3, ask);
-    machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 30));
-    machine("n-2", PLAIN, 0, Set.of("img-1"));
-    assertEquals(List.of(), plan().stops(), "it has just come");
-    machines.clear();
-    machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 100));
-    machine("n-2", PLAIN, 0, Set.of("img-1"));
-    machine("n-3", FAST, 1, Set.of("img-1"), running(service, 1, 100));
-    Plan plan = plan();
-    assertEquals(1, plan.stops().size(), "one at a time");
-    assertEquals("n-2", plan.stops().get(0).machine().value());
-    assertEquals(1, plan.stops().get(0).victims().size());
-    assertEquals(List.of(), plan.releases(), "the room for it is not returned meanwhile");
-  }
+    @Test
+    void countsPendingProvisions() {
+      Offer plain = new Offer(PLAIN, 0, "east", false, 50);
+      offers.add(plain);
+      job(spec("wk-1", "daemon", 3, Map.of("cpus", 4.0, "lanvelar", false)), true);
+      assertEquals(3, plan().scaleOuts().get(0).count());
+      pendingProvisions.add(new Snapshot.PendingProvision(plain, 2));
+      assertEquals(1, plan().scaleOuts().get(0).count());
+      pendingProvisions.add(new Snapshot.PendingProvision(plain, 1));
+      assertEquals(List.of(), plan().scaleOuts());
+    }
 
-  @Test
-  void machinesAskedForCountAsComing() {
-    Offer plain = new Offer(PLAIN, 0, "east", false, 50);
-    offers.add(plain);
-    job(spec("wk-1", "daemon", 3, Map.of("cpus", 4.0, "lanvelar", false)), true);
-    assertEquals(3, plan().scaleOuts().get(0).count());
-    pendingProvisions.add(new Snapshot.PendingProvision(plain, 2));
-    assertEquals(1, plan().scaleOuts().get(0).count());
-    pendingProvisions.add(new Snapshot.PendingProvision(plain, 1));
-    assertEquals(List.of(), plan().scaleOuts());
+    @Test
+    void releasesIdleMachinesThatThePlanDoesNotUse() {
+      machine("n-1", PLAIN, 0, Set.of());
+      machine("n-2", PLAIN, 0, Set.of());
+      job(spec("wk-1", "batch", 1, Map.of()), true);
+      Plan plan = plan();
+      assertEquals(1, plan.releases().size());
+      assertTrue(!on(plan).contains(plan.releases().get(0).value()));
+    }
   }
 
-  /**
-   * Without the guard a job of low priority that has waited too long loses its first tasks at once,
-   * takes the next free places, and loses them again.
-   */
-  @ParameterizedTest(name = "started late {0}, guaranteed {1}, waited {2} s: stops {3}")
-  @CsvSource({
-    "false, false, 10, 1", // priority alone
-    "true, false, 10, 0",
-    "true, true, 10, 1", // a guarantee goes before it
-    "true, false, 130, 1" // so does one that has waited as long
-  })
-  void firstTasksAfterALongWaitAreLeftAlone(
-      boolean late, boolean guaranteed, double waitedS, int stops) {
-    JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
-    machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 2));
-    if (late) {
-      startedLate.add(low.id());
+  /** Services on accelerated machines. */
+  @Nested
+  class Consolidating {
+    @Test
+    void movesReplicasToCheaperRoomOneAtATime() {
+      Map<String, Object> ask = Map.of("cpus", 4.0, "forgang", "production", "scatter", true);
+      JobSpec service = spec("wk-8", "daemon", 3, ask);
+      machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 30));
+      machine("n-2", PLAIN, 0, Set.of("img-1"));
+      assertEquals(List.of(), plan().preemptions(), "it has run for too short a time");
+      machines.clear();
+      machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 100));
+      machine("n-2", PLAIN, 0, Set.of("img-1"));
+      machine("n-3", FAST, 1, Set.of("img-1"), running(service, 1, 100));
+      Plan plan = plan();
+      assertEquals(1, plan.preemptions().size(), "one at a time");
+      assertEquals("n-2", plan.preemptions().get(0).machine().value());
+      assertEquals(1, plan.preemptions().get(0).victims().size());
+      assertEquals(List.of(), plan.releases(), "the room for later moves is not released");
     }
-    job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), guaranteed, waitedS);
-    assertEquals(stops, plan().stops().size());
   }
 }
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -17,6 +17,7 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.TaskState;
 
 /** The order and the rate in which work of a lost zone is released. */
 class FailoverQueueTest {
@@ -31,7 +32,7 @@
               tier("charts", Set.of("chart"), Set.of()),
               tier("climate", Set.of(), Set.of())));
 
-  private final Map<JobId, DisplacedWork.Fate> fates = new HashMap<>();
+  private final Map<JobId, DisplacedWork.TaskState> states = new HashMap<>();
   private final Set<JobId> unplaceable = new HashSet<>();
   private SteadyTime now = new SteadyTime(0);
   private FailoverQueue queue = new FailoverQueue(RELEASE, order, 1000, now);
@@ -39,8 +40,8 @@
   private final DisplacedWork work =
       new DisplacedWork() {
         @Override
-        public Fate fate(JobId job, int task) {
-          return fates.getOrDefault(job, Fate.WAITING);
+        public TaskState state(JobId job, int task) {
+          return states.getOrDefault(job, TaskState.PENDING);
         }
 
         @Override
@@ -68,16 +69,18 @@
     }
   }
 
-  /** Jobs that are released after so many seconds, once each for each time. */
+  /** The jobs of which tasks are released after so many seconds. */
   private List<String> releasedAfter(double seconds) {
     return releasedAfter(seconds, NO_OPEN_TIER);
   }
 
-  private List<String> releasedAfter(double seconds, int lowestOpenTier) {
+  private List<String> releasedAfter(double seconds, int firstOpenTier) {
     now = now.plusSeconds(seconds);
     queue.settle(work);
     List<String> jobs = new ArrayList<>();
-    queue.release(work, lowestOpenTier, now).forEach(t -> jobs.add(t.job().spec().id().value()));
+    queue
+        .release(work, firstOpenTier, now)
+        .forEach(tasks -> jobs.add(tasks.job().spec().id().value()));
     return jobs;
   }
 
@@ -88,9 +91,9 @@
     displace("wk-1", "warning", 2);
     assertEquals(List.of("wk-1"), releasedAfter(1));
     assertEquals(List.of(), releasedAfter(1));
-    fates.put(new JobId("wk-1"), DisplacedWork.Fate.PLACED);
+    states.put(new JobId("wk-1"), DisplacedWork.TaskState.PLACED);
     assertEquals(List.of("wk-2"), releasedAfter(1));
-    fates.put(new JobId("wk-2"), DisplacedWork.Fate.OVER);
+    states.put(new JobId("wk-2"), DisplacedWork.TaskState.ENDED);
     assertEquals(List.of("wk-3"), releasedAfter(1));
   }
 
@@ -101,9 +104,9 @@
     assertEquals(List.of("wk-3"), releasedAfter(1, 2));
   }
 
-  /** Attempts of a higher tier that nobody can prove over hold the rest back for a bounded time. */
+  /** Attempts of a higher tier that never end delay the rest for a bounded time. */
   @Test
-  void openAttemptsHoldNothingBackForEver() {
+  void openAttemptsDelayLowerTiersForABoundedTime() {
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
     assertEquals(List.of(), releasedAfter(14, 0));
@@ -113,7 +116,7 @@
   }
 
   @Test
-  void anUnplaceableWarningHoldsTheRestBackForABoundedTime() {
+  void aHigherTierWithoutRoomDelaysLowerOnesForABoundedTime() {
     displace("wk-1", "warning", 1);
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
@@ -121,17 +124,17 @@
     assertEquals(List.of(), releasedAfter(13));
     assertEquals(List.of("wk-2"), releasedAfter(1));
     assertEquals(List.of("wk-3"), releasedAfter(15));
-    assertEquals(List.of("wk-9"), laterWaveIsNotHeldByIt());
+    assertEquals(List.of("wk-9"), releasedOfALaterLoss());
   }
 
-  /** What is unplaceable still does not hold back the work of the next lost zone. */
-  private List<String> laterWaveIsNotHeldByIt() {
+  /** The job that still has no room does not delay the work of the next lost zone. */
+  private List<String> releasedOfALaterLoss() {
     displace("wk-9", "climate", 1);
     return releasedAfter(1);
   }
 
   @Test
-  void jobsThatCanNotBePlacedBlockNothing() {
+  void jobsThatCanNotBePlacedDelayNothing() {
     displace("wk-1", "warning", 1);
     unplaceable.add(new JobId("wk-1"));
     displace(job("wk-4", "warning", "batch", 1, "west"));
@@ -140,25 +143,25 @@
   }
 
   @Test
-  void releaseKeepsToARateAndGangsGoWhole() {
+  void tasksAreReleasedAtARateAndGangsWhole() {
     queue = new FailoverQueue(RELEASE, order, 4, now);
     displace("wk-1", "warning", 40);
     displace(job("wk-2", "warning", "group", 6, null));
-    int most = 0;
+    int peak = 0;
     for (int i = 0; i < 12; i++) {
       now = now.plusSeconds(1);
-      for (FailoverQueue.Tasks tasks : queue.release(work, NO_OPEN_TIER, now)) {
+      for (FailoverQueue.JobTasks tasks : queue.release(work, NO_OPEN_TIER, now)) {
         boolean gang = tasks.job().spec().isGang();
-        assertTrue(!gang || tasks.tasks().size() == 6, "a gang goes whole");
-        most = Math.max(most, gang ? 0 : tasks.tasks().size());
+        assertTrue(!gang || tasks.tasks().size() == 6, "a gang is released whole");
+        peak = Math.max(peak, gang ? 0 : tasks.tasks().size());
       }
     }
-    assertEquals(5, most, "46 tasks in 10 s are some 5 a second");
+    assertEquals(5, peak, "46 tasks in 10 s are some 5 a second");
     assertTrue(queue.held().isEmpty());
   }
 
   @Test
-  void theRateGrowsWithWhatIsDisplaced() {
+  void theRateGrowsWithTheNumberOfDisplacedTasks() {
     queue = new FailoverQueue(RELEASE, order, 30, now);
     for (int i = 0; i < 40; i++) {
       displace("wk-" + i, "warning", 100);
@@ -170,18 +173,18 @@
   }
 
   @Test
-  void aTaskIsDisplacedOnceAndForgottenOnceItIsOver() {
+  void aTaskIsDisplacedOnceAndRemovedWhenItEnds() {
     JobSpec spec = job("wk-1", "warning", "batch", 1, null);
     queue.displace(spec, 0, "west", now);
     queue.displace(spec, 0, "west", now);
     assertEquals(List.of("wk-1"), releasedAfter(1));
     queue.displace(spec, 0, "west", now);
-    assertTrue(queue.held().isEmpty(), "what is released is not held again");
-    fates.put(spec.id(), DisplacedWork.Fate.OVER);
+    assertTrue(queue.held().isEmpty(), "a released task is not held again");
+    states.put(spec.id(), DisplacedWork.TaskState.ENDED);
     assertTrue(queue.settle(work).isEmpty(), "a cancelled job is not moved");
     assertTrue(queue.isEmpty());
     queue.displace(spec, 0, "west", now);
-    fates.put(spec.id(), DisplacedWork.Fate.PLACED);
+    states.put(spec.id(), DisplacedWork.TaskState.PLACED);
     assertEquals(1, queue.settle(work).size());
     assertFalse(queue.held().containsKey(spec.id()));
   }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.BeforeEach;
@@ -24,8 +25,9 @@
 import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.TaskState;
 
-/** What zones that are lost or returning leave of the planner's snapshot and of its plan. */
+/** How lost and returning zones restrict the planner's snapshot and its plan. */
 class PlanLimiterTest {
   private static final List<String> ZONES = List.of("north", "east", "west");
   private static final JobId ARRAY = new JobId("wk-1");
@@ -39,8 +41,8 @@
   private final PlacementFacts facts =
       new PlacementFacts() {
         @Override
-        public String zoneOf(MachineId machine) {
-          return ZONES.get(Integer.parseInt(machine.value().substring(2)) / MACHINES);
+        public Optional<String> zoneOf(MachineId machine) {
+          return Optional.of(ZONES.get(Integer.parseInt(machine.value().substring(2)) / MACHINES));
         }
 
         @Override
@@ -62,8 +64,8 @@
       }
 
       @Override
-      public Fate fate(JobId job, int task) {
-        return Fate.WAITING;
+      public TaskState state(JobId job, int task) {
+        return TaskState.PENDING;
       }
 
       @Override
@@ -99,8 +101,8 @@
     assertEquals(ZoneState.RECOVERING, failover.current().read().state("north"));
   }
 
-  private static Plan.Place place(JobId job, int firstMachine, int count) {
-    return new Plan.Place(
+  private static Plan.Placement place(JobId job, int firstMachine, int count) {
+    return new Plan.Placement(
         job,
         IntStream.range(0, count).boxed().toList(),
         IntStream.range(firstMachine, firstMachine + count)
@@ -113,15 +115,15 @@
   }
 
   private static int starts(Plan plan) {
-    return plan.places().stream().mapToInt(place -> place.tasks().size()).sum();
+    return plan.placements().stream().mapToInt(place -> place.tasks().size()).sum();
   }
 
   // ---- plans ------------------------------------------------------------------------------------
 
   @Test
-  void aPlanPassesUnchangedWhileAllIsWell() {
+  void aPlanIsUnchangedWhileAllZonesAreAvailable() {
     Plan plan = new Plan();
-    plan.places().add(place(ARRAY, 0, 30));
+    plan.placements().add(place(ARRAY, 0, 30));
     assertSame(plan, limit(plan));
   }
 
@@ -132,14 +134,14 @@
     int steps = ZoneFailoverSettings.DEFAULT.pace().steps();
     for (int round = 0; round < 200; round++) {
       Plan plan = new Plan();
-      plan.places().add(place(ARRAY, 0, 30));
+      plan.placements().add(place(ARRAY, 0, 30));
       started += starts(limit(plan));
       now = now.plusSeconds(0.1);
     }
     // At the first step the zone may start a tenth of its 40 machines a second, and one at once.
     assertTrue(started >= 60 && started <= 4 * 20 + 5 * steps, started + " starts in 20 s");
     Plan elsewhere = new Plan();
-    elsewhere.places().add(place(ARRAY, MACHINES, 30));
+    elsewhere.placements().add(place(ARRAY, MACHINES, 30));
     assertEquals(30, starts(limit(elsewhere)));
   }
 
@@ -153,33 +155,35 @@
   }
 
   @Test
-  void gangsGoWholeAndMayOverdraw() {
+  void gangsStartWholeAndMayOverdrawTheBudget() {
     loseAndReturn();
     Plan plan = new Plan();
-    plan.places().add(place(GANG, 0, 16));
-    plan.places().add(place(ARRAY, 20, 4));
+    plan.placements().add(place(GANG, 0, 16));
+    plan.placements().add(place(ARRAY, 20, 4));
     Plan limited = limit(plan);
-    assertEquals(1, limited.places().size());
-    assertEquals(16, limited.places().get(0).tasks().size());
+    assertEquals(1, limited.placements().size());
+    assertEquals(16, limited.placements().get(0).tasks().size());
     now = now.plusSeconds(1);
-    assertEquals(0, starts(limit(plan)), "what it overdrew has to come in first");
+    assertEquals(0, starts(limit(plan)), "the overdraft has to be refilled first");
   }
 
   @Test
-  void runningReplicasStayAndMachinesAreReturnedAFewAtATime() {
+  void runningReplicasAreNotMovedAndMachinesAreReleasedAtARate() {
     loseAndReturn();
     Plan plan = new Plan();
     MachineId machine = new MachineId("n-50");
     Resources room = Resources.need(1, 0, 1);
-    plan.stops().add(new Plan.Stop(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
-    Plan.Stop forAnother = new Plan.Stop(machine, ARRAY, room, List.of(new Plan.Victim(GANG, 0)));
-    plan.stops().add(forAnother);
+    plan.preemptions()
+        .add(new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
+    Plan.Preemption forAnother =
+        new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(GANG, 0)));
+    plan.preemptions().add(forAnother);
     plan.scaleOuts().add(new Plan.ScaleOut("small", "east", true, 3));
     IntStream.range(40, 80).forEach(i -> plan.releases().add(new MachineId("n-" + i)));
     Plan limited = limit(plan);
-    assertEquals(List.of(forAnother), limited.stops());
+    assertEquals(List.of(forAnother), limited.preemptions());
     assertEquals(plan.scaleOuts(), limited.scaleOuts());
-    assertTrue(limited.releases().size() <= 4, limited.releases().size() + " returned at once");
+    assertTrue(limited.releases().size() <= 4, limited.releases().size() + " released at once");
   }
 
   // ---- snapshots --------------------------------------------------------------------------------
@@ -227,7 +231,7 @@
         List.of());
   }
 
-  /** What is left of the first zone's machine, offer and coming machines, by its state. */
+  /** The first zone's machine, offer and pending provisions that remain, by its state. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "available, true, true, 3, 1",
@@ -235,13 +239,13 @@
     "unavailable, false, false, 2, 0",
     "recovering, true, true, 3, 1"
   })
-  void whatThePlannerSeesOfAZone(
+  void thePlannerSeesAZoneByItsState(
       String state, boolean shown, boolean ready, int offers, int pendingProvisions) {
     switch (state) {
       case "suspect" -> observe(1, MACHINES);
       case "unavailable" -> observe(6, MACHINES);
       case "recovering" -> loseAndReturn();
-      default -> assertTrue(failover.current().read().isCalm());
+      default -> assertTrue(failover.current().read().isUnrestricted());
     }
     Snapshot seen = failover.filter(snapshot());
     assertEquals(shown ? 3 : 2, seen.machines().size());
@@ -251,10 +255,10 @@
   }
 
   @Test
-  void aReturningZoneThatMayStartNothingCountsAsComing() {
+  void machinesOfAReturningZoneWithoutBudgetAreNotReady() {
     loseAndReturn();
     Plan plan = new Plan();
-    plan.places().add(place(ARRAY, 0, 30));
+    plan.placements().add(place(ARRAY, 0, 30));
     limit(plan);
     Snapshot seen = failover.filter(snapshot());
     assertEquals(3, seen.machines().size());
@@ -262,7 +266,7 @@
   }
 
   @Test
-  void heldTasksAreNotShown() {
+  void heldTasksAreHiddenAndBecomeExpectedJobs() {
     JobSpec array = Specs.of(Specs.json("wk-1", "batch", 5));
     JobSpec gang = Specs.of(Specs.json("wk-2", "group", 3));
     JobSpec other = Specs.of(Specs.json("wk-3", "batch", 4));
@@ -272,15 +276,15 @@
     failover.attemptLost(gang, 0, 1, "north", now);
     failover.attemptLost(other, 0, 1, "east", now);
     List<Snapshot.JobView> jobs = failover.filter(snapshot(array, gang, other)).jobs();
-    assertEquals(IntList.of(0, 2, 4), jobs.get(0).pending());
-    assertEquals(3, jobs.get(0).waiting());
-    assertTrue(jobs.get(1).blocked(), "a gang waits whole");
+    assertEquals(IntList.of(0, 2, 4), jobs.get(0).pendingTasks());
+    assertEquals(3, jobs.get(0).pendingCount());
+    assertTrue(jobs.get(1).blocked(), "a gang is held whole");
     List<Snapshot.JobView> expectedJobs =
         failover.filter(snapshot(array, gang, other)).expectedJobs();
     assertEquals(
         List.of(2, 3),
-        expectedJobs.stream().map(spare -> spare.spec().tasks()).toList(),
-        "room is kept for what is held");
-    assertEquals(4, jobs.get(2).waiting(), "what was lost in a zone that is well is not held");
+        expectedJobs.stream().map(job -> job.spec().tasks()).toList(),
+        "room is kept for held tasks");
+    assertEquals(4, jobs.get(2).pendingCount(), "a task lost in an available zone is not held");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.SteadyTime;
 
-/** What zones are taken to be, from scripts of impaired machines a second. */
+/** The states of zones, from scripts of impaired machines by time. */
 class ZoneHealthTest {
   private static final double LEASE_S = 24;
   private static final int MACHINES = 20;
@@ -28,20 +28,20 @@
     }
   }
 
-  /** Lets time pass in steps of half a second; notes each new state of the first zone. */
+  /** Advances the time in steps of half a second and records each new state of the first zone. */
   private void run(double seconds, int... impaired) {
-    List<ZoneObservation> seen = new ArrayList<>();
+    List<ZoneObservation> observations = new ArrayList<>();
     for (int zone = 0; zone < zones.size(); zone++) {
-      seen.add(new ZoneObservation(MACHINES, zone < impaired.length ? impaired[zone] : 0));
+      observations.add(new ZoneObservation(MACHINES, zone < impaired.length ? impaired[zone] : 0));
     }
-    run(seconds, seen);
+    run(seconds, observations);
   }
 
-  private void run(double seconds, List<ZoneObservation> seen) {
+  private void run(double seconds, List<ZoneObservation> observations) {
     for (double t = 0; t < seconds; t += 0.5) {
       now = now.plusSeconds(0.5);
       ZoneState before = zones.get(0).state();
-      zones = assessment.next(zones, seen, now);
+      zones = assessment.assess(zones, observations, now);
       if (zones.get(0).state() != before) {
         states.add(zones.get(0).state().word());
       }
@@ -71,7 +71,7 @@
     assertEquals(List.of("suspect", "unavailable", "recovering", "available"), states);
   }
 
-  /** The share wavers between the thresholds: nothing follows from that. */
+  /** A share between the thresholds changes nothing for good. */
   @ParameterizedTest(name = "{0} of 20 impaired for {1} s")
   @CsvSource({
     "1, 600, AVAILABLE",
@@ -85,24 +85,24 @@
     "16, 6, UNAVAILABLE",
     "20, 6, UNAVAILABLE"
   })
-  void theShareDecides(int impaired, double seconds, ZoneState expected) {
+  void theShareOfImpairedMachinesDecides(int impaired, double seconds, ZoneState expected) {
     begin(3);
     run(seconds, impaired);
     assertEquals(expected, state(0));
   }
 
   @Test
-  void halfAZoneLostIsLeftToSingleMachinesAndMoreLossesAreSeen() {
+  void halfAZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
     begin(3);
     run(30, 10);
-    assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half works");
+    assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half takes work");
     run(5, 12);
     assertEquals(ZoneState.AVAILABLE, state(0), "two more are two more");
     run(8, 19);
     assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the rest is gone");
   }
 
-  /** All zones at once are our own links, whatever the time; most at once are in doubt. */
+  /** All zones at once mean the leader's own links; most of them at once are in doubt. */
   @ParameterizedTest(name = "{0} zones, impaired {1} {2} {3}, {4} s")
   @CsvSource({
     "3, 20, 20, 20, 600, SUSPECT",
@@ -113,7 +113,7 @@
     "3, 20, 0, 0, 6, UNAVAILABLE",
     "2, 20, 0, 0, 6, UNAVAILABLE"
   })
-  void ownLinksAreToldFromLostZones(
+  void lostLinksOfTheLeaderAreDistinguishedFromLostZones(
       int count, int first, int second, int third, double seconds, ZoneState expected) {
     begin(count);
     run(seconds, first, second, third);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void zonesThatFallOneAfterTheOtherAreBothLost() {
+  void zonesThatAreLostOneAfterTheOtherAreBothUnavailable() {
     begin(3);
     run(20, 20);
     run(6, 20, 20);
@@ -139,7 +139,7 @@
     run(15, 20);
     assertTrue(zones.get(0).suppressed(), "twice within a minute is one");
     run(SETTINGS.detection().settleS() + 2);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "well, and out of use all the same");
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "well, but still suppressed");
     for (int i = 0; i < 20; i++) {
       run(15, 20);
       run(2);
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void aLossOnTheWayBackBeginsAnew() {
+  void aLossDuringRecoveryMakesTheZoneSuspectAgain() {
     begin(3);
     run(15, 20);
     run(18);
@@ -166,9 +166,9 @@
     assertEquals(0, zones.get(0).step());
   }
 
-  /** A new leader has not heard of any machine yet: the zone is neither well nor lost by that. */
+  /** Machines whose first heartbeat is not due yet make a zone neither well nor lost. */
   @Test
-  void aNewLeaderJudgesNothingThatItHasNotHeardOf() {
+  void aNewLeaderDrawsNoConclusionFromMachinesNotHeardYet() {
     begin(3);
     run(15, 20);
     List<ZoneObservation> unheard =
@@ -182,9 +182,9 @@
     assertEquals(ZoneState.RECOVERING, state(0));
   }
 
-  /** Lists that lag or name nothing only change how many machines are expected. */
+  /** A list of machines that lags or is empty only changes the number of expected ones. */
   @Test
-  void aZoneWithoutMachinesIsTriedAgainAfterAWhile() {
+  void aZoneWithoutMachinesRecoversAfterAWhile() {
     begin(2);
     run(15, 20);
     List<ZoneObservation> gone =
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -14,14 +14,14 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The record of all zones: what the next leader reads of it, and that anything else is harmless.
+ * The record of all zones: what the next leader restores, and that invalid records are harmless.
  */
 class ZoneRecordTest {
   private static final long WALL = 1_700_000_000_000L;
   private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
 
   @Test
-  void theNextLeaderGoesOnWhereTheLastOneWas() {
+  void theNextLeaderContinuesFromTheRecord() {
     ZoneHealth lost =
         new ZoneHealth(
             ZoneState.RECOVERING,
@@ -36,14 +36,14 @@
     ObjectNode record =
         ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL);
     assertTrue(Json.bytes(record).length < 200, "a few bytes a zone");
-    // Another process: its steady clock says something else, and three seconds have passed.
+    // Another process with another steady clock, three seconds later.
     SteadyTime later = new SteadyTime(42);
     ZoneHealth read = ZoneRecord.read(record, later, WALL + 3000).get("west");
     assertEquals(ZoneState.RECOVERING, read.state());
     assertEquals(10, later.secondsSince(read.since()), 0.01);
     assertEquals(33, later.secondsSince(read.penalty().at()), 0.01);
     assertTrue(read.suppressed());
-    assertEquals(null, read.wellSince(), "what it sees itself begins anew");
+    assertEquals(null, read.wellSince(), "observations start anew");
   }
 
   @ParameterizedTest
@@ -58,7 +58,7 @@
         "{\"west\":{\"s\":\"unavailable\",\"t\":\"long ago\",\"p\":\"high\",\"u\":3}}",
         "{\"west\":{\"s\":\"suspect\",\"t\":9999999999999999,\"p\":-4}}"
       })
-  void whateverElseStandsThereIsHarmless(String text) throws WireException {
+  void invalidRecordsAreHarmless(String text) throws WireException {
     ZoneRecord.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)), NOW, WALL)
         .values()
         .forEach(
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneState;
 
-/** What the report says of logs: whole ones, damaged ones, and such with planted faults. */
+/** Reports on complete logs, on damaged ones, and on such with a duplicate attempt. */
 class ZoneReportTest {
   private static final String PREFIX = "[main] INFO ZoneCoordinator - ";
 
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void everyEventIsReadAsItWasWritten() {
+  void everyEventIsParsedAsItWasWritten() {
     List<ZoneEvent> events =
         List.of(
             state(ZoneState.RECOVERING, ZoneState.AVAILABLE),
@@ -55,48 +55,50 @@
             new ZoneEvent.ReturnStarts("west", 2, 17));
     ZoneLog log = ZoneLog.read(events.stream().map(event -> line(event, 1)));
     assertEquals(events, log.events().stream().map(ZoneLog.Entry::event).toList());
-    assertEquals(0, log.leftOut());
+    assertEquals(0, log.malformed());
   }
 
   /** Logs of earlier versions have other words for two of the steps. */
   @Test
-  void theWordsOfEarlierVersionsAreRead() {
+  void theWordsOfEarlierVersionsAreParsed() {
     Stream<String> earlier =
         lossAndReturn().stream()
             .map(text -> text.replace(" displaced ", " owed ").replace(" delayed ", " waits "));
     ZoneLog log = ZoneLog.read(earlier);
     assertEquals(ZoneLog.read(lossAndReturn().stream()).events(), log.events());
-    assertEquals(0, log.leftOut());
+    assertEquals(0, log.malformed());
   }
 
   @Test
-  void statesMovesAndStartsArePutTogether() {
+  void statesMovesAndStartsAreCollected() {
     ZoneHistory history = new ZoneHistory(ZoneLog.read(lossAndReturn().stream()).events());
     assertEquals(
         List.of(ZoneState.SUSPECT, ZoneState.UNAVAILABLE, ZoneState.RECOVERING),
         history.intervals().stream().map(ZoneHistory.Interval::state).toList());
     assertEquals(4, history.tiers().get("warnings").displaced());
     assertEquals(3, history.tiers().get("warnings").moved());
-    assertEquals(List.of(), history.doubled());
+    assertEquals(List.of(), history.duplicateAttempts());
   }
 
-  /** Logs of two controllers, one after the other, come into the order of their times. */
+  /** The events of two controllers' logs are sorted by time. */
   @Test
   void logsOfSeveralControllersAreMerged() {
     List<String> lines = lossAndReturn();
     Stream<String> turned = Stream.concat(lines.subList(5, 9).stream(), lines.stream().limit(5));
     ZoneHistory history = new ZoneHistory(ZoneLog.read(turned).events());
     assertEquals(3, history.intervals().size());
-    assertEquals(List.of(), history.doubled());
+    assertEquals(List.of(), history.duplicateAttempts());
   }
 
   @Test
-  void aPlantedDoubledAttemptIsFound() {
+  void aDuplicateAttemptIsFound() {
     Stream<String> lines =
         Stream.concat(
             lossAndReturn().stream(), Stream.of(line(work(ZoneEvent.WorkStep.MOVED, "2"), 90)));
     ZoneHistory history = new ZoneHistory(ZoneLog.read(lines).events());
-    assertEquals(List.of("wk-1/2"), history.doubled().stream().map(d -> d.task()).toList());
+    assertEquals(
+        List.of("wk-1/2"),
+        history.duplicateAttempts().stream().map(duplicate -> duplicate.task()).toList());
   }
 
   @Test
@@ -108,7 +110,7 @@
     String page = Files.readString(out);
     assertEquals(3, page.split("data:image/png;base64,", -1).length - 1, "three plots");
     assertTrue(page.contains("<td>warnings</td><td>4</td><td>3</td>"), "totals by tier");
-    assertFalse(page.contains("src=\"http"), "it needs nothing else");
+    assertFalse(page.contains("src=\"http"), "it refers to no other file");
   }
 
   @Test
@@ -131,7 +133,7 @@
     Files.write(log, bytes);
     ZoneLog read = ZoneLog.read(log);
     assertEquals(9, read.events().size());
-    assertEquals(3, read.leftOut());
+    assertEquals(3, read.malformed());
     Path out = dir.resolve("out.html");
     assertEquals(ZoneReport.Result.PARTIAL, ZoneReport.write(read, out));
     assertTrue(Files.readString(out).contains("3 lines left out"));
