--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -20,30 +20,38 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * A short run of the service on loopback, with nothing behind it, so that the build can archive the
- * classes that a start needs: a process with a sixth of a core reads them several times faster.
+ * A short run of the service on loopback, without a cloud or a key-value store. The build archives
+ * the classes that it loads: on a sixth of a core a start from the archive is several times faster.
  */
 final class ClassDataTraining {
-  private static final String REPORT =
+  /** A heartbeat as a worker sends it. */
+  private static final String HEARTBEAT =
       "{\"vel\":\"n-1\",\"endpoint\":\"127.0.0.1:1\",\"velagerd\":\"t\",\"svaedi\":\"z\","
           + "\"lanvelar\":false,\"vakt\":1,\"raodnumer\":1,\"valdmerki\":0,\"verkbitar\":["
           + "{\"verkbiti\":\"wk-1/0\",\"tilraun\":1,\"astand\":\"running\"}]}";
 
+  /** How many requests of each kind are sent. */
+  private static final int REQUESTS = 20;
+
+  /** Pause before each of them, in milliseconds. */
+  private static final int PAUSE_MS = 100;
+
   private ClassDataTraining() {}
 
+  /** Runs the service for two seconds and sends it requests meanwhile. */
   static void run() throws IOException, InterruptedException, WireException {
-    int client = freePort();
-    int peer = freePort();
-    int nobody = freePort();
+    int clientPort = freePort();
+    int peerPort = freePort();
+    int unusedPort = freePort();
     Settings settings =
         new Settings(
             "a",
             "z",
-            local(client),
-            local(peer),
-            Map.of("b", local(nobody)),
-            local(nobody),
-            local(nobody),
+            local(clientPort),
+            local(peerPort),
+            Map.of("b", local(unusedPort)),
+            local(unusedPort),
+            local(unusedPort),
             List.of("z"),
             Map.of(),
             List.of(),
@@ -55,19 +63,19 @@
     Thread service = new Thread(() -> serve(settings), "training");
     service.setDaemon(true);
     service.start();
-    Heartbeat.read(REPORT.getBytes(StandardCharsets.UTF_8)).write();
+    Heartbeat.read(HEARTBEAT.getBytes(StandardCharsets.UTF_8)).write();
     TaskId task = new TaskId(new JobId("wk-1"), 0);
     Command.answer(
         new Term(1), List.of(new Command(Command.Op.START, task, new AttemptNumber(1), 0)));
-    for (int i = 0; i < 20; i++) {
-      Thread.sleep(100);
-      ask(client, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    for (int i = 0; i < REQUESTS; i++) {
+      Thread.sleep(PAUSE_MS);
+      ask(clientPort, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
       ask(
-          client,
+          clientPort,
           "POST /agent/beat HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: "
-              + REPORT.length()
+              + HEARTBEAT.length()
               + "\r\n\r\n"
-              + REPORT);
+              + HEARTBEAT);
     }
   }
 
@@ -84,19 +92,19 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
   private static void ask(int port, String request) {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      OutputStream out = s.getOutputStream();
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+      OutputStream out = socket.getOutputStream();
       out.write(request.getBytes(StandardCharsets.UTF_8));
       out.flush();
-      s.getInputStream().readAllBytes();
+      socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      // The service is not listening yet; the next try comes soon.
+      // The service is not listening yet; the next request follows soon.
       Thread.onSpinWait();
     }
   }
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -3,18 +3,19 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Sets up the log, which goes to standard error; must come before the first logger is made. */
+/** Sets up the log, which goes to standard error; must precede the creation of any logger. */
 final class Logging {
   private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug");
 
   private Logging() {}
 
-  /** Has each line begin with the time of day. */
+  /** Makes each line begin with the time of day. */
   static void showTimes() {
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX");
   }
 
+  /** Sets the level; {@code info} where the given one is null or unknown. */
   static void set(String level) {
     String wanted = level == null ? "" : level.toLowerCase(Locale.ROOT);
     String chosen = LEVELS.contains(wanted) ? wanted : "info";
--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.SettingsException;
@@ -21,6 +22,9 @@
     versionProvider = Main.Version.class,
     description = "Runs a controller of the cluster until it is killed.")
 public final class Main implements Callable<Integer> {
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_FAILURE = 1;
+  private static final int EXIT_BAD_SETTINGS = 2;
 
   /** Reads the version that the build wrote into the jar. */
   static final class Version implements CommandLine.IVersionProvider {
@@ -56,26 +60,26 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    Loaded loaded = load(config, tuning);
-    if (loaded == null) {
-      return 2;
+    Optional<Configuration> configuration = load(config, tuning);
+    if (configuration.isEmpty()) {
+      return EXIT_BAD_SETTINGS;
     }
-    if (loaded.tuning.logTimes()) {
+    if (configuration.get().tuning.logTimes()) {
       Logging.showTimes();
     }
-    Service.run(loaded.settings, loaded.tuning);
-    return 0;
+    Service.run(configuration.get().settings, configuration.get().tuning);
+    return EXIT_OK;
   }
 
   @Command(name = "check", description = "Checks the settings and says what is wrong with them.")
   int check(
       @Option(names = "--config", paramLabel = "FILE", required = true) Path settingsFile,
       @Option(names = "--tuning", paramLabel = "FILE") Path tuningFile) {
-    if (load(settingsFile, tuningFile) == null) {
-      return 2;
+    if (load(settingsFile, tuningFile).isEmpty()) {
+      return EXIT_BAD_SETTINGS;
     }
     System.out.println("settings are fine");
-    return 0;
+    return EXIT_OK;
   }
 
   @Command(
@@ -93,12 +97,12 @@
       }
       if (result == ZoneReport.Result.NOTHING_USABLE) {
         System.err.println("ternhinge: no event of zones in " + log);
-        return 1;
+        return EXIT_FAILURE;
       }
-      return 0;
+      return EXIT_OK;
     } catch (IOException e) {
       System.err.println("ternhinge: " + e);
-      return 1;
+      return EXIT_FAILURE;
     }
   }
 
@@ -108,32 +112,35 @@
       description = "Runs for two seconds on loopback; the build archives the classes it loads.")
   int trainClassData() throws IOException, InterruptedException, WireException {
     ClassDataTraining.run();
-    System.exit(0);
-    return 0;
+    // The service's threads would keep the process alive.
+    System.exit(EXIT_OK);
+    return EXIT_OK;
   }
 
-  private record Loaded(Settings settings, Tuning tuning) {}
+  private record Configuration(Settings settings, Tuning tuning) {}
 
   private static Tuning load(Path tuning, Settings settings) throws SettingsException {
-    Tuning own = Tuning.load(tuning);
+    Tuning loaded = Tuning.load(tuning);
     try {
-      own.check(settings);
+      loaded.check(settings);
     } catch (SettingsException e) {
       throw new SettingsException(tuning + ": " + e.getMessage());
     }
-    return own;
+    return loaded;
   }
 
-  private static Loaded load(Path config, Path tuning) {
+  /** Reads and checks both files; prints the error and returns empty where one is invalid. */
+  private static Optional<Configuration> load(Path config, Path tuning) {
     try {
       if (config == null) {
         throw new SettingsException("--config FILE is needed");
       }
       Settings settings = Settings.load(config);
-      return new Loaded(settings, tuning == null ? Tuning.DEFAULT : load(tuning, settings));
+      Tuning loaded = tuning == null ? Tuning.DEFAULT : load(tuning, settings);
+      return Optional.of(new Configuration(settings, loaded));
     } catch (SettingsException e) {
       System.err.println("ternhinge: " + e.getMessage());
-      return null;
+      return Optional.empty();
     }
   }
 }
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -34,11 +34,11 @@
 import org.ternhinge.term.ControllerServices;
 import org.ternhinge.worker.HttpWorkers;
 
-/** Puts the parts of a controller together and runs it until it is killed. */
+/** Assembles a controller and runs it until the process ends. */
 final class Service {
   private static final Logger LOG = LoggerFactory.getLogger(Service.class);
 
-  /** Of the cloud's limit, what is used; a rate measured by another clock may differ a little. */
+  /** Share of the cloud's request limit that is used, as its clock may differ a little. */
   private static final double CLOUD_SHARE = 0.8;
 
   private final Settings settings;
@@ -74,12 +74,12 @@
     Thread.currentThread().join();
   }
 
-  /** Has to come before the first use of Netty. The settings suit a small heap and few sockets. */
+  /** Sets Netty up for a small heap and few sockets; must precede the first use of Netty. */
   private static void configureNetty() {
     System.setProperty("io.netty.allocator.type", "unpooled");
     System.setProperty("io.netty.noPreferDirect", "true");
     System.setProperty("io.netty.leakDetection.level", "disabled");
-    // Netty would look through the network interfaces for a name of its own for this machine.
+    // Otherwise Netty searches the network interfaces for an identifier of this machine.
     System.setProperty("io.netty.machineId", "02:00:00:00:00:01");
   }
 
@@ -124,7 +124,7 @@
         new SplittableRandom(seed()));
   }
 
-  /** Differs between nodes that start in the same instant, and between starts of one node. */
+  /** A seed that differs between nodes that start at once, and between starts of one node. */
   private long seed() {
     long time = System.nanoTime() ^ (System.currentTimeMillis() << 20);
     return time * 31 + settings.node().hashCode();
--- a/src/main/java/org/ternhinge/config/HclValues.java
+++ b/src/main/java/org/ternhinge/config/HclValues.java
@@ -5,17 +5,19 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.DoublePredicate;
 
 /**
- * Typed access to the values of an HCL file or of one block in it. A value that was taken is no
- * longer there, so that what is left at the end are slips.
+ * Typed access to the values of an HCL file or of one block in it. Reading a value removes it, so
+ * that the values left at the end are those with unknown names.
  */
 final class HclValues {
-  private static final String WHERE = "tuning: ";
+  /** Begins every message. */
+  private static final String MESSAGE_PREFIX = "tuning: ";
 
-  /** Path of the block with a dot behind it; empty for the file itself. */
+  /** Path of the block followed by a dot; empty for the file itself. */
   private final String path;
 
   private final Map<String, Object> values = new HashMap<>();
@@ -33,10 +35,10 @@
   /** The values of a block, which may appear only once. */
   static HclValues block(String path, Object block) throws SettingsException {
     if (block instanceof List<?>) {
-      throw new SettingsException(WHERE + path + ": appears twice");
+      throw new SettingsException(MESSAGE_PREFIX + path + ": appears twice");
     }
     if (!(block instanceof Map<?, ?> map)) {
-      throw new SettingsException(WHERE + path + ": a block is needed");
+      throw new SettingsException(MESSAGE_PREFIX + path + ": a block is needed");
     }
     return new HclValues(path + ".", map);
   }
@@ -46,90 +48,93 @@
     return path + name;
   }
 
-  /** An error with its key and reason. */
+  /** An error that names its key and reason. */
   SettingsException error(String name, String reason) {
-    return new SettingsException(WHERE + key(name) + ": " + reason);
+    return new SettingsException(MESSAGE_PREFIX + key(name) + ": " + reason);
   }
 
-  /** Takes a value of any kind, or null. */
-  Object take(String name) {
-    return values.remove(name);
+  /** Removes and returns a value of any type. */
+  Optional<Object> remove(String name) {
+    return Optional.ofNullable(values.remove(name));
   }
 
-  double between(String name, double otherwise, double least, double most)
+  /** Reads a number within a range, both ends included. */
+  double numberBetween(String name, double defaultValue, double min, double max)
       throws SettingsException {
     return number(
         name,
-        otherwise,
-        value -> value >= least && value <= most,
-        "a number from " + least + " to " + most + " is needed");
+        defaultValue,
+        value -> value >= min && value <= max,
+        "a number from " + min + " to " + max + " is needed");
   }
 
-  double above0(String name, double otherwise, double most) throws SettingsException {
+  /** Reads a number above 0. */
+  double positiveNumber(String name, double defaultValue, double max) throws SettingsException {
     return number(
         name,
-        otherwise,
-        value -> value > 0 && value <= most,
-        "a number above 0 and up to " + most + " is needed");
+        defaultValue,
+        value -> value > 0 && value <= max,
+        "a number above 0 and up to " + max + " is needed");
   }
 
-  int whole(String name, int otherwise, int least, int most) throws SettingsException {
+  /** Reads a whole number within a range, both ends included. */
+  int wholeNumber(String name, int defaultValue, int min, int max) throws SettingsException {
     return (int)
         number(
             name,
-            otherwise,
-            value -> value >= least && value <= most && value == Math.rint(value),
-            "a whole number from " + least + " to " + most + " is needed");
+            defaultValue,
+            value -> value >= min && value <= max && value == Math.rint(value),
+            "a whole number from " + min + " to " + max + " is needed");
   }
 
-  private double number(String name, double otherwise, DoublePredicate allowed, String reason)
+  private double number(String name, double defaultValue, DoublePredicate allowed, String reason)
       throws SettingsException {
-    Object value = take(name);
-    if (value == null) {
-      return otherwise;
+    Optional<Object> value = remove(name);
+    if (value.isEmpty()) {
+      return defaultValue;
     }
-    if (!(value instanceof Number number) || !allowed.test(number.doubleValue())) {
+    if (!(value.get() instanceof Number number) || !allowed.test(number.doubleValue())) {
       throw error(name, reason);
     }
     return number.doubleValue();
   }
 
-  boolean flag(String name, boolean otherwise) throws SettingsException {
-    Object value = take(name);
-    if (value == null) {
-      return otherwise;
+  /** Reads a boolean. */
+  boolean flag(String name, boolean defaultValue) throws SettingsException {
+    Optional<Object> value = remove(name);
+    if (value.isEmpty()) {
+      return defaultValue;
     }
-    if (!(value instanceof Boolean set)) {
+    if (!(value.get() instanceof Boolean set)) {
       throw error(name, "true or false is needed");
     }
     return set;
   }
 
-  /** A name, which has to be there. */
-  String name(String key) throws SettingsException {
-    if (!(take(key) instanceof String text) || text.isBlank() || text.contains(" ")) {
+  /** Reads a name, which is required. */
+  String requiredName(String key) throws SettingsException {
+    if (!(values.remove(key) instanceof String text) || text.isBlank() || text.contains(" ")) {
       throw error(key, "a name without spaces is needed");
     }
     return text;
   }
 
-  /** A list, or null where there is none. */
-  List<Object> list(String key) throws SettingsException {
-    Object value = take(key);
-    if (value == null) {
-      return null;
+  /** Reads a list; empty where the key is absent. */
+  Optional<List<Object>> list(String key) throws SettingsException {
+    Optional<Object> value = remove(key);
+    if (value.isEmpty()) {
+      return Optional.empty();
     }
-    if (!(value instanceof List<?> list)) {
+    if (!(value.get() instanceof List<?> list)) {
       throw error(key, "a list is needed");
     }
-    return new ArrayList<>(list);
+    return Optional.of(new ArrayList<>(list));
   }
 
-  /** A set of names; empty where there is none. */
+  /** Reads a set of names; empty where the key is absent. */
   Set<String> names(String key) throws SettingsException {
-    List<Object> list = list(key);
     Set<String> names = new LinkedHashSet<>();
-    for (Object value : list == null ? List.of() : list) {
+    for (Object value : list(key).orElse(List.of())) {
       if (!(value instanceof String text) || !names.add(text)) {
         throw error(key, "a list of names is needed, each once");
       }
@@ -137,10 +142,11 @@
     return names;
   }
 
-  /** Whatever was not taken is a slip. */
-  void expectNothingElse() throws SettingsException {
+  /** Fails if a value is left, since its name is unknown. */
+  void rejectUnknownNames() throws SettingsException {
     if (!values.isEmpty()) {
-      throw new SettingsException(WHERE + "unknown name " + key(values.keySet().iterator().next()));
+      throw new SettingsException(
+          MESSAGE_PREFIX + "unknown name " + key(values.keySet().iterator().next()));
     }
   }
 }
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -10,7 +10,21 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** The settings file that the platform hands over; unknown fields are ignored. */
+/**
+ * The settings file of the platform; unknown fields are ignored.
+ *
+ * @param node name of this node
+ * @param zone zone that this node runs in
+ * @param clientListen address for users and workers
+ * @param peerListen address for the other nodes
+ * @param peers peer addresses of the other nodes by name
+ * @param cloud address of the cloud's interface
+ * @param state address of the key-value store
+ * @param zones names of the zones of the deployment
+ * @param teams teams by name
+ * @param maxSockets limit of this process's sockets
+ * @param clockErrorS largest error of the time of day, in seconds
+ */
 public record Settings(
     String node,
     String zone,
@@ -28,17 +42,17 @@
     int maxSockets,
     double clockErrorS) {
 
-  /** More than the steady clocks of two machines may drift apart. */
+  /** Upper bound of the relative drift between the steady clocks of two machines. */
   public static final double DRIFT = 0.001;
 
-  /** How workers report and how long they go on alone. */
+  /** The intervals of heartbeats, and how long workers run tasks without a leader. In seconds. */
   public record Workers(
       double heartbeatIntervalS,
       double leaseS,
       double gangWaitS,
       double gangPeerS,
       double cancelS) {
-    /** A worker without a heartbeat for so long has missed two; the rest is their spread. */
+    /** Heartbeat intervals until two heartbeats are certainly missed, their jitter included. */
     private static final double OVERDUE_INTERVALS = 2.2;
 
     /** Seconds after its last heartbeat from which a worker counts as overdue. */
@@ -47,18 +61,20 @@
     }
   }
 
-  /** What the key-value store takes, now and once it has lowered its limits as announced. */
+  /** Limits of the key-value store that hold now and after any announced change. */
   public record StoreLimits(double rps, double writeRps, double valueKb, int maxChangesPerSwap) {
+    private static final int BYTES_PER_KB = 1024;
+
     /** The largest value of a key, in bytes. */
     public int valueBytes() {
-      return (int) (valueKb * 1024);
+      return (int) (valueKb * BYTES_PER_KB);
     }
   }
 
-  /** What the cloud takes. */
+  /** Limits of the cloud. */
   public record CloudLimits(double rps, double listLagS) {}
 
-  /** Reads the settings file that the platform hands over. */
+  /** Reads the settings file of the platform. */
   public static Settings load(Path file) throws SettingsException {
     byte[] bytes;
     try {
--- a/src/main/java/org/ternhinge/config/SettingsException.java
+++ b/src/main/java/org/ternhinge/config/SettingsException.java
@@ -1,6 +1,6 @@
 package org.ternhinge.config;
 
-/** A setting that the service can't start with; the message names it. */
+/** A setting is missing or invalid; the message names it. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.ternhinge.config.Settings.CloudLimits;
 import org.ternhinge.config.Settings.StoreLimits;
 import org.ternhinge.config.Settings.Workers;
@@ -18,18 +19,20 @@
   private static final String STATE = DEPLOYMENT + "state.";
   private static final String CLOUD = DEPLOYMENT + "cloud.";
 
-  /** Sockets of a process where the platform names no limit. */
+  /** Limit of sockets of a process where the settings name none. */
   private static final int DEFAULT_MAX_SOCKETS = 1000;
 
-  /** Error of the time of day where the platform names none, in milliseconds. */
+  /** Error of the time of day where the settings name none, in milliseconds. */
   private static final double DEFAULT_CLOCK_ERROR_MS = 100;
 
   private static final double MILLIS_PER_S = 1000;
 
-  /** Amounts are kept in thousandths; beyond this one a sum could overflow. */
+  private static final double THOUSANDTHS = 1000;
+
+  /** Largest amount, so that no sum of amounts in thousandths overflows. */
   private static final double MAX_AMOUNT = 1e9;
 
-  /** Keeps a whole number of thousandths from being missed for the rounding of a product. */
+  /** Added before rounding down, so that no thousandth is lost to floating-point arithmetic. */
   private static final double ROUNDING = 1e-6;
 
   private SettingsReader() {}
@@ -99,7 +102,7 @@
     List<Objective> objectives = new ArrayList<>();
     for (JsonNode node : deployment.path("objectives")) {
       String kind = node.path("kind").asText("");
-      String jobClass = node.path("class").asText(null);
+      Optional<String> jobClass = Optional.ofNullable(node.path("class").asText(null));
       objectives.add(new Objective(kind, jobClass, node.path("within_s").asDouble(0)));
     }
     return List.copyOf(objectives);
@@ -114,8 +117,8 @@
             positive(node, "gang_peer_s", WORKERS),
             positive(node, "cancel_s", WORKERS));
     if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.DRIFT)) {
-      // No scheduler can keep the promise then: a worker that nobody reaches ends its tasks only
-      // with its lease, and the answer that renewed it may have been given just before.
+      // Otherwise a cancellation can't take effect in time: a worker that is not reached ends its
+      // tasks only when its lease expires, and that may have been renewed just before.
       throw new SettingsException(
           WORKERS + "cancel_s: lease_s has to be over within it, clocks' drift included");
     }
@@ -123,8 +126,8 @@
   }
 
   /**
-   * The limits that hold now, or the ones announced where these are smaller: they come without
-   * notice, and what was written before has to be rewritten under them.
+   * The present limits, or the announced ones where these are lower: they take effect without
+   * notice, and records that were written before have to be rewritten under them.
    */
   private static StoreLimits storeLimits(JsonNode node) throws SettingsException {
     JsonNode next = node.get("next");
@@ -132,13 +135,13 @@
       throw new SettingsException(STATE + "next: an object is needed");
     }
     return new StoreLimits(
-        lesser(node, next, "rps"),
-        lesser(node, next, "write_rps"),
-        lesser(node, next, "value_kb"),
-        (int) lesser(node, next, "txn_ops"));
+        lower(node, next, "rps"),
+        lower(node, next, "write_rps"),
+        lower(node, next, "value_kb"),
+        (int) lower(node, next, "txn_ops"));
   }
 
-  private static double lesser(JsonNode now, JsonNode next, String field) throws SettingsException {
+  private static double lower(JsonNode now, JsonNode next, String field) throws SettingsException {
     double value = positive(now, field, STATE);
     if (next == null || next.path(field).isMissingNode() || next.path(field).isNull()) {
       return value;
@@ -194,6 +197,6 @@
     if (!node.isNumber() || !(node.doubleValue() >= 0) || node.doubleValue() > MAX_AMOUNT) {
       throw new SettingsException(path + field + ": a number from 0 on is needed");
     }
-    return (long) Math.floor(node.doubleValue() * 1000 + ROUNDING);
+    return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING);
   }
 }
--- a/src/main/java/org/ternhinge/config/Tuning.java
+++ b/src/main/java/org/ternhinge/config/Tuning.java
@@ -9,18 +9,18 @@
 import java.util.Optional;
 
 /**
- * The operators' own settings, from an optional HCL file.
+ * The operators' settings, from an optional HCL file. All times are in seconds.
  *
- * @param roundS longest time between two rounds; events bring a round sooner
- * @param roundGapS shortest time between two rounds
- * @param leadershipS life of the leadership lease
+ * @param roundS longest interval between two scheduling rounds; events trigger a round sooner
+ * @param roundGapS shortest interval between two rounds
+ * @param leadershipS duration of the leadership lease
  * @param renewS interval of its renewal
- * @param marginS taken off every span of time that safety rests on
- * @param graceS how long a leader that can't renew goes on answering reports; a new leader adds it
- *     to its wait for silent workers
- * @param idleS how long a machine stays idle before it is returned
+ * @param marginS safety margin, subtracted from every duration that safety depends on
+ * @param graceS how long a leader that can't renew its lease still answers heartbeats; a new leader
+ *     adds it to its wait for silent workers
+ * @param idleS how long a machine is idle before it is released
  * @param logTimes whether lines of the log carry the time of day
- * @param zoneFailover how the loss and return of zones is dealt with; empty where it is not
+ * @param zoneFailover settings of zone failover; empty where it is off
  */
 public record Tuning(
     double roundS,
@@ -33,26 +33,27 @@
     boolean logTimes,
     Optional<ZoneFailoverSettings> zoneFailover) {
 
-  /** Of the renewal interval, how long an answer is waited for before the next renewal. */
+  /** Share of the renewal interval after which an unanswered renewal is repeated. */
   private static final double OVERDUE_SHARE = 0.7;
 
+  /** The settings that hold where the operators name none. */
   public static final Tuning DEFAULT =
       new Tuning(1.0, 0.1, 6.0, 2.0, 0.3, 30.0, 40.0, false, Optional.empty());
 
   /**
    * For how many seconds a leader may rely on its lease, counted from the sending of the last
-   * renewal that succeeded: the lease's life less clock drift and margin.
+   * renewal that succeeded: the lease's duration less clock drift and margin.
    */
   public double validityS() {
     return leadershipS * (1 - Settings.DRIFT) - marginS;
   }
 
-  /** A renewal unanswered for so many seconds is followed by the next ahead of its time. */
+  /** Seconds after which an unanswered renewal is followed by the next one ahead of its time. */
   public double renewalOverdueS() {
     return renewS * OVERDUE_SHARE;
   }
 
-  /** Reads the file; a file that was named has to be there. */
+  /** Reads the file, which has to exist. */
   public static Tuning load(Path file) throws SettingsException {
     String text;
     try {
@@ -67,7 +68,7 @@
     }
   }
 
-  /** The same, with the loss and return of zones dealt with. */
+  /** The same with zone failover. */
   public Tuning withZoneFailover(ZoneFailoverSettings settings) {
     return new Tuning(
         roundS,
@@ -81,36 +82,41 @@
         Optional.of(settings));
   }
 
-  /** Reads HCL such as {@code round_s = 1.0}; unknown names are errors, to catch slips. */
+  /** Reads HCL such as {@code round_s = 1.0}; unknown names are errors. */
   public static Tuning read(String hcl) throws SettingsException {
-    if (saysNothing(hcl)) {
-      // The parser's classes would be loaded by every start for a file of comments.
+    if (hasOnlyComments(hcl)) {
+      // Saves the time to load the parser's classes.
       return DEFAULT;
     }
     HclValues values = parse(hcl);
-    Tuning defaults = DEFAULT;
-    Object zoneFailover = values.take(ZoneFailoverReader.BLOCK);
-    Tuning out =
-        new Tuning(
-            values.between("round_s", defaults.roundS, 0.1, 60),
-            values.between("round_gap_s", defaults.roundGapS, 0.01, 10),
-            values.between("leadership_s", defaults.leadershipS, 1, 600),
-            values.between("renew_s", defaults.renewS, 0.1, 200),
-            values.between("margin_s", defaults.marginS, 0.05, 10),
-            values.between("grace_s", defaults.graceS, 0, 600),
-            values.between("idle_s", defaults.idleS, 1, 86_400),
-            values.flag("log_times", defaults.logTimes),
-            zoneFailover == null
-                ? Optional.empty()
-                : Optional.of(ZoneFailoverReader.read(zoneFailover)));
-    values.expectNothingElse();
-    if (out.renewS * 2 + out.marginS >= out.leadershipS) {
+    Tuning tuning = read(values, DEFAULT);
+    values.rejectUnknownNames();
+    if (tuning.renewS * 2 + tuning.marginS >= tuning.leadershipS) {
       throw values.error("renew_s", "two renewals have to fit in leadership_s");
     }
-    return out;
+    return tuning;
   }
 
-  private static boolean saysNothing(String hcl) {
+  private static Tuning read(HclValues values, Tuning defaults) throws SettingsException {
+    return new Tuning(
+        values.numberBetween("round_s", defaults.roundS, 0.1, 60),
+        values.numberBetween("round_gap_s", defaults.roundGapS, 0.01, 10),
+        values.numberBetween("leadership_s", defaults.leadershipS, 1, 600),
+        values.numberBetween("renew_s", defaults.renewS, 0.1, 200),
+        values.numberBetween("margin_s", defaults.marginS, 0.05, 10),
+        values.numberBetween("grace_s", defaults.graceS, 0, 600),
+        values.numberBetween("idle_s", defaults.idleS, 1, 86_400),
+        values.flag("log_times", defaults.logTimes),
+        zoneFailover(values));
+  }
+
+  private static Optional<ZoneFailoverSettings> zoneFailover(HclValues values)
+      throws SettingsException {
+    Optional<Object> block = values.remove(ZoneFailoverReader.BLOCK);
+    return block.isPresent() ? Optional.of(ZoneFailoverReader.read(block.get())) : Optional.empty();
+  }
+
+  private static boolean hasOnlyComments(String hcl) {
     return hcl.lines().allMatch(line -> line.isBlank() || line.stripLeading().startsWith("#"));
   }
 
@@ -122,7 +128,7 @@
     }
   }
 
-  /** Checks what these settings name against what the platform's settings know. */
+  /** Checks the names in these settings against the platform's settings. */
   public void check(Settings settings) throws SettingsException {
     if (zoneFailover.isPresent()) {
       ZoneFailoverReader.check(zoneFailover.get(), settings);
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -3,12 +3,13 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.Priority;
 import org.ternhinge.wire.WireException;
 
-/** Reads the block {@code zone_failover} and says what is wrong with it, by key and reason. */
+/** Reads and checks the block {@code zone_failover}; each error names its key and reason. */
 final class ZoneFailoverReader {
   static final String BLOCK = "zone_failover";
   private static final String TIERS = "tiers";
@@ -24,73 +25,74 @@
   /** Reads the value that the block was parsed to. */
   static ZoneFailoverSettings read(Object block) throws SettingsException {
     HclValues values = HclValues.block(BLOCK, block);
-    ZoneFailoverSettings out = new ZoneFailoverReader(values).read();
-    values.expectNothingElse();
-    return out;
+    ZoneFailoverSettings settings = new ZoneFailoverReader(values).read();
+    values.rejectUnknownNames();
+    return settings;
   }
 
   private ZoneFailoverSettings read() throws SettingsException {
     ZoneFailoverSettings defaults = ZoneFailoverSettings.DEFAULT;
-    ZoneFailoverSettings out =
+    ZoneFailoverSettings settings =
         new ZoneFailoverSettings(
             detection(defaults.detection()),
             flaps(defaults.flaps()),
             release(defaults.release()),
             pace(defaults.pace()),
             tiers());
-    checkOrder(out.detection(), out.flaps());
-    return out;
+    checkOrder(settings.detection(), settings.flaps());
+    return settings;
   }
 
   private ZoneFailoverSettings.Detection detection(ZoneFailoverSettings.Detection defaults)
       throws SettingsException {
     return new ZoneFailoverSettings.Detection(
-        values.above0("suspect_share", defaults.suspectShare(), 1),
-        values.above0("lost_share", defaults.lostShare(), 1),
-        values.above0("clear_share", defaults.clearShare(), 1),
-        values.whole("min_machines", defaults.minMachines(), 1, MAX_COUNT),
-        values.above0("confirm_s", defaults.confirmS(), MAX_SECONDS),
-        values.above0("settle_s", defaults.settleS(), MAX_SECONDS),
-        values.above0("suspect_max_s", defaults.suspectMaxS(), MAX_SECONDS),
-        values.above0("correlation_s", defaults.correlationS(), MAX_SECONDS));
+        values.positiveNumber("suspect_share", defaults.suspectShare(), 1),
+        values.positiveNumber("lost_share", defaults.lostShare(), 1),
+        values.positiveNumber("clear_share", defaults.clearShare(), 1),
+        values.wholeNumber("min_machines", defaults.minMachines(), 1, MAX_COUNT),
+        values.positiveNumber("confirm_s", defaults.confirmS(), MAX_SECONDS),
+        values.positiveNumber("settle_s", defaults.settleS(), MAX_SECONDS),
+        values.positiveNumber("suspect_max_s", defaults.suspectMaxS(), MAX_SECONDS),
+        values.positiveNumber("correlation_s", defaults.correlationS(), MAX_SECONDS));
   }
 
   private ZoneFailoverSettings.Flaps flaps(ZoneFailoverSettings.Flaps defaults)
       throws SettingsException {
     return new ZoneFailoverSettings.Flaps(
-        values.above0("flap_half_life_s", defaults.halfLifeS(), MAX_SECONDS),
-        values.above0("suppress_at", defaults.suppressAt(), MAX_COUNT),
-        values.above0("reuse_at", defaults.reuseAt(), MAX_COUNT),
-        values.above0("flap_max", defaults.max(), MAX_COUNT));
+        values.positiveNumber("flap_half_life_s", defaults.halfLifeS(), MAX_SECONDS),
+        values.positiveNumber("suppress_at", defaults.suppressAt(), MAX_COUNT),
+        values.positiveNumber("reuse_at", defaults.reuseAt(), MAX_COUNT),
+        values.positiveNumber("flap_max", defaults.max(), MAX_COUNT));
   }
 
   private ZoneFailoverSettings.Release release(ZoneFailoverSettings.Release defaults)
       throws SettingsException {
     return new ZoneFailoverSettings.Release(
-        values.above0("tier_hold_s", defaults.tierHoldS(), MAX_SECONDS),
-        values.above0("drain_s", defaults.drainS(), MAX_SECONDS));
+        values.positiveNumber("tier_hold_s", defaults.tierHoldS(), MAX_SECONDS),
+        values.positiveNumber("drain_s", defaults.drainS(), MAX_SECONDS));
   }
 
   private ZoneFailoverSettings.Pace pace(ZoneFailoverSettings.Pace defaults)
       throws SettingsException {
     return new ZoneFailoverSettings.Pace(
-        values.above0("return_starts", defaults.startsPerMachine(), MAX_COUNT),
-        values.above0("step_s", defaults.stepS(), MAX_SECONDS),
-        values.whole("steps", defaults.steps(), 1, 20));
+        values.positiveNumber("return_starts", defaults.startsPerMachine(), MAX_COUNT),
+        values.positiveNumber("step_s", defaults.stepS(), MAX_SECONDS),
+        values.wholeNumber("steps", defaults.steps(), 1, 20));
   }
 
   // ---- tiers ----------------------------------------------------------------------------------
 
   private List<ZoneFailoverSettings.Tier> tiers() throws SettingsException {
-    List<Object> listed = values.list(TIERS);
-    if (listed == null) {
-      return ZoneFailoverSettings.DEFAULT.tiers();
-    }
+    Optional<List<Object>> list = values.list(TIERS);
+    return list.isPresent() ? tiers(list.get()) : ZoneFailoverSettings.DEFAULT.tiers();
+  }
+
+  private List<ZoneFailoverSettings.Tier> tiers(List<Object> listed) throws SettingsException {
     List<ZoneFailoverSettings.Tier> tiers = new ArrayList<>();
     for (int i = 0; i < listed.size(); i++) {
       HclValues tier = HclValues.block(values.key(TIERS) + "[" + i + "]", listed.get(i));
       tiers.add(tier(tier));
-      tier.expectNothingElse();
+      tier.rejectUnknownNames();
     }
     checkReachable(tiers);
     return tiers;
@@ -98,41 +100,45 @@
 
   private static ZoneFailoverSettings.Tier tier(HclValues tier) throws SettingsException {
     return new ZoneFailoverSettings.Tier(
-        tier.name("name"),
+        tier.requiredName("name"),
         tier.names("teams"),
         tier.names("classes"),
-        converted(tier, "types", JobKind::of),
-        converted(tier, "priorities", Priority::of));
+        parsedWords(tier, "types", JobKind::of),
+        parsedWords(tier, "priorities", Priority::of));
   }
 
-  /** Reads one word of the wire's. */
-  private interface WireWord<T> {
-    T read(String text) throws WireException;
+  /** Parses a word as it is written in job submissions. */
+  private interface WordParser<T> {
+    T parse(String text) throws WireException;
   }
 
-  private static <T> Set<T> converted(HclValues tier, String name, WireWord<T> word)
+  private static <T> Set<T> parsedWords(HclValues tier, String name, WordParser<T> parser)
       throws SettingsException {
-    Set<T> out = new LinkedHashSet<>();
+    Set<T> parsed = new LinkedHashSet<>();
     for (String text : tier.names(name)) {
       try {
-        out.add(word.read(text));
+        parsed.add(parser.parse(text));
       } catch (WireException e) {
         throw tier.error(name, "unknown: " + text);
       }
     }
-    return out;
+    return parsed;
   }
 
+  /** Checks that each tier can match a job that no earlier one matches, and that no job is left. */
   private void checkReachable(List<ZoneFailoverSettings.Tier> tiers) throws SettingsException {
     for (int i = 0; i < tiers.size(); i++) {
-      for (int k = 0; k < i; k++) {
-        if (tiers.get(k).name().equals(tiers.get(i).name())) {
+      for (int earlier = 0; earlier < i; earlier++) {
+        if (tiers.get(earlier).name().equals(tiers.get(i).name())) {
           throw values.error(TIERS, tiers.get(i).name() + " appears twice");
         }
-        if (tiers.get(k).covers(tiers.get(i))) {
+        if (tiers.get(earlier).covers(tiers.get(i))) {
           throw values.error(
               TIERS,
-              tiers.get(i).name() + " can never match: " + tiers.get(k).name() + " comes first");
+              tiers.get(i).name()
+                  + " can never match: "
+                  + tiers.get(earlier).name()
+                  + " comes first");
         }
       }
     }
@@ -160,13 +166,17 @@
 
   // ---- against the platform's settings ----------------------------------------------------------
 
-  /** Checks the names in the tiers against the teams and classes that the settings know. */
+  /** Checks the names in the tiers against the teams and classes of the platform's settings. */
   static void check(ZoneFailoverSettings failover, Settings settings) throws SettingsException {
     if (settings.zones().size() < 2) {
       throw new SettingsException("tuning: " + BLOCK + ": a deployment of one zone has no other");
     }
     Set<String> classes = new LinkedHashSet<>();
-    settings.objectives().forEach(objective -> addIfNamed(classes, objective.jobClass()));
+    settings
+        .objectives()
+        .forEach(
+            objective ->
+                objective.jobClass().filter(name -> !name.isEmpty()).ifPresent(classes::add));
     for (ZoneFailoverSettings.Tier tier : failover.tiers()) {
       checkKnown(tier, "teams", tier.teams(), settings.teams().keySet());
       if (!classes.isEmpty()) {
@@ -175,12 +185,6 @@
     }
   }
 
-  private static void addIfNamed(Set<String> classes, String name) {
-    if (name != null && !name.isEmpty()) {
-      classes.add(name);
-    }
-  }
-
   private static void checkKnown(
       ZoneFailoverSettings.Tier tier, String key, Set<String> named, Set<String> known)
       throws SettingsException {
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -7,19 +7,20 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * What operators set for the loss and return of zones: the block {@code zone_failover} of the
- * tuning file.
+ * The operators' settings of zone failover: the block {@code zone_failover} of the tuning file. All
+ * times are in seconds.
  *
  * @param detection when a zone counts as lost and as well again
- * @param flaps how often repeated losses keep a zone out of use
+ * @param flaps how repeated losses keep a zone out of use
  * @param release how fast the work of a lost zone moves
  * @param pace how fast new work comes to a zone that has returned
- * @param tiers the order in which work moves, first the most important; the last takes the rest
+ * @param tiers the order in which work moves, the most important first; the last tier takes the
+ *     rest
  */
 public record ZoneFailoverSettings(
     Detection detection, Flaps flaps, Release release, Pace pace, List<Tier> tiers) {
 
-  /** What holds where operators name nothing. */
+  /** The settings that hold where the operators name none. */
   public static final ZoneFailoverSettings DEFAULT =
       new ZoneFailoverSettings(
           new Detection(0.3, 0.8, 0.1, 2, 4, 10, 10, 5),
@@ -28,12 +29,14 @@
           new Pace(0.1, 5, 4),
           List.of(new Tier("all", Set.of(), Set.of(), Set.of(), Set.of())));
 
-  /** Of the time in which silent workers are found out, how long a zone has to be well at least. */
+  /** Shortest time for which a zone has to be well, relative to the detection of silent workers. */
   private static final double SETTLE_FACTOR = 1.5;
 
   /**
-   * The same for workers that are found out to be silent after so many seconds: a zone that settles
-   * sooner would be taken for well before the next loss could show.
+   * The same for workers whose silence is detected after some time: a zone that settles sooner
+   * would count as well before the next loss could be detected.
+   *
+   * @param overdueS seconds until a silent worker is detected
    */
   public ZoneFailoverSettings forHeartbeats(double overdueS) {
     double settleS = Math.max(detection.settleS(), SETTLE_FACTOR * overdueS);
@@ -46,11 +49,11 @@
    * @param suspectShare share of impaired machines from which nothing new is placed
    * @param lostShare share from which the zone is lost
    * @param clearShare share below which it is well
-   * @param minMachines a zone with fewer machines is never taken for lost
-   * @param confirmS how long the share has to stand before the zone is lost
+   * @param minMachines number of machines below which a zone never counts as lost
+   * @param confirmS how long the share has to last before the zone is lost
    * @param settleS how long a zone has to be well before it returns
    * @param suspectMaxS how long a zone is suspected that is not lost as a whole
-   * @param correlationS zones impaired within so many seconds may have a common cause
+   * @param correlationS longest time between the onsets of impairments with a common cause
    */
   public record Detection(
       double suspectShare,
@@ -87,8 +90,8 @@
   /**
    * The speed of moves out of a lost zone.
    *
-   * @param tierHoldS how long a tier may keep the one after it waiting
-   * @param drainS time in which what is displaced is to be released
+   * @param tierHoldS how long a tier may delay the next one
+   * @param drainS time in which all displaced tasks are to be released
    */
   public record Release(double tierHoldS, double drainS) {}
 
@@ -104,7 +107,7 @@
   /**
    * Work that moves together. An empty set permits everything.
    *
-   * @param name as operators call it
+   * @param name the name that the operators gave it
    */
   public record Tier(
       String name,
--- a/src/main/java/org/ternhinge/round/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -38,8 +38,10 @@
   /** Creates rates without arrivals, for the classes with an objective for their wait. */
   public ArrivalRates(List<Objective> objectives) {
     for (Objective objective : objectives) {
-      if (objective.kind().equals(WAIT_OBJECTIVE) && objective.jobClass() != null) {
-        maxWaitSByClass.merge(objective.jobClass(), objective.withinS(), Math::min);
+      if (objective.kind().equals(WAIT_OBJECTIVE)) {
+        objective
+            .jobClass()
+            .ifPresent(name -> maxWaitSByClass.merge(name, objective.withinS(), Math::min));
       }
     }
   }
--- a/src/test/java/org/ternhinge/config/ConfigTest.java
+++ b/src/test/java/org/ternhinge/config/ConfigTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Settings files and tuning: what is read, and which errors are named. */
+/** Settings files and tuning: what is read, and what errors name. */
 class ConfigTest {
   public static final String GOOD =
       """
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void readsWhatThePlatformHandsOver() throws Exception {
+  void readsTheSettingsOfThePlatform() throws Exception {
     Settings settings = Settings.read(good());
     assertEquals("a", settings.node());
     assertEquals(new Team("t", 1500, 4000, 0, 0), settings.teams().get("t"));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void tuningKeepsDefaultsForTheRest() throws SettingsException {
+  void tuningHasDefaultsForAbsentValues() throws SettingsException {
     Tuning tuning = Tuning.read("# slower rounds\nround_s = 2.5\nidle_s = 90\n");
     assertEquals(2.5, tuning.roundS());
     assertEquals(90, tuning.idleS());
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void aNamedTuningFileHasToBeThere() {
+  void aNamedTuningFileHasToExist() {
     assertThrows(SettingsException.class, () -> Tuning.load(Path.of("no", "such.hcl")));
   }
 }
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.wire.Priority;
 
-/** The block {@code zone_failover} of the tuning file: what is read, and which errors are named. */
+/** The block {@code zone_failover} of the tuning file: what is read, and what errors name. */
 class ZoneFailoverReaderTest {
   private static final String REST = "{ name = \"rest\" }";
 
@@ -81,10 +81,10 @@
     }
   }
 
-  /** A zone would be taken for well before its silent workers are found out. */
+  /** Otherwise a zone would count as well before its silent workers are detected. */
   @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
-  void theTimeToSettleOutlastsTwoHeartbeats(
+  void theTimeToSettleIsLongerThanTheDetectionOfSilentWorkers(
       double settleS, double heartbeatIntervalS, double expected) throws SettingsException {
     ZoneFailoverSettings read =
         Tuning.read("zone_failover {\n settle_s = " + settleS + "\n}").zoneFailover().orElseThrow();
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void theFilesUnderDeployAreFine() throws SettingsException {
+  void theFilesUnderDeployAreValid() throws SettingsException {
     assertSame(Tuning.DEFAULT, Tuning.load(Path.of("deploy", "features.hcl")), "nothing is on");
     ZoneFailoverSettings failover =
         Tuning.load(Path.of("deploy", "zone-failover.hcl")).zoneFailover().orElseThrow();
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Objective;
@@ -34,10 +35,10 @@
     ArrivalRates rates =
         new ArrivalRates(
             List.of(
-                new Objective("wait", "c", 400),
-                new Objective("wait", "c", maxWaitS),
-                new Objective("finished", "c", 1),
-                new Objective("wait", null, 1)));
+                new Objective("wait", Optional.of("c"), 400),
+                new Objective("wait", Optional.of("c"), maxWaitS),
+                new Objective("finished", Optional.of("c"), 1),
+                new Objective("wait", Optional.empty(), 1)));
     SteadyTime now = START;
     for (int i = 0; i < arrivals; i++) {
       now = START.plusSeconds(i * apartS);
