--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -1,11 +1,13 @@
 package org.ternhinge.sim;
 
-import java.util.HashMap;
-import java.util.Map;
 import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.JobSpec;
+
+
+import java.util.HashMap;
+import java.util.Map;
 
 /** Jobs that wait although a machine that fits has room and their team is under its limit. */
 final class StarvationCheck {
@@ -93,7 +95,7 @@
   /** Whether a job permits a machine, within a zone or any where that is null. */
   private static boolean allowed(JobSpec spec, SimWorker worker, String zone) {
     return spec.allowsType(worker.machineType.name())
-        && (spec.zone() == null || spec.zone().equals(worker.zone))
+        && spec.allowsZone(worker.zone)
         && (zone == null || zone.equals(worker.zone))
         && (!worker.spot || spec.spotAllowed());
   }
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -1,5 +1,15 @@
 package org.ternhinge.sim;
 
+import org.ternhinge.store.Change;
+import org.ternhinge.model.Clock;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,15 +20,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store's behaviour as its protocol page gives it, without a network. */
 public final class StoreCore {
@@ -27,12 +29,12 @@
   private record Lease(double lifeS, SteadyTime ends) {}
 
   private record Watch(
-      String prefix, long from, BooleanSupplier held, Consumer<KeyValueStore.Changes> to) {}
+      String prefix, long from, BooleanSupplier held, Consumer<KeyValueStore.WatchResult> to) {}
 
   private final Clock clock;
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private final List<Change.Seen> log = new ArrayList<>();
+  private final List<Change.Observed> log = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision = 1;
   private long lastLease;
@@ -43,9 +45,9 @@
   }
 
   /** Reads a key. */
-  public KeyValueStore.Read get(String key) {
+  public KeyValueStore.ReadResult get(String key) {
     Value value = keys.get(key);
-    return new KeyValueStore.Read(
+    return new KeyValueStore.ReadResult(
         value == null
             ? java.util.Optional.empty()
             : java.util.Optional.of(new Entry(key, value.value, new Revision(value.revision))));
@@ -74,10 +76,10 @@
     compareAndSwap
         .conditions()
         .forEach(
-            (key, rev) -> {
-              Value value = keys.get(key);
-              if ((value == null ? 0 : value.revision) != rev.value()) {
-                failed.append(key).append(' ');
+            condition -> {
+              Value value = keys.get(condition.key());
+              if ((value == null ? 0 : value.revision) != condition.expected().value()) {
+                failed.append(condition.key()).append(' ');
               }
             });
     if (failed.length() > 1) {
@@ -96,9 +98,9 @@
       }
       if (c instanceof Change.Put put) {
         keys.put(put.key(), new Value(put.value(), revision, put.lease()));
-        log.add(new Change.Seen(put.key(), put.value(), new Revision(revision)));
+        log.add(new Change.Observed(put.key(), put.value(), new Revision(revision)));
       } else if (keys.remove(c.key()) != null) {
-        log.add(new Change.Seen(c.key(), null, new Revision(revision)));
+        log.add(new Change.Observed(c.key(), null, new Revision(revision)));
       }
     }
     wake();
@@ -157,14 +159,15 @@
         // The key first: a tree's entry may hold another key after its removal.
         String key = entry.getKey();
         it.remove();
-        log.add(new Change.Seen(key, null, new Revision(revision)));
+        log.add(new Change.Observed(key, null, new Revision(revision)));
       }
     }
     wake();
   }
 
   /** Hands on the changes after a revision, as soon as there are any or the time is over. */
-  public void watch(String prefix, long from, double waitS, Consumer<KeyValueStore.Changes> to) {
+  public void watch(
+      String prefix, long from, double waitS, Consumer<KeyValueStore.WatchResult> to) {
     watch(prefix, from, waitS, () -> false, to);
   }
 
@@ -174,7 +177,7 @@
       long from,
       double waitS,
       BooleanSupplier held,
-      Consumer<KeyValueStore.Changes> to) {
+      Consumer<KeyValueStore.WatchResult> to) {
     Watch watch = new Watch(prefix, from, held, to);
     if (!answer(watch, false)) {
       watches.add(watch);
@@ -191,8 +194,8 @@
   }
 
   private boolean answer(Watch watch, boolean anyway) {
-    List<Change.Seen> out = new ArrayList<>();
-    for (Change.Seen c : log) {
+    List<Change.Observed> out = new ArrayList<>();
+    for (Change.Observed c : log) {
       if (c.revision().value() > watch.from && c.key().startsWith(watch.prefix)) {
         out.add(c);
       }
@@ -200,7 +203,7 @@
     if (out.isEmpty() && !anyway) {
       return false;
     }
-    watch.to.accept(new KeyValueStore.Changes(new Revision(revision), out));
+    watch.to.accept(new KeyValueStore.WatchResult(new Revision(revision), out));
     return true;
   }
 
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -1,20 +1,23 @@
 package org.ternhinge.wire;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
 
 /** Heartbeats: what is read, what is refused, and how they are written. */
 class HeartbeatTest {
@@ -28,7 +31,7 @@
           new AgentEpoch(2),
           88,
           new Term(41),
-          7.5,
+          OptionalDouble.of(7.5),
           List.of(
               task(3, TaskState.RUNNING, null, false),
               task(4, TaskState.ENDED, EndReason.NO_ROOM, false),
@@ -91,7 +94,7 @@
     change((ObjectNode) json.get("verkbitar").get(0), "astaeda", "null");
     assertEquals(FULL, Heartbeat.read(Json.bytes(json)));
     change(json, "fyrirvari_s", "null");
-    assertEquals(null, Heartbeat.read(Json.bytes(json)).reclaimNoticeS());
+    assertEquals(OptionalDouble.empty(), Heartbeat.read(Json.bytes(json)).reclaimNoticeS());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
