--- a/src/test/java/org/ternhinge/http/HttpTest.java
+++ b/src/test/java/org/ternhinge/http/HttpTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.Outcome.Reason;
 
-/** Sockets and sizes, on loopback; nothing here depends on how fast it goes. */
+/** Limits of sockets and sizes, on loopback; nothing here depends on the speed. */
 class HttpTest {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(20);
 
@@ -61,10 +61,10 @@
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** The fleets of the deployments, and half as many machines again. */
+  /** The fleets of the deployments, with half as many machines again. */
   @ParameterizedTest(name = "{0} sockets, {1} machines")
   @CsvSource({"1500, 860", "1800, 1240", "2219, 1526", "2885, 1695", "64, 1", "8, 1"})
-  void sharesLeaveUsersTheirPartAndFitTheLimit(int limit, int machines) {
+  void sharesReserveSocketsForUsersAndFitTheLimit(int limit, int machines) {
     SocketShares shares = SocketShares.of(limit);
     assertTrue(shares.workers() >= machines, shares.workers() + " kept connections for workers");
     assertTrue(shares.all() > shares.workers(), "users find a socket");
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Sends a request on a connection; says whether the server keeps it, or null if it is gone. */
+  /** Whether the server keeps a connection after a request; null if it is closed already. */
   private Boolean ask(Socket socket, String path) throws IOException {
     socket.setSoTimeout(20_000);
     String request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -115,7 +115,7 @@
     }
     assertTrue(ask(first, "/work"), "those within the share are kept");
     Socket user = connect();
-    assertTrue(ask(user, "/"), "a user is not shut out");
+    assertTrue(ask(user, "/"), "a user finds a socket");
     assertTrue(ask(user, "/"));
     assertTrue(ask(connect(), "/"));
     assertEquals(null, ask(connect(), "/"), "beyond the limit: closed at once");
@@ -123,7 +123,7 @@
 
   /** The watch of the key-value store has no bound of its own. */
   @Test
-  void anAnswerTooLargeIsNoLostAnswer() throws Exception {
+  void anAnswerThatIsTooLargeEndsAReadForGood() throws Exception {
     serve(SocketShares.of(64), 3 << 20);
     HttpCaller caller = new HttpCaller(group.next(), SocketShares.of(64));
     Outcome<Reply> read = caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
@@ -133,7 +133,7 @@
     assertTrue(write instanceof Outcome.Unknown, "it may have been carried out");
   }
 
-  /** What was decided on an authority that has lapsed does not leave. */
+  /** Commands of a lapsed authority are not sent. */
   @ParameterizedTest(name = "may be sent: {0}, on a kept connection: {1}")
   @CsvSource({"true, false", "false, false", "true, true", "false, true"})
   void aCallThatMayNotBeSentIsWithdrawn(boolean maySend, boolean kept) throws Exception {
@@ -164,10 +164,10 @@
     assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, arrived.get());
   }
 
-  /** A 503 that names a time to come back says so in its head; nothing else does. */
-  @ParameterizedTest(name = "{0}, back in {1} s")
+  /** Only a response with a retry time has the header. */
+  @ParameterizedTest(name = "{0}, retry after {1} s")
   @CsvSource({"503, 1, 1", "503, 17, 17", "503, 0, ", "200, 0, ", "422, 0, "})
-  void aTimeToComeBackIsAHeader(int status, int retryAfterS, String header) throws Exception {
+  void aRetryTimeIsAHeader(int status, int retryAfterS, String header) throws Exception {
     serve(SocketShares.of(64), new Response(status, new byte[2], retryAfterS));
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + here.host() + ":" + here.port() + "/"))
--- /dev/null
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -0,0 +1,57 @@
+package org.ternhinge.http;
+
+import io.netty.channel.Channel;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.Endpoint;
+
+/** A server on loopback that answers every request with the same response, and a client for it. */
+public final class LoopbackServer implements AutoCloseable {
+  private static final SocketShares SHARES = SocketShares.of(64);
+
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final HttpCaller client = new HttpCaller(group.next(), SHARES);
+  private final List<Request> requests = new CopyOnWriteArrayList<>();
+  private final Endpoint endpoint;
+
+  /** Starts a server at any free port. */
+  public LoopbackServer(int status, String body) throws InterruptedException {
+    Response response = Response.of(status, body.getBytes(StandardCharsets.UTF_8));
+    HttpServer.Handler handler =
+        (request, answer) -> {
+          requests.add(request);
+          answer.accept(response);
+        };
+    Channel channel =
+        new HttpServer(group, handler, SHARES, "/work").listen(new Endpoint("127.0.0.1", 0));
+    int port = ((InetSocketAddress) channel.localAddress()).getPort();
+    endpoint = new Endpoint("127.0.0.1", port);
+  }
+
+  /** A client on the same event loop. */
+  public HttpCaller client() {
+    return client;
+  }
+
+  /** Where the server listens. */
+  public Endpoint endpoint() {
+    return endpoint;
+  }
+
+  /** The requests that have arrived so far; their paths have no query. */
+  public List<Request> requests() {
+    return requests;
+  }
+
+  @Override
+  public void close() {
+    var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+}
--- a/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
+++ b/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
@@ -19,7 +19,7 @@
 
   private final SimClock clock = new SimClock();
 
-  /** What the key-value store takes: its rate, and bursts of one second's worth. */
+  /** The limits of the key-value store: its rate, and bursts of one second's worth. */
   private final TokenBucket requestLimit = new TokenBucket(clock, REQUESTS_PER_S);
 
   private final TokenBucket changeLimit = new TokenBucket(clock, CHANGES_PER_S);
@@ -33,10 +33,10 @@
     }
   }
 
-  /** Every controller sends all it may; the leadership moves on every so many seconds. */
+  /** Every controller sends all that it may; the leadership changes every few seconds. */
   @ParameterizedTest(name = "{0} controllers, another leads every {1} s, {2} s without any")
   @CsvSource({"1, 60, 0", "3, 60, 0", "5, 60, 0", "3, 7, 0.2", "5, 7, 0.2", "5, 7, 6"})
-  void togetherTheyKeepToTheLimits(int controllers, double termS, double gapS) {
+  void allControllersTogetherStayWithinTheLimits(int controllers, double termS, double gapS) {
     List<KeyValueStoreBudget> budgets = new ArrayList<>();
     for (int i = 0; i < controllers; i++) {
       budgets.add(new KeyValueStoreBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1));
@@ -83,10 +83,10 @@
     assertEquals(changesPerS, ratePerS(budget.changes()), 1e-6);
   }
 
-  /** Once its tokens are spent, one more comes after the inverse of a bucket's rate. */
+  /** The rate of an empty bucket: the inverse of the time between two tokens. */
   private static double ratePerS(TokenBucket bucket) {
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
-      // Spends what is there.
+      // Empties the bucket.
     }
     double forOne = bucket.secondsUntil(RequestPriority.RENEWAL, 1);
     return 1 / (bucket.secondsUntil(RequestPriority.RENEWAL, 2) - forOne);
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -15,12 +15,12 @@
   private final TokenBucket bucket = new TokenBucket(clock, 10);
 
   @Test
-  void renewalsFindTokensWhenQueriesHaveTakenTheirs() {
+  void aLowerPriorityLeavesAReserveToHigherOnes() {
     int queries = 0;
     while (bucket.tryTake(RequestPriority.QUERY, 1)) {
       queries++;
     }
-    assertEquals(6, queries, "two fifths are left to those before");
+    assertEquals(6, queries, "two fifths are reserved");
     int renewals = 0;
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
       renewals++;
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void refillsAtItsRateAndNoFurther() {
+  void itRefillsAtItsRateUpToItsCapacity() {
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
       clock.runFor(0);
     }
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aRefusalByTheOtherSidePausesAll() {
+  void aRefusalByTheOtherSystemPausesAllPriorities() {
     bucket.drain();
     assertFalse(bucket.tryTake(RequestPriority.RENEWAL, 1));
     clock.runFor(0.31);
@@ -48,8 +48,8 @@
   }
 
   @Test
-  void moreThanTheBucketHoldsIsHadWhenItIsFull() {
-    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "else it would wait for ever");
+  void moreThanTheCapacityMayBeTakenFromAFullBucket() {
+    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would wait for ever");
     assertTrue(bucket.secondsUntil(RequestPriority.RENEWAL, 1) > 0.5);
   }
 }
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -11,6 +11,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -103,13 +104,32 @@
   @Test
   void nullableFieldsMayBeOmittedAndUnknownOnesAreIgnored() throws WireException {
     ObjectNode body = Specs.json("wk-1", "daemon", 5);
-    body.remove(java.util.List.of("velagerdir", "svaedi", "skiladagur_s"));
+    body.remove(List.of("velagerdir", "svaedi", "skiladagur_s"));
     body.put("extra", 1).put("scatter", true);
     JobSpec spec = JobSpec.read(body);
     assertEquals(3, spec.zoneLimit());
     assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
   }
 
+  @ParameterizedTest(name = "types {0}, zone {1}")
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "null | null | true | true",
+        "[\"g8\",\"c4\"] | \"a\" | true | true",
+        "[\"c4\"] | \"b\" | false | false",
+      })
+  void anOmittedConstraintAllowsAnything(
+      String types, String zone, boolean allowsType, boolean allowsZone) throws WireException {
+    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    body.set("velagerdir", parse(types));
+    body.set("svaedi", parse(zone));
+    JobSpec spec = JobSpec.read(body);
+    assertEquals(allowsType, spec.allowsType("g8"));
+    assertEquals(allowsZone, spec.allowsZone("a"));
+    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+  }
+
   @Test
   void deepNestingDoesNoHarm() {
     String deep = "[".repeat(5000) + "]".repeat(5000);
