--- a/src/main/java/org/ternhinge/wire/Json.java
+++ b/src/main/java/org/ternhinge/wire/Json.java
@@ -11,7 +11,6 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -88,11 +87,6 @@
     return MAPPER.createObjectNode();
   }
 
-  /** Creates an empty list. */
-  public static ArrayNode array() {
-    return MAPPER.createArrayNode();
-  }
-
   /** Reads a required string. */
   public static String text(JsonNode object, String field) throws WireException {
     JsonNode node = object.get(field);
--- /dev/null
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -0,0 +1,74 @@
+package org.ternhinge.peer;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.channel.Channel;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.ternhinge.http.HttpServer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Endpoint;
+
+/** Requests between controllers, on loopback; nothing here depends on the speed. */
+class PeerLinkTest {
+  private static final double LONG_S = 20;
+  private static final double SHORT_S = 0.05;
+  private static final Request REQUEST = Request.post("/submissions", new byte[] {1, 2});
+
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+
+  @AfterEach
+  void end() {
+    var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+  }
+
+  /** A link to one other node, whose requests a handler answers. */
+  private PeerLink linkTo(String node, HttpServer.Handler handler) throws InterruptedException {
+    Channel channel =
+        new PeerLink(group.next(), Map.of()).listen(new Endpoint("127.0.0.1", 0), handler);
+    int port = ((InetSocketAddress) channel.localAddress()).getPort();
+    return new PeerLink(group.next(), Map.of(node, new Endpoint("127.0.0.1", port)));
+  }
+
+  private static Optional<Response> ask(PeerLink link, String node, double timeoutS)
+      throws Exception {
+    CompletableFuture<Optional<Response>> answer = new CompletableFuture<>();
+    link.ask(node, REQUEST, timeoutS, answer::complete);
+    return answer.get(30, TimeUnit.SECONDS);
+  }
+
+  @Test
+  void anAnswerReachesTheNodeThatAsked() throws Exception {
+    PeerLink link =
+        linkTo("node-1", (request, answer) -> answer.accept(Response.of(201, request.body())));
+    for (int i = 0; i < 2; i++) {
+      Response response = ask(link, "node-1", LONG_S).orElseThrow();
+      assertEquals(201, response.status());
+      assertArrayEquals(REQUEST.body(), response.body());
+      link.reset("node-1");
+    }
+  }
+
+  @Test
+  void aNodeThatDoesNotAnswerInTimeGivesNoResponse() throws Exception {
+    PeerLink link = linkTo("node-1", (request, answer) -> {});
+    assertEquals(Optional.empty(), ask(link, "node-1", SHORT_S));
+  }
+
+  @Test
+  void anUnknownNodeGivesNoResponse() throws Exception {
+    PeerLink link = linkTo("node-1", (request, answer) -> {});
+    assertEquals(Optional.empty(), ask(link, "node-2", LONG_S));
+  }
+}
