--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -3,8 +3,6 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.wire.Heartbeat;
 
-
-
 /**
  * Ends the leadership when a worker shows a fencing token above the leadership's term: another
  * leader has been elected since. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -1,29 +1,27 @@
 package org.ternhinge.election;
 
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.ledger.Keys;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.config.Settings;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-import org.ternhinge.config.Tuning;
-
-
-import java.util.List;
-import java.util.concurrent.locks.Lock;
-import java.util.random.RandomGenerator;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -1,12 +1,10 @@
 package org.ternhinge.election;
 
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
-
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
 
 /**
  * The highest term so far, as the key-value store holds it.
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -1,17 +1,15 @@
 package org.ternhinge.heartbeat;
 
+import java.util.List;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
 
-
-import java.util.List;
-
 /**
  * Chooses the commands in the answers to heartbeats. The rules:
  *
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -1,9 +1,7 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.election.Election;
-
-
 import java.util.Optional;
+import org.ternhinge.election.Election;
 
 /**
  * Which node leads, as far as this node knows, and this node's own leadership while it has one. All
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -6,8 +6,6 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 
-
-
 /**
  * One start of a task on one machine, from the decision to open it until there is proof that it is
  * gone. All that while it counts against its team, its machine and its job's zones.
--- a/src/main/java/org/ternhinge/ledger/AttemptState.java
+++ b/src/main/java/org/ternhinge/ledger/AttemptState.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 /** How far an attempt has come, by the latest status of its worker. */
 public enum AttemptState {
   /** No status yet: the start may be on its way. */
--- a/src/main/java/org/ternhinge/ledger/Dependencies.java
+++ b/src/main/java/org/ternhinge/ledger/Dependencies.java
@@ -1,11 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.Priority;
-
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,6 +11,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Priority;
 
 /**
  * Which jobs wait for which. What a waiting job's state is follows from durable facts alone: it is
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -1,19 +1,17 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-
-
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /**
  * A job that is not yet over, with its open attempts. Its record in the key-value store is split
