--- a/src/main/java/org/ternhinge/api/SubmissionRejection.java
+++ b/src/main/java/org/ternhinge/api/SubmissionRejection.java
@@ -1,5 +1,7 @@
 package org.ternhinge.api;
 
+
+
 /** Why a submitted job is rejected: it could never run. */
 public enum SubmissionRejection {
   UNKNOWN_TEAM("unknown team"),
--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -1,13 +1,15 @@
 package org.ternhinge.attempt;
 
-import java.util.ArrayList;
-import java.util.List;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.wire.Heartbeat;
+
+
+import java.util.ArrayList;
+import java.util.List;
 
 /**
  * Reconciles the open attempts that a worker's newest status does not show. An attempt is closed
@@ -85,7 +87,7 @@
   }
 
   private static boolean hasVanished(Attempt attempt) {
-    return attempt.durable() && !attempt.recovered() && attempt.state() != AttemptState.STARTING;
+    return !attempt.recovered() && attempt.isReported();
   }
 
   private static boolean isStoppedBeforeStart(
@@ -104,7 +106,7 @@
   }
 
   private static boolean isNeverShown(Attempt attempt) {
-    return attempt.durable() && !attempt.recovered() && attempt.state() == AttemptState.STARTING;
+    return !attempt.recovered() && attempt.state() == AttemptState.STARTING;
   }
 
   private static boolean wasStartInAnswer(Attempt attempt) {
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -1,21 +1,22 @@
 package org.ternhinge.attempt;
 
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.model.Clock;
+import org.ternhinge.wire.Command;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.model.Clock;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.wire.Command;
+
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * Takes attempts from their durable record to their end: sends their starts, stops them, and closes
@@ -143,7 +144,7 @@
       return;
     }
     machine.invalidateView();
-    if (attempt.state() != AttemptState.STARTING) {
+    if (attempt.isReported()) {
       machine.outbox().add(new Command(Command.Op.STOP, attempt.task(), attempt.number(), graceS));
       dispatcher.dispatch(machine);
     }
@@ -180,7 +181,7 @@
    */
   public void closeIfNeverSent(Attempt attempt) {
     if (!attempt.recovered()
-        && attempt.state() == AttemptState.STARTING
+        && !attempt.isReported()
         && attempt.startAnswered() < 0
         && !isDirectStartOutstanding(attempt)) {
       close(attempt, ClosingEvidence.NEVER_SENT);
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -1,10 +1,12 @@
 package org.ternhinge.attempt;
 
-import java.util.List;
-import org.ternhinge.machine.Machine;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Command;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.SteadyTime;
+
+
+import java.util.List;
 
 /**
  * A message of commands that was sent to one worker.
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -1,12 +1,14 @@
 package org.ternhinge.attempt;
 
-import java.util.ArrayList;
-import java.util.List;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.wire.Command;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.wire.Command;
+
+
+import java.util.ArrayList;
+import java.util.List;
 
 /**
  * Chooses the commands of the next message to a worker. Starts that became obsolete while they
--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -2,6 +2,9 @@
 
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.ledger.LeadershipLoss;
+
+
 
 /**
  * Ends the leadership when a worker shows a fencing token above the leadership's term: another
@@ -24,7 +27,7 @@
     if (status.fencingToken().compareTo(authority.term()) <= 0) {
       return false;
     }
-    authority.lost("a worker has seen term " + status.fencingToken());
+    authority.lost(new LeadershipLoss.HigherTermSeen(status.fencingToken()));
     return true;
   }
 }
--- a/src/main/java/org/ternhinge/attempt/MessageOrigin.java
+++ b/src/main/java/org/ternhinge/attempt/MessageOrigin.java
@@ -1,5 +1,7 @@
 package org.ternhinge.attempt;
 
+
+
 /** Why a worker has sent its status. */
 public enum MessageOrigin {
   /** A periodic heartbeat, whose answer carries commands. */
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -1,10 +1,6 @@
 package org.ternhinge.attempt;
 
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.machine.Machine;
@@ -12,6 +8,11 @@
 import org.ternhinge.machine.OutstandingStarts;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
 /**
  * Raises the leadership's own term to fence outstanding starts: direct starts without a response,
  * which may arrive after their attempt was stopped. A worker that has seen the higher term refuses
@@ -57,8 +58,8 @@
   public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
     OutstandingStarts starts = machine.outstandingStarts();
     return attempt.stopping()
-        && attempt.state() == AttemptState.STARTING
-        && now.secondsSince(attempt.stopAt()) > FENCE_AFTER_S
+        && !attempt.isReported()
+        && now.secondsSince(attempt.stopRequest().orElseThrow().at()) > FENCE_AFTER_S
         && starts.mayArrive(attempt.task(), attempt.number())
         && !starts.isFenced(attempt.task(), attempt.number());
   }
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -1,5 +1,7 @@
 package org.ternhinge.cli;
 
+
+
 import java.util.Locale;
 import java.util.Set;
 
--- a/src/main/java/org/ternhinge/config/HclValues.java
+++ b/src/main/java/org/ternhinge/config/HclValues.java
@@ -1,5 +1,7 @@
 package org.ternhinge.config;
 
+
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/org/ternhinge/config/Objective.java
+++ b/src/main/java/org/ternhinge/config/Objective.java
@@ -1,5 +1,7 @@
 package org.ternhinge.config;
 
+
+
 import java.util.Optional;
 
 /**
--- a/src/main/java/org/ternhinge/controller/JobPath.java
+++ b/src/main/java/org/ternhinge/controller/JobPath.java
@@ -1,8 +1,10 @@
 package org.ternhinge.controller;
 
-import java.util.Optional;
 import org.ternhinge.model.JobId;
 
+
+import java.util.Optional;
+
 /** The paths of requests about one job. */
 final class JobPath {
   static final String SUBMISSIONS = "/submissions";
--- a/src/main/java/org/ternhinge/controller/LeadershipListener.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipListener.java
@@ -1,5 +1,7 @@
 package org.ternhinge.controller;
 
+
+
 /** Receives changes of this node's leadership. */
 @FunctionalInterface
 public interface LeadershipListener {
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -1,27 +1,30 @@
 package org.ternhinge.election;
 
-import java.util.List;
-import java.util.concurrent.locks.Lock;
-import java.util.random.RandomGenerator;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.store.Change;
 import org.ternhinge.model.Clock;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Revision;
+import org.ternhinge.config.Settings;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.config.Tuning;
+
+
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.model.Outcome.Reason;
 
 /**
  * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
@@ -58,7 +61,7 @@
     void elected(Authority authority);
 
     /** This node leads no more. */
-    void deposed(String why);
+    void deposed(LeadershipLoss loss);
   }
 
   /** What a node has read before it claims the leadership; it must not have changed since. */
@@ -320,7 +323,7 @@
 
   private void leaseEnded() {
     if (held != null && held.lease.ended()) {
-      held.lost("the lease has ended");
+      held.lost(new LeadershipLoss.LeaseExpired());
     }
   }
 
@@ -358,15 +361,15 @@
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(LeadershipLoss loss) {
       if (held != this) {
         return;
       }
-      LOG.info("term {} is over: {}", term, why);
+      LOG.info("term {} is over: {}", term, loss.description());
       held = null;
       leader = null;
       lease.release();
-      listener.deposed(why);
+      listener.deposed(loss);
       later(DEPOSED_S, Election.this::readLeader);
     }
   }
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -1,10 +1,12 @@
 package org.ternhinge.election;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.Term;
 import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.Term;
+
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
  * The highest term so far, as the key-value store holds it.
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -1,15 +1,17 @@
 package org.ternhinge.heartbeat;
 
-import java.util.List;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
 
+
+import java.util.List;
+
 /**
  * Chooses the commands in the answers to heartbeats. The rules:
  *
@@ -90,7 +92,7 @@
 
   private static boolean isStopDue(Attempt attempt) {
     return attempt.stopping()
-        && attempt.state() != AttemptState.STARTING
+        && attempt.isReported()
         && !isSavingWithinGrace(attempt);
   }
 
@@ -101,7 +103,6 @@
   private static boolean isStartDue(Attempt attempt) {
     return !attempt.stopping()
         && attempt.state() == AttemptState.STARTING
-        && attempt.durable()
         && !attempt.recovered();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
@@ -1,8 +1,10 @@
 package org.ternhinge.heartbeat;
 
-import java.util.List;
 import org.ternhinge.wire.Command;
 
+
+import java.util.List;
+
 /** Whether a heartbeat is to be answered, and with what. */
 public sealed interface HeartbeatResult {
 
--- a/src/main/java/org/ternhinge/http/BoundedAggregator.java
+++ b/src/main/java/org/ternhinge/http/BoundedAggregator.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
--- a/src/main/java/org/ternhinge/http/CallTimeouts.java
+++ b/src/main/java/org/ternhinge/http/CallTimeouts.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 /**
  * Limits of one call, in seconds.
  *
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 import io.netty.channel.Channel;
 import java.util.function.IntConsumer;
 
--- a/src/main/java/org/ternhinge/http/Reply.java
+++ b/src/main/java/org/ternhinge/http/Reply.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 /** A whole response as a client receives it. */
 public final class Reply {
   private final int status;
--- a/src/main/java/org/ternhinge/http/Response.java
+++ b/src/main/java/org/ternhinge/http/Response.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/org/ternhinge/http/ServerConnection.java
+++ b/src/main/java/org/ternhinge/http/ServerConnection.java
@@ -1,5 +1,7 @@
 package org.ternhinge.http;
 
+
+
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -1,16 +1,19 @@
 package org.ternhinge.leadership;
 
-import java.util.Optional;
-import org.ternhinge.ledger.Dependencies;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Outcome;
+import org.ternhinge.ledger.DependencyGraph;
 import org.ternhinge.store.Entry;
+import org.ternhinge.model.JobId;
 import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+
+
+import java.util.Optional;
 
 /**
  * Reads the ends of dependencies that the ledger does not hold: they ended before this leadership,
@@ -29,7 +32,8 @@
   private static final double RETRY_S = 0.5;
 
   private final KeyValueStore store;
-  private final Dependencies dependencies;
+  private final Ledger ledger;
+  private final DependencyGraph dependencies;
   private final LeadershipExecutor executor;
   private final Runnable onResolved;
   private int runningReads;
@@ -41,7 +45,8 @@
    */
   DependencyResolver(LeadershipContext context, Runnable onResolved) {
     this.store = context.services().store();
-    this.dependencies = context.ledger().dependencies();
+    this.ledger = context.ledger();
+    this.dependencies = ledger.dependencies();
     this.executor = context.executor();
     this.onResolved = onResolved;
   }
@@ -49,10 +54,11 @@
   /** Begins to read what is not known; called whenever jobs may have been added. */
   void pump() {
     while (runningReads < MAX_READS) {
-      JobId id = dependencies.nextUnresolved();
-      if (id == null) {
+      Optional<JobId> unresolved = dependencies.pollUnresolved();
+      if (unresolved.isEmpty()) {
         return;
       }
+      JobId id = unresolved.get();
       runningReads++;
       executor.whenAnswered(
           store.get(Keys.end(id), RequestPriority.ENDING), outcome -> answered(id, outcome));
@@ -66,7 +72,7 @@
             : Optional.empty();
     if (end.isPresent()) {
       runningReads--;
-      dependencies.resolved(RecordCodec.decodeEnd(id, end.get().value()));
+      ledger.resolveEnd(RecordCodec.decodeEnd(id, end.get().value()));
       onResolved.run();
       pump();
     } else {
@@ -76,7 +82,7 @@
 
   private void retry(JobId id) {
     runningReads--;
-    dependencies.unknown(id);
+    dependencies.retryUnresolved(id);
     pump();
   }
 }
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -1,16 +1,18 @@
 package org.ternhinge.leadership;
 
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.model.JobId;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.model.JobId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.round.ArrivalRates;
-import org.ternhinge.term.LeadershipContext;
+
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * Admits newly accepted jobs to the ledger, whether this node or another one has accepted them. A
@@ -47,7 +49,7 @@
 
   /** Whether the ledger holds this job or remembers its end. */
   boolean isKnown(JobId id) {
-    return ledger.job(id) != null || ledger.ended(id) != null;
+    return ledger.job(id) != null || ledger.findEnd(id).isPresent();
   }
 
   /**
@@ -61,7 +63,7 @@
       return;
     }
     SteadyTime now = context.services().clock().now();
-    ledger.adopt(job);
+    ledger.add(job);
     LOG.debug("accepted {} of {}", id, job.spec().jobClass());
     arrivalRates.recordArrival(job.spec(), now);
     refreshRaisedPriorities(now);
@@ -72,7 +74,7 @@
 
   /** Dependencies of the new job may have inherited its priority. */
   private void refreshRaisedPriorities(SteadyTime now) {
-    for (Job raised : ledger.dependencies().takeRaised()) {
+    for (Job raised : ledger.dependencies().drainRaised()) {
       for (Attempt attempt : raised.openAttempts()) {
         machines.findOrAdd(attempt.machine(), now).invalidateView();
       }
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -1,22 +1,25 @@
 package org.ternhinge.leadership;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.store.Change;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Revision;
-import org.ternhinge.store.Change;
 import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.ledger.Keys;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
 import org.ternhinge.wire.WireException;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.model.Outcome.Reason;
+
 /**
  * Watches the key-value store for the records of jobs that other nodes accept, and has them
  * admitted. Guarded by the controller's lock.
@@ -63,7 +66,7 @@
       watch();
     } else if (outcome.isBecause(Reason.TOO_OLD) || outcome.isBecause(Reason.TOO_LARGE)) {
       // The next leadership's recovery reads all that was missed, page by page.
-      authority.lost("the watch fell behind");
+      authority.lost(new LeadershipLoss.WatchFellBehind());
     } else {
       executor.later(RETRY_S, this::watch);
     }
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -1,29 +1,31 @@
 package org.ternhinge.leadership;
 
-import java.util.Collection;
-import java.util.List;
-import java.util.Optional;
-import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.ternhinge.attempt.Cancellations;
-import org.ternhinge.config.Settings;
-import org.ternhinge.heartbeat.HeartbeatResult;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.attempt.Cancellations;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Revision;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.Command;
+import org.ternhinge.term.ControllerServices;
 import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.heartbeat.HeartbeatResult;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.wire.MachineType;
+import org.ternhinge.model.Revision;
+import org.ternhinge.config.Settings;
+
+
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * One leadership, from election to its end: creates the components that schedule, starts them once
@@ -166,7 +168,7 @@
   }
 
   private void requestRoundForReadyJobs() {
-    if (ledger.dependencies().takeReady()) {
+    if (ledger.dependencies().drainReady()) {
       requestRound();
     }
   }
@@ -199,7 +201,7 @@
    */
   public Optional<JobState> stateOf(JobId id) {
     Job job = ledger.job(id);
-    return Optional.ofNullable(job == null ? ledger.ended(id) : ledger.stateFor(job));
+    return job == null ? ledger.findEnd(id) : ledger.findState(job);
   }
 
   /**
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -1,18 +1,20 @@
 package org.ternhinge.leadership;
 
-import java.util.function.Consumer;
 import org.ternhinge.ledger.Attempt;
+import org.ternhinge.model.Clock;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.store.Entry;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
-import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.scaling.MachineReleaser;
-import org.ternhinge.store.Entry;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipContext;
+
+
+import java.util.function.Consumer;
 
 /**
  * Restores what earlier leaderships recorded: their jobs with all open attempts, the provision
@@ -54,7 +56,7 @@
 
   private void restore(LedgerLoader.Loaded loaded, SteadyTime now) {
     for (Job job : loaded.jobs()) {
-      ledger.adopt(job);
+      ledger.add(job);
     }
     for (Entry entry : loaded.releases()) {
       releaser.resume(entry);
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -1,8 +1,10 @@
 package org.ternhinge.leadership;
 
-import java.util.Optional;
 import org.ternhinge.election.Election;
 
+
+import java.util.Optional;
+
 /**
  * Which node leads, as far as this node knows, and this node's own leadership while it has one. All
  * methods run under the controller's lock.
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -1,8 +1,10 @@
 package org.ternhinge.leadership;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.model.SteadyTime;
+
+
 
 /**
  * The timers of a leadership: checks of leases, machines and zones, and scheduling rounds that no
--- a/src/main/java/org/ternhinge/leadership/RecoveryGate.java
+++ b/src/main/java/org/ternhinge/leadership/RecoveryGate.java
@@ -1,5 +1,7 @@
 package org.ternhinge.leadership;
 
+
+
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -1,5 +1,12 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.config.Team;
+
+
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -7,12 +14,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.JobSpec;
 
 /**
  * The one check that every start has to pass, whatever a policy asks for: state of the job, double
@@ -92,7 +94,7 @@
     return placements.stream()
         .filter(
             placement ->
-                capacity.take(
+                capacity.reserve(
                     placement.index(),
                     job.highest().next(),
                     placement.site().machine(),
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -6,9 +6,15 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 
+
+import java.util.Optional;
+
 /**
- * One start of a task on one machine, from the decision to open it until there is proof that it is
- * gone. All that while it counts against its team, its machine and its job's zones.
+ * One attempt to run a task on one machine, from the decision to open it until there is proof that
+ * it is gone. All that while it counts against its team's limit, its machine and its job's zones.
+ *
+ * <p>Its state follows the table of {@link AttemptState}; whether it is to stop is independent of
+ * that. The controller's lock guards it.
  */
 public final class Attempt {
 
@@ -21,12 +27,12 @@
   private final boolean recovered;
   private final SteadyTime openedAt;
 
-  private boolean durable;
-  private AttemptState state = AttemptState.STARTING;
+  private AttemptState state;
   private SteadyTime runningSince;
-  private boolean stopping;
-  private double stopGraceS;
-  private SteadyTime stopAt;
+
+  /** The request to stop with the least grace so far; null where there was none. */
+  private StopRequest stopRequest;
+
   private long startAnswered = -1;
   private long shownIn = -1;
 
@@ -46,31 +52,31 @@
     this.epoch = epoch;
     this.zone = zone;
     this.recovered = recovered;
-    this.durable = recovered;
+    this.state = recovered ? AttemptState.STARTING : AttemptState.PROPOSED;
     this.openedAt = openedAt;
   }
 
-  /** The job that it is of. */
+  /** The job of the task. */
   public Job job() {
     return job;
   }
 
-  /** The task that was to start. */
+  /** The task that the attempt is to run. */
   public TaskId task() {
     return task;
   }
 
-  /** Number within the job; those of later attempts are higher. */
+  /** Number within the job; later attempts have higher ones. */
   public AttemptNumber number() {
     return number;
   }
 
-  /** The machine that it was opened on. */
+  /** The machine that the attempt was opened on. */
   public MachineId machine() {
     return machine;
   }
 
-  /** The run of the machine's worker that it was opened for; none later may start it. */
+  /** Epoch of the machine's agent that the attempt was opened for; no later one may start it. */
   public AgentEpoch epoch() {
     return epoch;
   }
@@ -90,66 +96,95 @@
     return openedAt;
   }
 
+  /** The state, by the key-value store's answers and the worker's latest status. */
+  public AttemptState state() {
+    return state;
+  }
+
   /** Whether the key-value store holds it; until then no start may be sent. */
   public boolean durable() {
-    return durable;
+    return state.isDurable();
+  }
+
+  /** Whether the worker has shown it. */
+  public boolean isReported() {
+    return state.isReported();
   }
 
   /** The key-value store holds it. */
   void markDurable() {
-    durable = true;
+    transition(AttemptState.STARTING);
   }
 
-  /** What the worker was last seen to say of it. */
-  public AttemptState state() {
-    return state;
+  /** There is proof that it is gone. */
+  void close() {
+    transition(AttemptState.CLOSED);
   }
 
-  /** Since when it was seen running, or null. */
+  /** When the worker was first seen to run it, or null before that. */
   public SteadyTime runningSince() {
     return runningSince;
   }
 
-  /** Notes what the worker says of it. */
-  public void observe(AttemptState now, SteadyTime at) {
-    if (now == AttemptState.RUNNING && state != AttemptState.RUNNING) {
+  /**
+   * Records the worker's status. One that comes before the record is durable is ignored: no start
+   * was sent, so it can only be a worker's mistake, and must not make the attempt look durable.
+   *
+   * @param reported a {@linkplain AttemptState#isReported reported} state
+   * @throws IllegalTransitionException if the state is no reported one or the attempt is closed
+   */
+  public void observe(AttemptState reported, SteadyTime at) {
+    if (!reported.isReported()) {
+      throw new IllegalTransitionException(toString(), state, reported);
+    }
+    if (state == AttemptState.PROPOSED) {
+      return;
+    }
+    if (reported == AttemptState.RUNNING && state != AttemptState.RUNNING) {
       runningSince = at;
     }
-    state = now;
+    transition(reported);
+  }
+
+  private void transition(AttemptState next) {
+    if (!state.permits(next)) {
+      throw new IllegalTransitionException(toString(), state, next);
+    }
+    state = next;
   }
 
-  /** Whether it was asked to stop. */
+  /** Whether a stop was requested. */
   public boolean stopping() {
-    return stopping;
+    return stopRequest != null;
   }
 
-  /** Seconds that it has to save its work once it is told to stop. */
-  public double stopGraceS() {
-    return stopGraceS;
+  /** The request to stop, or nothing where there was none. */
+  public Optional<StopRequest> stopRequest() {
+    return Optional.ofNullable(stopRequest);
   }
 
-  /** When it was asked to stop, or null. */
-  public SteadyTime stopAt() {
-    return stopAt;
+  /**
+   * Seconds that the task has for a checkpoint once it is to stop; 0 where no stop is requested.
+   */
+  public double stopGraceS() {
+    return stopRequest == null ? 0 : stopRequest.graceS();
   }
 
-  /** Asks for it to be stopped; a second request can only make the grace shorter. */
+  /** Requests a stop; a later request replaces an earlier one only if its grace is shorter. */
   public void stop(double graceS, SteadyTime at) {
-    if (!stopping || graceS < stopGraceS) {
-      stopGraceS = graceS;
-      stopAt = at;
-      stopping = true;
+    if (stopRequest == null || graceS < stopRequest.graceS()) {
+      stopRequest = new StopRequest(graceS, at);
     }
   }
 
-  /** The message of its machine that showed it last, by the leader's own count. */
+  /** Revision of the machine's tasks, as this leader counts them, that showed it last, or -1. */
   public long shownIn() {
     return shownIn;
   }
 
-  /** Notes the message of its machine that shows it. */
-  public void shownIn(long message) {
-    shownIn = message;
+  /** Records the revision of the machine's tasks that shows it. */
+  public void shownIn(long tasksRevision) {
+    shownIn = tasksRevision;
   }
 
   /** Sequence of the heartbeat whose answer carried the start, or -1. */
@@ -157,8 +192,14 @@
     return startAnswered;
   }
 
-  /** Notes the heartbeat whose answer carried the start. */
+  /** Records the heartbeat whose answer carried the start. */
   public void startAnswered(long sequence) {
     startAnswered = sequence;
   }
+
+  /** Task, attempt number and machine, for messages. */
+  @Override
+  public String toString() {
+    return task + " attempt " + number + " on " + machine;
+  }
 }
--- a/src/main/java/org/ternhinge/ledger/Authority.java
+++ b/src/main/java/org/ternhinge/ledger/Authority.java
@@ -3,6 +3,8 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
+
+
 /** The leadership that writes are made under. */
 public interface Authority {
   /** Number of the leadership, raised with each one. */
@@ -18,5 +20,5 @@
   void raised(Term term, Revision revision);
 
   /** The key-value store has shown that the leadership is over. */
-  void lost(String why);
+  void lost(LeadershipLoss loss);
 }
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
@@ -1,5 +1,7 @@
 package org.ternhinge.ledger;
 
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.Supplier;
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -1,5 +1,9 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.wire.Json;
+import org.ternhinge.model.Revision;
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,8 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.ternhinge.model.Revision;
-import org.ternhinge.wire.Json;
 
 /** The keys beside the jobs' records: what waits to be written to them, and their versions. */
 final class AuxiliaryWrites {
@@ -23,8 +25,8 @@
     this.authority = authority;
   }
 
-  /** Notes the version of a key that existed before this leadership. */
-  void known(String key, Revision revision) {
+  /** Records the revision of a key that existed before this leadership. */
+  void setRevision(String key, Revision revision) {
     revisions.put(key, revision);
   }
 
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -1,54 +1,42 @@
 package org.ternhinge.ledger;
 
-import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Priority;
+
+
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
 
 /**
- * A job that is not yet over, with its open attempts. Its record in the key-value store is split
- * into segments of a fixed number of tasks, so that a large array fits the limit on values; only
- * the segments that changed are written. Everything here is changed by the {@link Ledger} alone.
+ * An unfinished job with its done tasks and its open attempts. Its phase follows the table of
+ * {@link JobPhase}; how its record is written is the concern of {@link JobRecordState}. Only the
+ * {@link Ledger} and its helpers in this package change it; the controller's lock guards it.
  */
 public final class Job {
   private final JobSpec spec;
   private final long acceptedMillis;
-  private int segmentSize;
+  private final JobRecordState record;
   private final BitSet done = new BitSet();
   private final Int2ObjectOpenHashMap<Attempt> open = new Int2ObjectOpenHashMap<>();
-  private final BitSet dirty = new BitSet();
-  private final BitSet inFlight = new BitSet();
-  private final BitSet merged = new BitSet();
-  private final Int2LongOpenHashMap revisions = new Int2LongOpenHashMap();
+  private final Set<JobId> unmetDependencies = new LinkedHashSet<>();
 
+  private JobPhase phase = JobPhase.ACTIVE;
+  private boolean cancelledByDependency;
   private AttemptNumber highest = AttemptNumber.NONE;
-  private boolean cancelled;
-  private boolean cancelDurable;
-  private boolean over;
-  private boolean finalDurable;
-  private boolean opening;
-  private SteadyTime dirtySince;
-  private final Set<JobId> unmetDependencies = new LinkedHashSet<>();
   private JobSpec planned;
   private long readyMillis;
-  private boolean cancelledByDependency;
-  private int specBytes;
   private int backoffLevel;
-  private boolean repartitionWanted;
-  private boolean repartitionTooLarge;
 
   Job(JobSpec spec, long acceptedMillis, int segmentSize) {
     this.spec = spec;
     this.acceptedMillis = acceptedMillis;
-    this.segmentSize = segmentSize;
+    this.record = new JobRecordState(spec, segmentSize);
     this.planned = spec;
     this.readyMillis = acceptedMillis;
   }
@@ -58,114 +46,137 @@
     return spec;
   }
 
-  /** The job as the planner is to see it, with the highest priority of those that depend on it. */
-  public JobSpec planned() {
-    return planned;
+  /** When the submission was accepted, in milliseconds of wall time. */
+  public long acceptedMillis() {
+    return acceptedMillis;
   }
 
-  /** Takes over a priority; false if it has as high a one. */
-  boolean inherit(Priority priority) {
-    if (priority.compareTo(planned.priority()) >= 0) {
-      return false;
-    }
-    planned = spec.withPriority(priority);
-    return true;
+  /** The state of the job's record in the key-value store. */
+  JobRecordState record() {
+    return record;
   }
 
-  /** Jobs that it depends on and that are not known to be durably done. */
-  Set<JobId> unmetDependencies() {
-    return unmetDependencies;
+  /** Whether the key-value store holds what is known of a task. */
+  public boolean recorded(int index) {
+    return record.isWritten(index);
   }
 
-  /** Whether a job before it is not durably done: nothing of it may start. */
-  public boolean hasUnmetDependencies() {
-    return !unmetDependencies.isEmpty();
+  // ---- phase ----------------------------------------------------------------------------------
+
+  /** Whether the job is cancelled. */
+  public boolean cancelled() {
+    return phase.isCancelled();
   }
 
-  /** Whether a task of it was ever to start; then all that it depends on was done. */
-  boolean started() {
-    return highest.value() > 0 || !done.isEmpty() || !open.isEmpty();
+  /** Whether the key-value store holds the cancellation, so that users may hear of it. */
+  public boolean cancelDurable() {
+    return phase.isCancelDurable();
   }
 
-  /** When it could first start: from then on its times are counted, but for its deadline. */
-  public long readyMillis() {
-    return readyMillis;
+  /** Whether nothing more is to be done for the job. */
+  public boolean over() {
+    return phase.isFinished();
   }
 
-  void readyMillis(long at) {
-    readyMillis = at;
+  /** Whether the key-value store holds the final record. */
+  public boolean finalDurable() {
+    return phase.isEnded();
   }
 
-  /** Whether it is cancelled since one that it depends on is, whatever its own record says yet. */
+  /** Whether the job is cancelled because one that it depends on is, whatever its record says. */
   public boolean cancelledByDependency() {
     return cancelledByDependency;
   }
 
-  void markCancelledByDependency() {
+  /** A user cancels the job. */
+  void cancel() {
+    transition(JobPhase.CANCELLING);
+  }
+
+  /** The key-value store holds the cancellation; has no effect where that is known already. */
+  void markCancelDurable() {
+    if (!phase.isCancelDurable()) {
+      transition(phase.withDurableCancellation());
+    }
+  }
+
+  /** A job that this one depends on is durably cancelled, and so is this one. */
+  void cancelByDependency() {
+    markCancelDurable();
     cancelledByDependency = true;
     unmetDependencies.clear();
-    markCancelled(true);
   }
 
-  /** When the submission was accepted, in milliseconds of wall time. */
-  public long acceptedMillis() {
-    return acceptedMillis;
+  /** Nothing more is to be done for the job; has no effect where that is known already. */
+  void markOver() {
+    if (!phase.isFinished()) {
+      transition(phase.finished());
+    }
   }
 
-  /** How many tasks a segment of its record holds. */
-  public int segmentSize() {
-    return segmentSize;
+  /** The key-value store holds the final record. */
+  void markFinalDurable() {
+    transition(phase.ended());
   }
 
-  /** How long its description is in its record. */
-  int specBytes() {
-    if (specBytes == 0) {
-      specBytes = RecordSize.specBytes(spec);
+  private void transition(JobPhase next) {
+    if (!phase.permits(next)) {
+      throw new IllegalTransitionException("job " + spec.id(), phase, next);
     }
-    return specBytes;
+    phase = next;
   }
 
-  /** Changes the segment size: the next write has to carry the whole record, unless it is empty. */
-  void repartition(int size) {
-    segmentSize = size;
-    repartitionWanted = false;
+  /** What the job's user may be told, as far as this ledger has it. */
+  public JobState state() {
+    JobId id = spec.id();
+    if (cancelDurable()) {
+      return new JobState(id, JobState.Phase.CANCELLED, doneCount(), 0);
+    }
+    int running = runningCount();
+    JobState.Phase visible = running > 0 ? JobState.Phase.RUNNING : JobState.Phase.QUEUED;
+    return new JobState(id, visible, doneCount(), running);
   }
 
-  /** Whether tasks wait for the record to be repartitioned. */
-  boolean repartitionWanted() {
-    return repartitionWanted;
-  }
+  // ---- dependencies and priority --------------------------------------------------------------
 
-  void repartitionWanted(boolean wanted) {
-    repartitionWanted = wanted;
+  /** The job as the planner is to see it, with the highest priority of those that depend on it. */
+  public JobSpec planned() {
+    return planned;
   }
 
-  /** Whether its record, repartitioned, would not fit one transaction. */
-  boolean repartitionTooLarge() {
-    return repartitionTooLarge;
+  /** Raises the planned priority; false if it is as high already. */
+  boolean inherit(Priority priority) {
+    if (priority.compareTo(planned.priority()) >= 0) {
+      return false;
+    }
+    planned = spec.withPriority(priority);
+    return true;
   }
 
-  void markRepartitionTooLarge() {
-    repartitionTooLarge = true;
+  /** Jobs that this one depends on and that are not known to be durably done. */
+  Set<JobId> unmetDependencies() {
+    return unmetDependencies;
   }
 
-  /** How many segments its record has. */
-  public int segments() {
-    return (spec.tasks() + segmentSize - 1) / segmentSize;
+  /** Whether a dependency is not known to be durably done: no task may start. */
+  public boolean hasUnmetDependencies() {
+    return !unmetDependencies.isEmpty();
   }
 
-  /** The first task of a segment. */
-  int firstTask(int segment) {
-    return segment * segmentSize;
+  /** Wall time in milliseconds from which the job's delays count, except for its deadline. */
+  public long readyMillis() {
+    return readyMillis;
   }
 
-  /** The number after that of a segment's last task. */
-  int endOfTasks(int segment) {
-    return Math.min(spec.tasks(), firstTask(segment) + segmentSize);
+  void readyMillis(long at) {
+    readyMillis = at;
   }
 
-  int segmentOf(int index) {
-    return index / segmentSize;
+  // ---- tasks and attempts ---------------------------------------------------------------------
+
+  /** Whether an attempt was ever opened; then all dependencies were done. */
+  boolean started() {
+    return highest.value() > 0 || !done.isEmpty() || !open.isEmpty();
   }
 
   /** Whether a task is known to be done. */
@@ -205,7 +216,7 @@
     return spec.tasks() - done - open.size();
   }
 
-  /** The first such task from a number on, or -1. */
+  /** The first task from a number on that is not done and has no open attempt, or -1. */
   public int nextWaiting(int from) {
     for (int i = done.nextClearBit(from); i < spec.tasks(); i = done.nextClearBit(i + 1)) {
       if (!open.containsKey(i)) {
@@ -215,18 +226,33 @@
     return -1;
   }
 
-  /** How many tasks have been seen to run or to save. */
+  /** How many tasks run or write a checkpoint by their workers' latest status. */
   public int runningCount() {
     int count = 0;
-    for (Attempt a : open.values()) {
-      if (a.state() == AttemptState.RUNNING || a.state() == AttemptState.CHECKPOINTING) {
+    for (Attempt attempt : open.values()) {
+      if (attempt.state() == AttemptState.RUNNING
+          || attempt.state() == AttemptState.CHECKPOINTING) {
         count++;
       }
     }
     return count;
   }
 
-  /** The highest attempt number that was given out. */
+  /** Whether nothing more is to be done for the tasks of a segment. */
+  boolean isSegmentOver(int segment) {
+    int firstTask = record.firstTask(segment);
+    if (!cancelled() && done.nextClearBit(firstTask) < record.endOfTasks(segment)) {
+      return false;
+    }
+    for (Attempt attempt : open.values()) {
+      if (record.segmentOf(attempt.task().index()) == segment) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** The highest attempt number so far. */
   public AttemptNumber highest() {
     return highest;
   }
@@ -235,7 +261,7 @@
     highest = number;
   }
 
-  /** How often its back-off has grown since a task of it was done; 0 where none failed lately. */
+  /** How often the back-off has grown since a task was last done; 0 without recent failures. */
   public int backoffLevel() {
     return backoffLevel;
   }
@@ -243,109 +269,4 @@
   void backoffLevel(int level) {
     backoffLevel = level;
   }
-
-  /** Whether the job is cancelled. */
-  public boolean cancelled() {
-    return cancelled;
-  }
-
-  void markCancelled(boolean alreadyDurable) {
-    cancelled = true;
-    cancelDurable |= alreadyDurable;
-  }
-
-  /** Whether the key-value store holds the cancellation, so that users may be told. */
-  public boolean cancelDurable() {
-    return cancelDurable;
-  }
-
-  void cancelIsDurable() {
-    cancelDurable = true;
-  }
-
-  /** Whether nothing more is to be done for it. */
-  public boolean over() {
-    return over;
-  }
-
-  void markOver() {
-    over = true;
-  }
-
-  /** Whether the key-value store holds its final state. */
-  public boolean finalDurable() {
-    return finalDurable;
-  }
-
-  void finalIsDurable() {
-    finalDurable = true;
-  }
-
-  BitSet dirty() {
-    return dirty;
-  }
-
-  /** Whether attempts were opened that are not written yet. */
-  boolean opening() {
-    return opening;
-  }
-
-  void opening(boolean value) {
-    opening = value;
-  }
-
-  /** Since when it has something to write. */
-  SteadyTime dirtySince() {
-    return dirtySince;
-  }
-
-  void dirtySince(SteadyTime at) {
-    dirtySince = at;
-  }
-
-  BitSet inFlight() {
-    return inFlight;
-  }
-
-  BitSet merged() {
-    return merged;
-  }
-
-  /** Whether what is known of this task is what the key-value store holds. */
-  public boolean recorded(int index) {
-    int segment = segmentOf(index);
-    return !dirty.get(segment) && !inFlight.get(segment);
-  }
-
-  Revision revision(int segment) {
-    return new Revision(revisions.get(segment));
-  }
-
-  void revision(int segment, Revision revision) {
-    if (revision.value() == 0) {
-      revisions.remove(segment);
-    } else {
-      revisions.put(segment, revision.value());
-    }
-  }
-
-  boolean segmentOver(int segment) {
-    if (!cancelled && done.nextClearBit(firstTask(segment)) < endOfTasks(segment)) {
-      return false;
-    }
-    for (Attempt a : open.values()) {
-      if (segmentOf(a.task().index()) == segment) {
-        return false;
-      }
-    }
-    return true;
-  }
-
-  /** Segments after the first that still have a key of their own. */
-  BitSet liveSegments() {
-    BitSet live = new BitSet();
-    revisions.keySet().forEach(p -> live.set(p));
-    live.clear(0);
-    return live;
-  }
 }
--- a/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
@@ -1,10 +1,12 @@
 package org.ternhinge.ledger;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.BitSet;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.Revision;
 import org.ternhinge.wire.Json;
+import org.ternhinge.model.Revision;
+
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.BitSet;
 
 /** Adds to a transaction what one job has to write: the segments that changed, or its end. */
 final class JobRecordWrites {
@@ -37,10 +39,10 @@
   }
 
   private boolean addChangedSegments(TransactionDraft draft, Job job) {
-    if (job.repartitionWanted()) {
+    if (job.record().repartitionWanted()) {
       repartitioner.request(job);
     }
-    BitSet dirty = job.dirty();
+    BitSet dirty = job.record().dirty();
     boolean complete = true;
     for (int s = dirty.nextSetBit(0); s >= 0; s = dirty.nextSetBit(s + 1)) {
       Added added = draft.isFull() ? Added.TRANSACTION_FULL : addSegment(draft, job, s);
@@ -50,13 +52,13 @@
       complete &= added == Added.DONE;
     }
     if (complete) {
-      ledger.clean(job);
+      ledger.removeFromWriteQueue(job);
     }
     return true;
   }
 
   private Added addSegment(TransactionDraft draft, Job job, int segment) {
-    if (segment > 0 && job.merged().get(segment)) {
+    if (segment > 0 && job.record().merged().get(segment)) {
       removeMerged(draft, job, segment);
       return Added.DONE;
     }
@@ -73,45 +75,45 @@
     if (!draft.hasBytesFor(key, bytes)) {
       return Added.TRANSACTION_FULL;
     }
-    draft.putSegment(key, value, bytes, job.revision(segment));
+    draft.putSegment(key, value, bytes, job.record().revision(segment));
     sent(draft, RecordWrite.Segment.of(job, segment), segment);
     return Added.DONE;
   }
 
   private void removeMerged(TransactionDraft draft, Job job, int segment) {
-    if (job.revision(segment).equals(Revision.NONE)) {
+    if (job.record().revision(segment).equals(Revision.NONE)) {
       // It never had a key of its own.
-      job.dirty().clear(segment);
+      job.record().dirty().clear(segment);
       return;
     }
     delete(draft, job, segment);
   }
 
   private static void delete(TransactionDraft draft, Job job, int segment) {
-    draft.delete(Keys.segment(job.spec().id(), segment), job.revision(segment));
+    draft.delete(Keys.segment(job.spec().id(), segment), job.record().revision(segment));
     sent(draft, new RecordWrite.SegmentRemoval(job, segment), segment);
   }
 
   private static void sent(TransactionDraft draft, RecordWrite write, int segment) {
     draft.add(write);
-    write.job().dirty().clear(segment);
-    write.job().inFlight().set(segment);
+    write.job().record().dirty().clear(segment);
+    write.job().record().inFlight().set(segment);
   }
 
   private boolean addEnd(TransactionDraft draft, Job job) {
-    BitSet live = job.liveSegments();
+    BitSet live = job.record().liveSegments();
     if (live.cardinality() + END_CHANGES > draft.freeChanges()) {
       return addStepTowardsEnd(draft, job, live);
     }
     JobId id = job.spec().id();
     draft.put(Keys.end(id), RecordCodec.end(job), Revision.NONE);
-    draft.delete(Keys.job(id), job.revision(0));
+    draft.delete(Keys.job(id), job.record().revision(0));
     for (int s = live.nextSetBit(0); s >= 0; s = live.nextSetBit(s + 1)) {
-      draft.delete(Keys.segment(id, s), job.revision(s));
+      draft.delete(Keys.segment(id, s), job.record().revision(s));
     }
     draft.add(new RecordWrite.End(job));
-    job.inFlight().set(0, job.segments());
-    ledger.clean(job);
+    job.record().inFlight().set(0, job.record().segments());
+    ledger.removeFromWriteQueue(job);
     return true;
   }
 
@@ -126,12 +128,12 @@
       return false;
     }
     JobId id = job.spec().id();
-    if (job.dirty().get(0) && !job.revision(0).equals(Revision.NONE)) {
-      draft.put(Keys.job(id), RecordCodec.encode(job, 0), job.revision(0));
+    if (job.record().dirty().get(0) && !job.record().revision(0).equals(Revision.NONE)) {
+      draft.put(Keys.job(id), RecordCodec.encode(job, 0), job.record().revision(0));
       sent(draft, RecordWrite.Segment.of(job, 0), 0);
     }
     for (int s = live.nextSetBit(0); s >= 0 && !draft.isFull(); s = live.nextSetBit(s + 1)) {
-      job.merged().set(s);
+      job.record().merged().set(s);
       delete(draft, job, s);
     }
     return true;
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -1,5 +1,17 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.Clock;
+import org.ternhinge.store.Entry;
+import org.ternhinge.model.JobId;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.WireException;
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,16 +23,6 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.WireException;
 
 /**
  * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and
@@ -93,14 +95,14 @@
   private void answered(
       Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.Page> applied) {
-      take(range, applied.value());
+      addPage(range, applied.value());
       load(onLoaded);
     } else {
       clock.after(RETRY_S, locked.guarded(() -> load(onLoaded)));
     }
   }
 
-  private void take(Range range, KeyValueStore.Page page) {
+  private void addPage(Range range, KeyValueStore.Page page) {
     if (revision == null) {
       revision = page.revision();
     }
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -1,5 +1,14 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.Clock;
+import org.ternhinge.wire.Json;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Revision;
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.concurrent.locks.Lock;
@@ -7,14 +16,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.Revision;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.Json;
 
 /**
  * Writes the ledger's changes to the key-value store, many records to a transaction.
@@ -108,9 +110,9 @@
     verifier.stop();
   }
 
-  /** Tells the version of a key that was there before this leadership. */
-  public void known(String key, Revision revision) {
-    auxiliaryWrites.known(key, revision);
+  /** Records the revision of a key that existed before this leadership. */
+  public void setRevision(String key, Revision revision) {
+    auxiliaryWrites.setRevision(key, revision);
   }
 
   /**
@@ -224,10 +226,10 @@
       busy = true;
       verifier.verify(pending, this::verified);
     } else if (refusal.reason() == Reason.CONFLICT) {
-      authority.lost("conflict on" + refusal.detail());
+      authority.lost(new LeadershipLoss.WriteConflict(refusal.detail()));
     } else if (refusal.reason() == Reason.INVALID) {
       LOG.error("key-value store rejected a transaction as invalid: {}", refusal.detail());
-      authority.lost("invalid transaction");
+      authority.lost(new LeadershipLoss.InvalidTransaction());
     } else {
       retryAfter(RETRY_S);
     }
@@ -243,7 +245,7 @@
     if (verdict instanceof TransactionVerifier.WasApplied applied) {
       settle(applied.revision());
     } else if (verdict instanceof TransactionVerifier.Overtaken overtaken) {
-      authority.lost(overtaken.reason());
+      authority.lost(overtaken.loss());
     }
   }
 }
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -1,24 +1,26 @@
 package org.ternhinge.ledger;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.BitSet;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Json;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskRanges;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
 /**
  * The layout of records in the key-value store. Other versions read and write the same records, so
  * the names of fields are a contract; they are short because values are limited in size.
@@ -103,7 +105,7 @@
     ObjectNode out = Json.object();
     out.set(SPEC, job.spec().write());
     out.put(ACCEPTED, job.acceptedMillis());
-    out.put(SEGMENT_SIZE, job.segmentSize());
+    out.put(SEGMENT_SIZE, job.record().segmentSize());
     out.put(HIGHEST_ATTEMPT, job.highest().value());
     if (job.backoffLevel() > 0) {
       out.put(BACKOFF_LEVEL, job.backoffLevel());
@@ -111,15 +113,15 @@
     if (job.cancelled()) {
       out.put(CANCELLED, true);
     }
-    if (!job.merged().isEmpty()) {
-      out.put(MERGED, TaskRanges.encode(job.merged(), 0, Integer.MAX_VALUE));
+    if (!job.record().merged().isEmpty()) {
+      out.put(MERGED, TaskRanges.encode(job.record().merged(), 0, Integer.MAX_VALUE));
     }
     return encodeTasks(job, 0, out);
   }
 
   private static ObjectNode encodeTasks(Job job, int segment, ObjectNode out) {
-    int from = job.firstTask(segment);
-    int to = job.endOfTasks(segment);
+    int from = job.record().firstTask(segment);
+    int to = job.record().endOfTasks(segment);
     out.put(DONE, TaskRanges.encode(job.done(), from, to));
     ArrayNode open = out.putArray(OPEN);
     tasksByAttempt(job, from, to)
@@ -164,13 +166,13 @@
     job.highest(new AttemptNumber(Json.count(value, HIGHEST_ATTEMPT)));
     job.backoffLevel(value.path(BACKOFF_LEVEL).asInt());
     if (value.path(CANCELLED).asBoolean()) {
-      job.markCancelled(true);
+      job.markCancelDurable();
     }
     for (int segment : TaskRanges.decode(value.path(MERGED).asText(""))) {
-      job.merged().set(segment);
+      job.record().merged().set(segment);
       if (!job.cancelled()) {
         // Of a cancelled job's merged segments it isn't known which tasks were done.
-        job.done().set(job.firstTask(segment), job.endOfTasks(segment));
+        job.done().set(job.record().firstTask(segment), job.record().endOfTasks(segment));
       }
     }
     decodeTasks(job, 0, value, revision, now);
@@ -180,8 +182,8 @@
   /** Reads what a segment says of its tasks into the job. */
   static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, SteadyTime now)
       throws WireException {
-    job.revision(segment, revision);
-    if (job.merged().get(segment)) {
+    job.record().revision(segment, revision);
+    if (job.record().merged().get(segment)) {
       return;
     }
     for (int i : TaskRanges.decode(Json.text(value, DONE))) {
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -1,9 +1,11 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.wire.Json;
+
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.ternhinge.wire.Json;
 
 /**
  * Splits a record into smaller segments where an earlier version wrote it under a larger limit on
@@ -29,10 +31,10 @@
 
   /** Asks for a record to be repartitioned; one job at a time can wait for it. */
   void request(Job job) {
-    job.repartitionWanted(false);
-    if (segmentCount(job, targetSize(job)) > maxChanges) {
-      job.markRepartitionTooLarge();
-    } else if (next == null && ledger.mayRepartition(job)) {
+    job.record().repartitionWanted(false);
+    if (job.record().segmentCount(targetSize(job)) > maxChanges) {
+      job.record().markRepartitionTooLarge();
+    } else if (next == null && RepartitionPolicy.permits(job, ledger.valueBytes())) {
       next = job;
     }
   }
@@ -47,9 +49,9 @@
     }
     Job job = next;
     int size = targetSize(job);
-    if (!ledger.mayRepartition(job)) {
+    if (!RepartitionPolicy.permits(job, ledger.valueBytes())) {
       next = null;
-    } else if (segmentCount(job, size) <= draft.freeChanges()) {
+    } else if (job.record().segmentCount(size) <= draft.freeChanges()) {
       next = null;
       repartition(draft, job, size);
     }
@@ -59,34 +61,30 @@
     return RecordSize.segmentSize(job, ledger.valueBytes());
   }
 
-  private static int segmentCount(Job job, int segmentSize) {
-    return (job.spec().tasks() + segmentSize - 1) / segmentSize;
-  }
-
   /**
    * Smaller segments are more, so each of the old ones is written over. The record is left as it is
    * where a segment would still be too large: then an array has more open attempts than its
    * admission allows, and they will end.
    */
   private void repartition(TransactionDraft draft, Job job, int size) {
-    int previousSize = job.segmentSize();
-    job.repartition(size);
+    int previousSize = job.record().segmentSize();
+    job.record().repartition(size);
     List<ObjectNode> values = new ArrayList<>();
-    for (int segment = 0; segment < job.segments(); segment++) {
+    for (int segment = 0; segment < job.record().segments(); segment++) {
       ObjectNode value = RecordCodec.encode(job, segment);
       if (Json.bytes(value).length > ledger.valueBytes()) {
-        job.repartition(previousSize);
+        job.record().repartition(previousSize);
         return;
       }
       values.add(value);
     }
-    for (int segment = 0; segment < job.segments(); segment++) {
+    for (int segment = 0; segment < job.record().segments(); segment++) {
       String key = Keys.segment(job.spec().id(), segment);
-      draft.put(key, values.get(segment), job.revision(segment));
+      draft.put(key, values.get(segment), job.record().revision(segment));
       draft.add(RecordWrite.Segment.of(job, segment));
     }
-    job.dirty().clear();
-    job.inFlight().set(0, job.segments());
-    ledger.clean(job);
+    job.record().dirty().clear();
+    job.record().inFlight().set(0, job.record().segments());
+    ledger.removeFromWriteQueue(job);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -2,10 +2,12 @@
 
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
+import org.ternhinge.model.MachineId;
+
+
 
 /**
  * How many bytes the segments of a record take at most, and how many tasks a segment is for so that
@@ -59,7 +61,7 @@
 
   /** How many tasks a segment of a job's record would be for if the record were new. */
   static int segmentSize(Job job, int valueBytes) {
-    return segmentSize(job.spec().kind(), job.specBytes(), valueBytes);
+    return segmentSize(job.spec().kind(), job.record().specBytes(), valueBytes);
   }
 
   private static int segmentSize(JobKind kind, int specBytes, int valueBytes) {
@@ -80,10 +82,10 @@
 
   /** Bytes of a segment, at most, however its tasks end, without the attempts' heads. */
   static int baseBytes(Job job, int segment, int valueBytes) {
-    int from = job.firstTask(segment);
-    int to = job.endOfTasks(segment);
+    int from = job.record().firstTask(segment);
+    int to = job.record().endOfTasks(segment);
     int digits = Integer.toString(to).length();
-    int onlyInFirst = segment == 0 ? job.specBytes() + valueBytes / MERGED_PART : 0;
+    int onlyInFirst = segment == 0 ? job.record().specBytes() + valueBytes / MERGED_PART : 0;
     return FRAME_BYTES + onlyInFirst + (to - from) * (digits + 1);
   }
 
--- a/src/main/java/org/ternhinge/ledger/RecordWrite.java
+++ b/src/main/java/org/ternhinge/ledger/RecordWrite.java
@@ -1,5 +1,7 @@
 package org.ternhinge.ledger;
 
+
+
 import java.util.ArrayList;
 import java.util.List;
 
@@ -23,7 +25,7 @@
       // are sent in the order of the opens.
       List<Attempt> opens = new ArrayList<>();
       for (Attempt attempt : job.openAttempts()) {
-        if (!attempt.durable() && job.segmentOf(attempt.task().index()) == index) {
+        if (!attempt.durable() && job.record().segmentOf(attempt.task().index()) == index) {
           opens.add(attempt);
         }
       }
--- a/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
@@ -1,17 +1,19 @@
 package org.ternhinge.ledger;
 
-import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
-import java.util.HashSet;
-import java.util.Set;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
 
+
+import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
+import java.util.HashSet;
+import java.util.Set;
+
 /**
  * Room for more open attempts in the segments of one job's record. What is admitted here fits the
  * limit on values whatever happens to it later: tasks only end, and their numbers are counted as if
- * each stood alone. A segment that an earlier version wrote under a larger limit takes nothing more
- * until enough of it has ended.
+ * each stood alone. A segment that an earlier version wrote under a larger limit admits nothing
+ * more * until enough of it has ended.
  */
 final class SegmentCapacity {
   /** What tasks of a segment share in the record where they have one attempt on one machine. */
@@ -37,12 +39,12 @@
 
   /** Whether segments hold each of their tasks on a machine of its own, so none need be asked. */
   static boolean isUnlimited(Job job, int valueBytes) {
-    int tasks = Math.min(job.spec().tasks(), job.segmentSize());
+    int tasks = Math.min(job.spec().tasks(), job.record().segmentSize());
     return RecordSize.baseBytes(job, 0, valueBytes) + tasks * RecordSize.BYTES_ALONE <= valueBytes;
   }
 
-  /** Takes room for an attempt that is to open; false where its segment has none. */
-  boolean take(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+  /** Reserves room for an attempt that is to open; false where its segment has none. */
+  boolean reserve(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     Head head = head(index, number, machine, epoch);
     if (heads.contains(head)) {
       return true;
@@ -63,6 +65,6 @@
   }
 
   private Head head(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
-    return new Head(job.segmentOf(index), number, machine, epoch);
+    return new Head(job.record().segmentOf(index), number, machine, epoch);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
@@ -1,9 +1,11 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.Revision;
+
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.ternhinge.model.Revision;
 
 /** Brings the ledger up to date once the key-value store holds a transaction. */
 final class TransactionSettlement {
@@ -32,8 +34,8 @@
         segmentApplied(segment, revision);
         durable.addAll(markDurable(segment));
       } else if (write instanceof RecordWrite.SegmentRemoval removal) {
-        removal.job().inFlight().clear(removal.index());
-        removal.job().revision(removal.index(), Revision.NONE);
+        removal.job().record().inFlight().clear(removal.index());
+        removal.job().record().revision(removal.index(), Revision.NONE);
       } else if (write instanceof RecordWrite.End end) {
         endApplied(end.job());
       }
@@ -44,10 +46,10 @@
 
   private void segmentApplied(RecordWrite.Segment write, Revision revision) {
     Job job = write.job();
-    job.inFlight().clear(write.index());
-    job.revision(write.index(), revision);
+    job.record().inFlight().clear(write.index());
+    job.record().revision(write.index(), revision);
     if (write.cancels()) {
-      ledger.cancelIsDurable(job);
+      ledger.markCancelDurable(job);
     }
   }
 
@@ -62,8 +64,8 @@
   }
 
   private void endApplied(Job job) {
-    job.inFlight().clear(0);
-    job.finalIsDurable();
-    ledger.ended(job);
+    job.record().inFlight().clear(0);
+    job.markFinalDurable();
+    ledger.markEnded(job);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -1,15 +1,17 @@
 package org.ternhinge.ledger;
 
-import java.util.Optional;
-import java.util.function.Consumer;
-import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.store.Change;
 import org.ternhinge.model.Clock;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Revision;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
+
+
+import java.util.Optional;
+import java.util.function.Consumer;
 
 /**
  * Finds out by reading back whether an earlier copy of a transaction was applied, where its answer
@@ -30,7 +32,7 @@
   record WasApplied(Revision revision) implements Verdict {}
 
   /** No copy was or will be applied: another leader has written meanwhile. */
-  record Overtaken(String reason) implements Verdict {}
+  record Overtaken(LeadershipLoss.WriteOvertaken loss) implements Verdict {}
 
   private final KeyValueStore store;
   private final Authority authority;
@@ -65,7 +67,7 @@
       Change probe = transaction.probe();
       read(probe.key(), transaction, onVerdict, entry -> onVerdict.accept(compare(probe, entry)));
     } else {
-      onVerdict.accept(new Overtaken("a write of ours was overtaken by another term"));
+      onVerdict.accept(new Overtaken(new LeadershipLoss.WriteOvertaken(true)));
     }
   }
 
@@ -76,7 +78,7 @@
             : entry.isEmpty();
     return applied
         ? new WasApplied(entry.map(Entry::revision).orElse(Revision.NONE))
-        : new Overtaken("a write of ours was overtaken");
+        : new Overtaken(new LeadershipLoss.WriteOvertaken(false));
   }
 
   /** Reads a key; a read that fails starts the verification again, since the term may change. */
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -1,13 +1,15 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
+
+
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
 
 /** Jobs with something to write, and how urgent it is. */
 final class WriteQueue {
@@ -37,7 +39,7 @@
   /** Adds a job; one that waits already keeps its place and its time. */
   void add(Job job) {
     if (jobs.add(job)) {
-      job.dirtySince(clock.now());
+      job.record().dirtySince(clock.now());
     }
   }
 
@@ -58,7 +60,7 @@
     }
     for (Job job : jobs) {
       Urgency urgency = urgency(job, overdueBefore);
-      if (urgency != Urgency.ENDINGS || !batchedBefore.isBefore(job.dirtySince())) {
+      if (urgency != Urgency.ENDINGS || !batchedBefore.isBefore(job.record().dirtySince())) {
         ready.get(urgency).add(job);
       }
     }
@@ -76,8 +78,8 @@
     if (job.over()) {
       return Urgency.ENDS;
     }
-    if (!job.opening()) {
-      return job.dirtySince().isBefore(overdueBefore) ? Urgency.OPENS : Urgency.ENDINGS;
+    if (!job.record().opensAttempts()) {
+      return job.record().dirtySince().isBefore(overdueBefore) ? Urgency.OPENS : Urgency.ENDINGS;
     }
     return switch (job.planned().priority()) {
       case PRODUCTION -> Urgency.PRODUCTION_OPENS;
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -1,8 +1,10 @@
 package org.ternhinge.machine;
 
-import java.util.Optional;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.Optional;
+
 /**
  * The state of one machine as the cloud sees it: when it was provisioned, what listings show of it,
  * and whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -1,8 +1,10 @@
 package org.ternhinge.machine;
 
-import java.util.function.BooleanSupplier;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.function.BooleanSupplier;
+
 /**
  * Whether answers and commands reach the worker of one machine. Its heartbeats may arrive while
  * these are lost: then the leader would extend its lease by answers that never arrived, place tasks
--- a/src/main/java/org/ternhinge/machine/ImageCache.java
+++ b/src/main/java/org/ternhinge/machine/ImageCache.java
@@ -1,5 +1,7 @@
 package org.ternhinge.machine;
 
+
+
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/org/ternhinge/machine/MachineDescription.java
+++ b/src/main/java/org/ternhinge/machine/MachineDescription.java
@@ -1,5 +1,7 @@
 package org.ternhinge.machine;
 
+
+
 import java.util.List;
 
 /**
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -1,10 +1,12 @@
 package org.ternhinge.machine;
 
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
-import java.util.List;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.TaskStatus;
 
+
+import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
+import java.util.List;
+
 /**
  * Counts the machines that list each task. The counts are updated by the difference between
  * consecutive messages of a machine, so that no update visits the whole fleet. Guarded by the
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -1,8 +1,10 @@
 package org.ternhinge.machine;
 
-import java.util.TreeSet;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.TreeSet;
+
 /**
  * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value
  * store, so however many jobs fail, their retries together have a bounded rate. Time is cut into
--- a/src/main/java/org/ternhinge/metrics/Metrics.java
+++ b/src/main/java/org/ternhinge/metrics/Metrics.java
@@ -1,5 +1,7 @@
 package org.ternhinge.metrics;
 
+
+
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/ternhinge/model/AsyncCalls.java
+++ b/src/main/java/org/ternhinge/model/AsyncCalls.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
--- a/src/main/java/org/ternhinge/model/Endpoint.java
+++ b/src/main/java/org/ternhinge/model/Endpoint.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * A TCP address.
  *
--- a/src/main/java/org/ternhinge/model/JobId.java
+++ b/src/main/java/org/ternhinge/model/JobId.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * The unique id of a job, chosen by its user.
  *
--- a/src/main/java/org/ternhinge/model/LockedExecutor.java
+++ b/src/main/java/org/ternhinge/model/LockedExecutor.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * The name of a machine, given by the cloud. The order of names is the order of creation.
  *
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 import java.util.function.Function;
 
 /**
--- a/src/main/java/org/ternhinge/model/Revision.java
+++ b/src/main/java/org/ternhinge/model/Revision.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * A version in the key-value store: of one key, the store revision of its latest change; of the
  * whole store, the number of changes so far.
--- a/src/main/java/org/ternhinge/model/SteadyTime.java
+++ b/src/main/java/org/ternhinge/model/SteadyTime.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * A reading of the steady clock of this process. Readings of different processes are not
  * comparable.
--- a/src/main/java/org/ternhinge/model/TaskId.java
+++ b/src/main/java/org/ternhinge/model/TaskId.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 /**
  * One task of a job.
  *
--- a/src/main/java/org/ternhinge/model/TaskRanges.java
+++ b/src/main/java/org/ternhinge/model/TaskRanges.java
@@ -1,5 +1,7 @@
 package org.ternhinge.model;
 
+
+
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.BitSet;
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -1,10 +1,12 @@
 package org.ternhinge.peer;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
 /**
  * One message between controllers. On the wire: length of what follows (4 bytes), id (8), type (1),
  * then method, path and body of a request, or status (4), retry time in seconds (4) and body of a
--- a/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
+++ b/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
@@ -1,8 +1,10 @@
 package org.ternhinge.request;
 
-import java.util.Optional;
 import org.ternhinge.wire.DependencyVerdict;
 
+
+import java.util.Optional;
+
 /**
  * The paths by which controllers forward jobs with dependencies to each other. A version that would
  * drop the dependencies does not know these paths and answers 404, so it never accepts such a job.
--- a/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
@@ -1,10 +1,12 @@
 package org.ternhinge.request;
 
-import java.util.HashMap;
-import java.util.Map;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.HashMap;
+import java.util.Map;
+
 /**
  * Decides which workers' heartbeats this node relays to the leader. A worker that was redirected to
  * the leader and soon comes back could not reach it; its heartbeats are relayed for a while, so
--- a/src/main/java/org/ternhinge/request/JobRequestRouter.java
+++ b/src/main/java/org/ternhinge/request/JobRequestRouter.java
@@ -1,12 +1,14 @@
 package org.ternhinge.request;
 
-import java.util.Optional;
-import java.util.function.Consumer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
 import org.ternhinge.leadership.Leadership;
 import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.model.JobId;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+
+
+import java.util.Optional;
+import java.util.function.Consumer;
 
 /**
  * Has requests about a job answered by the leader, here or on another node, and otherwise from the
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -1,10 +1,12 @@
 package org.ternhinge.request;
 
-import java.util.Optional;
-import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 
+
+import java.util.Optional;
+import java.util.function.Consumer;
+
 /** Carries requests to the other controllers. */
 public interface PeerTransport {
   /**
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -1,17 +1,19 @@
 package org.ternhinge.round;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Tuning;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.ScaleOutOptions;
+import org.ternhinge.config.Settings;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.config.Tuning;
+
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
 /**
  * Takes the planner's snapshots of jobs and machines. Machines cache their views until something on
--- a/src/main/java/org/ternhinge/scaling/OpenProvision.java
+++ b/src/main/java/org/ternhinge/scaling/OpenProvision.java
@@ -1,10 +1,12 @@
 package org.ternhinge.scaling;
 
-import java.util.HashSet;
-import java.util.Set;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.ProvisionRequest;
 
+
+import java.util.HashSet;
+import java.util.Set;
+
 /**
  * A provision request that is recorded and not completed: it is unanswered, or some of its machines
  * have not been seen yet. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/scaling/RetryPolicy.java
+++ b/src/main/java/org/ternhinge/scaling/RetryPolicy.java
@@ -1,6 +1,8 @@
 package org.ternhinge.scaling;
 
 import org.ternhinge.model.Outcome;
+
+
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/schedule/MachinesWithRoom.java
+++ b/src/main/java/org/ternhinge/schedule/MachinesWithRoom.java
@@ -1,5 +1,7 @@
 package org.ternhinge.schedule;
 
+
+
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
@@ -1,12 +1,14 @@
 package org.ternhinge.schedule;
 
-import java.util.List;
-import java.util.Objects;
-import java.util.Optional;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
+
+import java.util.List;
+import java.util.Objects;
+import java.util.Optional;
+
 /**
  * The properties of a job, besides its size, that decide where its tasks may be placed. Jobs with
  * equal constraints share the result of a search. Used as part of the keys of one round's maps.
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,5 +1,7 @@
 package org.ternhinge.schedule;
 
+
+
 /** Which places a search considers, and whose tasks it may preempt. */
 enum PlacementScope {
   /** Places that no task with accelerators loses. */
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -1,8 +1,10 @@
 package org.ternhinge.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.ternhinge.model.Revision;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+
 /** A change of one key, either requested by a transaction or observed by a watch. */
 public sealed interface Change {
   /** The key that is changed. */
--- a/src/main/java/org/ternhinge/store/Entry.java
+++ b/src/main/java/org/ternhinge/store/Entry.java
@@ -1,8 +1,10 @@
 package org.ternhinge.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.ternhinge.model.Revision;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+
 /**
  * A key of the store as it was read.
  *
--- a/src/main/java/org/ternhinge/store/KeyCondition.java
+++ b/src/main/java/org/ternhinge/store/KeyCondition.java
@@ -1,8 +1,10 @@
 package org.ternhinge.store;
 
+import org.ternhinge.model.Revision;
+
+
 import java.util.List;
 import java.util.Map;
-import org.ternhinge.model.Revision;
 
 /**
  * A condition of a {@link CompareAndSwap}: a key has an expected revision.
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -1,5 +1,10 @@
 package org.ternhinge.term;
 
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.ledger.LedgerWriter;
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -10,9 +15,6 @@
 import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
 
 /**
  * Stores many small entries in few records of the key-value store. A write of a record costs one
@@ -95,7 +97,7 @@
       LOG.error("record {} is not one of ours and is left alone", entry.key());
       return;
     }
-    writer.known(entry.key(), entry.revision());
+    writer.setRevision(entry.key(), entry.revision());
     Bucket bucket = bucket(Integer.parseInt(number));
     entry
         .value()
@@ -141,7 +143,7 @@
     Bucket bucket = bucketByName.remove(name);
     if (bucket != null) {
       bucket.remove(name);
-      writer.write(bucket.key, bucket::value, null);
+      writer.write(bucket.key, bucket::value);
     }
   }
 }
--- a/src/main/java/org/ternhinge/term/RoundTrigger.java
+++ b/src/main/java/org/ternhinge/term/RoundTrigger.java
@@ -1,5 +1,7 @@
 package org.ternhinge.term;
 
+
+
 /** Requests scheduling rounds; used by whatever changes which tasks could be placed where. */
 @FunctionalInterface
 public interface RoundTrigger {
--- a/src/main/java/org/ternhinge/wire/DependencyVerdict.java
+++ b/src/main/java/org/ternhinge/wire/DependencyVerdict.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 import java.util.Locale;
 
 /** Why an attempt of a task ended, as its worker reports it. */
--- a/src/main/java/org/ternhinge/wire/ErrorBody.java
+++ b/src/main/java/org/ternhinge/wire/ErrorBody.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 /**
  * The body of an answer that rejects a request permanently.
  *
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 /** How the tasks of a job relate to one another. */
 public enum JobKind {
   /** Independent tasks, each of which runs to completion. */
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -1,8 +1,10 @@
 package org.ternhinge.wire;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.JobId;
 
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+
 /**
  * The state of a job as answers to its user show it.
  *
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -1,5 +1,7 @@
 package org.ternhinge.wire;
 
+
+
 import java.util.Locale;
 
 /** A job's priority, highest first. */
--- a/src/main/java/org/ternhinge/wire/TaskIds.java
+++ b/src/main/java/org/ternhinge/wire/TaskIds.java
@@ -2,6 +2,8 @@
 
 import org.ternhinge.model.TaskId;
 
+
+
 /** Reads task ids from messages. */
 final class TaskIds {
   private TaskIds() {}
--- a/src/main/java/org/ternhinge/zone/FailoverMetrics.java
+++ b/src/main/java/org/ternhinge/zone/FailoverMetrics.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -1,7 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.config.ZoneFailoverSettings;
+
+
 
 /**
  * Measures how often a zone was lost recently: each loss adds one, and the value decays
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -1,8 +1,10 @@
 package org.ternhinge.zone;
 
+import org.ternhinge.model.TaskRanges;
+
+
 import java.util.Map;
 import java.util.Optional;
-import org.ternhinge.model.TaskRanges;
 
 /** Parses the events of zones from a log, those of earlier versions included. */
 public final class ZoneEventParser {
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -1,7 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.config.ZoneFailoverSettings;
+
+
 
 /**
  * The state machine of one zone, as an immutable value: each observation gives the next one.
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 /**
  * The condition of a zone's machines at one time.
  *
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.UnaryOperator;
 
--- a/src/main/java/org/ternhinge/zone/ZoneState.java
+++ b/src/main/java/org/ternhinge/zone/ZoneState.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 import java.util.Locale;
 import java.util.Optional;
 
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -1,5 +1,7 @@
 package org.ternhinge.zone;
 
+
+
 /**
  * The published status of a zone.
  *
--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -1,5 +1,7 @@
 package org.ternhinge;
 
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.tngtech.archunit.core.domain.JavaClass;
--- a/src/test/java/org/ternhinge/PackageRulesTest.java
+++ b/src/test/java/org/ternhinge/PackageRulesTest.java
@@ -1,5 +1,7 @@
 package org.ternhinge;
 
+
+
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideOutsideOfPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -1,5 +1,17 @@
 package org.ternhinge.attempt;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.sim.Specs;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,17 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.leadership.RecordingWorkers.Message;
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
 
 /** Direct commands to workers: when they are sent, which ones, and what their outcomes mean. */
 class CommandDispatcherTest {
@@ -160,7 +162,8 @@
       fixture.authority.expectLoss();
       fixture.open(job, 0, machine);
       messages().get(0).refuse(fixture.heartbeat(machine).fencingToken(2).build());
-      assertEquals("a worker has seen term 2", fixture.authority.lossReason().orElseThrow());
+      assertEquals(
+          new LeadershipLoss.HigherTermSeen(new Term(2)), fixture.authority.lossReason().orElseThrow());
       assertEquals(List.of(), fixture.statuses);
     }
   }
--- a/src/test/java/org/ternhinge/cli/LinkRelay.java
+++ b/src/test/java/org/ternhinge/cli/LinkRelay.java
@@ -1,5 +1,7 @@
 package org.ternhinge.cli;
 
+
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/src/test/java/org/ternhinge/controller/HungMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/HungMachinesTest.java
@@ -1,10 +1,12 @@
 package org.ternhinge.controller;
 
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
 /** Machines that hang, with cancellations and changes of leader, on virtual time. */
 class HungMachinesTest extends CombinedFaultsFixture {
   /** What was sent to a hung machine is executed when it resumes. */
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -1,5 +1,8 @@
 package org.ternhinge.http;
 
+import org.ternhinge.model.Endpoint;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +12,6 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.model.Endpoint;
 
 /** Which idle connections are kept, reused and closed. */
 class ConnectionPoolTest {
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -1,52 +1,54 @@
 package org.ternhinge.leadership;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
-import java.util.concurrent.locks.ReentrantLock;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.attempt.AgentStatusSink;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.attempt.CommandDispatcher;
-import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.store.Change;
 import org.ternhinge.cloud.Cloud;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Team;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.failover.ZoneControl;
-import org.ternhinge.ledger.Attempt;
+import org.ternhinge.wire.Command;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.wire.Json;
 import org.ternhinge.ledger.Keys;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
 import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.ledger.MachineAttributes;
-import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.ledger.MachineAttributes;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.machine.ReportedTaskCounts;
 import org.ternhinge.machine.ReportedTasks;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.DirectStore;
+import org.ternhinge.config.Settings;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.term.BucketedRecords;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.wire.Json;
+import org.ternhinge.config.Team;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.wire.WireException;
+import org.ternhinge.failover.ZoneControl;
+
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.locks.ReentrantLock;
 
 /**
  * The collaborators of the class under test in one leadership: a real ledger and writer over a
@@ -171,7 +173,7 @@
     Revision revision = core.get(key).entry().orElseThrow().revision();
     try {
       Job job = LedgerLoader.read(record, revision, clock.now());
-      ledger.adopt(job);
+      ledger.add(job);
       return job;
     } catch (WireException e) {
       throw new IllegalArgumentException(e);
--- a/src/test/java/org/ternhinge/leadership/TestAuthority.java
+++ b/src/test/java/org/ternhinge/leadership/TestAuthority.java
@@ -1,16 +1,19 @@
 package org.ternhinge.leadership;
 
-import java.util.Optional;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
+
+import java.util.Optional;
+
 /** The authority of a leadership that holds. Its loss fails the test unless it is expected. */
 public final class TestAuthority implements Authority {
   private Term term = new Term(1);
   private Revision revision;
   private boolean lossExpected;
-  private String lossReason;
+  private LeadershipLoss lossReason;
 
   TestAuthority(Revision revision) {
     this.revision = revision;
@@ -38,11 +41,11 @@
   }
 
   @Override
-  public void lost(String why) {
+  public void lost(LeadershipLoss loss) {
     if (!lossExpected) {
-      throw new AssertionError(why);
+      throw new AssertionError(loss.toString());
     }
-    lossReason = why;
+    lossReason = loss;
   }
 
   /** From now on the loss of the leadership is recorded and does not fail the test. */
@@ -51,7 +54,7 @@
   }
 
   /** Why the leadership was lost; empty while it holds. */
-  public Optional<String> lossReason() {
+  public Optional<LeadershipLoss> lossReason() {
     return Optional.ofNullable(lossReason);
   }
 }
--- /dev/null
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -0,0 +1,195 @@
+package org.ternhinge.ledger;
+
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.model.SteadyTime;
+
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Optional;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** The life of an attempt: every pair of states, and what follows from them. */
+class AttemptStateTest {
+  private final SimClock clock = new SimClock();
+
+  private Attempt attempt(boolean recovered) {
+    Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 1)), 1, 8);
+    MachineAttributes site = TestMachines.on("n-1", 1);
+    return new Attempt(
+        job,
+        0,
+        new AttemptNumber(1),
+        site.machine(),
+        site.epoch(),
+        site.zone(),
+        recovered,
+        clock.now());
+  }
+
+  /** An attempt that was brought into a state by what happens to it. */
+  private Attempt inState(AttemptState state) {
+    Attempt attempt = attempt(false);
+    if (state != AttemptState.PROPOSED) {
+      attempt.markDurable();
+    }
+    if (state.isReported()) {
+      attempt.observe(state, clock.now());
+    }
+    if (state == AttemptState.CLOSED) {
+      attempt.close();
+    }
+    assertEquals(state, attempt.state());
+    return attempt;
+  }
+
+  @Nested
+  class Table {
+    /** One row for each state; {@code x} is a permitted transition, in the order of the enum. */
+    @ParameterizedTest(name = "from {0}: {1}")
+    @CsvSource({
+      "PROPOSED,      . x . . . . x",
+      "STARTING,      . . x x x x x",
+      "FETCHING,      . . x x x x x",
+      "WAITING,       . . x x x x x",
+      "RUNNING,       . . x x x x x",
+      "CHECKPOINTING, . . x x x x x",
+      "CLOSED,        . . . . . . ."
+    })
+    void permitsExactlyThese(AttemptState from, String row) {
+      List<String> marks = List.of(row.split(" ", -1));
+      AttemptState[] all = AttemptState.values();
+      assertEquals(all.length, marks.size());
+      for (int i = 0; i < all.length; i++) {
+        assertEquals(marks.get(i).equals("x"), from.permits(all[i]), from + " to " + all[i]);
+      }
+    }
+
+    /** PROPOSED is the first state of all and can't be asked for. */
+    @ParameterizedTest(name = "from {0}")
+    @EnumSource
+    void anAttemptFollowsIt(AttemptState from) {
+      for (AttemptState to : AttemptState.values()) {
+        if (to == AttemptState.PROPOSED) {
+          assertFalse(from.permits(to));
+        } else if (from == AttemptState.PROPOSED && to.isReported()) {
+          Attempt attempt = inState(from);
+          enter(attempt, to);
+          assertEquals(from, attempt.state(), "ignored");
+        } else if (from.permits(to)) {
+          Attempt attempt = inState(from);
+          enter(attempt, to);
+          assertEquals(to, attempt.state());
+        } else {
+          assertViolation(from, to);
+        }
+      }
+    }
+
+    private void assertViolation(AttemptState from, AttemptState to) {
+      Attempt attempt = inState(from);
+      IllegalTransitionException violation =
+          assertThrows(IllegalTransitionException.class, () -> enter(attempt, to));
+      assertEquals(from, violation.from());
+      assertEquals(to, violation.to());
+      assertTrue(violation.getMessage().contains(from + " to " + to), violation.getMessage());
+      assertEquals(from, attempt.state(), "kept");
+    }
+
+    private void enter(Attempt attempt, AttemptState to) {
+      switch (to) {
+        case STARTING -> attempt.markDurable();
+        case CLOSED -> attempt.close();
+        default -> attempt.observe(to, clock.now());
+      }
+    }
+  }
+
+  @Nested
+  class DerivedAnswers {
+    @ParameterizedTest(name = "{0}: durable {1}, reported {2}")
+    @CsvSource({
+      "PROPOSED, false, false",
+      "STARTING, true, false",
+      "FETCHING, true, true",
+      "WAITING, true, true",
+      "RUNNING, true, true",
+      "CHECKPOINTING, true, true",
+      "CLOSED, true, false"
+    })
+    void followFromTheState(AttemptState state, boolean durable, boolean reported) {
+      assertEquals(durable, inState(state).durable());
+      assertEquals(reported, inState(state).isReported());
+    }
+
+    @Test
+    void aRecoveredAttemptIsDurableFromTheStart() {
+      assertEquals(AttemptState.STARTING, attempt(true).state());
+      assertTrue(attempt(true).durable());
+    }
+
+    @Test
+    void aStatusMustBeOneThatAWorkerShows() {
+      Attempt attempt = inState(AttemptState.RUNNING);
+      assertThrows(
+          IllegalTransitionException.class,
+          () -> attempt.observe(AttemptState.STARTING, clock.now()));
+      assertThrows(
+          IllegalTransitionException.class,
+          () -> attempt.observe(AttemptState.CLOSED, clock.now()));
+      assertEquals(AttemptState.RUNNING, attempt.state());
+    }
+
+    @Test
+    void theRunningTimeBeginsWithTheFirstOfRepeatedStatuses() {
+      Attempt attempt = inState(AttemptState.FETCHING);
+      SteadyTime first = clock.now();
+      attempt.observe(AttemptState.RUNNING, first);
+      attempt.observe(AttemptState.RUNNING, first.plusSeconds(5));
+      assertEquals(first, attempt.runningSince());
+    }
+  }
+
+  @Nested
+  class Stops {
+    @Test
+    void anAttemptHasNoStopRequestAtFirst() {
+      Attempt attempt = attempt(false);
+      assertFalse(attempt.stopping());
+      assertEquals(Optional.empty(), attempt.stopRequest());
+      assertEquals(0, attempt.stopGraceS());
+    }
+
+    @ParameterizedTest(name = "{0} s, then {1} s: the request for {2} s made at {3} s")
+    @CsvSource({"5, 3, 3, 1", "5, 5, 5, 0", "3, 5, 3, 0", "0, 0, 0, 0"})
+    void aLaterRequestCountsOnlyIfItsGraceIsShorter(
+        double firstS, double secondS, double expectedS, double expectedAtS) {
+      Attempt attempt = attempt(false);
+      SteadyTime start = clock.now();
+      attempt.stop(firstS, start);
+      attempt.stop(secondS, start.plusSeconds(1));
+      StopRequest expected = new StopRequest(expectedS, start.plusSeconds(expectedAtS));
+      assertEquals(Optional.of(expected), attempt.stopRequest());
+      assertEquals(expectedS, attempt.stopGraceS());
+    }
+
+    @ParameterizedTest(name = "in {0}")
+    @EnumSource
+    void areIndependentOfTheState(AttemptState state) {
+      Attempt attempt = inState(state);
+      attempt.stop(2, clock.now());
+      assertTrue(attempt.stopping());
+      assertEquals(state, attempt.state());
+    }
+  }
+}
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -1,5 +1,11 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.wire.Json;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,10 +14,6 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.wire.Json;
 
 /** Writes beside those of jobs. */
 class AuxiliaryWritesTest {
@@ -43,7 +45,7 @@
 
   @Test
   void aKeyOfAnEarlierLeaderIsWrittenOverItsVersion() {
-    writes.known("r/1", new Revision(5));
+    writes.setRevision("r/1", new Revision(5));
     writes.request("r/1", Json::object, null);
     writes.request("r/2", Json::object, null);
     List<KeyCondition> conditions = next(16).request().conditions();
--- a/src/test/java/org/ternhinge/ledger/DependenciesTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -1,5 +1,17 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.config.Team;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,24 +23,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
 
 /** What a job's state is follows from durable facts about those before it. */
-class DependenciesTest {
+class DependencyGraphTest {
   private static final int VALUE = 8 * 1024;
 
   private final SimClock clock = new SimClock();
@@ -49,7 +52,7 @@
     JobSpec spec = Specs.of(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE));
     jobs.put(name, job);
-    ledger.adopt(job);
+    ledger.add(job);
     return job;
   }
 
@@ -72,8 +75,9 @@
         .sorted()
         .forEach(
             n -> {
-              JobState state = ledger.stateFor(jobs.get(n));
-              out.add(n + ":" + (state == null ? "unsure" : state.phase().word()));
+              String state =
+                  ledger.findState(jobs.get(n)).map(s -> s.phase().word()).orElse("unsure");
+              out.add(n + ":" + state);
             });
     return String.join(" ", out);
   }
@@ -83,7 +87,7 @@
     if (phase == Phase.CANCELLED) {
       ledger.cancel(job);
     }
-    ledger.ended(job);
+    ledger.markEnded(job);
     jobs.remove(name);
   }
 
@@ -109,13 +113,13 @@
       case "asked" -> ledger.cancel(open(name));
       case "durable" -> {
         ledger.cancel(open(name));
-        ledger.cancelIsDurable(jobs.get(name));
+        ledger.markCancelDurable(jobs.get(name));
       }
       case "over" -> end(name, Phase.CANCELLED);
       case "done" -> end(name, Phase.DONE);
       case "read" -> {
         Phase phase = words[1].equals("done") ? Phase.DONE : Phase.CANCELLED;
-        ledger.dependencies().resolved(new JobState(id(name), phase, 0, 0));
+        ledger.resolveEnd(new JobState(id(name), phase, 0, 0));
       }
       default -> {}
     }
@@ -142,9 +146,9 @@
     assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
     end("1", Phase.DONE);
     assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
-    assertFalse(ledger.dependencies().takeReady());
+    assertFalse(ledger.dependencies().drainReady());
     end("2", Phase.DONE);
-    assertTrue(ledger.dependencies().takeReady());
+    assertTrue(ledger.dependencies().drainReady());
     assertNull(refusal(last));
   }
 
@@ -152,12 +156,12 @@
   @Test
   void endsThatAreNotRememberedAreReadOnce() {
     acceptAll("2<1 3<1 4<1");
-    assertEquals(id("1"), ledger.dependencies().nextUnresolved());
-    assertNull(ledger.dependencies().nextUnresolved());
+    assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
+    assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
     assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(jobs.get("3")));
-    ledger.dependencies().unknown(id("1"));
-    assertEquals(id("1"), ledger.dependencies().nextUnresolved());
-    ledger.dependencies().resolved(new JobState(id("1"), Phase.DONE, 2, 0));
+    ledger.dependencies().retryUnresolved(id("1"));
+    assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
+    ledger.resolveEnd(new JobState(id("1"), Phase.DONE, 2, 0));
     assertNull(refusal(jobs.get("3")));
     accept("5", "normal", "1");
     assertNull(refusal(jobs.get("5")), "remembered");
@@ -168,7 +172,7 @@
   void theOrderInWhichJobsComeDoesNotMatter() {
     accept("2", "high", "1");
     accept("1", "low");
-    assertNull(ledger.dependencies().nextUnresolved());
+    assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
     assertEquals("high", jobs.get("1").planned().priority().word());
     assertEquals("low", jobs.get("1").spec().priority().word(), "its record stays");
     end("1", Phase.DONE);
@@ -197,8 +201,8 @@
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
     assertEquals(List.of(), RecordCodec.waitsFor(record));
-    ledger.adopt(job);
-    assertNull(ledger.dependencies().nextUnresolved());
+    ledger.add(job);
+    assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
     assertNull(refusal(job));
   }
 
@@ -209,7 +213,8 @@
       accept(String.valueOf(i), "normal", String.valueOf(i % 3 == 0 ? i - 1 : 0));
     }
     ledger.cancel(open("0"));
-    ledger.cancelIsDurable(jobs.get("0"));
-    jobs.values().forEach(j -> assertEquals(Phase.CANCELLED, ledger.stateFor(j).phase()));
+    ledger.markCancelDurable(jobs.get("0"));
+    jobs.values()
+        .forEach(j -> assertEquals(Phase.CANCELLED, ledger.findState(j).orElseThrow().phase()));
   }
 }
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -1,5 +1,17 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.config.Team;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,17 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
 
 /** Admission of attempts and the state of jobs. */
 class LedgerTest {
@@ -33,7 +35,7 @@
   private Job job(ObjectNode json) {
     JobSpec spec = Specs.of(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, 8 * 1024));
-    ledger.adopt(job);
+    ledger.add(job);
     return job;
   }
 
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -1,5 +1,22 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.WireException;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,22 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.Term;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
 
 /** The order of writes, lost answers, and ends in several transactions. */
 class LedgerWriterTest {
@@ -43,7 +45,7 @@
   /** Where set, the term's version that the leader knows, whatever has become of it. */
   private Revision ledAt;
 
-  private final List<String> lost = new ArrayList<>();
+  private final List<LeadershipLoss> lost = new ArrayList<>();
 
   /** Transactions that get no answer, and whether they are carried out all the same. */
   private int unanswered;
@@ -77,11 +79,11 @@
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(LeadershipLoss loss) {
       if (ledAt == null) {
-        throw new AssertionError(why);
+        throw new AssertionError(loss);
       }
-      lost.add(why);
+      lost.add(loss);
     }
   }
 
@@ -143,8 +145,11 @@
     }
   }
 
-  private Job accept(String id, String kind, String priority, int tasks) {
+  private Job accept(String id, String kind, String priority, int tasks, String... dependencies) {
     ObjectNode spec = Specs.json(id, kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
+    if (dependencies.length > 0) {
+      List.of(dependencies).forEach(spec.putArray("bidur_eftir")::add);
+    }
     spec.put("forgang", priority);
     ObjectNode record = RecordCodec.fresh(Specs.of(spec), 1, ledger.valueBytes());
     String key = Keys.job(Specs.of(spec).id());
@@ -154,7 +159,7 @@
     Revision at = ((Outcome.Applied<Revision>) put).value();
     try {
       Job job = LedgerLoader.read(record, at, clock.now());
-      ledger.adopt(job);
+      ledger.add(job);
       return job;
     } catch (WireException e) {
       throw new IllegalStateException(e);
@@ -266,7 +271,7 @@
     int segment = 1;
     List<Attempt> attempts =
         job.openAttempts().stream()
-            .filter(attempt -> job.segmentOf(attempt.task().index()) == segment)
+            .filter(attempt -> job.record().segmentOf(attempt.task().index()) == segment)
             .toList();
     attempts.subList(1, attempts.size()).forEach(attempt -> ledger.close(attempt, true));
     String key = Keys.segment(job.spec().id(), segment);
@@ -281,7 +286,7 @@
     clock.runFor(1);
     writer.pump();
     clock.runFor(5);
-    assertTrue(job.merged().get(segment));
+    assertTrue(job.record().merged().get(segment));
     assertTrue(core.get(key).entry().isEmpty(), "a key that nobody would remove");
   }
 
@@ -327,4 +332,26 @@
     sent.forEach(t -> t.changes().forEach(c -> keys.add(c.key())));
     assertEquals(List.of("j/wk-3", "j/wk-2", "j/wk-1"), keys);
   }
+
+  /** It is only then that its own dependency is cancelled: nothing of the ended job is written. */
+  @Test
+  void anEndedJobIsNotCancelledAgainByItsDependency() {
+    core.compareAndSwap(
+        new CompareAndSwap(
+            List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
+    ledAt = termNow();
+    Job dependency = accept("wk-1", "batch", "normal", 3);
+    open(dependency, 0, 1);
+    Job dependent = accept("wk-2", "batch", "normal", 1, "wk-1");
+    ledger.cancel(dependent);
+    writer.pump();
+    clock.runFor(2);
+    assertTrue(core.get(Keys.end(dependent.spec().id())).entry().isPresent());
+    ledger.cancel(dependency);
+    writer.pump();
+    clock.runFor(5);
+    assertTrue(dependency.cancelDurable());
+    assertEquals(List.of(), lost);
+    assertTrue(writer.idle());
+  }
 }
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -1,5 +1,17 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.election.Election;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.Term;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.wire.WireException;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.ternhinge.ledger.ProductionLiterals.json;
@@ -13,16 +25,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.election.Election;
-import org.ternhinge.model.Term;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.WireException;
 
 /** The term's and the leader's records, as both versions of an upgrade write and read them. */
 class ProductionLeadershipTest {
@@ -48,7 +50,7 @@
           }
 
           @Override
-          public void deposed(String why) {}
+          public void deposed(LeadershipLoss loss) {}
         });
     clock.runFor(1);
     return election;
--- a/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
@@ -1,10 +1,12 @@
 package org.ternhinge.ledger;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.nio.charset.StandardCharsets;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
+
 /**
  * Records as earlier versions write them, byte for byte: written by the code of the version in
  * production or, where the names begin with {@code WAITING} or {@code DEPENDENT}, by that of commit
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -1,5 +1,18 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.config.Team;
+import org.ternhinge.wire.WireException;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,18 +44,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.WireException;
 
 /**
  * What the version in production writes, byte for byte. During an upgrade both versions serve: each
@@ -118,14 +120,14 @@
     Job job = read(literal(name));
     assertEquals(id, job.spec().id().value());
     assertEquals(tasks, job.spec().tasks());
-    assertEquals(segment, job.segmentSize());
+    assertEquals(segment, job.record().segmentSize());
     assertEquals(ACCEPTED, job.acceptedMillis());
     assertEquals(highest, job.highest().value());
     assertEquals(cancelled, job.cancelled());
     assertEquals(cancelled, job.cancelDurable());
     assertEquals(done, done(job));
     assertEquals(open, open(job));
-    assertEquals(AT, job.revision(0));
+    assertEquals(AT, job.record().revision(0));
     assertEquals(literal(name), text(RecordCodec.encode(job, 0)));
   }
 
@@ -235,7 +237,7 @@
   @Test
   void aDependentJobsHistoryIsWrittenTheSame() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
-    ledger.adopt(job);
+    ledger.add(job);
     assertTrue(job.hasUnmetDependencies());
     endOfDependency("wk-000398", JobState.Phase.DONE);
     endOfDependency("wk-000405", JobState.Phase.DONE);
@@ -259,21 +261,21 @@
   @Test
   void aCancellationByDependencyIsWrittenTheSame() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
-    ledger.adopt(job);
+    ledger.add(job);
     endOfDependency("wk-000398", JobState.Phase.CANCELLED);
     assertEquals(WAITING_CANCELLED, text(RecordCodec.encode(job, 0)));
     assertEquals("{\"s\":\"cancelled\",\"n\":0}", text(RecordCodec.end(job)));
   }
 
   private void endOfDependency(String id, JobState.Phase phase) {
-    ledger.dependencies().resolved(new JobState(new JobId(id), phase, 1, 0));
+    ledger.resolveEnd(new JobState(new JobId(id), phase, 1, 0));
   }
 
   /** The same history gives the same records. */
   @Test
   void aJobsHistoryIsWrittenTheSame() {
     Job job = new Job(Specs.of(Specs.json("wk-000002", "batch", 20)), ACCEPTED, 8);
-    ledger.adopt(job);
+    ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 8);
     open(job, "n-000009", 3, 1, 8, 12);
     open(job, "n-000008", 2, 1, 16, 18);
@@ -292,7 +294,7 @@
   @Test
   void aDoneJobsEndIsTheSame() {
     Job job = new Job(Specs.of(Specs.json("wk-000003", "batch", 2)), ACCEPTED, 127);
-    ledger.adopt(job);
+    ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 2);
     close(job, 0, 1);
     assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.end(job)));
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -1,5 +1,15 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.Json;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.config.Team;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,14 +18,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.wire.Json;
 
 /** Records with segments for 127 tasks, as under 8 KiB, where 2 KiB is the limit now. */
 class RecordRepartitionerTest {
@@ -31,8 +33,8 @@
   private Job accept(String id, String kind) {
     ObjectNode json = Specs.json(id, kind, TASKS).put("cpus", 0.001).put("memory_gb", 0.001);
     Job job = new Job(Specs.of(json), 1, OLD_SEGMENT_SIZE);
-    job.revision(0, new Revision(3));
-    ledger.adopt(job);
+    job.record().revision(0, new Revision(3));
+    ledger.add(job);
     return job;
   }
 
@@ -54,16 +56,16 @@
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
     assertTrue(offer(repartitioner, count - 1).isEmpty(), "never in part");
-    assertEquals(OLD_SEGMENT_SIZE, job.segmentSize());
+    assertEquals(OLD_SEGMENT_SIZE, job.record().segmentSize());
     LedgerTransaction sent = offer(repartitioner, count).build().orElseThrow();
-    assertEquals(count, job.segments());
+    assertEquals(count, job.record().segments());
     assertEquals(count, sent.size());
     assertEquals(count, sent.recordWrites().size());
     assertEquals(new KeyCondition("j/wk-1", new Revision(3)), sent.request().conditions().get(1));
     for (Change change : sent.request().changes()) {
       assertTrue(Json.bytes(((Change.Put) change).value()).length <= VALUE_BYTES);
     }
-    assertTrue(job.dirty().isEmpty());
+    assertTrue(job.record().dirty().isEmpty());
     assertTrue(offer(repartitioner, 16).isEmpty(), "once");
   }
 
@@ -73,11 +75,11 @@
     Job job = accept("wk-1", "daemon");
     RecordRepartitioner repartitioner =
         new RecordRepartitioner(ledger, targetSegments(job) - missing);
-    job.repartitionWanted(true);
+    job.record().repartitionWanted(true);
     repartitioner.request(job);
-    assertEquals(tooLarge, job.repartitionTooLarge());
+    assertEquals(tooLarge, job.record().repartitionTooLarge());
     assertEquals(tooLarge, offer(repartitioner, 16).isEmpty());
-    assertTrue(!job.repartitionWanted(), "asked for once");
+    assertTrue(!job.record().repartitionWanted(), "asked for once");
   }
 
   @Test
@@ -96,9 +98,9 @@
     Job job = accept("wk-1", "daemon");
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
-    job.inFlight().set(0);
+    job.record().inFlight().set(0);
     assertTrue(offer(repartitioner, 16).isEmpty());
-    job.inFlight().clear();
+    job.record().inFlight().clear();
     assertTrue(offer(repartitioner, 16).isEmpty());
   }
 
@@ -123,6 +125,6 @@
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
     assertTrue(offer(repartitioner, 16).isEmpty());
-    assertEquals(OLD_SEGMENT_SIZE, job.segmentSize());
+    assertEquals(OLD_SEGMENT_SIZE, job.record().segmentSize());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -1,5 +1,23 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.Json;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SteadyAuthority;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.config.Team;
+import org.ternhinge.wire.WireException;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -14,23 +32,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
 
 /**
  * Records that were laid down under a larger limit on values and are repartitioned into smaller
@@ -120,7 +122,7 @@
                 new Change.Put(Keys.job(JOB), record, 0))));
     Entry entry = core.get(Keys.job(JOB)).entry().orElseThrow();
     Job job = RecordCodec.decodeFirst(entry.value(), entry.revision(), clock.now());
-    ledger.adopt(job);
+    ledger.add(job);
     return job;
   }
 
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -1,5 +1,13 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.config.Team;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,13 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
 
 /**
  * Whatever is admitted fits the key-value store's limit on values, and goes on fitting as it ends.
@@ -36,7 +38,7 @@
   }
 
   private static void allFit(Job job, int valueBytes) {
-    for (int p = 0; p < job.segments(); p++) {
+    for (int p = 0; p < job.record().segments(); p++) {
       int bytes = Json.bytes(RecordCodec.encode(job, p)).length;
       assertTrue(bytes <= valueBytes, "segment " + p + " takes " + bytes);
     }
@@ -59,7 +61,7 @@
     JobSpec spec = Specs.of(json(kind, tasks));
     assertTrue(RecordSize.fits(spec, value));
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, value));
-    ledger.adopt(job);
+    ledger.add(job);
     SplittableRandom random = new SplittableRandom(tasks);
     int machine = 0;
     int most = Math.min(tasks, 900);
@@ -98,7 +100,7 @@
   void largeSegmentsOfBeforeUnderASmallerLimit(String kind, int tasks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
     Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
-    ledger.adopt(job);
+    ledger.add(job);
     List<Placement> all = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
       all.add(new Placement(i, site(i)));
@@ -118,21 +120,22 @@
   void onlyAServiceAsksForItsRecordToBeRepartitioned(String kind, int tasks, boolean asks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
     Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
-    ledger.adopt(job);
+    ledger.add(job);
     List<Placement> all = new ArrayList<>();
     for (int i = 0; i < 120; i++) {
       all.add(new Placement(i, site(i)));
     }
     assertTrue(ledger.fitting(job, all).size() < all.size());
     assertEquals(Optional.of(AdmissionRefusal.RECORD_FULL), ledger.admit(job, all, t -> false));
-    assertFalse(ledger.hasDirty() || job.repartitionWanted(), "a question changes nothing");
+    assertFalse(
+        ledger.hasDirty() || job.record().repartitionWanted(), "a question changes nothing");
     ledger.requestRoom(job);
     assertEquals(asks, ledger.hasDirty());
-    assertEquals(asks, job.repartitionWanted());
-    job.markRepartitionTooLarge();
-    job.repartitionWanted(false);
+    assertEquals(asks, job.record().repartitionWanted());
+    job.record().markRepartitionTooLarge();
+    job.record().repartitionWanted(false);
     ledger.requestRoom(job);
-    assertFalse(job.repartitionWanted(), "nor where it can't be");
+    assertFalse(job.record().repartitionWanted(), "nor where it can't be");
   }
 
   @Test
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -1,5 +1,18 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.wire.Json;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.model.Term;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,17 +23,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.Term;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.Json;
 
 /** What reading back proves of a transaction whose answer was lost. */
 class TransactionVerifierTest {
@@ -66,7 +68,7 @@
     }
 
     @Override
-    public void lost(String why) {
+    public void lost(LeadershipLoss loss) {
       throw new AssertionError("a verifier only reads");
     }
   }
@@ -92,7 +94,7 @@
   private String verdict() {
     assertEquals(1, verdicts.size());
     return verdicts.get(0) instanceof TransactionVerifier.Overtaken overtaken
-        ? overtaken.reason()
+        ? overtaken.loss().description()
         : "applied";
   }
 
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -1,5 +1,10 @@
 package org.ternhinge.ledger;
 
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.model.SteadyTime;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,9 +15,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.ledger.WriteQueue.Urgency;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
 
 /** The queue of jobs with something to write. */
 class WriteQueueTest {
@@ -50,10 +52,10 @@
   void urgencyFollowsFromTheJob(String state, String priority, double waiting, Urgency expected) {
     Job job = job("wk-1", priority);
     switch (state) {
-      case "cancelled" -> job.markCancelled(false);
-      case "cancelled by dependency" -> job.markCancelledByDependency();
+      case "cancelled" -> job.cancel();
+      case "cancelled by dependency" -> job.cancelByDependency();
       case "over" -> job.markOver();
-      case "opening" -> job.opening(true);
+      case "opening" -> job.record().opensAttempts(true);
       default -> {}
     }
     queue.add(job);
@@ -67,8 +69,8 @@
   void aJobKeepsItsPlaceUntilItIsRemoved() {
     Job first = job("wk-1", "normal");
     Job second = job("wk-2", "normal");
-    first.opening(true);
-    second.opening(true);
+    first.record().opensAttempts(true);
+    second.record().opensAttempts(true);
     queue.add(first);
     queue.add(second);
     queue.add(first);
--- a/src/test/java/org/ternhinge/machine/ImageCacheTest.java
+++ b/src/test/java/org/ternhinge/machine/ImageCacheTest.java
@@ -1,5 +1,7 @@
 package org.ternhinge.machine;
 
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -1,5 +1,11 @@
 package org.ternhinge.machine;
 
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,10 +14,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
 
 /** Direct starts that may still arrive at a worker. */
 class OutstandingStartsTest {
--- a/src/test/java/org/ternhinge/machine/TestMachineTypes.java
+++ b/src/test/java/org/ternhinge/machine/TestMachineTypes.java
@@ -1,8 +1,10 @@
 package org.ternhinge.machine;
 
-import java.util.List;
-import org.ternhinge.model.Resources;
 import org.ternhinge.wire.MachineType;
+import org.ternhinge.model.Resources;
+
+
+import java.util.List;
 
 /** Machine types for tests. */
 public final class TestMachineTypes {
--- a/src/test/java/org/ternhinge/request/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -1,5 +1,10 @@
 package org.ternhinge.request;
 
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.sim.SimClock;
+
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -9,9 +14,6 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimClock;
 
 /** What an answer of another controller, or its absence, means. */
 class PeerClientTest {
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -1,14 +1,16 @@
 package org.ternhinge.sim;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import org.ternhinge.http.Request;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.http.Request;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.WireException;
 
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
 /**
  * The last heartbeat of each machine, and the late copies of heartbeats that the network delivers.
  */
--- a/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
@@ -1,13 +1,15 @@
 package org.ternhinge.sim;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.OptionalInt;
-import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Json;
+import org.ternhinge.model.Term;
 import org.ternhinge.wire.WireException;
 
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.OptionalInt;
+
 /** Reads what controllers answer to a worker's heartbeat; an unreadable answer is a failed test. */
 final class HeartbeatResponses {
   private static final String NODE_PREFIX = "node-";
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -1,10 +1,12 @@
 package org.ternhinge.sim;
 
-import java.util.HashMap;
-import java.util.Map;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
+import org.ternhinge.model.TaskId;
+
+
+import java.util.HashMap;
+import java.util.Map;
 
 /**
  * Rule {@code wrong_place}: a task starts only on a type, in a zone and on a kind of machine that
--- a/src/test/java/org/ternhinge/sim/RuleViolations.java
+++ b/src/test/java/org/ternhinge/sim/RuleViolations.java
@@ -1,5 +1,7 @@
 package org.ternhinge.sim;
 
+
+
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -1,17 +1,19 @@
 package org.ternhinge.sim;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.function.Consumer;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
+
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.function.Consumer;
+import org.ternhinge.model.Outcome.Reason;
 
 /**
  * The one key-value store of a simulated cluster: its contents, its limits, and whom it refuses at
--- a/src/test/java/org/ternhinge/sim/SimMachineTypes.java
+++ b/src/test/java/org/ternhinge/sim/SimMachineTypes.java
@@ -1,8 +1,10 @@
 package org.ternhinge.sim;
 
-import java.util.List;
-import org.ternhinge.model.Resources;
 import org.ternhinge.wire.MachineType;
+import org.ternhinge.model.Resources;
+
+
+import java.util.List;
 
 /** The machine types that the simulated cloud offers. */
 public final class SimMachineTypes {
--- a/src/test/java/org/ternhinge/sim/SteadyAuthority.java
+++ b/src/test/java/org/ternhinge/sim/SteadyAuthority.java
@@ -1,9 +1,12 @@
 package org.ternhinge.sim;
 
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
+
+
 /** A leadership with term 1 that always holds; to lose it fails the test. */
 public record SteadyAuthority(Revision termRevision) implements Authority {
   @Override
@@ -20,7 +23,7 @@
   public void raised(Term term, Revision revision) {}
 
   @Override
-  public void lost(String why) {
-    throw new AssertionError(why);
+  public void lost(LeadershipLoss loss) {
+    throw new AssertionError(loss);
   }
 }
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -1,8 +1,10 @@
 package org.ternhinge.sim;
 
-import java.util.random.RandomGenerator;
 import org.ternhinge.model.SteadyTime;
 
+
+import java.util.random.RandomGenerator;
+
 /**
  * Faults of the key-value store: outages, refusals of single controllers, late transactions, slow
  * answers and lower limits.
--- a/src/test/java/org/ternhinge/sim/TaskObserver.java
+++ b/src/test/java/org/ternhinge/sim/TaskObserver.java
@@ -1,9 +1,11 @@
 package org.ternhinge.sim;
 
-import java.util.Set;
+import org.ternhinge.wire.JobSpec;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.JobSpec;
+
+
+import java.util.Set;
 
 /** Is told of what really runs on the simulated machines, whatever the service believes. */
 interface TaskObserver {
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -1,8 +1,10 @@
 package org.ternhinge.sim;
 
-import java.util.random.RandomGenerator;
-import org.ternhinge.http.Response;
 import org.ternhinge.model.JobId;
+import org.ternhinge.http.Response;
+
+
+import java.util.random.RandomGenerator;
 
 /** Users' cancellations, which are repeated until they are answered. */
 final class UserCancellations {
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -1,8 +1,10 @@
 package org.ternhinge.sim;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.JobId;
 
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+
 /** Users' polls and repeated submissions of jobs that they know to be accepted. */
 final class UserPolls {
   private final SimCluster cluster;
