--- a/src/main/java/org/ternhinge/api/SubmissionRejection.java
+++ b/src/main/java/org/ternhinge/api/SubmissionRejection.java
@@ -1,7 +1,5 @@
 package org.ternhinge.api;
 
-
-
 /** Why a submitted job is rejected: it could never run. */
 public enum SubmissionRejection {
   UNKNOWN_TEAM("unknown team"),
--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -1,17 +1,15 @@
 package org.ternhinge.api;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.ledger.RecordSize;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Team;
-
-
 import java.util.Collection;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Team;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.ledger.RecordSize;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /** Rejects jobs that can never run, by their description and the site's configuration alone. */
 public final class SubmissionValidator {
--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -1,15 +1,13 @@
 package org.ternhinge.attempt;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-
-
-import java.util.ArrayList;
-import java.util.List;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Reconciles the open attempts that a worker's newest status does not show. An attempt is closed
--- a/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
+++ b/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
@@ -1,10 +1,8 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
-
-
+import org.ternhinge.wire.Heartbeat;
 
 /** Receives the status of worker agents, from heartbeats and from responses to commands. */
 @FunctionalInterface
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -1,22 +1,20 @@
 package org.ternhinge.attempt;
 
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.Command;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
-
-
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.wire.Command;
 
 /**
  * Takes attempts from their durable record to their end: sends their starts, stops them, and closes
--- a/src/main/java/org/ternhinge/attempt/AttemptListener.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptListener.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.ledger.Attempt;
 
-
-
 /** Is notified of attempts that are closed. Called under the controller's lock. */
 @FunctionalInterface
 public interface AttemptListener {
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -1,25 +1,23 @@
 package org.ternhinge.attempt;
 
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.wire.JobSpec;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.TaskStatus;
 
-
-import java.util.Optional;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Applies the tasks that a worker's newest status shows to the open attempts: their states, and the
  * ends that the worker reports. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/attempt/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/Cancellations.java
@@ -1,17 +1,15 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.ledger.Job;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.LedgerWriter;
-
-
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.wire.JobState;
 
 /**
  * Cancels jobs on behalf of users. A request is answered only once the key-value store holds the
--- a/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
+++ b/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.wire.EndReason;
 
-
-
 /** What proves that an attempt is over, so that its task may start elsewhere. */
 public enum ClosingEvidence {
   /** The cloud lists the machine as failed. */
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -1,25 +1,23 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.ternhinge.config.Settings;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers.Answer;
 
 /**
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -1,12 +1,10 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Command;
+import java.util.List;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.List;
+import org.ternhinge.wire.Command;
 
 /**
  * A message of commands that was sent to one worker.
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -1,14 +1,12 @@
 package org.ternhinge.attempt;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.wire.Command;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-
-
-import java.util.ArrayList;
-import java.util.List;
+import org.ternhinge.wire.Command;
 
 /**
  * Chooses the commands of the next message to a worker. Starts that became obsolete while they
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -1,20 +1,18 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Consumer;
+import org.ternhinge.http.SocketShares;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.wire.Command;
-import org.ternhinge.term.ControllerServices;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.term.ControllerServices;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.http.SocketShares;
+import org.ternhinge.wire.Command;
 import org.ternhinge.worker.Workers;
-
-
-import java.util.List;
-import java.util.concurrent.locks.Lock;
-import java.util.function.Consumer;
 import org.ternhinge.worker.Workers.Answer;
 
 /**
--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -1,10 +1,8 @@
 package org.ternhinge.attempt;
 
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.LeadershipLoss;
-
-
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Ends the leadership when a worker shows a fencing token above the leadership's term: another
--- a/src/main/java/org/ternhinge/attempt/MessageOrigin.java
+++ b/src/main/java/org/ternhinge/attempt/MessageOrigin.java
@@ -1,7 +1,5 @@
 package org.ternhinge.attempt;
 
-
-
 /** Why a worker has sent its status. */
 public enum MessageOrigin {
   /** A periodic heartbeat, whose answer carries commands. */
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -1,20 +1,18 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.Optional;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Announces this leadership's term to workers that have not sent it a heartbeat. Such a worker may
  * still send its heartbeats to an earlier leader that is cut off from everything else; once it has
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -1,5 +1,8 @@
 package org.ternhinge.attempt;
 
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LedgerWriter;
@@ -8,11 +11,6 @@
 import org.ternhinge.machine.OutstandingStarts;
 import org.ternhinge.model.SteadyTime;
 
-
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Raises the leadership's own term to fence outstanding starts: direct starts without a response,
  * which may arrive after their attempt was stopped. A worker that has seen the higher term refuses
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -1,17 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.model.JobId;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.wire.WireException;
-
-
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -20,6 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.WireException;
 
 /**
  * A short run of the service on loopback, without a cloud or a key-value store. The build archives
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -1,7 +1,5 @@
 package org.ternhinge.cli;
 
-
-
 import java.util.Locale;
 import java.util.Set;
 
--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -1,17 +1,15 @@
 package org.ternhinge.cli;
 
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Optional;
+import java.util.concurrent.Callable;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.SettingsException;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.wire.WireException;
 import org.ternhinge.zone.report.ZoneLog;
 import org.ternhinge.zone.report.ZoneReport;
-
-
-import java.io.IOException;
-import java.nio.file.Path;
-import java.util.Optional;
-import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -1,28 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.controller.ControllerNode;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.election.Election;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.cloud.HttpCloud;
-import org.ternhinge.store.HttpKeyValueStore;
-import org.ternhinge.http.HttpServer;
-import org.ternhinge.worker.HttpWorkers;
-import org.ternhinge.limit.KeyValueStoreBudget;
-import org.ternhinge.http.LoopClock;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.peer.PeerLink;
-import org.ternhinge.request.PeerTransport;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.store.ResponseTimeouts;
-import org.ternhinge.config.Settings;
-import org.ternhinge.http.SocketShares;
-import org.ternhinge.limit.TokenBucket;
-import org.ternhinge.config.Tuning;
-
-
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -35,6 +12,27 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.cloud.HttpCloud;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.controller.ControllerNode;
+import org.ternhinge.election.Election;
+import org.ternhinge.http.HttpCaller;
+import org.ternhinge.http.HttpServer;
+import org.ternhinge.http.LoopClock;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.http.SocketShares;
+import org.ternhinge.limit.KeyValueStoreBudget;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.Clock;
+import org.ternhinge.peer.PeerLink;
+import org.ternhinge.request.PeerTransport;
+import org.ternhinge.store.HttpKeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.worker.HttpWorkers;
 
 /** Assembles a controller and runs it until the process ends. */
 final class Service {
--- a/src/main/java/org/ternhinge/cloud/Cloud.java
+++ b/src/main/java/org/ternhinge/cloud/Cloud.java
@@ -1,15 +1,13 @@
 package org.ternhinge.cloud;
 
-import org.ternhinge.wire.ListedMachine;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-
-
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
 
 /**
  * The cloud that provides machines.
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -1,25 +1,23 @@
 package org.ternhinge.cloud;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.model.Endpoint;
 import org.ternhinge.http.HttpCaller;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.http.Reply;
 import org.ternhinge.http.Request;
-import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.http.ServiceClient;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.limit.TokenBucket;
-
-
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** The cloud over HTTP, within its published limit. Safe for use by several threads. */
 public final class HttpCloud implements Cloud {
--- a/src/main/java/org/ternhinge/config/HclValues.java
+++ b/src/main/java/org/ternhinge/config/HclValues.java
@@ -1,7 +1,5 @@
 package org.ternhinge.config;
 
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/org/ternhinge/config/Objective.java
+++ b/src/main/java/org/ternhinge/config/Objective.java
@@ -1,7 +1,5 @@
 package org.ternhinge.config;
 
-
-
 import java.util.Optional;
 
 /**
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -1,16 +1,14 @@
 package org.ternhinge.config;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * The settings file of the platform; unknown fields are ignored.
--- a/src/main/java/org/ternhinge/config/SettingsException.java
+++ b/src/main/java/org/ternhinge/config/SettingsException.java
@@ -1,7 +1,5 @@
 package org.ternhinge.config;
 
-
-
 /** A setting is missing or invalid; the message names it. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -1,8 +1,5 @@
 package org.ternhinge.config;
 
-import org.ternhinge.model.Endpoint;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -12,6 +9,7 @@
 import org.ternhinge.config.Settings.CloudLimits;
 import org.ternhinge.config.Settings.StoreLimits;
 import org.ternhinge.config.Settings.Workers;
+import org.ternhinge.model.Endpoint;
 
 /** Reads and checks the platform's settings; each error names its field by the whole path. */
 final class SettingsReader {
--- a/src/main/java/org/ternhinge/config/Team.java
+++ b/src/main/java/org/ternhinge/config/Team.java
@@ -1,7 +1,5 @@
 package org.ternhinge.config;
 
-
-
 /**
  * A team's quota, in thousandths of a CPU or an accelerator; 0 stands for none.
  *
--- a/src/main/java/org/ternhinge/config/Tuning.java
+++ b/src/main/java/org/ternhinge/config/Tuning.java
@@ -1,7 +1,5 @@
 package org.ternhinge.config;
 
-
-
 import com.bertramlabs.plugins.hcl4j.HCLParser;
 import com.bertramlabs.plugins.hcl4j.HCLParserException;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -1,15 +1,13 @@
 package org.ternhinge.config;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.wire.WireException;
-
-
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.Priority;
+import org.ternhinge.wire.WireException;
 
 /** Reads and checks the block {@code zone_failover}; each error names its key and reason. */
 final class ZoneFailoverReader {
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -1,13 +1,11 @@
 package org.ternhinge.config;
 
+import java.util.List;
+import java.util.Set;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-
-import java.util.List;
-import java.util.Set;
-
 /**
  * The operators' settings of zone failover: the block {@code zone_failover} of the tuning file. All
  * times are in seconds.
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -1,28 +1,26 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.request.BootstrapMachineTypes;
-import org.ternhinge.model.Clock;
-import org.ternhinge.request.ConnectivityProbe;
-import org.ternhinge.term.ControllerServices;
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Consumer;
+import org.ternhinge.config.Settings;
 import org.ternhinge.election.Election;
-import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 import org.ternhinge.leadership.Leadership;
-import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.request.BootstrapMachineTypes;
+import org.ternhinge.request.ConnectivityProbe;
 import org.ternhinge.request.NodeConnectivity;
 import org.ternhinge.request.PeerClient;
 import org.ternhinge.request.PeerTransport;
-import org.ternhinge.http.Request;
 import org.ternhinge.request.RequestOrigin;
-import org.ternhinge.http.Response;
-import org.ternhinge.config.Settings;
-
-
-import java.util.List;
-import java.util.concurrent.locks.Lock;
-import java.util.function.Consumer;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
 
 /**
  * One controller: answers users' requests and workers' heartbeats, and leads while it holds the
--- a/src/main/java/org/ternhinge/controller/JobPath.java
+++ b/src/main/java/org/ternhinge/controller/JobPath.java
@@ -1,9 +1,7 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-
-
 import java.util.Optional;
+import org.ternhinge.model.JobId;
 
 /** The paths of requests about one job. */
 final class JobPath {
--- a/src/main/java/org/ternhinge/controller/LeadershipListener.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipListener.java
@@ -1,7 +1,5 @@
 package org.ternhinge.controller;
 
-
-
 /** Receives changes of this node's leadership. */
 @FunctionalInterface
 public interface LeadershipListener {
--- a/src/main/java/org/ternhinge/controller/RequestRouter.java
+++ b/src/main/java/org/ternhinge/controller/RequestRouter.java
@@ -1,14 +1,12 @@
 package org.ternhinge.controller;
 
+import java.util.List;
+import java.util.function.Consumer;
 import org.ternhinge.http.Request;
-import org.ternhinge.request.RequestOrigin;
 import org.ternhinge.http.Response;
+import org.ternhinge.request.RequestOrigin;
 import org.ternhinge.request.Responses;
 
-
-import java.util.List;
-import java.util.function.Consumer;
-
 /** Passes each request to the handler of the first route that serves its path. */
 final class RequestRouter {
   private final List<Route> routes;
--- a/src/main/java/org/ternhinge/controller/Route.java
+++ b/src/main/java/org/ternhinge/controller/Route.java
@@ -1,12 +1,10 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.request.RequestOrigin;
-import org.ternhinge.http.Response;
-
-
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.request.RequestOrigin;
 
 /**
  * One entry of the table of routes.
--- a/src/main/java/org/ternhinge/controller/RouteTable.java
+++ b/src/main/java/org/ternhinge/controller/RouteTable.java
@@ -1,34 +1,32 @@
 package org.ternhinge.controller;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Function;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
 import org.ternhinge.request.AnswerDeadline;
 import org.ternhinge.request.BootstrapMachineTypes;
-import org.ternhinge.model.Clock;
-import org.ternhinge.term.ControllerServices;
 import org.ternhinge.request.DependencyCheck;
 import org.ternhinge.request.DependentSubmissionPath;
 import org.ternhinge.request.HeartbeatHandler;
 import org.ternhinge.request.JobCancellations;
-import org.ternhinge.model.JobId;
 import org.ternhinge.request.JobLookup;
 import org.ternhinge.request.JobQueries;
 import org.ternhinge.request.JobRequestRouter;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.request.LeaderSearch;
-import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.request.NodeConnectivity;
 import org.ternhinge.request.PeerClient;
-import org.ternhinge.http.Response;
 import org.ternhinge.request.Responses;
 import org.ternhinge.request.SubmissionForwarder;
 import org.ternhinge.request.SubmissionHandler;
 import org.ternhinge.request.SubmissionWriter;
-
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.concurrent.locks.Lock;
-import java.util.function.Function;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
 
 /** The routes of a node with the handlers that serve them. */
 final class RouteTable {
--- a/src/main/java/org/ternhinge/election/LeaderRecord.java
+++ b/src/main/java/org/ternhinge/election/LeaderRecord.java
@@ -1,11 +1,9 @@
 package org.ternhinge.election;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Term;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Json;
 
 /**
  * The leader's record in the key-value store. It hangs on the leader's lease, so that it vanishes
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -1,15 +1,13 @@
 package org.ternhinge.election;
 
+import org.ternhinge.config.Tuning;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-
-
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * A lease of the key-value store that is kept alive until it is released or has ended. All methods
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -1,12 +1,11 @@
 package org.ternhinge.election;
 
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
-
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
 
 /**
  * The highest term so far, as the key-value store holds it.
@@ -19,10 +18,13 @@
   private static final String INCARNATION = "inc";
   private static final TermRecord NONE = new TermRecord(new Term(0), Revision.NONE);
 
-  static TermRecord of(Entry entry) {
-    return entry == null
-        ? NONE
-        : new TermRecord(new Term(entry.value().path(NUMBER).asLong()), entry.revision());
+  /** Reads the term's key, which may be absent. */
+  static TermRecord of(Optional<Entry> entry) {
+    return entry.map(TermRecord::read).orElse(NONE);
+  }
+
+  private static TermRecord read(Entry entry) {
+    return new TermRecord(new Term(entry.value().path(NUMBER).asLong()), entry.revision());
   }
 
   /**
--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -1,16 +1,14 @@
 package org.ternhinge.failover;
 
-import org.ternhinge.model.Clock;
+import java.util.Map;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
-import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.zone.ZoneFailover;
 
-
-import java.util.Map;
-
 /**
  * Finds the tasks that were displaced from zones lost under an earlier leader: those whose attempts
  * it has closed and that have none now. Which they were is not recorded, so of each job that was
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -1,28 +1,26 @@
 package org.ternhinge.failover;
 
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.function.ToIntFunction;
+import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.machine.ZoneMachineCounts;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.zone.ZoneFailover;
-import org.ternhinge.machine.ZoneMachineCounts;
 import org.ternhinge.zone.ZoneObservation;
 
-
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.function.Predicate;
-import java.util.function.ToIntFunction;
-
 /**
  * The state of machines and displaced tasks at one check. A machine is counted in its zone only
  * while the cloud is not about to take it away, since such a machine may fall silent:
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -1,19 +1,17 @@
 package org.ternhinge.failover;
 
+import java.util.Collection;
+import java.util.Optional;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.zone.PlacementFacts;
 
-
-import java.util.Collection;
-import java.util.Optional;
-
 /**
  * The zones of machines, and the jobs, as zone failover sees them. Guarded by the controller's
  * lock.
--- a/src/main/java/org/ternhinge/failover/ZoneControl.java
+++ b/src/main/java/org/ternhinge/failover/ZoneControl.java
@@ -1,15 +1,13 @@
 package org.ternhinge.failover;
 
-import org.ternhinge.ledger.Attempt;
 import org.ternhinge.attempt.AttemptListener;
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
-
-
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Zone failover of one leadership: the reaction to the loss and return of whole zones. {@link
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -1,23 +1,21 @@
 package org.ternhinge.failover;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
-import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.config.Settings;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneFailover;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
-import java.util.ArrayList;
-import java.util.List;
 
 /**
  * Connects a leadership to the decisions of {@link ZoneFailover}: provides it with observations of
--- a/src/main/java/org/ternhinge/failover/ZoneEventLog.java
+++ b/src/main/java/org/ternhinge/failover/ZoneEventLog.java
@@ -1,17 +1,15 @@
 package org.ternhinge.failover;
 
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.model.Clock;
-import org.ternhinge.zone.FailoverMetrics;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.zone.FailoverMetrics;
 import org.ternhinge.zone.ZoneEvent;
 
-
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Logs the decisions of zone failover as they are made, and its metrics periodically. Guarded by
  * the controller's lock.
--- a/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
@@ -1,18 +1,16 @@
 package org.ternhinge.failover;
 
+import java.util.Optional;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.zone.ZoneFailover;
 import org.ternhinge.zone.ZoneRecord;
 
-
-import java.util.Optional;
-
 /**
  * Keeps the record of the zones' states in the key-value store. It is read once, when a leadership
  * begins, and written after that whenever a state has changed. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
@@ -1,16 +1,14 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.ledger.Attempt;
+import java.util.List;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.ClosingEvidence;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
 
-
-import java.util.List;
-
 /**
  * Begins a new epoch of a worker agent. The agent's lease has expired or the agent was started
  * anew, so nothing that ran in earlier epochs runs any more. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -1,23 +1,21 @@
 package org.ternhinge.heartbeat;
 
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.attempt.AbsentAttemptReconciler;
-import org.ternhinge.machine.AgentState;
+import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
 import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.AttemptObserver;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.machine.AgentState;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Applies the status of worker agents to machines and attempts, in the order in which each worker
--- a/src/main/java/org/ternhinge/heartbeat/CommandList.java
+++ b/src/main/java/org/ternhinge/heartbeat/CommandList.java
@@ -1,14 +1,12 @@
 package org.ternhinge.heartbeat;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.Command;
-import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.model.TaskId;
-
-
-import java.util.ArrayList;
-import java.util.List;
+import org.ternhinge.wire.Command;
 
 /**
  * The commands of one answer: first stops, then forgets, then starts, each in the order in which
--- a/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
@@ -1,14 +1,12 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.model.SteadyTime;
-
-
 
 /**
  * Makes a machine available to the planner at its first heartbeat in a leadership. Guarded by the
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -1,17 +1,15 @@
 package org.ternhinge.heartbeat;
 
+import java.util.List;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
 
-
-import java.util.List;
-
 /**
  * Chooses the commands in the answers to heartbeats. The rules:
  *
@@ -91,9 +89,7 @@
   }
 
   private static boolean isStopDue(Attempt attempt) {
-    return attempt.stopping()
-        && attempt.isReported()
-        && !isSavingWithinGrace(attempt);
+    return attempt.stopping() && attempt.isReported() && !isSavingWithinGrace(attempt);
   }
 
   private static boolean isSavingWithinGrace(Attempt attempt) {
@@ -101,8 +97,6 @@
   }
 
   private static boolean isStartDue(Attempt attempt) {
-    return !attempt.stopping()
-        && attempt.state() == AttemptState.STARTING
-        && !attempt.recovered();
+    return !attempt.stopping() && attempt.state() == AttemptState.STARTING && !attempt.recovered();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -1,21 +1,19 @@
 package org.ternhinge.heartbeat;
 
+import java.util.List;
 import org.ternhinge.attempt.AgentStatusSink;
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.attempt.HigherTermCheck;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.attempt.MessageOrigin;
-import org.ternhinge.model.SteadyTime;
-
-
-import java.util.List;
 import org.ternhinge.heartbeat.HeartbeatResult.Answered;
 import org.ternhinge.heartbeat.HeartbeatResult.NotAnswered;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * Processes the heartbeats of workers. The steps are:
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
@@ -1,9 +1,7 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.wire.Command;
-
-
 import java.util.List;
+import org.ternhinge.wire.Command;
 
 /** Whether a heartbeat is to be answered, and with what. */
 public sealed interface HeartbeatResult {
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -1,28 +1,26 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.ledger.Attempt;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.ClosingEvidence;
 import org.ternhinge.attempt.CommandDispatcher;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.attempt.TermFence;
+import org.ternhinge.config.Settings;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.ReportedTasks;
-import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.config.Settings;
+import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.RoundTrigger;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.attempt.TermFence;
-
-
-import java.util.ArrayList;
-import java.util.Collection;
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * Checks what expires: workers' leases, reservations of machines, and the grace of stopped
@@ -176,6 +174,7 @@
   private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
     double allowedS =
         attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
-    return attempt.stopGraceS() > 0 && now.secondsSince(attempt.stopRequest().orElseThrow().at()) > allowedS;
+    return attempt.stopGraceS() > 0
+        && now.secondsSince(attempt.stopRequest().orElseThrow().at()) > allowedS;
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
@@ -1,12 +1,10 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.machine.Machine;
 import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.config.Tuning;
-
-
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.ControllerServices;
 
 /**
  * Extends the leases of workers as this controller counts them: by the drift of clocks and a margin
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -2,10 +2,8 @@
 
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.model.SteadyTime;
-
-
+import org.ternhinge.term.RoundTrigger;
 
 /**
  * Detects workers whose heartbeats arrive while the answers to them are lost. Guarded by the
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -1,17 +1,15 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.ledger.Attempt;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.wire.JobSpec;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Evicts the tasks of a spot machine that the cloud is about to reclaim: replicas of services are
--- a/src/main/java/org/ternhinge/http/BoundedAggregator.java
+++ b/src/main/java/org/ternhinge/http/BoundedAggregator.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
--- a/src/main/java/org/ternhinge/http/CallTimeouts.java
+++ b/src/main/java/org/ternhinge/http/CallTimeouts.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 /**
  * Limits of one call, in seconds.
  *
--- a/src/main/java/org/ternhinge/http/Channels.java
+++ b/src/main/java/org/ternhinge/http/Channels.java
@@ -1,13 +1,11 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.AsyncCalls;
-
-
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOutboundInvoker;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.AsyncCalls;
 
 /**
  * Channel operations whose futures are not needed: a failed write or connection shows in the close
--- a/src/main/java/org/ternhinge/http/ConnectionPool.java
+++ b/src/main/java/org/ternhinge/http/ConnectionPool.java
@@ -1,8 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-
-
 import io.netty.channel.Channel;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -11,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.model.Endpoint;
 
 /**
  * Idle connections that are kept for the next request to the same endpoint. Above its limit the
--- a/src/main/java/org/ternhinge/http/HttpCaller.java
+++ b/src/main/java/org/ternhinge/http/HttpCaller.java
@@ -1,9 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Outcome;
-
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -16,6 +12,8 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/http/HttpServer.java
+++ b/src/main/java/org/ternhinge/http/HttpServer.java
@@ -1,8 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -15,6 +12,7 @@
 import io.netty.handler.timeout.IdleStateHandler;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
+import org.ternhinge.model.Endpoint;
 
 /**
  * The HTTP server for users and workers. It is protected against clients that stall in the middle
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 import io.netty.channel.Channel;
 import java.util.function.IntConsumer;
 
--- a/src/main/java/org/ternhinge/http/LoopClock.java
+++ b/src/main/java/org/ternhinge/http/LoopClock.java
@@ -1,11 +1,9 @@
 package org.ternhinge.http;
 
+import io.netty.channel.EventLoop;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
-import io.netty.channel.EventLoop;
-
 /** The system's clock, with timers that run on the event loop. */
 public final class LoopClock implements Clock {
   private final EventLoop loop;
--- a/src/main/java/org/ternhinge/http/PendingCall.java
+++ b/src/main/java/org/ternhinge/http/PendingCall.java
@@ -1,9 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Outcome;
-
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -16,6 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Future;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/http/Reply.java
+++ b/src/main/java/org/ternhinge/http/Reply.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 /** A whole response as a client receives it. */
 public final class Reply {
   private final int status;
--- a/src/main/java/org/ternhinge/http/ReplyHandler.java
+++ b/src/main/java/org/ternhinge/http/ReplyHandler.java
@@ -1,13 +1,11 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Outcome;
-
-
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.TooLongFrameException;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /** Completes the call that a client connection serves at present, and releases the connection. */
--- a/src/main/java/org/ternhinge/http/Request.java
+++ b/src/main/java/org/ternhinge/http/Request.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 /** A whole request, as a client sends it or a server receives it. Immutable by convention. */
 public final class Request {
   private static final byte[] NO_BODY = new byte[0];
--- a/src/main/java/org/ternhinge/http/Response.java
+++ b/src/main/java/org/ternhinge/http/Response.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
--- a/src/main/java/org/ternhinge/http/ServiceClient.java
+++ b/src/main/java/org/ternhinge/http/ServiceClient.java
@@ -1,14 +1,12 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Outcome;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/http/SocketShares.java
+++ b/src/main/java/org/ternhinge/http/SocketShares.java
@@ -1,7 +1,5 @@
 package org.ternhinge.http;
 
-
-
 /**
  * How a process divides its limit of sockets. Without shares, the connections of a large fleet's
  * workers, or a burst of commands to them, use up all sockets; users, health probes, other
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -1,19 +1,17 @@
 package org.ternhinge.leadership;
 
+import java.util.Optional;
 import org.ternhinge.ledger.DependencyGraph;
-import org.ternhinge.store.Entry;
-import org.ternhinge.model.JobId;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.ledger.Keys;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.ledger.Ledger;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.limit.RequestPriority;
-
-
-import java.util.Optional;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
 
 /**
  * Reads the ends of dependencies that the ledger does not hold: they ended before this leadership,
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -1,18 +1,16 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.round.ArrivalRates;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.JobId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-
-
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.round.ArrivalRates;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Admits newly accepted jobs to the ledger, whether this node or another one has accepted them. A
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -1,25 +1,23 @@
 package org.ternhinge.leadership;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.ledger.Keys;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.JsonNode;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.ternhinge.model.Outcome.Reason;
-
 /**
  * Watches the key-value store for the records of jobs that other nodes accept, and has them
  * admitted. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -1,31 +1,29 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.Authority;
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.attempt.Cancellations;
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.Command;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.config.Settings;
 import org.ternhinge.heartbeat.HeartbeatResult;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
+import org.ternhinge.model.Revision;
+import org.ternhinge.term.ControllerServices;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Revision;
-import org.ternhinge.config.Settings;
-
-
-import java.util.Collection;
-import java.util.List;
-import java.util.Optional;
-import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * One leadership, from election to its end: creates the components that schedule, starts them once
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -1,20 +1,18 @@
 package org.ternhinge.leadership;
 
+import java.util.function.Consumer;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.store.Entry;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerLoader;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.function.Consumer;
+import org.ternhinge.scaling.MachineReleaser;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Restores what earlier leaderships recorded: their jobs with all open attempts, the provision
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -1,9 +1,7 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.election.Election;
-
-
 import java.util.Optional;
+import org.ternhinge.election.Election;
 
 /**
  * Which node leads, as far as this node knows, and this node's own leadership while it has one. All
@@ -66,7 +64,7 @@
 
   /** The leader, where it is another node. */
   public Optional<String> otherLeader() {
-    return Optional.ofNullable(election.leaderNode()).filter(leader -> !leader.equals(node));
+    return election.leaderNode().filter(leader -> !leader.equals(node));
   }
 
   /**
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -1,22 +1,20 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.machine.BootTimes;
+import java.util.Collection;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.election.Election;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.failover.ZoneControl;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ReportedTaskCounts;
-import org.ternhinge.scaling.ScaleOutOptions;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.failover.ZoneControl;
-
-
-import java.util.Collection;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.ScaleOutOptions;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.MachineType;
 
 /**
  * What a leadership knows of machines: those that exist, those that are being provisioned, their
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -1,10 +1,8 @@
 package org.ternhinge.leadership;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.model.SteadyTime;
-
-
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * The timers of a leadership: checks of leases, machines and zones, and scheduling rounds that no
--- a/src/main/java/org/ternhinge/leadership/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -3,12 +3,10 @@
 import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.round.FleetLog;
 import org.ternhinge.round.FleetState;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.round.PlanExecutor;
 import org.ternhinge.round.SchedulingRounds;
 import org.ternhinge.round.SnapshotBuilder;
-
-
+import org.ternhinge.term.LeadershipContext;
 
 /** The components that decide which task starts on which machine. */
 final class PlanningComponents {
--- a/src/main/java/org/ternhinge/leadership/RecoveryGate.java
+++ b/src/main/java/org/ternhinge/leadership/RecoveryGate.java
@@ -1,7 +1,5 @@
 package org.ternhinge.leadership;
 
-
-
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/org/ternhinge/leadership/ScalingComponents.java
+++ b/src/main/java/org/ternhinge/leadership/ScalingComponents.java
@@ -1,14 +1,12 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.scaling.ListedTermAnnouncer;
 import org.ternhinge.scaling.MachineInventory;
 import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.scaling.MachineRemoval;
-import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.scaling.UnusableMachineCheck;
-
-
+import org.ternhinge.term.LeadershipContext;
 
 /** The components that list the cloud's machines and release those that are not needed. */
 final class ScalingComponents {
--- a/src/main/java/org/ternhinge/leadership/WorkerComponents.java
+++ b/src/main/java/org/ternhinge/leadership/WorkerComponents.java
@@ -1,22 +1,20 @@
 package org.ternhinge.leadership;
 
 import org.ternhinge.attempt.AgentStatusSink;
-import org.ternhinge.heartbeat.AgentStatusUpdater;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.AttemptObserver;
 import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.attempt.MessageOrigin;
+import org.ternhinge.attempt.TermFence;
+import org.ternhinge.heartbeat.AgentStatusUpdater;
 import org.ternhinge.heartbeat.FirstHeartbeatHandler;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.heartbeat.HeartbeatProcessor;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.heartbeat.LeaseMonitor;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.heartbeat.ReachabilityMonitor;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.attempt.TermFence;
-
-
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * The components that talk with workers: commands to them, their heartbeats and leases, and the
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -1,12 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Team;
-
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -14,7 +7,12 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * The one check that every start has to pass, whatever a policy asks for: state of the job, double
--- a/src/main/java/org/ternhinge/ledger/AdmissionRefusal.java
+++ b/src/main/java/org/ternhinge/ledger/AdmissionRefusal.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 /** Why tasks may not be started as a plan asks. */
 public enum AdmissionRefusal {
   NOTHING_TO_PLACE("nothing to place"),
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -1,14 +1,12 @@
 package org.ternhinge.ledger;
 
+import java.util.Optional;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 
-
-import java.util.Optional;
-
 /**
  * One attempt to run a task on one machine, from the decision to open it until there is proof that
  * it is gone. All that while it counts against its team's limit, its machine and its job's zones.
--- a/src/main/java/org/ternhinge/ledger/Authority.java
+++ b/src/main/java/org/ternhinge/ledger/Authority.java
@@ -3,8 +3,6 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-
-
 /** The leadership that writes are made under. */
 public interface Authority {
   /** Number of the leadership, raised with each one. */
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.Supplier;
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -1,9 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,6 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import org.ternhinge.model.Revision;
+import org.ternhinge.wire.Json;
 
 /** The keys beside the jobs' records: what waits to be written to them, and their versions. */
 final class AuxiliaryWrites {
--- a/src/main/java/org/ternhinge/ledger/DependencyGraph.java
+++ b/src/main/java/org/ternhinge/ledger/DependencyGraph.java
@@ -1,11 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.Priority;
-
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,6 +12,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Priority;
 
 /**
  * The graph of dependencies between jobs. The state of a dependent job follows from durable facts
--- a/src/main/java/org/ternhinge/ledger/IllegalTransitionException.java
+++ b/src/main/java/org/ternhinge/ledger/IllegalTransitionException.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 /**
  * A state machine was asked for a transition that its table does not permit: a programming error.
  */
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -1,17 +1,15 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.Priority;
-
-
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Priority;
 
 /**
  * An unfinished job with its done tasks and its open attempts. Its phase follows the table of
--- a/src/main/java/org/ternhinge/ledger/JobPhase.java
+++ b/src/main/java/org/ternhinge/ledger/JobPhase.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 import java.util.EnumMap;
 import java.util.EnumSet;
 import java.util.Map;
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -1,12 +1,10 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-
-
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import java.util.BitSet;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * A job's record in the key-value store: how it is split into segments, and which of these are yet
--- a/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
@@ -1,12 +1,10 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.BitSet;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Revision;
+import org.ternhinge.wire.Json;
 
 /** Adds to a transaction what one job has to write: the segments that changed, or its end. */
 final class JobRecordWrites {
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.JobId;
 
-
-
 /** Names of the keys in the key-value store; other versions use the same, so they stay. */
 public final class Keys {
   /** The number of the current leadership; every leader's write is conditional on its version. */
--- a/src/main/java/org/ternhinge/ledger/LeadershipLoss.java
+++ b/src/main/java/org/ternhinge/ledger/LeadershipLoss.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.Term;
 
-
-
 /** Why a leadership has ended. */
 public sealed interface LeadershipLoss {
 
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -1,17 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.config.Team;
-
-
 import java.util.Collection;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -20,6 +8,16 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * Unfinished jobs and their attempts: the only place where an attempt opens or closes. Whatever a
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -1,17 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.Entry;
-import org.ternhinge.model.JobId;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,6 +11,16 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.WireException;
 
 /**
  * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and
--- a/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
@@ -1,11 +1,9 @@
 package org.ternhinge.ledger;
 
+import java.util.List;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 
-
-import java.util.List;
-
 /**
  * A transaction of the ledger, with what its changes mean to the ledger. It can't be changed any
  * more: after a lost answer the same conditions and changes are sent again, so that at most one
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -1,14 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.concurrent.locks.Lock;
@@ -16,7 +7,14 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.Json;
 
 /**
  * Writes the ledger's changes to the key-value store, many records to a transaction.
--- a/src/main/java/org/ternhinge/ledger/MachineAttributes.java
+++ b/src/main/java/org/ternhinge/ledger/MachineAttributes.java
@@ -4,8 +4,6 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-
-
 /**
  * What admission needs to know of the machine that an attempt is to open on.
  *
--- a/src/main/java/org/ternhinge/ledger/RecentJobEnds.java
+++ b/src/main/java/org/ternhinge/ledger/RecentJobEnds.java
@@ -1,11 +1,9 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-
-
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Optional;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
 
 /** Final states of jobs that ended recently, for users who ask for a job shortly after its end. */
 final class RecentJobEnds {
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -1,26 +1,24 @@
 package org.ternhinge.ledger;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.wire.Json;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskRanges;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.BitSet;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * The layout of records in the key-value store. Other versions read and write the same records, so
  * the names of fields are a contract; they are short because values are limited in size.
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -1,11 +1,9 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.Json;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.wire.Json;
 
 /**
  * Splits a record into smaller segments where an earlier version wrote it under a larger limit on
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -2,12 +2,10 @@
 
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-
-
 
 /**
  * How many bytes the segments of a record take at most, and how many tasks a segment is for so that
--- a/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
+++ b/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 /**
  * Decides when a record that was written under a larger limit on values is split into smaller
  * segments. {@link RecordRepartitioner} writes the result.
--- a/src/main/java/org/ternhinge/ledger/ResourceUsage.java
+++ b/src/main/java/org/ternhinge/ledger/ResourceUsage.java
@@ -1,15 +1,13 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-
-
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
 
 /**
  * What the open attempts take up of teams' limits and of machines. An attempt counts from the
--- a/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
@@ -1,13 +1,11 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.MachineId;
-
-
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import java.util.HashSet;
 import java.util.Set;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
 
 /**
  * Room for more open attempts in the segments of one job's record. What is admitted here fits the
--- a/src/main/java/org/ternhinge/ledger/SegmentMerger.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentMerger.java
@@ -1,7 +1,5 @@
 package org.ternhinge.ledger;
 
-
-
 import java.util.BitSet;
 
 /**
--- a/src/main/java/org/ternhinge/ledger/StopRequest.java
+++ b/src/main/java/org/ternhinge/ledger/StopRequest.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.SteadyTime;
 
-
-
 /**
  * The request to stop an attempt.
  *
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -1,13 +1,11 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import org.ternhinge.ledger.WriteQueue.Urgency;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Chooses what goes into the next transaction. While changes are scarce, cancellations go first,
--- a/src/main/java/org/ternhinge/ledger/TransactionDraft.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionDraft.java
@@ -1,17 +1,15 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyCondition;
 
 /**
  * A transaction that is being put together. It is conditional on the term from the start, and with
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
@@ -1,11 +1,9 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Revision;
-
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import org.ternhinge.model.Revision;
 
 /** Brings the ledger up to date once the key-value store holds a transaction. */
 final class TransactionSettlement {
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -1,17 +1,15 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Revision;
-
-
-import java.util.Optional;
-import java.util.function.Consumer;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Finds out by reading back whether an earlier copy of a transaction was applied, where its answer
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -1,15 +1,13 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
 
 /** Jobs with something to write, and how urgent it is. */
 final class WriteQueue {
--- a/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
+++ b/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.Clock;
 
-
-
 /**
  * This controller's share of the key-value store's rate limits, for requests and for changes. The
  * leader uses a fixed share and the other controllers divide the rest evenly, so that all
--- a/src/main/java/org/ternhinge/limit/RequestPriority.java
+++ b/src/main/java/org/ternhinge/limit/RequestPriority.java
@@ -1,7 +1,5 @@
 package org.ternhinge.limit;
 
-
-
 /**
  * The priority of a request when tokens run short, the highest first. Each priority leaves a
  * reserve in the bucket to the higher ones, so that a burst of less urgent requests never delays a
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -3,8 +3,6 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
-
 /**
  * A token bucket for calls to a system that limits their rate: a steady rate, and bursts of one
  * second's worth. Safe for use by several threads.
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -1,14 +1,12 @@
 package org.ternhinge.machine;
 
+import java.util.Optional;
+import org.ternhinge.config.Settings;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.config.Settings;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-
-
-import java.util.Optional;
+import org.ternhinge.wire.Heartbeat;
 
 /**
  * The state of the worker agent of one machine as its messages show it: epoch, lease and fencing
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -1,10 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -15,6 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.MachineType;
 
 /**
  * Recent boot times of machines, and the provisioned machines that are late by these. Guarded by
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -1,9 +1,7 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.Optional;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * The state of one machine as the cloud sees it: when it was provisioned, what listings show of it,
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -1,11 +1,9 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayDeque;
 import java.util.Deque;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Command;
 
 /**
  * The commands that wait to be sent directly to one worker, first in, first out. At most one
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -1,9 +1,7 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.function.BooleanSupplier;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Whether answers and commands reach the worker of one machine. Its heartbeats may arrive while
--- a/src/main/java/org/ternhinge/machine/ImageCache.java
+++ b/src/main/java/org/ternhinge/machine/ImageCache.java
@@ -1,7 +1,5 @@
 package org.ternhinge.machine;
 
-
-
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/org/ternhinge/machine/JobBackoff.java
+++ b/src/main/java/org/ternhinge/machine/JobBackoff.java
@@ -1,19 +1,17 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Back-off of jobs whose tasks fail on every machine. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -1,13 +1,11 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * The failures of one job's tasks since one of them last succeeded: the machines on which they
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -1,18 +1,16 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskStatus;
-
-
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * The state of one machine, except for its attempts, which the ledger holds. Guarded by the
--- a/src/main/java/org/ternhinge/machine/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -1,10 +1,8 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.JobId;
-
-
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.function.Predicate;
+import org.ternhinge.model.JobId;
 
 /**
  * The failures of tasks on one machine since a task last succeeded there. Guarded by the
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.SteadyTime;
 
-
-
 /** Whether one machine is fit for tasks. Guarded by the controller's lock. */
 public final class MachineHealth {
   private final MachineFailures failures = new MachineFailures();
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -1,9 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashSet;
@@ -11,6 +7,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * The machines that are known in one leadership, and the names of those that are certainly gone. A
--- a/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -1,11 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-
-
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
@@ -13,6 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.wire.MachineType;
 
 /**
  * The machine types that the cloud offers. They are refreshed periodically, since a site may add
--- a/src/main/java/org/ternhinge/machine/OutstandingStarts.java
+++ b/src/main/java/org/ternhinge/machine/OutstandingStarts.java
@@ -1,13 +1,11 @@
 package org.ternhinge.machine;
 
+import it.unimi.dsi.fastutil.objects.Object2IntMap;
+import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-
-import it.unimi.dsi.fastutil.objects.Object2IntMap;
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
-
 /**
  * Start commands sent directly to one worker that are unanswered, or whose answers were lost. Such
  * a start may still arrive, so its attempt must not be presumed gone. Raising the term fences them:
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -1,11 +1,9 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskStatus;
-
-
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.List;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.TaskStatus;
 
 /**
  * Counts the machines that list each task. The counts are updated by the difference between
--- a/src/main/java/org/ternhinge/machine/ReportedTasks.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTasks.java
@@ -1,11 +1,9 @@
 package org.ternhinge.machine;
 
+import java.util.List;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.TaskStatus;
 
-
-import java.util.List;
-
 /**
  * The tasks that the heartbeats of machines list. A listed task without an open attempt may still
  * run on the machine, so it must not be started on another one. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -1,9 +1,7 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.TreeSet;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -1,16 +1,14 @@
 package org.ternhinge.machine;
 
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-
-import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Attributes the failures of tasks to machines or to jobs, and quarantines machines that are at
  * fault. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -1,7 +1,5 @@
 package org.ternhinge.machine;
 
-
-
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
--- a/src/main/java/org/ternhinge/metrics/Metrics.java
+++ b/src/main/java/org/ternhinge/metrics/Metrics.java
@@ -1,7 +1,5 @@
 package org.ternhinge.metrics;
 
-
-
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/org/ternhinge/model/AgentEpoch.java
+++ b/src/main/java/org/ternhinge/model/AgentEpoch.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * The incarnation of an agent, the worker process of a machine. The agent starts at 1 and begins
  * the next epoch, without any tasks, whenever its lease expires.
--- a/src/main/java/org/ternhinge/model/AsyncCalls.java
+++ b/src/main/java/org/ternhinge/model/AsyncCalls.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
--- a/src/main/java/org/ternhinge/model/AttemptNumber.java
+++ b/src/main/java/org/ternhinge/model/AttemptNumber.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * The number of an attempt to run a task, never used twice for the same task. The tasks of a gang
  * share one number and find one another by it.
--- a/src/main/java/org/ternhinge/model/Clock.java
+++ b/src/main/java/org/ternhinge/model/Clock.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /** Time and timers of the service. Tests use virtual time instead of the real one. */
 public interface Clock {
 
--- a/src/main/java/org/ternhinge/model/Endpoint.java
+++ b/src/main/java/org/ternhinge/model/Endpoint.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * A TCP address.
  *
--- a/src/main/java/org/ternhinge/model/JobId.java
+++ b/src/main/java/org/ternhinge/model/JobId.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * The unique id of a job, chosen by its user.
  *
--- a/src/main/java/org/ternhinge/model/LockedExecutor.java
+++ b/src/main/java/org/ternhinge/model/LockedExecutor.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.concurrent.locks.Lock;
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * The name of a machine, given by the cloud. The order of names is the order of creation.
  *
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 import java.util.function.Function;
 
 /**
--- a/src/main/java/org/ternhinge/model/Resources.java
+++ b/src/main/java/org/ternhinge/model/Resources.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * CPUs, accelerators and memory of a task, a machine or a quota, in thousandths of a CPU, of an
  * accelerator and of a GB, so that sums over many tasks stay exact. Requests are rounded up and
--- a/src/main/java/org/ternhinge/model/Revision.java
+++ b/src/main/java/org/ternhinge/model/Revision.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * A version in the key-value store: of one key, the store revision of its latest change; of the
  * whole store, the number of changes so far.
--- a/src/main/java/org/ternhinge/model/SequenceNumber.java
+++ b/src/main/java/org/ternhinge/model/SequenceNumber.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * A number that only grows, such as a revision or a term. Two of them are equal if they have the
  * same value and are of the same class, so that a term never equals an attempt number.
--- a/src/main/java/org/ternhinge/model/SteadyTime.java
+++ b/src/main/java/org/ternhinge/model/SteadyTime.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * A reading of the steady clock of this process. Readings of different processes are not
  * comparable.
--- a/src/main/java/org/ternhinge/model/TaskId.java
+++ b/src/main/java/org/ternhinge/model/TaskId.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * One task of a job.
  *
--- a/src/main/java/org/ternhinge/model/TaskRanges.java
+++ b/src/main/java/org/ternhinge/model/TaskRanges.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.BitSet;
--- a/src/main/java/org/ternhinge/model/Term.java
+++ b/src/main/java/org/ternhinge/model/Term.java
@@ -1,7 +1,5 @@
 package org.ternhinge.model;
 
-
-
 /**
  * The number of a period of leadership. It grows with every election, and workers use it as the
  * fencing token: they refuse commands that carry a lower one than they have seen.
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -1,11 +1,9 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 
 /**
  * One message between controllers. On the wire: length of what follows (4 bytes), id (8), type (1),
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -1,12 +1,5 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.http.Channels;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.http.HttpServer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -29,6 +22,11 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.http.Channels;
+import org.ternhinge.http.HttpServer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Endpoint;
 
 /**
  * The link between controllers, over which a node relays requests to the leader. Nothing depends on
--- a/src/main/java/org/ternhinge/request/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/AnswerDeadline.java
@@ -1,11 +1,9 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.http.Response;
-
-
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Clock;
 
 /**
  * Answers users before they drop the request, because the time-outs of the key-value store are
--- a/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -1,21 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.wire.WireException;
-
-
 import java.util.Collection;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -25,6 +9,20 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.WireException;
 
 /**
  * The machine types that a node loads once after its start, whether it leads or not. Submissions
--- a/src/main/java/org/ternhinge/request/ConnectivityProbe.java
+++ b/src/main/java/org/ternhinge/request/ConnectivityProbe.java
@@ -1,17 +1,15 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.KeyValueStore;
+import java.util.List;
+import java.util.concurrent.locks.Lock;
+import org.ternhinge.http.Request;
 import org.ternhinge.ledger.Keys;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Request;
-import org.ternhinge.limit.RequestPriority;
-
-
-import java.util.List;
-import java.util.concurrent.locks.Lock;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.store.KeyValueStore;
 
 /**
  * Probes the key-value store and the other controllers while neither answers anything by itself, so
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -1,21 +1,19 @@
 package org.ternhinge.request;
 
-import org.ternhinge.wire.DependencyVerdict;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.limit.RequestPriority;
-
-
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.JobState;
 
 /**
  * Checks the jobs that a submission depends on, each by a read of its current state. Jobs never
--- a/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
+++ b/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
@@ -1,9 +1,7 @@
 package org.ternhinge.request;
 
-import org.ternhinge.wire.DependencyVerdict;
-
-
 import java.util.Optional;
+import org.ternhinge.wire.DependencyVerdict;
 
 /**
  * The paths by which controllers forward jobs with dependencies to each other. A version that would
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -1,20 +1,18 @@
 package org.ternhinge.request;
 
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.wire.Redirect;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
 import org.ternhinge.wire.WireException;
 
-
-import java.util.List;
-import java.util.Optional;
-import java.util.function.Consumer;
-
 /**
  * Answers workers' heartbeats. The leader answers them with commands; another node redirects the
  * worker to the leader, or relays for a worker that can't reach the leader. Guarded by the
--- a/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
@@ -1,11 +1,9 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Decides which workers' heartbeats this node relays to the leader. A worker that was redirected to
--- a/src/main/java/org/ternhinge/request/JobCancellations.java
+++ b/src/main/java/org/ternhinge/request/JobCancellations.java
@@ -1,16 +1,14 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.Clock;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
 import org.ternhinge.ledger.Job;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.http.Response;
-
-
-import java.util.Optional;
-import java.util.function.Consumer;
 
 /**
  * Answers users who cancel a job. Only the leader can cancel, and it confirms once the cancellation
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -1,16 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.Entry;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-
-
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
@@ -19,6 +8,15 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.JobState;
 
 /**
  * Reads a job's state from the key-value store, which any node may do. A job is cancelled as soon
--- a/src/main/java/org/ternhinge/request/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueries.java
@@ -1,14 +1,12 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.http.Response;
-
-
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
 
 /** Answers users who poll the state of a job. */
 public final class JobQueries implements JobRequestHandler {
--- a/src/main/java/org/ternhinge/request/JobRequestHandler.java
+++ b/src/main/java/org/ternhinge/request/JobRequestHandler.java
@@ -1,11 +1,9 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.http.Response;
-
-
 import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.model.JobId;
 
 /**
  * Answers one kind of request about a job, either as the leader or from the key-value store. {@link
--- a/src/main/java/org/ternhinge/request/JobRequestRouter.java
+++ b/src/main/java/org/ternhinge/request/JobRequestRouter.java
@@ -1,14 +1,12 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.Leadership;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.Leadership;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.model.JobId;
 
 /**
  * Has requests about a job answered by the leader, here or on another node, and otherwise from the
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -1,17 +1,15 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Finds the leader by asking all other controllers. A node that the key-value store refuses, or
--- a/src/main/java/org/ternhinge/request/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/request/NodeConnectivity.java
@@ -3,8 +3,6 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
-
 /**
  * When the key-value store and the other controllers answered this node last, and what follows from
  * that. A node that reaches neither can only answer 503, and users whose connections it holds would
--- a/src/main/java/org/ternhinge/request/PeerClient.java
+++ b/src/main/java/org/ternhinge/request/PeerClient.java
@@ -1,13 +1,11 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import java.util.Optional;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.LockedExecutor;
 
 /**
  * Asks other controllers. Answers are handed on under the controller's lock. A connection that
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -1,11 +1,9 @@
 package org.ternhinge.request;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 
 /** Carries requests to the other controllers. */
 public interface PeerTransport {
--- a/src/main/java/org/ternhinge/request/RequestOrigin.java
+++ b/src/main/java/org/ternhinge/request/RequestOrigin.java
@@ -1,7 +1,5 @@
 package org.ternhinge.request;
 
-
-
 /** Who sent a request to this node. */
 public enum RequestOrigin {
   /** A user, a worker or a health check; the request may be forwarded to another controller. */
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -1,13 +1,11 @@
 package org.ternhinge.request;
 
+import java.util.function.Consumer;
+import java.util.function.Function;
+import org.ternhinge.http.Response;
 import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.ErrorBody;
 import org.ternhinge.wire.JobState;
-import org.ternhinge.http.Response;
-
-
-import java.util.function.Consumer;
-import java.util.function.Function;
 
 /** The answers that several request handlers give. */
 public final class Responses {
--- a/src/main/java/org/ternhinge/request/SharedLookups.java
+++ b/src/main/java/org/ternhinge/request/SharedLookups.java
@@ -1,14 +1,12 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.limit.RequestPriority;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.JobId;
 
 /**
  * Coalesces concurrent lookups of the same job. One lookup of a job runs at a time; requests that
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -1,11 +1,9 @@
 package org.ternhinge.request;
 
-import org.ternhinge.wire.DependencyVerdict;
-import org.ternhinge.http.Response;
-
-
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.wire.DependencyVerdict;
 
 /** Where a submission is forwarded that this node can't write itself. */
 interface SubmissionFallback {
--- a/src/main/java/org/ternhinge/request/SubmissionForwarder.java
+++ b/src/main/java/org/ternhinge/request/SubmissionForwarder.java
@@ -1,12 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.wire.DependencyVerdict;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -14,6 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.DependencyVerdict;
 
 /**
  * Forwards a submission that this node can't write itself to other controllers, one after the
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -1,23 +1,21 @@
 package org.ternhinge.request;
 
-import org.ternhinge.wire.DependencyVerdict;
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.ternhinge.api.SubmissionRejection;
+import org.ternhinge.api.SubmissionValidator;
+import org.ternhinge.config.Settings;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.JobId;
+import org.ternhinge.wire.DependencyVerdict;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.Json;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.config.Settings;
-import org.ternhinge.api.SubmissionRejection;
-import org.ternhinge.api.SubmissionValidator;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.Optional;
-import java.util.function.Consumer;
-
 /**
  * Answers submissions: parses and validates them, then decides which node is to write the job. A
  * submission is an idempotent request: a job that was accepted before is answered with its state,
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -1,34 +1,32 @@
 package org.ternhinge.request;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.DependencyVerdict;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Consumer;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.ledger.Keys;
-import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.ledger.LedgerLoader;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.ledger.RecordCodec;
 import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.http.Response;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.List;
-import java.util.Optional;
-import java.util.concurrent.locks.Lock;
-import java.util.function.Consumer;
-import org.ternhinge.model.Outcome.Reason;
-
 /**
  * Accepts a job by writing its record, on condition that neither the record nor the job's end
  * exists. That makes it safe to repeat the write after a lost answer, and to have several nodes try
--- a/src/main/java/org/ternhinge/round/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -1,17 +1,15 @@
 package org.ternhinge.round;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.config.Objective;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.config.Objective;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * The rates at which jobs of each class arrive, so that room can be kept for those that have to
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -1,18 +1,16 @@
 package org.ternhinge.round;
 
+import java.util.Map;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
-import java.util.Map;
-import java.util.TreeMap;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 /**
  * Writes one line for each machine to the debug log at intervals: its state and what runs on it.
  * Does nothing while debug logging is off. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/round/FleetState.java
+++ b/src/main/java/org/ternhinge/round/FleetState.java
@@ -6,8 +6,6 @@
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.machine.TaskFailures;
 
-
-
 /**
  * The state of the machines of one leadership that scheduling rounds read. Guarded by the
  * controller's lock.
--- a/src/main/java/org/ternhinge/round/JobRanking.java
+++ b/src/main/java/org/ternhinge/round/JobRanking.java
@@ -3,8 +3,6 @@
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 
-
-
 /**
  * Orders pending jobs of equal priority and guarantee. Arrival order would make every job overdue
  * in a full cluster; an order by size divided by waiting time lets most start early, and as every
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -1,20 +1,5 @@
 package org.ternhinge.round;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.Clock;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.model.Resources;
-import org.ternhinge.config.Settings;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.config.Team;
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
@@ -24,6 +9,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Team;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Builds the planner's views of the jobs with pending tasks. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -1,26 +1,24 @@
 package org.ternhinge.round;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.model.JobId;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.config.Settings;
-import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.MachineType;
 
 /**
  * Builds the planner's views of the machines that are ready or expected to be so. A machine caches
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -1,32 +1,30 @@
 package org.ternhinge.round;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.ledger.AdmissionRefusal;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.model.Clock;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.machine.Machine;
 import org.ternhinge.ledger.MachineAttributes;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.schedule.Plan;
 import org.ternhinge.machine.ReportedTasks;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
-
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.scaling.MachineReleaser;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Carries out a plan as far as it still holds. The planner works on a snapshot without the lock, so
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -1,26 +1,24 @@
 package org.ternhinge.round;
 
+import java.util.Optional;
+import java.util.concurrent.Executor;
+import java.util.concurrent.locks.Lock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.failover.ZoneControl;
 import org.ternhinge.ledger.Authority;
-import org.ternhinge.model.Clock;
-import org.ternhinge.term.ControllerServices;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Planner;
-import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.failover.ZoneControl;
-
-
-import java.util.Optional;
-import java.util.concurrent.Executor;
-import java.util.concurrent.locks.Lock;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.term.ControllerServices;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 
 /**
  * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans without the lock,
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -1,19 +1,17 @@
 package org.ternhinge.round;
 
-import org.ternhinge.term.LeadershipContext;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.ScaleOutOptions;
-import org.ternhinge.config.Settings;
 import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-
-
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
+import org.ternhinge.term.LeadershipContext;
 
 /**
  * Takes the planner's snapshots of jobs and machines. Machines cache their views until something on
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -1,16 +1,14 @@
 package org.ternhinge.scaling;
 
+import java.util.HashSet;
+import java.util.Set;
 import org.ternhinge.attempt.CommandDispatcher;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.machine.Machine;
+import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.config.Settings;
+import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.attempt.TermAnnouncer;
-
-
-import java.util.HashSet;
-import java.util.Set;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.ListedMachine;
 
 /**
  * Decides to which listed machines the term is announced before they send a heartbeat. Guarded by
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -1,24 +1,22 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.attempt.ClosingEvidence;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.attempt.ClosingEvidence;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.RoundTrigger;
+import org.ternhinge.wire.ListedMachine;
 
 /**
  * Reconciles the registry of machines with the cloud's listings: unexpected machines are added,
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -1,18 +1,16 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.model.Clock;
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.cloud.Cloud;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.ArrayList;
-import java.util.List;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.wire.ListedMachine;
 
 /**
  * Reads the cloud's list of machines page by page, periodically. Guarded by the controller's lock.
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -1,26 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.term.BucketedRecords;
-import org.ternhinge.model.Clock;
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.store.Entry;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.term.RoundTrigger;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,7 +9,26 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
+import org.ternhinge.wire.ProvisionRequest;
+import org.ternhinge.wire.WireException;
 
 /**
  * Provisions machines. The name and content of a provision request are recorded before it is sent.
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -1,26 +1,24 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.term.BucketedRecords;
+import com.fasterxml.jackson.databind.node.BooleanNode;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
 import org.ternhinge.cloud.Cloud;
-import org.ternhinge.store.Entry;
+import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Keys;
-import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.term.LeadershipExecutor;
-import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.machine.MachineRegistry;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.model.SteadyTime;
-
-
-import com.fasterxml.jackson.databind.node.BooleanNode;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
+import org.ternhinge.store.Entry;
+import org.ternhinge.term.BucketedRecords;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.term.LeadershipExecutor;
+import org.ternhinge.term.RoundTrigger;
 
 /**
  * Releases machines. A release is recorded before it is sent and repeated until it is answered, so
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -1,17 +1,15 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.ledger.Attempt;
+import java.util.List;
 import org.ternhinge.attempt.AttemptLifecycle;
 import org.ternhinge.attempt.ClosingEvidence;
+import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.List;
-
 /**
  * Closes the attempts on machines that are gone, and removes these machines. The cloud's listing is
  * proof: nothing runs on a machine that it lists as failed or no longer lists, so the attempts
--- a/src/main/java/org/ternhinge/scaling/OfferBackoff.java
+++ b/src/main/java/org/ternhinge/scaling/OfferBackoff.java
@@ -1,10 +1,8 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Exponential back-off of offers for which the cloud lacked capacity. Guarded by the controller's
--- a/src/main/java/org/ternhinge/scaling/OfferKey.java
+++ b/src/main/java/org/ternhinge/scaling/OfferKey.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.wire.ProvisionRequest;
 
-
-
 /**
  * Identifies what can be provisioned: machines of one type in one zone, either spot instances or
  * not.
--- a/src/main/java/org/ternhinge/scaling/OpenProvision.java
+++ b/src/main/java/org/ternhinge/scaling/OpenProvision.java
@@ -1,11 +1,9 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.ProvisionRequest;
-
-
 import java.util.HashSet;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.wire.ProvisionRequest;
 
 /**
  * A provision request that is recorded and not completed: it is unanswered, or some of its machines
--- a/src/main/java/org/ternhinge/scaling/ReleaseReason.java
+++ b/src/main/java/org/ternhinge/scaling/ReleaseReason.java
@@ -1,7 +1,5 @@
 package org.ternhinge.scaling;
 
-
-
 /** Why an idle machine is released although the planner has not decided so. */
 enum ReleaseReason {
   /** It has not come up within the time allowed. */
--- a/src/main/java/org/ternhinge/scaling/RetryPolicy.java
+++ b/src/main/java/org/ternhinge/scaling/RetryPolicy.java
@@ -1,8 +1,6 @@
 package org.ternhinge.scaling;
 
 import org.ternhinge.model.Outcome;
-
-
 import org.ternhinge.model.Outcome.Reason;
 
 /**
--- a/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
+++ b/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
@@ -1,16 +1,14 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /**
  * The planner's view of scale out: what can be provisioned now, and what was requested and has no
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -1,21 +1,19 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.term.LeadershipContext;
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.ternhinge.config.Settings;
 import org.ternhinge.ledger.Ledger;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.machine.ZoneMachineCounts;
-
-
-import java.util.List;
-import java.util.Optional;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.MachineType;
 
 /**
  * Releases idle machines that can't be used, for the reasons in {@link ReleaseReason}. Such
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -1,14 +1,12 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
-
 import java.util.Optional;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
 
 /** Protects the places of tasks with accelerators from being used up by tasks without. */
 final class AcceleratorPlaces {
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -1,10 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -12,8 +7,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Moves replicas of services, a few at a time, from accelerated machines on which nothing else runs
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -1,9 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
@@ -12,8 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Makes room for gangs that do not fit into the free room. Others are preempted only where that
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -1,21 +1,19 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Resources;
-
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.schedule.Snapshot.Reservation;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.Priority;
 
 /**
  * A machine, present or to be provisioned, with the room that is left on it as a plan grows.
--- a/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
@@ -1,13 +1,11 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-
-
 import java.util.List;
 import java.util.Objects;
 import java.util.Optional;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /**
  * The properties of a job, besides its size, that decide where its tasks may be placed. Jobs with
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,7 +1,5 @@
 package org.ternhinge.schedule;
 
-
-
 /** Which places a search considers, and whose tasks it may preempt. */
 enum PlacementScope {
   /** Places that no task with accelerators loses. */
--- a/src/main/java/org/ternhinge/schedule/Plan.java
+++ b/src/main/java/org/ternhinge/schedule/Plan.java
@@ -1,13 +1,11 @@
 package org.ternhinge.schedule;
 
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-
-import java.util.ArrayList;
-import java.util.List;
-
 /**
  * The decisions of one scheduling round. They rest on a snapshot, so whoever carries them out has
  * to check each of them against the present state.
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -1,22 +1,20 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.config.Team;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * The state of one planning round: the decisions so far, and the room and team limits that they
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -1,16 +1,14 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /**
  * Plans one scheduling round, as a pure function of the snapshot. Jobs are served in order of
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -1,19 +1,17 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Team;
-
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.UnplaceableRequests.Search;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /** Chooses tasks to preempt, as far as priorities and guarantees permit. */
 final class PreemptionPlanner {
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -1,22 +1,20 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.model.Resources;
-
-
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.schedule.Snapshot.PendingProvision;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Priority;
 
 /** Plans scale-out for pending and expected jobs, and the release of idle machines. */
 final class ScalingPlanner {
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -1,19 +1,17 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Team;
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /**
  * The planner's whole input; nothing in it changes while a round is planned.
--- a/src/main/java/org/ternhinge/schedule/TaskAllocation.java
+++ b/src/main/java/org/ternhinge/schedule/TaskAllocation.java
@@ -1,11 +1,9 @@
 package org.ternhinge.schedule;
 
+import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-
-import org.ternhinge.schedule.Snapshot.JobView;
-
 /**
  * Serves one job whose tasks may start one by one: places as many as find free room and preempts
  * for the rest, in one scope after another.
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -1,9 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -11,8 +7,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.BiConsumer;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.UnplaceableRequests.Search;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Places tasks in free room. Each job is evaluated once against each machine with room and then
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -1,15 +1,13 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.JobView;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * The requests for which a search of this round found no more room. Room only gets less while a
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -1,9 +1,7 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
+import org.ternhinge.model.Revision;
 
 /** A change of one key, either requested by a transaction or observed by a watch. */
 public sealed interface Change {
--- a/src/main/java/org/ternhinge/store/CompareAndSwap.java
+++ b/src/main/java/org/ternhinge/store/CompareAndSwap.java
@@ -1,11 +1,9 @@
 package org.ternhinge.store;
 
-import org.ternhinge.wire.Json;
-
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import org.ternhinge.wire.Json;
 
 /**
  * A transaction: changes that are all applied, with one revision, if all conditions hold, and none
--- a/src/main/java/org/ternhinge/store/Entry.java
+++ b/src/main/java/org/ternhinge/store/Entry.java
@@ -1,9 +1,7 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Revision;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
+import org.ternhinge.model.Revision;
 
 /**
  * A key of the store as it was read.
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -1,27 +1,25 @@
 package org.ternhinge.store;
 
-import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Reply;
-import org.ternhinge.http.Request;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.http.ServiceClient;
-import org.ternhinge.limit.TokenBucket;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
+import org.ternhinge.http.CallTimeouts;
+import org.ternhinge.http.HttpCaller;
+import org.ternhinge.http.Reply;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.ServiceClient;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
 import org.ternhinge.store.ResponseTimeouts.Kind;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /** The key-value store over HTTP, within its published limits. Safe for use by several threads. */
 public final class HttpKeyValueStore implements KeyValueStore {
--- a/src/main/java/org/ternhinge/store/KeyCondition.java
+++ b/src/main/java/org/ternhinge/store/KeyCondition.java
@@ -1,10 +1,8 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Revision;
-
-
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.Revision;
 
 /**
  * A condition of a {@link CompareAndSwap}: a key has an expected revision.
--- a/src/main/java/org/ternhinge/store/KeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/KeyValueStore.java
@@ -1,13 +1,11 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-
-
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
 
 /**
  * The consensus-backed key-value store, the only place where controllers keep state.
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -1,15 +1,13 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Clock;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.DoubleFunction;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -1,10 +1,5 @@
 package org.ternhinge.term;
 
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.LedgerWriter;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -15,6 +10,9 @@
 import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
 
 /**
  * Stores many small entries in few records of the key-value store. A write of a record costs one
--- a/src/main/java/org/ternhinge/term/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -1,17 +1,15 @@
 package org.ternhinge.term;
 
-import org.ternhinge.model.Clock;
+import java.util.concurrent.Executor;
+import java.util.concurrent.locks.Lock;
 import org.ternhinge.cloud.Cloud;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.metrics.Metrics;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.Clock;
+import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.concurrent.Executor;
-import java.util.concurrent.locks.Lock;
-
 /**
  * The services that one controller process is built on. They are created once, live as long as the
  * process and so outlive every leadership.
--- a/src/main/java/org/ternhinge/term/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -5,8 +5,6 @@
 import org.ternhinge.ledger.LedgerWriter;
 import org.ternhinge.model.SteadyTime;
 
-
-
 /**
  * What the components of one leadership are built on.
  *
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -1,15 +1,13 @@
 package org.ternhinge.term;
 
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.locks.Lock;
+import java.util.function.Consumer;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 
-
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.locks.Lock;
-import java.util.function.Consumer;
-
 /**
  * Runs the actions of one leadership under the controller's lock for as long as the leadership
  * lasts. An answer or a timer that arrives after its end is dropped, so that nothing acts on a
--- a/src/main/java/org/ternhinge/term/RoundTrigger.java
+++ b/src/main/java/org/ternhinge/term/RoundTrigger.java
@@ -1,7 +1,5 @@
 package org.ternhinge.term;
 
-
-
 /** Requests scheduling rounds; used by whatever changes which tasks could be placed where. */
 @FunctionalInterface
 public interface RoundTrigger {
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -1,15 +1,13 @@
 package org.ternhinge.wire;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.List;
-
 /**
  * A command to a worker about one attempt. Each may be repeated, except that a {@link Op#START}
  * after a {@link Op#FORGET} starts the attempt again.
--- a/src/main/java/org/ternhinge/wire/DependencyVerdict.java
+++ b/src/main/java/org/ternhinge/wire/DependencyVerdict.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
 
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 import java.util.Locale;
 
 /** Why an attempt of a task ended, as its worker reports it. */
--- a/src/main/java/org/ternhinge/wire/ErrorBody.java
+++ b/src/main/java/org/ternhinge/wire/ErrorBody.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 /**
  * The body of an answer that rejects a request permanently.
  *
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -1,14 +1,12 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Term;
-
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.OptionalDouble;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Term;
 
 /**
  * A worker's heartbeat: the status of its machine and of all tasks on it.
--- a/src/main/java/org/ternhinge/wire/HeartbeatReader.java
+++ b/src/main/java/org/ternhinge/wire/HeartbeatReader.java
@@ -1,17 +1,15 @@
 package org.ternhinge.wire;
 
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalDouble;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-
-import java.io.IOException;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.OptionalDouble;
-
 /**
  * Reads heartbeats token by token, without a JSON tree, as hundreds of them arrive every second.
  */
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 /** How the tasks of a job relate to one another. */
 public enum JobKind {
   /** Independent tasks, each of which runs to completion. */
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -1,15 +1,13 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Resources;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
 
 /**
  * The description of a job as its user submits it. Immutable.
--- a/src/main/java/org/ternhinge/wire/JobSpecJson.java
+++ b/src/main/java/org/ternhinge/wire/JobSpecJson.java
@@ -1,9 +1,5 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.Resources;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,6 +8,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
 
 /** The JSON form of a {@link JobSpec}: reads and validates a submission, and writes it. */
 final class JobSpecJson {
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -1,9 +1,7 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.model.JobId;
 
 /**
  * The state of a job as answers to its user show it.
--- a/src/main/java/org/ternhinge/wire/Json.java
+++ b/src/main/java/org/ternhinge/wire/Json.java
@@ -1,8 +1,5 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.Outcome;
-
-
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,6 +13,7 @@
 import java.io.OutputStream;
 import java.util.Optional;
 import java.util.OptionalDouble;
+import org.ternhinge.model.Outcome;
 
 /**
  * Reads and writes JSON trees. Trees rather than data binding keep the start of the process fast,
--- a/src/main/java/org/ternhinge/wire/JsonStreamReader.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamReader.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/org/ternhinge/wire/ListedMachine.java
+++ b/src/main/java/org/ternhinge/wire/ListedMachine.java
@@ -1,12 +1,10 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.MachineId;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.ternhinge.model.MachineId;
 
 /**
  * A machine in the cloud's list, which lags behind the truth.
--- a/src/main/java/org/ternhinge/wire/MachineType.java
+++ b/src/main/java/org/ternhinge/wire/MachineType.java
@@ -1,13 +1,11 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.Resources;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.Resources;
 
 /**
  * A machine type of the cloud.
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 import java.util.Locale;
 
 /** A job's priority, highest first. */
--- a/src/main/java/org/ternhinge/wire/ProvisionRequest.java
+++ b/src/main/java/org/ternhinge/wire/ProvisionRequest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.MachineId;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.MachineId;
 
 /**
  * A request to provision machines.
--- a/src/main/java/org/ternhinge/wire/Redirect.java
+++ b/src/main/java/org/ternhinge/wire/Redirect.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 /**
  * The body of the 421 answer that redirects a worker to another controller node.
  *
--- a/src/main/java/org/ternhinge/wire/TaskIds.java
+++ b/src/main/java/org/ternhinge/wire/TaskIds.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.TaskId;
 
-
-
 /** Reads task ids from messages. */
 final class TaskIds {
   private TaskIds() {}
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 /** The state of an attempt as its worker reports it. */
 public enum TaskState {
   /** Waits for its image. */
--- a/src/main/java/org/ternhinge/wire/TaskStatus.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -1,11 +1,9 @@
 package org.ternhinge.wire;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.TaskId;
 
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
-
 /**
  * The status of one task in a worker's heartbeat.
  *
--- a/src/main/java/org/ternhinge/wire/WireException.java
+++ b/src/main/java/org/ternhinge/wire/WireException.java
@@ -1,7 +1,5 @@
 package org.ternhinge.wire;
 
-
-
 /** A message that violates the protocol. */
 public final class WireException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -1,24 +1,22 @@
 package org.ternhinge.worker;
 
-import org.ternhinge.model.AgentEpoch;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.http.HttpCaller;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.http.Reply;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.ServiceClient;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.WireException;
 
-
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import org.ternhinge.model.Outcome.Reason;
-
 /** Sends direct commands to workers over HTTP. Its futures never complete exceptionally. */
 public final class HttpWorkers implements Workers {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(3);
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/Workers.java
@@ -1,16 +1,14 @@
 package org.ternhinge.worker;
 
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Command;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Term;
-
-
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 
 /** Sends direct commands to workers, from any thread. */
 public interface Workers {
--- a/src/main/java/org/ternhinge/zone/DisplacedWork.java
+++ b/src/main/java/org/ternhinge/zone/DisplacedWork.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.JobId;
 
-
-
 /** The present state of displaced work, as the ledger has it. */
 public interface DisplacedWork {
   /** The state of a displaced task. */
--- a/src/main/java/org/ternhinge/zone/DisplacementLog.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementLog.java
@@ -1,11 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.TaskRanges;
-
-
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -15,6 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.pcollections.PSet;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.TaskRanges;
+import org.ternhinge.wire.JobSpec;
 import org.ternhinge.zone.ZoneEvent.WorkStep;
 
 /**
--- a/src/main/java/org/ternhinge/zone/DisplacementReason.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementReason.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 /** Why displaced tasks take a step or still wait, as the log has it. */
 enum DisplacementReason {
   /** Their attempts ended with the zone. */
--- a/src/main/java/org/ternhinge/zone/FailoverMetrics.java
+++ b/src/main/java/org/ternhinge/zone/FailoverMetrics.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/org/ternhinge/zone/FailoverOrder.java
+++ b/src/main/java/org/ternhinge/zone/FailoverOrder.java
@@ -1,10 +1,8 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import java.util.List;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.wire.JobSpec;
 
 /** The tiers in which the work of a lost zone moves, the most important first. */
 final class FailoverOrder {
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -1,11 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -14,6 +8,10 @@
 import org.pcollections.PMap;
 import org.pcollections.PSet;
 import org.pcollections.TreePSet;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * The tasks that were displaced from lost zones: their attempts have certainly ended and they have
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -1,9 +1,7 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.config.ZoneFailoverSettings;
-
-
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Measures how often a zone was lost recently: each loss adds one, and the value decays
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -1,11 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Distinguishes lost zones from lost links of the leader itself, by comparing the zones. Where all
--- a/src/main/java/org/ternhinge/zone/PlacementFacts.java
+++ b/src/main/java/org/ternhinge/zone/PlacementFacts.java
@@ -1,11 +1,9 @@
 package org.ternhinge.zone;
 
+import java.util.Optional;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 
-
-import java.util.Optional;
-
 /** Facts about the jobs and machines of a plan that are needed to limit it. */
 public interface PlacementFacts {
   /** The name of a machine's zone; empty where the machine or its zone is unknown. */
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -1,15 +1,13 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.schedule.Plan;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.schedule.Plan;
 
 /**
  * Removes from a plan what exceeds the pace of returning zones: starts there, moves of running
--- a/src/main/java/org/ternhinge/zone/RateBudget.java
+++ b/src/main/java/org/ternhinge/zone/RateBudget.java
@@ -2,8 +2,6 @@
 
 import org.ternhinge.model.SteadyTime;
 
-
-
 /**
  * A token bucket as an immutable value, whose rate may change over time. It holds the tokens of one
  * second and one more, so that rounding loses none, and may be overdrawn by what can't be divided,
--- a/src/main/java/org/ternhinge/zone/ReturnLimits.java
+++ b/src/main/java/org/ternhinge/zone/ReturnLimits.java
@@ -1,13 +1,11 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Plan;
 
 /**
  * Limits plans while a zone is not available: by the pace of returning zones, and by a rate of
--- a/src/main/java/org/ternhinge/zone/ReturnPacer.java
+++ b/src/main/java/org/ternhinge/zone/ReturnPacer.java
@@ -1,11 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Limits how many tasks start in zones that are recovering: few at first, twice as many with each
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -1,13 +1,11 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.schedule.Snapshot;
-
-
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
 import java.util.List;
 import org.pcollections.PSet;
+import org.ternhinge.schedule.Snapshot;
 
 /** Removes from the planner's snapshot the zones that take no work and the tasks that are held. */
 final class SnapshotFilter {
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -1,10 +1,8 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.TaskRanges;
-
-
 import java.util.Map;
 import java.util.Optional;
+import org.ternhinge.model.TaskRanges;
 
 /** Parses the events of zones from a log, those of earlier versions included. */
 public final class ZoneEventParser {
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -1,18 +1,16 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * All decisions of one leadership about the loss and return of zones. Guarded by the controller's
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -1,9 +1,7 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.config.ZoneFailoverSettings;
-
-
+import org.ternhinge.model.SteadyTime;
 
 /**
  * The state machine of one zone, as an immutable value: each observation gives the next one.
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 /**
  * The condition of a zone's machines at one time.
  *
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -1,13 +1,11 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.SteadyTime;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Json;
 
 /**
  * The record of all zones in the key-value store, from which a new leader continues. Versions
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshot.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshot.java
@@ -1,11 +1,9 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-
-
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 import org.pcollections.PSet;
+import org.ternhinge.model.JobId;
 
 /**
  * The status of all zones at one time, as an immutable value that is read without a lock. The maps
--- a/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
+++ b/src/main/java/org/ternhinge/zone/ZoneSnapshotReference.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.UnaryOperator;
 
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone;
 
-
-
 /**
  * The published status of a zone.
  *
--- a/src/main/java/org/ternhinge/zone/ZoneTable.java
+++ b/src/main/java/org/ternhinge/zone/ZoneTable.java
@@ -1,9 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -12,6 +8,8 @@
 import java.util.Map;
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * The health of all zones of one leadership with the latest observation of each, in the order of
--- a/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
@@ -1,8 +1,5 @@
 package org.ternhinge.zone.report;
 
-import org.ternhinge.zone.ZoneState;
-
-
 import java.awt.Color;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -23,6 +20,7 @@
 import org.jfree.data.xy.XYIntervalSeriesCollection;
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
+import org.ternhinge.zone.ZoneState;
 
 /** Draws the plots of a report as PNG images. */
 final class ZoneCharts {
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -1,10 +1,5 @@
 package org.ternhinge.zone.report;
 
-import org.ternhinge.model.TaskRanges;
-import org.ternhinge.zone.ZoneEvent;
-import org.ternhinge.zone.ZoneState;
-
-
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,6 +9,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import org.ternhinge.model.TaskRanges;
+import org.ternhinge.zone.ZoneEvent;
+import org.ternhinge.zone.ZoneState;
 
 /**
  * The states of zones and the steps of their work over time, collected from the events of a log.
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -1,9 +1,5 @@
 package org.ternhinge.zone.report;
 
-import org.ternhinge.zone.ZoneEvent;
-import org.ternhinge.zone.ZoneEventParser;
-
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -21,6 +17,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
+import org.ternhinge.zone.ZoneEvent;
+import org.ternhinge.zone.ZoneEventParser;
 
 /**
  * The events of zones in a controller's log, in order of time. The log may be a concatenation of
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -1,7 +1,5 @@
 package org.ternhinge.zone.report;
 
-
-
 import static j2html.TagCreator.body;
 import static j2html.TagCreator.document;
 import static j2html.TagCreator.each;
--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -1,7 +1,5 @@
 package org.ternhinge;
 
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.tngtech.archunit.core.domain.JavaClass;
--- a/src/test/java/org/ternhinge/PackageRulesTest.java
+++ b/src/test/java/org/ternhinge/PackageRulesTest.java
@@ -1,7 +1,5 @@
 package org.ternhinge;
 
-
-
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideOutsideOfPackage;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
--- a/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.api;
 
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,6 +8,10 @@
 import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.MachineType;
 
 /** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
 class SubmissionValidatorTest {
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -1,26 +1,24 @@
 package org.ternhinge.attempt;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.store.Entry;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Keys;
-import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.LedgerLoader;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.sim.Specs;
+import org.ternhinge.store.Entry;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
 
-
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
-import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
-
 /** Which open attempts a status closes by not showing them. */
 class AbsentAttemptReconcilerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -1,19 +1,17 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.wire.Command;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
 
 /** Opening, stopping and closing of attempts. */
 class AttemptLifecycleTest {
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -1,15 +1,5 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Command;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,6 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.JobState;
 
 /** When a cancellation is answered, and what becomes of the attempts of its job. */
 class CancellationsTest {
--- a/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.wire.EndReason;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.ternhinge.wire.EndReason;
 
 /** The evidence that closes an attempt, and its words in the log. */
 class ClosingEvidenceTest {
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -1,17 +1,5 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +9,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.leadership.RecordingWorkers.Message;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 
 /** Direct commands to workers: when they are sent, which ones, and what their outcomes mean. */
 class CommandDispatcherTest {
@@ -163,7 +163,8 @@
       fixture.open(job, 0, machine);
       messages().get(0).refuse(fixture.heartbeat(machine).fencingToken(2).build());
       assertEquals(
-          new LeadershipLoss.HigherTermSeen(new Term(2)), fixture.authority.lossReason().orElseThrow());
+          new LeadershipLoss.HigherTermSeen(new Term(2)),
+          fixture.authority.lossReason().orElseThrow());
       assertEquals(List.of(), fixture.statuses);
     }
   }
--- a/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,6 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.ListedMachine;
 
 /** Announcements of the term to workers that have not sent a heartbeat. */
 class TermAnnouncerTest {
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.attempt;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -15,6 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.Specs;
 
 /** When a leader raises its own term. */
 class TermFenceTest {
--- a/src/test/java/org/ternhinge/cli/LinkRelay.java
+++ b/src/test/java/org/ternhinge/cli/LinkRelay.java
@@ -1,7 +1,5 @@
 package org.ternhinge.cli;
 
-
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -1,8 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.wire.Json;
-
-
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -25,6 +22,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import org.ternhinge.wire.Json;
 
 /** Three processes of the packaged program on loopback, with stand-ins for what is around them. */
 final class LoopbackCluster implements AutoCloseable {
--- a/src/test/java/org/ternhinge/cli/LoopbackFleet.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackFleet.java
@@ -1,9 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -12,6 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.wire.Json;
 
 /**
  * Machines on loopback in groups, one a zone, each behind a relay of its own. They are up from the
--- a/src/test/java/org/ternhinge/cli/LoopbackIT.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackIT.java
@@ -1,9 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,6 +15,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Json;
 
 /** The packaged program as three processes on loopback, with stand-ins for what is around them. */
 class LoopbackIT {
