--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -1,22 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -35,6 +18,21 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.WireException;
 
 /** A key-value store and a cloud over HTTP on loopback; the cloud provisions nothing out. */
 final class LoopbackServices implements AutoCloseable {
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -1,17 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.model.Term;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
@@ -30,6 +18,16 @@
 import java.util.OptionalDouble;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.wire.WireException;
 
 /** A machine with its worker on loopback sockets: epochs, tokens, leases and tasks. */
 final class LoopbackWorker implements AutoCloseable {
--- a/src/test/java/org/ternhinge/cli/TaskHistory.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistory.java
@@ -1,15 +1,13 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
 
 /**
  * What workers ran and what users were told, and which of it breaks a rule. Any thread may add to
--- a/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
 
 /** The checker finds planted faults, and no others. */
 class TaskHistoryTest {
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -1,14 +1,5 @@
 package org.ternhinge.cli;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.WireException;
-import org.ternhinge.zone.report.ZoneLog;
-import org.ternhinge.zone.report.ZoneReport;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -28,6 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
+import org.ternhinge.zone.report.ZoneLog;
+import org.ternhinge.zone.report.ZoneReport;
 
 /**
  * Three controllers as processes and three groups of workers, each behind a relay, over real
--- a/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
+++ b/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
@@ -1,14 +1,5 @@
 package org.ternhinge.cloud;
 
-import org.ternhinge.http.LoopbackServer;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.limit.TokenBucket;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
@@ -16,7 +7,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.LoopbackServer;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** How answers of the cloud become outcomes. */
 class HttpCloudTest {
--- a/src/test/java/org/ternhinge/config/ConfigTest.java
+++ b/src/test/java/org/ternhinge/config/ConfigTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.config;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,6 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /** Settings files and tuning: what is read, and what errors name. */
 class ConfigTest {
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.config;
 
-import org.ternhinge.wire.Priority;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,6 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.wire.Priority;
 
 /** The block {@code zone_failover} of the tuning file: what is read, and what errors name. */
 class ZoneFailoverReaderTest {
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** Cancellations just before the key-value store or all controllers are out, on virtual time. */
 class CancellationAndOutageTest extends CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
+++ b/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
@@ -1,16 +1,14 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
 
 /** A simulated cluster with users, for the tests of two faults at a time, on virtual time. */
 abstract class CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /**
  * Any node accepts a job that names accepted jobs, whatever their state, team and the version that
--- a/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,6 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /** What a submission may name, and what becomes of it otherwise. */
 class DependencyNamesTest {
--- a/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * A submission that can't be taken gets its final answer at once: 400 for a malformed list, 422 for
--- a/src/test/java/org/ternhinge/controller/DependencyStartTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyStartTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,6 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * When a job that waits starts: never before the key-value store holds the end of each job that it
--- a/src/test/java/org/ternhinge/controller/DependentJobs.java
+++ b/src/test/java/org/ternhinge/controller/DependentJobs.java
@@ -1,15 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,6 +9,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * A simulated cluster with users, for the tests of dependent jobs: what they submit, how time goes
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,6 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
 
 /** What is checked at a day's end, one trouble at a time, on virtual time. */
 class EndOfDayChecksTest {
--- a/src/test/java/org/ternhinge/controller/FaultKind.java
+++ b/src/test/java/org/ternhinge/controller/FaultKind.java
@@ -1,7 +1,5 @@
 package org.ternhinge.controller;
 
-
-
 /** The kinds of seeded faults that a test's day may have. */
 enum FaultKind {
   /** No fault but the losses of the network. */
--- a/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/FaultyJobsTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimWorker;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,6 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimWorker;
 
 /**
  * Jobs that were submitted with a mistake, and so fail on every machine, beside others and beside
--- a/src/test/java/org/ternhinge/controller/GuestJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/GuestJobsTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,6 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** Work of low priority, of a team beyond its guarantee, beside work of others. */
 class GuestJobsTest {
--- a/src/test/java/org/ternhinge/controller/HungMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/HungMachinesTest.java
@@ -1,11 +1,9 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** Machines that hang, with cancellations and changes of leader, on virtual time. */
 class HungMachinesTest extends CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,6 +8,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.Specs;
 
 /** Ends and cancellations of jobs while writes or messages are late, on virtual time. */
 class JobEndAndLateMessagesTest extends CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -1,46 +1,44 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Consumer;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.election.Election;
-import org.ternhinge.request.JobCancellations;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.JobId;
+import org.ternhinge.request.JobCancellations;
 import org.ternhinge.request.JobLookup;
 import org.ternhinge.request.JobQueries;
 import org.ternhinge.request.JobRequestHandler;
 import org.ternhinge.request.JobRequestRouter;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Keys;
 import org.ternhinge.request.LeaderSearch;
-import org.ternhinge.ledger.LeadershipLoss;
-import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.request.NodeConnectivity;
 import org.ternhinge.request.PeerClient;
 import org.ternhinge.request.PeerTransport;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.http.Request;
 import org.ternhinge.request.RequestOrigin;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.http.Response;
+import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Tuning;
-
-
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.SplittableRandom;
-import java.util.concurrent.locks.ReentrantLock;
-import java.util.function.Consumer;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.Json;
 
 /** How a node that does not lead answers questions and cancellations. */
 class JobRequestsTest {
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -1,22 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,6 +10,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
+import org.ternhinge.wire.WireException;
 
 /**
  * An answer to a heartbeat renews the lease of the worker that hears it. None may go to a worker
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -1,18 +1,16 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.http.SocketShares;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.http.SocketShares;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
 
 /**
  * The largest fleet that users speak of, on virtual time: 1,700 machines and five controllers, with
--- a/src/test/java/org/ternhinge/controller/LateMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/LateMachinesTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +9,9 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * Machines that are provisioned and come up late or never. A small one takes 3 to 8 s as a rule.
--- a/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.http.Request;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -17,6 +9,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Json;
 
 /**
  * Users expect an answer within a second also while nobody leads, or while the key-value store
--- a/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
+++ b/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
@@ -1,15 +1,13 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** Limits of teams and zones of jobs while machines, zones or leaders are lost, on virtual time. */
 class LimitsAndZonesUnderFaultsTest extends CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
+++ b/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.http.Request;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +9,9 @@
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * Users who ask about their jobs eight times as often as they do as a rule, with the limits of the
--- a/src/test/java/org/ternhinge/controller/PausedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/PausedControllerTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,6 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * A leader whose process stands still for seconds while its clocks run on, or all controllers that
--- a/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,6 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.wire.Json;
 
 /**
  * A cancellation takes every job that depends on the cancelled one along, in time and on every
--- a/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,6 +7,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** A job that waits costs nothing, waits on under the next leader, and never starts too early. */
 class PipelineWaitingTest {
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -19,6 +11,12 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /**
  * The key-value store's limits become smaller without notice: records that were written under the
--- a/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.http.Request;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +9,9 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /** A controller that the key-value store alone refuses, or that is cut off from others. */
 class RefusedControllerTest {
--- a/src/test/java/org/ternhinge/controller/RequestRouterTest.java
+++ b/src/test/java/org/ternhinge/controller/RequestRouterTest.java
@@ -1,17 +1,15 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.http.Request;
-import org.ternhinge.request.RequestOrigin;
-import org.ternhinge.http.Response;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
+import org.ternhinge.request.RequestOrigin;
 
 /** Which handler serves a request. */
 class RequestRouterTest {
--- a/src/test/java/org/ternhinge/controller/SeededFaultTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaultTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,6 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
 
 /**
  * The whole controller under seeded faults, on virtual time. The rules are checked on what the
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -4,8 +4,6 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
 
-
-
 /** Draws faults of some kind, step by step, for the tests that run whole days of them. */
 final class SeededFaults {
   /** Refusals of leaders last two minutes; after this step they would outlast the faulty time. */
--- a/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,6 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * Pipelines under seeded faults on virtual time: no rule is broken, and every job ends as its user
--- a/src/test/java/org/ternhinge/controller/SlowStoreTest.java
+++ b/src/test/java/org/ternhinge/controller/SlowStoreTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.http.Request;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,6 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Json;
 
 /**
  * The whole controller over a key-value store whose answers take long, on virtual time. Delays vary
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimWorker;
-
-
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimWorker;
 
 /** Machines that cannot be reached or are not heard, over changes of leader, on virtual time. */
 class UnreachableMachinesTest extends CombinedFaultsFixture {
--- a/src/test/java/org/ternhinge/controller/UpgradeTest.java
+++ b/src/test/java/org/ternhinge/controller/UpgradeTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.SimCluster;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,6 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.wire.Json;
 
 /**
  * Controllers are replaced node by node, from the version before dependent jobs to the one of today
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -1,17 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.Priority;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.sim.SimUsers;
-import org.ternhinge.sim.SimWorker;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,8 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.config.ZoneFailoverSettings.Tier;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.SimCluster;
+import org.ternhinge.sim.SimUsers;
+import org.ternhinge.sim.SimWorker;
+import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.TaskObservations.Start;
+import org.ternhinge.wire.Priority;
 
 /**
  * A simulated cluster of three zones with ordered failover, on virtual time. Machines are
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -15,6 +10,9 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.TaskObservations.Start;
 
 /**
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
@@ -15,6 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
 import org.ternhinge.sim.TaskObservations.Start;
 
 /**
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,6 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.SimCluster;
 
 /**
  * Zones that are lost, return and flap by the seed, together with other troubles, on virtual time.
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.controller;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.SimCluster;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,6 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.TaskObservations.Start;
 
 /** The loss and return of a zone, alone and with other troubles, on virtual time. */
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -1,16 +1,5 @@
 package org.ternhinge.election;
 
-import org.ternhinge.ledger.Authority;
-import org.ternhinge.sim.DelayedStore;
-import org.ternhinge.store.Entry;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.ledger.LeadershipLoss;
-import org.ternhinge.store.ResponseTimeouts;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,6 +9,15 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.ledger.Authority;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.sim.DelayedStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
--- a/src/test/java/org/ternhinge/election/GraceTest.java
+++ b/src/test/java/org/ternhinge/election/GraceTest.java
@@ -1,15 +1,13 @@
 package org.ternhinge.election;
 
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.SettingsException;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.SettingsException;
+import org.ternhinge.config.Tuning;
 
 /** The inequality on which cancellations rest where the key-value store is gone for long. */
 class GraceTest {
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -1,14 +1,5 @@
 package org.ternhinge.election;
 
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
 
 /** How long a lease is relied on, by which renewals are answered and when. */
 class LeadershipLeaseTest {
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -1,17 +1,5 @@
 package org.ternhinge.failover;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.zone.ZoneObservation;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +8,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.sim.Specs;
 import org.ternhinge.zone.DisplacedWork.TaskState;
+import org.ternhinge.zone.ZoneObservation;
 
 /** Which machines count as expected, impaired and unheard, and what becomes of displaced tasks. */
 class FleetObservationsTest {
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -1,26 +1,24 @@
 package org.ternhinge.failover;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.zone.ZoneRecord;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineDescription;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.zone.ZoneRecord;
 
 /** How a leadership takes over the record of zones, and when it writes it. */
 class ZoneCoordinatorTest {
--- a/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
@@ -1,21 +1,19 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.Command;
-import org.ternhinge.attempt.CommandDispatcher;
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.TaskId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.attempt.CommandDispatcher;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
 
 /** The order of the commands in one answer, and how many it carries. */
 class CommandListTest {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -1,25 +1,23 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.wire.TaskState;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.TaskState;
 
 /** Which commands the answer to a heartbeat carries. */
 class HeartbeatCommandsTest {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -1,28 +1,5 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.attempt.AttemptObserver;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.scaling.MachineProvisioner;
-import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.config.Settings;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -35,8 +12,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
 import org.ternhinge.heartbeat.HeartbeatResult.Answered;
 import org.ternhinge.heartbeat.HeartbeatResult.NotAnswered;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.machine.BootTimes;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.MachineTypeCatalog;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.Term;
+import org.ternhinge.scaling.MachineProvisioner;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.TaskState;
 
 /** The steps of a heartbeat, from the fence check to the commands of its answer. */
 class HeartbeatProcessorTest {
@@ -101,7 +101,8 @@
       assertEquals(
           NotAnswered.HIGHER_TERM, process(fixture.heartbeat(machine).fencingToken(2).build()));
       assertEquals(
-          new LeadershipLoss.HigherTermSeen(new Term(2)), fixture.authority.lossReason().orElseThrow());
+          new LeadershipLoss.HigherTermSeen(new Term(2)),
+          fixture.authority.lossReason().orElseThrow());
     }
 
     @Test
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -1,31 +1,29 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.model.AgentEpoch;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.attempt.TermFence;
+import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.JobId;
-import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.ReportedTasks;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.sim.Specs;
 import org.ternhinge.model.TaskId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.attempt.TermFence;
-
-
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
-
-import java.util.List;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
 
 /** Expiry of leases, reservations and graces, and leases that may be renewed without commands. */
 class LeaseMonitorTest {
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,6 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.Endpoint;
 
 /** Which idle connections are kept, reused and closed. */
 class ConnectionPoolTest {
--- a/src/test/java/org/ternhinge/http/HttpTest.java
+++ b/src/test/java/org/ternhinge/http/HttpTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.Outcome;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,6 +27,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /** Limits of sockets and sizes, on loopback; nothing here depends on the speed. */
--- a/src/test/java/org/ternhinge/http/LoopbackServer.java
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -1,8 +1,5 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Endpoint;
-
-
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -12,6 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import org.ternhinge.model.Endpoint;
 
 /** A server on loopback that answers every request with the same response, and a client for it. */
 public final class LoopbackServer implements AutoCloseable {
--- a/src/test/java/org/ternhinge/http/ServiceClientTest.java
+++ b/src/test/java/org/ternhinge/http/ServiceClientTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.http;
 
-import org.ternhinge.model.Outcome;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /** A call to a service ends with an outcome, whatever happens. */
--- a/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
+++ b/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
@@ -1,21 +1,19 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.model.AgentEpoch;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalDouble;
 import org.ternhinge.ledger.Attempt;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.model.Term;
-
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.OptionalDouble;
 
 /** Builds the heartbeats of one machine: of its present epoch and without tasks, unless set. */
 public final class HeartbeatBuilder {
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -1,16 +1,14 @@
 package org.ternhinge.leadership;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
 
 /** A key-value store whose writes and reads of single keys can be paused. */
 public final class PausableStore implements KeyValueStore {
--- a/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
+++ b/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
@@ -1,19 +1,17 @@
 package org.ternhinge.leadership;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.Command;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-
 /** Workers that record the messages sent to them, and respond when the test says so. */
 public final class RecordingWorkers implements Workers {
   /** A message to a worker, which waits for its outcome. */
--- a/src/test/java/org/ternhinge/leadership/TestAuthority.java
+++ b/src/test/java/org/ternhinge/leadership/TestAuthority.java
@@ -1,13 +1,11 @@
 package org.ternhinge.leadership;
 
+import java.util.Optional;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-
-import java.util.Optional;
-
 /** The authority of a leadership that holds. Its loss fails the test unless it is expected. */
 public final class TestAuthority implements Authority {
   private Term term = new Term(1);
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -18,6 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
 
 /** The life of an attempt: every pair of states, and what follows from them. */
 class AttemptStateTest {
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.wire.Json;
 
 /** Writes beside those of jobs. */
 class AuxiliaryWritesTest {
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -1,17 +1,15 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.WireException;
 
 /** The level of a failing job's back-off, which the next leader reads from the job's record. */
 class BackoffLevelRecordTest {
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -1,17 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.config.Team;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -27,7 +15,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
 
 /** What a job's state is follows from durable facts about those before it. */
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.ternhinge.sim.Specs;
 
 /** The life of a job: every pair of phases, and what follows from them. */
 class JobPhaseTest {
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -1,17 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Team;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /** Admission of attempts and the state of jobs. */
 class LedgerTest {
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -1,22 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Team;
-import org.ternhinge.model.Term;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,7 +13,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /** The order of writes, lost answers, and ends in several transactions. */
 class LedgerWriterTest {
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -1,17 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.election.Election;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Team;
-import org.ternhinge.model.Term;
-import org.ternhinge.config.Tuning;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.ternhinge.ledger.ProductionLiterals.json;
@@ -20,11 +8,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.election.Election;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.WireException;
 
 /** The term's and the leader's records, as both versions of an upgrade write and read them. */
 class ProductionLeadershipTest {
@@ -99,7 +98,7 @@
   void aLeaderSaysWhatItKnows(String leader, boolean knows) throws WireException {
     put("leader", leader, core.grant(60_000));
     Election election = election(new ArrayList<>());
-    assertEquals("node-2", election.leaderNode());
+    assertEquals(Optional.of("node-2"), election.leaderNode());
     assertEquals(knows, election.leaderKnowsDependencies());
   }
 
@@ -128,7 +127,7 @@
     put("leader", leader, core.grant(600_000));
     List<Authority> elected = new ArrayList<>();
     Election election = election(elected);
-    assertEquals("node-0", election.leaderNode());
+    assertEquals(Optional.of("node-0"), election.leaderNode());
     assertFalse(election.valid());
     assertEquals(List.of(), elected);
     assertEquals(leader, value("leader"));
--- a/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
@@ -1,11 +1,9 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * Records as earlier versions write them, byte for byte: written by the code of the version in
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -1,18 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.config.Team;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -44,7 +31,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.JobState;
+import org.ternhinge.wire.WireException;
 
 /**
  * What the version in production writes, byte for byte. During an upgrade both versions serve: each
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -1,18 +1,16 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.model.Resources;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.ternhinge.ledger.ProductionLiterals.json;
 import static org.ternhinge.ledger.ProductionLiterals.text;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
+import org.ternhinge.wire.WireException;
 
 /**
  * Keys, provision requests and machine types: what both versions of an upgrade store in the same
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -1,15 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.store.Change;
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.config.Team;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,6 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.wire.Json;
 
 /** Records with segments for 127 tasks, as under 8 KiB, where 2 KiB is the limit now. */
 class RecordRepartitionerTest {
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -1,15 +1,13 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
 
 /** The urgency of writes. */
 class RecordWriteTest {
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -1,23 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.store.Entry;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Team;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -32,7 +14,23 @@
 import java.util.TreeSet;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SteadyAuthority;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * Records that were laid down under a larger limit on values and are repartitioned into smaller
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Team;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /**
  * Whatever is admitted fits the key-value store's limit on values, and goes on fitting as it ends.
--- a/src/test/java/org/ternhinge/ledger/TestMachines.java
+++ b/src/test/java/org/ternhinge/ledger/TestMachines.java
@@ -4,8 +4,6 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-
-
 /** Where tests place tasks: a small ordinary machine in the first zone. */
 final class TestMachines {
   private TestMachines() {}
--- a/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.wire.Json;
-import org.ternhinge.store.KeyCondition;
-import org.ternhinge.model.Revision;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,6 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.KeyCondition;
+import org.ternhinge.wire.Json;
 
 /** How much fits into one transaction. */
 class TransactionDraftTest {
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -1,18 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -23,6 +10,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.Json;
 
 /** What reading back proves of a transaction whose answer was lost. */
 class TransactionVerifierTest {
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,6 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.ledger.WriteQueue.Urgency;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
 
 /** The queue of jobs with something to write. */
 class WriteQueueTest {
--- a/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
+++ b/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.limit;
 
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.sim.SimClock;
 
 /** All controllers together keep to the key-value store's limits, whoever leads. */
 class KeyValueStoreBudgetTest {
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.limit;
 
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.ternhinge.sim.SimClock;
 
 /** Rates, bursts and reserves of a token bucket. */
 class TokenBucketTest {
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -1,14 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -20,6 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Settings;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.Endpoint;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Heartbeat;
 
 /** Epochs, the order of messages, the lease and the fencing token of a worker agent. */
 class AgentStateTest {
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,6 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.MachineType;
 
 /** Which machines are late or given up, with a nominal boot time of 20 s. */
 class BootTimesTest {
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import org.ternhinge.model.SteadyTime;
 
 /** A machine as the cloud sees it. */
 class CloudStatusTest {
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -1,17 +1,15 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.model.TaskId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.Command;
 
 /** The commands that wait for one worker. */
 class CommandOutboxTest {
--- a/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.SteadyTime;
 
 /** When a machine counts as unreachable by commands, and how often it is probed then. */
 class CommandReachabilityTest {
--- a/src/test/java/org/ternhinge/machine/ImageCacheTest.java
+++ b/src/test/java/org/ternhinge/machine/ImageCacheTest.java
@@ -1,7 +1,5 @@
 package org.ternhinge.machine;
 
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.SimClock;
 
 /** Back-off and avoided machines of a job that fails. */
 class JobFailuresTest {
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
 
 /** Quarantine, refusals and the failures that are attributed to a machine. */
 class MachineHealthTest {
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -13,6 +9,8 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /** Machines that come, go and must not come back. */
 class MachineRegistryTest {
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -23,6 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Snapshot;
 
 /** The cached view of a machine, and the state that it is built of. */
 class MachineTest {
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -1,15 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -21,7 +11,15 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Look-ups of machine types, and their refreshes. */
 class MachineTypeCatalogTest {
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
 
 /** Direct starts that may still arrive at a worker. */
 class OutstandingStartsTest {
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -1,22 +1,20 @@
 package org.ternhinge.machine;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.wire.EndReason;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertTrue;
-
-import java.util.List;
-import org.junit.jupiter.api.Test;
-
 /** Which tasks the heartbeats of machines list. */
 class ReportedTaskCountsTest {
   private static final SteadyTime NOW = new SteadyTime(0);
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -1,11 +1,9 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.SteadyTime;
 
 /** Retries of all jobs at a bounded rate. */
 class RetrySlotsTest {
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.AttemptState;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,6 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.AttemptState;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
 
 /** Whether failures of tasks are attributed to machines or to jobs, and what follows. */
 class TaskFailuresTest {
--- a/src/test/java/org/ternhinge/machine/TestMachineTypes.java
+++ b/src/test/java/org/ternhinge/machine/TestMachineTypes.java
@@ -1,10 +1,8 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Resources;
-
-
 import java.util.List;
+import org.ternhinge.model.Resources;
+import org.ternhinge.wire.MachineType;
 
 /** Machine types for tests. */
 public final class TestMachineTypes {
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /** Machines of a group by zone. */
 class ZoneMachineCountsTest {
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ModelTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.model;
 
-import org.ternhinge.wire.EndReason;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.wire.TaskStatus;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -15,6 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.wire.EndReason;
+import org.ternhinge.wire.TaskState;
+import org.ternhinge.wire.TaskStatus;
 
 /** The small types: what they parse, how they compare, what they refuse. */
 class ModelTest {
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -16,6 +12,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
 import org.ternhinge.peer.Frame.RequestFrame;
 import org.ternhinge.peer.Frame.ResponseFrame;
 
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.peer;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.http.HttpServer;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -20,6 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.http.HttpServer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.Endpoint;
 
 /** Requests between controllers, on loopback; nothing here depends on the speed. */
 class PeerLinkTest {
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -1,23 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.Change;
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,7 +8,23 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Where a node loads the machine types from. */
 class BootstrapMachineTypesTest {
--- a/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
+++ b/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.leadership.LeadershipFixture;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -15,6 +9,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.sim.SimClock;
 
 /** Whom a node without requests probes, and what it learns of its connectivity. */
 class ConnectivityProbeTest {
--- a/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
+++ b/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /** When a worker's heartbeat is relayed to the leader. */
 class HeartbeatRelayPolicyTest {
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -1,22 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.election.Election;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.leadership.LeadershipRole;
-import org.ternhinge.ledger.RecordCodec;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
@@ -27,6 +10,21 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.election.Election;
+import org.ternhinge.leadership.LeadershipRole;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.RecordCodec;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.Json;
 
 /** What a node that does not lead finds of jobs in the key-value store. */
 class JobLookupTest {
--- a/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
+++ b/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
@@ -1,12 +1,10 @@
 package org.ternhinge.request;
 
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.sim.SimClock;
 
 /** What follows from the time since the last answers. */
 class NodeConnectivityTest {
--- a/src/test/java/org/ternhinge/request/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -14,6 +9,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.sim.SimClock;
 
 /** What an answer of another controller, or its absence, means. */
 class PeerClientTest {
--- a/src/test/java/org/ternhinge/request/SharedLookupsTest.java
+++ b/src/test/java/org/ternhinge/request/SharedLookupsTest.java
@@ -1,16 +1,14 @@
 package org.ternhinge.request;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobState;
-import org.ternhinge.limit.RequestPriority;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobState;
 
 /** Lookups of the same job at the same time. */
 class SharedLookupsTest {
--- a/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
@@ -1,11 +1,5 @@
 package org.ternhinge.request;
 
-import org.ternhinge.wire.DependencyVerdict;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,6 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.wire.DependencyVerdict;
 
 /** To which nodes a submission is forwarded, and which answer is passed on. */
 class SubmissionForwarderTest {
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -1,16 +1,14 @@
 package org.ternhinge.round;
 
-import org.ternhinge.config.Objective;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Objective;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
 
 /** Which jobs are expected to arrive next. */
 class ArrivalRatesTest {
--- a/src/test/java/org/ternhinge/round/JobRankingTest.java
+++ b/src/test/java/org/ternhinge/round/JobRankingTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.round;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
 
 /** The order of jobs by size and waiting time. */
 class JobRankingTest {
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -1,14 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.ledger.Attempt;
-import org.ternhinge.ledger.Job;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,6 +9,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.ledger.Attempt;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.ListedMachine;
 
 /** Reconciliation with listings of several pages, some of which the cloud's rate limit delays. */
 class MachineInventoryTest {
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -1,16 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.schedule.Snapshot;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,6 +11,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Requests for machines, their records and retries, and what the planner is shown of them. */
 class MachineProvisionerTest {
--- a/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Keys;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,6 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
 
 /** Releases, their records and retries. */
 class MachineReleaserTest {
--- a/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
+++ b/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
@@ -1,13 +1,11 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.model.Outcome;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Outcome;
 
 /** Delays of retries by the outcome. */
 class RetryPolicyTest {
--- a/src/test/java/org/ternhinge/scaling/ScalingFixture.java
+++ b/src/test/java/org/ternhinge/scaling/ScalingFixture.java
@@ -1,20 +1,18 @@
 package org.ternhinge.scaling;
 
+import java.util.List;
 import org.ternhinge.attempt.AgentStatusSink;
-import org.ternhinge.machine.BootTimes;
-import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.leadership.LeadershipFixture;
+import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineDescription;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.machine.TestMachineTypes;
-
-
-import java.util.List;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.term.LeadershipContext;
+import org.ternhinge.wire.MachineType;
 
 /** The classes that scale the fleet, with a scripted cloud in place of the real one. */
 final class ScalingFixture {
--- a/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
+++ b/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
@@ -1,14 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.cloud.Cloud;
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -16,7 +7,14 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
+import org.ternhinge.cloud.Cloud;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /**
  * Answers requests by scripts and records them. The script of listings has a word for each page;
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.scaling;
 
-import org.ternhinge.ledger.Job;
-import org.ternhinge.machine.Machine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.machine.TaskFailures;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,6 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.ternhinge.ledger.Job;
+import org.ternhinge.machine.Machine;
+import org.ternhinge.machine.TaskFailures;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
 
 /** Which idle machines are released, with leases of 10 s and a nominal boot time of 20 s. */
 class UnusableMachineCheckTest {
--- a/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -1,14 +1,12 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.wire.JobSpec;
 
 /** Full machines are removed once they are more than a quarter. */
 class MachinesWithRoomTest extends PlannerFixture {
--- a/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
@@ -1,8 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
@@ -10,6 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.wire.JobSpec;
 
 /** Which jobs share the result of a search. */
 class PlacementConstraintsTest {
--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,8 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.MachineId;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.wire.JobSpec;
 
 /** How many evaluations a round takes in large fleets, and what its budget must not prevent. */
 class PlannerEffortTest extends PlannerFixture {
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -1,15 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Resources;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.Team;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.util.ArrayList;
@@ -18,10 +8,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.MachineType;
 
 /** Builds a snapshot of a small fleet with jobs, and plans a round on it. */
 abstract class PlannerFixture {
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.schedule;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,8 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.Offer;
+import org.ternhinge.wire.JobSpec;
 
 /** What the planner decides for small fleets, one nested class for each step of a round. */
 class PlannerTest extends PlannerFixture {
--- a/src/test/java/org/ternhinge/sim/BootFaults.java
+++ b/src/test/java/org/ternhinge/sim/BootFaults.java
@@ -1,10 +1,8 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.ProvisionRequest;
-
-
 import java.util.HashSet;
 import java.util.Set;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** Faults of machines that are provisioned: they come up late or never, and lists that lag. */
 public final class BootFaults {
--- a/src/test/java/org/ternhinge/sim/CancellationCheck.java
+++ b/src/test/java/org/ternhinge/sim/CancellationCheck.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.TaskId;
-
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.Command;
 
 /**
  * Rule {@code ran_cancelled}: once a user was told that a job is cancelled, no start of its tasks
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.Endpoint;
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Team;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Team;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.Endpoint;
 
 /**
  * The settings with which simulated controllers start. They read the limits of the key-value store
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -1,17 +1,15 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.store.ResponseTimeouts;
-import org.ternhinge.model.Revision;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** One node's way to the key-value store, with a delay in each direction. */
--- a/src/test/java/org/ternhinge/sim/DependencyCheck.java
+++ b/src/test/java/org/ternhinge/sim/DependencyCheck.java
@@ -1,13 +1,11 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.JobId;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.Function;
+import org.ternhinge.model.JobId;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.Command;
 
 /**
  * No task starts, and no start is recorded or sent, before all jobs that its job depends on are
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -1,13 +1,11 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
+import java.util.concurrent.CompletableFuture;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-
-
-import java.util.concurrent.CompletableFuture;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store at hand, without a network and without limits on rates. */
 public class DirectStore implements KeyValueStore {
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -1,15 +1,13 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.http.Request;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
-
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.ternhinge.http.Request;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.WireException;
 
 /**
  * The last heartbeat of each machine, and the late copies of heartbeats that the network delivers.
--- a/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Command;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Term;
-import org.ternhinge.wire.WireException;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.OptionalInt;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /** Reads what controllers answer to a worker's heartbeat; an unreadable answer is a failed test. */
 final class HeartbeatResponses {
--- a/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
@@ -1,7 +1,5 @@
 package org.ternhinge.sim;
 
-
-
 /** The controller that a worker reports to, and how answers move it on to another. */
 final class HeartbeatTarget {
   private static final double NEXT_NODE_S = 1;
--- a/src/test/java/org/ternhinge/sim/InvalidRequests.java
+++ b/src/test/java/org/ternhinge/sim/InvalidRequests.java
@@ -1,12 +1,10 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import org.ternhinge.model.JobId;
 
 /**
  * Requests that a careful user would not send: repeats of a known job with other fields, cancels of
--- a/src/test/java/org/ternhinge/sim/JobCatalog.java
+++ b/src/test/java/org/ternhinge/sim/JobCatalog.java
@@ -1,10 +1,5 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.TaskId;
-
-
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -12,6 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.JobSpec;
 
 /** Every job that was ever submitted, what it depends on, and which of its tasks are completed. */
 final class JobCatalog {
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -1,15 +1,13 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Faults of machines and of the ways to and from them: cuts, lost commands, lost reports, hangs,
--- a/src/test/java/org/ternhinge/sim/MachineHang.java
+++ b/src/test/java/org/ternhinge/sim/MachineHang.java
@@ -1,10 +1,8 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Whether a machine hangs. While it does, it executes nothing, and what arrives waits in order; its
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -1,10 +1,8 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.Term;
-
-
 import java.util.List;
+import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
 
 /** Counts of messages and calls since the cluster began, by which tests bound the work done. */
 public final class MessageCounts {
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -1,13 +1,11 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.SteadyTime;
 
 /** Faults of the network between controllers, zones and the region, and slow links. */
 public final class NetworkFaults {
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -1,22 +1,20 @@
 package org.ternhinge.sim;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.ternhinge.http.Request;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
 import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Request;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
+import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-
 /**
  * Creates a node of the version before dependent jobs. The version before dependent jobs, modelled
  * by what it drops and writes, around the code of today:
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -1,12 +1,10 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.TaskId;
-
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Rule {@code wrong_place}: a task starts only on a type, in a zone and on a kind of machine that
--- a/src/test/java/org/ternhinge/sim/QuotaCheck.java
+++ b/src/test/java/org/ternhinge/sim/QuotaCheck.java
@@ -1,13 +1,11 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Team;
-
-
 import java.util.HashMap;
 import java.util.Map;
+import org.ternhinge.config.Team;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.JobSpec;
 
 /** Rule {@code quota}: the tasks of a team never exceed its limit. */
 final class QuotaCheck implements TaskObserver {
--- a/src/test/java/org/ternhinge/sim/RanTwiceCheck.java
+++ b/src/test/java/org/ternhinge/sim/RanTwiceCheck.java
@@ -1,7 +1,5 @@
 package org.ternhinge.sim;
 
-
-
 /** Rule {@code ran_twice}: no task starts on one machine while it is on another. */
 final class RanTwiceCheck implements TaskObserver {
   private final RuleViolations violations;
--- a/src/test/java/org/ternhinge/sim/RuleViolations.java
+++ b/src/test/java/org/ternhinge/sim/RuleViolations.java
@@ -1,7 +1,5 @@
 package org.ternhinge.sim;
 
-
-
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/org/ternhinge/sim/SimClock.java
+++ b/src/test/java/org/ternhinge/sim/SimClock.java
@@ -1,11 +1,9 @@
 package org.ternhinge.sim;
 
+import java.util.PriorityQueue;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-
-import java.util.PriorityQueue;
-
 /** Virtual time: events run in order of their time, then of their making. */
 public final class SimClock implements Clock {
   private record Event(long at, long order, Runnable action) {}
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -1,16 +1,14 @@
 package org.ternhinge.sim;
 
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
 import org.ternhinge.cloud.Cloud;
-import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.limit.RequestPriority;
-
-
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
 
 /** The cloud as one controller reaches it. */
 final class SimCloud implements Cloud {
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -1,21 +1,5 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.store.Change;
-import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-import org.ternhinge.config.Settings;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
@@ -25,6 +9,20 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
+import org.ternhinge.config.Settings;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.metrics.Metrics;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.store.Change;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.Json;
 
 /**
  * Controllers with simulated machines, cloud, key-value store and network around them, in virtual
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -1,20 +1,18 @@
 package org.ternhinge.sim;
 
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AsyncCalls;
-import org.ternhinge.wire.Command;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Term;
+import org.ternhinge.wire.Command;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import org.ternhinge.model.Outcome.Reason;
-
 /** The way of one controller process's direct commands to the workers. */
 final class SimCommandClient implements Workers {
   private static final double TIMEOUT_S = 3;
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -1,21 +1,19 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.Clock;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Consumer;
+import org.ternhinge.config.Settings;
 import org.ternhinge.controller.ControllerNode;
-import org.ternhinge.term.ControllerServices;
 import org.ternhinge.election.Election;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.request.PeerTransport;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
-import org.ternhinge.config.Settings;
+import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
-
-
-import java.util.Optional;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.locks.ReentrantLock;
-import java.util.function.Consumer;
+import org.ternhinge.request.PeerTransport;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.term.ControllerServices;
 
 /**
  * One process of a controller with everything around it simulated. Once it is killed, nothing
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -1,19 +1,17 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import java.util.function.Consumer;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
-
-
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.List;
-import java.util.function.Consumer;
-import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
 
 /**
  * The one key-value store of a simulated cluster: its contents, its limits, and whom it refuses at
--- a/src/test/java/org/ternhinge/sim/SimMachineTypes.java
+++ b/src/test/java/org/ternhinge/sim/SimMachineTypes.java
@@ -1,10 +1,8 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Resources;
-
-
 import java.util.List;
+import org.ternhinge.model.Resources;
+import org.ternhinge.wire.MachineType;
 
 /** The machine types that the simulated cloud offers. */
 public final class SimMachineTypes {
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -1,12 +1,10 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.Outcome;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
 /** A network that delays, loses and holds back messages, by the seed. */
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -1,18 +1,16 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.wire.MachineType;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.ListedMachine;
+import org.ternhinge.wire.MachineType;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** What the cloud has provisioned out, to whomever. */
 final class SimStock {
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -1,18 +1,16 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.store.ResponseTimeouts;
-import org.ternhinge.model.Revision;
-import org.ternhinge.limit.TokenBucket;
-import org.ternhinge.config.Tuning;
-
-
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
--- a/src/test/java/org/ternhinge/sim/SimTask.java
+++ b/src/test/java/org/ternhinge/sim/SimTask.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
 import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
-import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-
-
 /** One attempt of a task on a simulated machine, until it is cleared. */
 final class SimTask {
   private final TaskId id;
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -1,12 +1,10 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.SplittableRandom;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Users that submit, poll and cancel jobs as the protocol says. Every answer is checked against its
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -1,29 +1,27 @@
 package org.ternhinge.sim;
 
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import org.ternhinge.http.Response;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
-import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.http.Response;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.TaskStatus;
-import org.ternhinge.model.Term;
 import org.ternhinge.worker.Workers;
 
-
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.OptionalDouble;
-import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
-
 /** A machine with its worker as the protocol has it: epochs, tokens, leases and tasks. */
 public final class SimWorker {
   /** Time of an image fetch. */
--- a/src/test/java/org/ternhinge/sim/Specs.java
+++ b/src/test/java/org/ternhinge/sim/Specs.java
@@ -1,12 +1,10 @@
 package org.ternhinge.sim;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
-
 /** Submissions for tests: a plain one, to be changed field by field. */
 public final class Specs {
   private Specs() {}
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -1,13 +1,11 @@
 package org.ternhinge.sim;
 
+import java.util.HashMap;
+import java.util.Map;
 import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.TaskId;
-
-
-import java.util.HashMap;
-import java.util.Map;
+import org.ternhinge.wire.JobSpec;
 
 /** Jobs that wait although a machine that fits has room and their team is under its limit. */
 final class StarvationCheck {
--- a/src/test/java/org/ternhinge/sim/SteadyAuthority.java
+++ b/src/test/java/org/ternhinge/sim/SteadyAuthority.java
@@ -5,8 +5,6 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-
-
 /** A leadership with term 1 that always holds; to lose it fails the test. */
 public record SteadyAuthority(Revision termRevision) implements Authority {
   @Override
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -1,15 +1,5 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.Entry;
-import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
-
-
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +10,15 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store's behaviour as its protocol page gives it, without a network. */
 public final class StoreCore {
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -1,9 +1,7 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.SteadyTime;
-
-
 import java.util.random.RandomGenerator;
+import org.ternhinge.model.SteadyTime;
 
 /**
  * Faults of the key-value store: outages, refusals of single controllers, late transactions, slow
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -1,18 +1,16 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.model.Clock;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.limit.TokenBucket;
-
-
 import java.nio.charset.StandardCharsets;
 import java.util.function.Function;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.Clock;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.wire.Json;
 
 /**
  * What the key-value store takes, as the protocol page gives it; it may become less at any time.
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Command;
+import java.util.List;
+import java.util.function.Consumer;
 import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.TaskId;
-
-
-import java.util.List;
-import java.util.function.Consumer;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.JobSpec;
 
 /** What happens to tasks in a cluster, passed on to the checks of the rules. */
 final class TaskEvents {
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -1,13 +1,5 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.Command;
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
-import org.ternhinge.model.TaskId;
-
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -18,6 +10,12 @@
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.wire.Command;
+import org.ternhinge.wire.JobSpec;
 
 /** Which tasks run where and which have run, as the simulated machines know it. */
 public final class TaskObservations {
--- a/src/test/java/org/ternhinge/sim/TaskObserver.java
+++ b/src/test/java/org/ternhinge/sim/TaskObserver.java
@@ -1,11 +1,9 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.wire.JobSpec;
+import java.util.Set;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.TaskId;
-
-
-import java.util.Set;
+import org.ternhinge.wire.JobSpec;
 
 /** Is told of what really runs on the simulated machines, whatever the service believes. */
 interface TaskObserver {
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -1,10 +1,8 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.http.Response;
-
-
 import java.util.random.RandomGenerator;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
 
 /** Users' cancellations, which are repeated until they are answered. */
 final class UserCancellations {
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -1,9 +1,5 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,6 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * What users know of their jobs: which were submitted and accepted, which they asked to cancel, and
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -1,9 +1,7 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.ternhinge.model.JobId;
 
 /** Users' polls and repeated submissions of jobs that they know to be accepted. */
 final class UserPolls {
--- a/src/test/java/org/ternhinge/sim/UserRequests.java
+++ b/src/test/java/org/ternhinge/sim/UserRequests.java
@@ -1,15 +1,13 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.Json;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.function.Consumer;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.function.Consumer;
-
 /** The requests that users send about jobs, and the reading of their answers. */
 final class UserRequests {
   private static final byte[] NO_BODY = new byte[0];
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -1,14 +1,12 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.http.Request;
-import org.ternhinge.http.Response;
-
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.JobId;
+import org.ternhinge.wire.JobSpec;
 
 /**
  * Users' submissions, which are repeated until they are accepted or their time is over, and those
--- a/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
+++ b/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.store;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.Revision;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.nio.charset.StandardCharsets;
@@ -11,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.Revision;
+import org.ternhinge.wire.Json;
 
 /** The body of a transaction. */
 class CompareAndSwapTest {
--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -1,15 +1,5 @@
 package org.ternhinge.store;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.http.LoopbackServer;
-import org.ternhinge.model.Outcome;
-import org.ternhinge.limit.RequestPriority;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.limit.TokenBucket;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
@@ -20,7 +10,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.http.LoopbackServer;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.limit.TokenBucket;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.wire.Json;
 
 /** How answers of the key-value store become outcomes, and what its rate limits do. */
 class HttpKeyValueStoreTest {
--- a/src/test/java/org/ternhinge/store/ResponseTimeoutsTest.java
+++ b/src/test/java/org/ternhinge/store/ResponseTimeoutsTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.store;
 
-import org.ternhinge.model.Outcome;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.config.Tuning;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,7 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
+import org.ternhinge.sim.SimClock;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** The time-outs of calls to the key-value store, by what they see of it. */
--- a/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -1,19 +1,5 @@
 package org.ternhinge.term;
 
-import org.ternhinge.store.Change;
-import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.sim.DirectStore;
-import org.ternhinge.store.Entry;
-import org.ternhinge.wire.Json;
-import org.ternhinge.ledger.Ledger;
-import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.wire.ProvisionRequest;
-import org.ternhinge.model.Revision;
-import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,6 +12,18 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.ledger.Ledger;
+import org.ternhinge.ledger.LedgerWriter;
+import org.ternhinge.model.Revision;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.SteadyAuthority;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.ProvisionRequest;
 
 /** How entries are packed into records, and restored from them. */
 class BucketedRecordsTest {
--- a/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.term;
 
-import org.ternhinge.model.Outcome;
-import org.ternhinge.sim.SimClock;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +10,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.sim.SimClock;
 
 /** Actions of a leadership run under the lock, and not after its end. */
 class LeadershipExecutorTest {
--- a/src/test/java/org/ternhinge/wire/CommandTest.java
+++ b/src/test/java/org/ternhinge/wire/CommandTest.java
@@ -1,16 +1,14 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command.Op;
 
 /** Commands as a worker reads them. */
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -1,12 +1,5 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.model.TaskId;
-import org.ternhinge.model.Term;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -18,6 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.AgentEpoch;
+import org.ternhinge.model.AttemptNumber;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.TaskId;
+import org.ternhinge.model.Term;
 
 /** Heartbeats: what is read, what is refused, and how they are written. */
 class HeartbeatTest {
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.wire;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.sim.Specs;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,6 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.JobId;
+import org.ternhinge.sim.Specs;
 
 /** Submissions: what is read, what is refused. */
 class JobSpecTest {
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -1,13 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,6 +9,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.pcollections.TreePSet;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.TaskState;
 
 /** The events about displaced tasks. */
 class DisplacementLogTest {
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -1,14 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobKind;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,6 +11,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobKind;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.TaskState;
 
 /** The order and the rate in which work of a lost zone is released. */
 class FailoverQueueTest {
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -1,18 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.JobId;
-import org.ternhinge.wire.JobSpec;
-import org.ternhinge.model.MachineId;
-import org.ternhinge.schedule.Plan;
-import org.ternhinge.model.Resources;
-import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.schedule.Snapshot;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.TaskState;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,6 +15,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.model.Resources;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.schedule.Plan;
+import org.ternhinge.schedule.Snapshot;
+import org.ternhinge.sim.SimMachineTypes;
+import org.ternhinge.sim.Specs;
+import org.ternhinge.wire.JobSpec;
+import org.ternhinge.wire.TaskState;
 
 /** How lost and returning zones restrict the planner's snapshot and its plan. */
 class PlanLimiterTest {
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.config.ZoneFailoverSettings;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,6 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.ternhinge.config.ZoneFailoverSettings;
+import org.ternhinge.model.SteadyTime;
 
 /** The states of zones, from scripts of impaired machines by time. */
 class ZoneHealthTest {
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -1,10 +1,5 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.wire.Json;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.WireException;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.ternhinge.model.SteadyTime;
+import org.ternhinge.wire.Json;
+import org.ternhinge.wire.WireException;
 
 /**
  * The record of all zones: what the next leader restores, and that invalid records are harmless.
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -1,9 +1,5 @@
 package org.ternhinge.zone.report;
 
-import org.ternhinge.zone.ZoneEvent;
-import org.ternhinge.zone.ZoneState;
-
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,6 +12,8 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.ternhinge.zone.ZoneEvent;
+import org.ternhinge.zone.ZoneState;
 
 /** Reports on complete logs, on damaged ones, and on such with a duplicate attempt. */
 class ZoneReportTest {
