--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -31,14 +31,12 @@
   /**
    * Asks for a key to be set; joins a request for the same key that still waits.
    *
-   * @param onDurable runs once the key-value store holds the value; may be null
+   * @param onDurable runs once the key-value store holds the value
    */
   void request(String key, Supplier<JsonNode> value, Runnable onDurable) {
     AuxiliaryWrite write =
         waiting.computeIfAbsent(key, k -> new AuxiliaryWrite(k, value, new ArrayList<>()));
-    if (onDurable != null) {
-      write.onDurable().add(onDurable);
-    }
+    write.onDurable().add(onDurable);
   }
 
   boolean isEmpty() {
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -66,7 +66,7 @@
     return phase.isCancelled();
   }
 
-  /** Whether the key-value store holds the cancellation, so that users may hear of it. */
+  /** Whether the key-value store holds the cancellation, so that users may see it. */
   public boolean cancelDurable() {
     return phase.isCancelDurable();
   }
@@ -124,7 +124,7 @@
     phase = next;
   }
 
-  /** What the job's user may be told, as far as this ledger has it. */
+  /** The state that the job's user may see. */
   public JobState state() {
     JobId id = spec.id();
     if (cancelDurable()) {
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -76,9 +76,9 @@
    * Creates a writer with nothing to write.
    *
    * @param lock guards the ledger; taken whenever an answer comes
-   * @param maxChanges the most changes that the key-value store takes in a transaction
-   * @param onDurable hears of the attempts that may now be started; called under the lock, also
-   *     with an empty list, after every write
+   * @param maxChanges the most changes that the key-value store accepts in a transaction
+   * @param onDurable receives the attempts that may be started now; called under the lock after
+   *     every write, also with an empty list
    */
   public LedgerWriter(
       Ledger ledger,
@@ -117,8 +117,16 @@
    * Sets a key beside the jobs' records. Several calls for a key before it is written make one
    * change.
    *
-   * @param value asked for when the key is written
-   * @param onDurable runs once the key-value store holds it; may be null
+   * @param value supplies the value when the key is written
+   */
+  public void write(String key, Supplier<JsonNode> value) {
+    write(key, value, () -> {});
+  }
+
+  /**
+   * Sets a key as {@link #write(String, Supplier)} does.
+   *
+   * @param onDurable runs once the key-value store holds the value
    */
   public void write(String key, Supplier<JsonNode> value, Runnable onDurable) {
     auxiliaryWrites.request(key, value, onDurable);
@@ -138,7 +146,7 @@
     return pending == null && auxiliaryWrites.isEmpty() && !ledger.hasDirty();
   }
 
-  /** Sends what there is to send; called after every change. */
+  /** Sends the next transaction if there is one and none is under way; called on every change. */
   public void pump() {
     if (busy || stopped) {
       return;
@@ -173,7 +181,7 @@
     }
     busy = true;
     locked.whenAnswered(
-        store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::answered);
+        store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::handleAnswer);
   }
 
   private void schedulePoll() {
@@ -198,31 +206,31 @@
     pump();
   }
 
-  private void answered(Outcome<Revision> outcome) {
+  private void handleAnswer(Outcome<Revision> outcome) {
     busy = false;
     if (stopped) {
       return;
     }
     if (outcome instanceof Outcome.Applied<Revision> applied) {
-      settle(applied.value());
+      complete(applied.value());
     } else if (outcome instanceof Outcome.NotApplied<Revision> notApplied) {
-      refused(notApplied);
+      handleRefusal(notApplied);
     } else {
-      answerLost();
+      handleUnknownOutcome();
     }
   }
 
-  private void settle(Revision revision) {
+  private void complete(Revision revision) {
     LedgerTransaction done = pending;
     pending = null;
     settlement.applied(done, revision);
     pump();
   }
 
-  private void refused(Outcome.NotApplied<Revision> refusal) {
+  private void handleRefusal(Outcome.NotApplied<Revision> refusal) {
     if (refusal.reason() == Reason.CONFLICT && mayBeApplied) {
       busy = true;
-      verifier.verify(pending, this::verified);
+      verifier.verify(pending, this::handleVerdict);
     } else if (refusal.reason() == Reason.CONFLICT) {
       authority.lost(new LeadershipLoss.WriteConflict(refusal.detail()));
     } else if (refusal.reason() == Reason.INVALID) {
@@ -233,15 +241,15 @@
     }
   }
 
-  private void answerLost() {
+  private void handleUnknownOutcome() {
     mayBeApplied = true;
     retryAfter(RETRY_S);
   }
 
-  private void verified(TransactionVerifier.Verdict verdict) {
+  private void handleVerdict(TransactionVerifier.Verdict verdict) {
     busy = false;
     if (verdict instanceof TransactionVerifier.WasApplied applied) {
-      settle(applied.revision());
+      complete(applied.revision());
     } else if (verdict instanceof TransactionVerifier.Overtaken overtaken) {
       authority.lost(overtaken.loss());
     }
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -41,7 +41,7 @@
 
   /**
    * How often the back-off of a job that fails everywhere has grown; absent where it has not. A
-   * version that does not know it drops it, and the job then begins to back off anew.
+   * version that does not support it drops it, and the job then begins to back off anew.
    */
   private static final String BACKOFF_LEVEL = "e";
 
@@ -57,8 +57,8 @@
   /** Open attempts, each {@code attempt:machine:epoch:zone:ranges of tasks}. */
   private static final String OPEN = "o";
 
-  /** Parts of an open attempt's text. */
-  private static final int ATTEMPT_PARTS = 5;
+  /** Fields of an open attempt's text. */
+  private static final int ATTEMPT_FIELDS = 5;
 
   /** How a job ended, in its final record. */
   private static final String END_STATE = "s";
@@ -72,10 +72,10 @@
   private RecordCodec() {}
 
   /**
-   * The jobs that a job still waits for by its first segment alone: none once a task of it was ever
-   * to start.
+   * The dependencies of a job that has not started, by its first segment alone; none once it has
+   * started or is cancelled.
    */
-  public static List<JobId> waitsFor(JsonNode value) {
+  public static List<JobId> unstartedDependencies(JsonNode value) {
     boolean started =
         value.path(HIGHEST_ATTEMPT).asLong() > 0
             || !value.path(DONE).asText("").isEmpty()
@@ -90,7 +90,7 @@
   }
 
   /** The record of a job that was just accepted. */
-  public static ObjectNode fresh(JobSpec spec, long acceptedMillis, int valueBytes) {
+  public static ObjectNode encodeNew(JobSpec spec, long acceptedMillis, int valueBytes) {
     return encodeFirst(new Job(spec, acceptedMillis, RecordSize.segmentSize(spec, valueBytes)));
   }
 
@@ -193,15 +193,15 @@
   }
 
   private static void decodeAttempts(Job job, String text, SteadyTime now) throws WireException {
-    String[] parts = text.split(":", ATTEMPT_PARTS);
-    if (parts.length != ATTEMPT_PARTS) {
+    String[] fields = text.split(":", ATTEMPT_FIELDS);
+    if (fields.length != ATTEMPT_FIELDS) {
       throw new WireException(OPEN + ": " + text);
     }
-    AttemptNumber number = new AttemptNumber(Long.parseLong(parts[0]));
-    MachineId machine = new MachineId(parts[1]);
-    AgentEpoch epoch = new AgentEpoch(Long.parseLong(parts[2]));
-    int zone = Integer.parseInt(parts[3]);
-    for (int i : TaskRanges.decode(parts[4])) {
+    AttemptNumber number = new AttemptNumber(Long.parseLong(fields[0]));
+    MachineId machine = new MachineId(fields[1]);
+    AgentEpoch epoch = new AgentEpoch(Long.parseLong(fields[2]));
+    int zone = Integer.parseInt(fields[3]);
+    for (int i : TaskRanges.decode(fields[4])) {
       job.openMap().put(i, new Attempt(job, i, number, machine, epoch, zone, true, now));
     }
   }
@@ -219,7 +219,7 @@
     return new JobState(id, phase, value.path(END_DONE).asInt(), 0);
   }
 
-  /** Reads what a user may be told from the first segment alone. */
+  /** Reads the state that a user may see from the first segment alone. */
   public static JobState decodeState(JobId id, JsonNode value) {
     if (value.path(CANCELLED).asBoolean()) {
       return new JobState(id, JobState.Phase.CANCELLED, 0, 0);
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -20,7 +20,7 @@
   /**
    * Creates a repartitioner for records of a largest size.
    *
-   * @param maxChanges the most changes that the key-value store takes in a transaction
+   * @param maxChanges the most changes that the key-value store accepts in a transaction
    */
   RecordRepartitioner(Ledger ledger, int maxChanges) {
     this.ledger = ledger;
@@ -39,7 +39,7 @@
 
   /**
    * Adds the record that waits to an empty transaction. While tokens are too few for the whole of
-   * it, the job keeps its turn.
+   * it, the job stays the next one.
    */
   void addTo(TransactionDraft draft) {
     if (next == null) {
--- a/src/main/java/org/ternhinge/ledger/RecordWrite.java
+++ b/src/main/java/org/ternhinge/ledger/RecordWrite.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * One segment is removed, since it was merged into the first. Removals are told from other writes
-   * when they are built: a segment that is merged only while it is being written has a key.
+   * One segment is removed, since it was merged into the first. Removals and other writes differ
+   * from when they are built: a segment that is merged only while it is being written has a key.
    */
   record SegmentRemoval(Job job, int index) implements RecordWrite {}
 
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -9,8 +9,8 @@
 
 /**
  * Chooses what goes into the next transaction. While changes are scarce, cancellations go first,
- * then what users wait for most. What only notes that tasks have ended waits a moment, so that one
- * change carries many of them.
+ * then what users wait for most. Ends of tasks wait a moment, so that one change carries many of
+ * them.
  */
 final class TransactionAssembler {
   /**
@@ -67,7 +67,7 @@
     for (Urgency urgency : Urgency.values()) {
       // The provision requests and releases among the auxiliary writes go before starts of lower
       // priority.
-      if (urgency == Urgency.HIGH_OPENS && !auxiliaryWrites.addTo(draft)) {
+      if (urgency == Urgency.HIGH_PRIORITY_STARTS && !auxiliaryWrites.addTo(draft)) {
         return;
       }
       if (!addAll(draft, ready.get(urgency))) {
--- a/src/main/java/org/ternhinge/ledger/TransactionDraft.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionDraft.java
@@ -82,12 +82,12 @@
     changes.add(new Change.Delete(key));
   }
 
-  /** Notes what changes that were added mean for a job. */
+  /** Adds what follows for a job once the changes are durable. */
   void add(RecordWrite write) {
     recordWrites.add(write);
   }
 
-  /** Notes whose write a change that was added is. */
+  /** Adds the auxiliary write that a change belongs to. */
   void add(AuxiliaryWrite write) {
     auxiliaryWrites.add(write);
   }
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
@@ -14,7 +14,7 @@
   /**
    * Creates a settlement of a ledger's transactions.
    *
-   * @param onDurable hears after every transaction of the attempts that may now be started, also
+   * @param onDurable receives after every transaction the attempts that may be started now, also
    *     where there are none
    */
   TransactionSettlement(
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -14,13 +14,18 @@
 
   /** What a job has to write, the most urgent first. */
   enum Urgency {
-    CANCELS,
-    PRODUCTION_OPENS,
-    ENDS,
-    HIGH_OPENS,
-    OPENS,
+    /** Cancellations, which users wait for. */
+    CANCELLATIONS,
+    /** Attempts of jobs of production priority. */
+    PRODUCTION_STARTS,
+    /** Final records of jobs. */
+    JOB_ENDS,
+    /** Attempts of jobs of high priority. */
+    HIGH_PRIORITY_STARTS,
+    /** Attempts of all other jobs, and ends of tasks that are overdue. */
+    STARTS,
     /** Ends of tasks, which are batched for a moment. */
-    ENDINGS
+    TASK_ENDS
   }
 
   private final Clock clock;
@@ -34,7 +39,7 @@
     return jobs.isEmpty();
   }
 
-  /** Adds a job; one that waits already keeps its place and its time. */
+  /** Adds a job; one that is queued already keeps its place and its time. */
   void add(Job job) {
     if (jobs.add(job)) {
       job.record().dirtySince(clock.now());
@@ -48,8 +53,8 @@
   /**
    * The jobs that may be written, by urgency, those that have waited longest first.
    *
-   * @param batchedBefore endings that came later than this wait for more
-   * @param overdueBefore endings that came before this no longer wait behind opens
+   * @param batchedBefore ends of tasks that came later than this wait for more
+   * @param overdueBefore ends of tasks that came before this no longer wait behind starts
    */
   Map<Urgency, List<Job>> ready(SteadyTime batchedBefore, SteadyTime overdueBefore) {
     Map<Urgency, List<Job>> ready = new EnumMap<>(Urgency.class);
@@ -58,7 +63,7 @@
     }
     for (Job job : jobs) {
       Urgency urgency = urgency(job, overdueBefore);
-      if (urgency != Urgency.ENDINGS || !batchedBefore.isBefore(job.record().dirtySince())) {
+      if (urgency != Urgency.TASK_ENDS || !batchedBefore.isBefore(job.record().dirtySince())) {
         ready.get(urgency).add(job);
       }
     }
@@ -67,22 +72,22 @@
 
   private static Urgency urgency(Job job, SteadyTime overdueBefore) {
     if (job.cancelledByDependency()) {
-      // Users are told already, and there may be thousands of them.
-      return Urgency.ENDINGS;
+      // Users see the cancellation already, and there may be thousands of such jobs.
+      return Urgency.TASK_ENDS;
     }
     if (job.cancelled()) {
-      return Urgency.CANCELS;
+      return Urgency.CANCELLATIONS;
     }
     if (job.over()) {
-      return Urgency.ENDS;
+      return Urgency.JOB_ENDS;
     }
     if (!job.record().opensAttempts()) {
-      return job.record().dirtySince().isBefore(overdueBefore) ? Urgency.OPENS : Urgency.ENDINGS;
+      return job.record().dirtySince().isBefore(overdueBefore) ? Urgency.STARTS : Urgency.TASK_ENDS;
     }
     return switch (job.planned().priority()) {
-      case PRODUCTION -> Urgency.PRODUCTION_OPENS;
-      case HIGH -> Urgency.HIGH_OPENS;
-      default -> Urgency.OPENS;
+      case PRODUCTION -> Urgency.PRODUCTION_STARTS;
+      case HIGH -> Urgency.HIGH_PRIORITY_STARTS;
+      default -> Urgency.STARTS;
     };
   }
 }
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -161,7 +161,8 @@
   private static StoredJob fromRecord(JobId id, Entry entry) {
     JobState state = RecordCodec.decodeState(id, entry.value());
     boolean service = RecordCodec.isService(entry.value());
-    return new StoredJob(new Found(state, service), RecordCodec.waitsFor(entry.value()));
+    return new StoredJob(
+        new Found(state, service), RecordCodec.unstartedDependencies(entry.value()));
   }
 
   private static StoredJob fromEnd(JobId id, Entry entry) {
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -120,7 +120,7 @@
   }
 
   private void write(Submission submission, Optional<DependencyVerdict> verdict) {
-    ObjectNode record = RecordCodec.fresh(submission.spec(), clock.wallMillis(), maxValueBytes);
+    ObjectNode record = RecordCodec.encodeNew(submission.spec(), clock.wallMillis(), maxValueBytes);
     new RecordWrite(submission, verdict, record).attempt();
   }
 
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -104,7 +104,7 @@
       put(
           new Change.Put(
               Keys.job(JOB),
-              RecordCodec.fresh(Specs.of(Specs.json(JOB.value(), "batch", 1)), 1, 8192),
+              RecordCodec.encodeNew(Specs.of(Specs.json(JOB.value(), "batch", 1)), 1, 8192),
               0));
     } else if (!stored.equals("absent")) {
       put(new Change.Put(Keys.end(JOB), Json.object().put("s", stored).put("n", 1), 0));
--- /dev/null
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -0,0 +1,138 @@
+package org.ternhinge.election;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.locks.ReentrantLock;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+import org.ternhinge.config.Tuning;
+import org.ternhinge.ledger.Keys;
+import org.ternhinge.ledger.LeadershipLoss;
+import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.Revision;
+import org.ternhinge.model.Term;
+import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.SimClock;
+import org.ternhinge.sim.StoreCore;
+import org.ternhinge.store.Change;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.Entry;
+import org.ternhinge.wire.Json;
+
+/** One claim of the leadership, and what the leadership that it brings answers. */
+class LeadershipClaimTest {
+  private final SimClock clock = new SimClock();
+  private final StoreCore core = new StoreCore(clock);
+  private final Candidate candidate =
+      new Candidate(
+          "node-0",
+          "ab",
+          new DirectStore(core),
+          clock,
+          Tuning.DEFAULT,
+          new LockedExecutor(new ReentrantLock()));
+
+  private final List<String> failures = new ArrayList<>();
+  private final List<LeadershipLoss> losses = new ArrayList<>();
+  private OwnLeadership won;
+  private int leasesEnded;
+
+  private final class Recorder implements LeadershipClaim.Listener {
+    @Override
+    public void won(Term term, Revision termRevision, LeadershipLease lease) {
+      won = new OwnLeadership(term, termRevision, lease, clock, losses::add);
+    }
+
+    @Override
+    public void failed(boolean lostRace) {
+      failures.add(lostRace ? "lost race" : "failed");
+    }
+
+    @Override
+    public void leaseEnded() {
+      leasesEnded++;
+    }
+  }
+
+  private void put(String key, long term) {
+    core.compareAndSwap(
+        new CompareAndSwap(
+            List.of(), List.of(new Change.Put(key, Json.object().put("n", term), 0))));
+  }
+
+  private void claim(Revision leaderRevision) {
+    new LeadershipClaim(candidate, leaderRevision, new Recorder()).start();
+    clock.runFor(0.1);
+  }
+
+  @Test
+  void itIsWonWithTheNextTermWhereNothingHasChanged() {
+    put(Keys.TERM, 6);
+    claim(Revision.NONE);
+    assertEquals(new Term(7), won.term());
+    Entry term = core.get(Keys.TERM).entry().orElseThrow();
+    assertEquals(term.revision(), won.termRevision());
+    Entry leader = core.get(Keys.LEADER).entry().orElseThrow();
+    assertEquals(
+        new LeaderRecord("node-0", "ab", new Term(7), true), LeaderRecord.fromJson(leader.value()));
+    assertEquals(List.of(), failures);
+  }
+
+  @Test
+  void itIsLostWhereAnotherNodeHasClaimedTheLeadershipFirst() {
+    put(Keys.LEADER, 1);
+    claim(Revision.NONE);
+    assertEquals(List.of("lost race"), failures);
+    assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "no term is used up");
+    clock.runFor(60);
+    assertEquals(0, leasesEnded, "its lease was released");
+  }
+
+  /** The leadership after a claim that was applied. */
+  @Nested
+  class AWonLeadership {
+    @BeforeEach
+    void claimFirst() {
+      claim(Revision.NONE);
+    }
+
+    @Test
+    void holdsWhileItsLeaseIsRenewed() {
+      assertTrue(won.valid());
+      clock.runFor(60);
+      assertTrue(won.valid());
+      assertEquals(0, leasesEnded);
+    }
+
+    @Test
+    void followsARaisedTerm() {
+      won.raised(new Term(2), new Revision(99));
+      assertEquals(new Term(2), won.term());
+      assertEquals(new Revision(99), won.termRevision());
+      assertTrue(won.valid());
+    }
+
+    @Test
+    void isLostOnce() {
+      LeadershipLoss loss = new LeadershipLoss.WatchFellBehind();
+      won.lost(loss);
+      won.lost(new LeadershipLoss.LeaseExpired());
+      assertEquals(List.of(loss), losses);
+      assertFalse(won.valid());
+    }
+
+    @Test
+    void leavesNoLeaderOnceItsLeaseIsReleased() {
+      won.releaseLease();
+      assertEquals(Optional.empty(), core.get(Keys.LEADER).entry());
+      assertTrue(core.get(Keys.TERM).entry().isPresent(), "terms only grow");
+    }
+  }
+}
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -165,7 +165,7 @@
 
   /** A job that the key-value store and the ledger hold. */
   public Job job(ObjectNode json) {
-    ObjectNode record = RecordCodec.fresh(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
     core.compareAndSwap(new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
     Revision revision = core.get(key).entry().orElseThrow().revision();
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -51,6 +51,7 @@
     return attempt;
   }
 
+  /** The table of permitted transitions. */
   @Nested
   class Table {
     /** One row for each state; {@code x} is a permitted transition, in the order of the enum. */
@@ -113,6 +114,7 @@
     }
   }
 
+  /** What follows from the state. */
   @Nested
   class DerivedAnswers {
     @ParameterizedTest(name = "{0}: durable {1}, reported {2}")
@@ -158,6 +160,7 @@
     }
   }
 
+  /** Requests to stop. */
   @Nested
   class Stops {
     @Test
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -37,15 +37,15 @@
     assertTrue(writes.isEmpty());
     writes.applied(sent.auxiliaryWrites(), new Revision(9));
     assertEquals(List.of("first", "second"), durable);
-    writes.request("r/0", Json::object, null);
+    writes.request("r/0", Json::object, () -> {});
     assertEquals(new KeyCondition("r/0", new Revision(9)), next(16).request().conditions().get(1));
   }
 
   @Test
   void aKeyOfAnEarlierLeaderIsWrittenOverItsVersion() {
     writes.setRevision("r/1", new Revision(5));
-    writes.request("r/1", Json::object, null);
-    writes.request("r/2", Json::object, null);
+    writes.request("r/1", Json::object, () -> {});
+    writes.request("r/2", Json::object, () -> {});
     List<KeyCondition> conditions = next(16).request().conditions();
     assertEquals(new KeyCondition("r/1", new Revision(5)), conditions.get(1));
     assertEquals(KeyCondition.absent("r/2"), conditions.get(2));
@@ -53,8 +53,8 @@
 
   @Test
   void whatFindsNoRoomWaitsForTheNextTransaction() {
-    writes.request("r/0", Json::object, null);
-    writes.request("r/1", Json::object, null);
+    writes.request("r/0", Json::object, () -> {});
+    writes.request("r/1", Json::object, () -> {});
     TransactionDraft draft = new TransactionDraft(TERM, 1);
     assertFalse(writes.addTo(draft));
     assertFalse(writes.isEmpty());
@@ -65,8 +65,8 @@
   @Test
   void aValueThatIsTooLargeWaitsUntilItHasShrunk() {
     int[] bytes = {VALUE_BYTES};
-    writes.request("r/0", () -> Json.object().put("n", "x".repeat(bytes[0])), null);
-    writes.request("r/1", Json::object, null);
+    writes.request("r/0", () -> Json.object().put("n", "x".repeat(bytes[0])), () -> {});
+    writes.request("r/1", Json::object, () -> {});
     assertEquals("r/1", next(16).request().changes().get(0).key());
     assertFalse(writes.isEmpty());
     bytes[0] = VALUE_BYTES / 2;
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -19,7 +19,8 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 6, 1000})
   void theLevelIsReadBack(int level) throws WireException {
-    ObjectNode record = RecordCodec.fresh(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
+    ObjectNode record =
+        RecordCodec.encodeNew(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
     assertFalse(record.has("e"));
     Job job = RecordCodec.decodeFirst(record, Revision.NONE, new SteadyTime(0));
     job.backoffLevel(level);
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -195,10 +195,10 @@
   void whatHasBegunNeedsNoProof() throws Exception {
     ObjectNode json = Specs.json("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
-    ObjectNode record = RecordCodec.fresh(Specs.of(json), 1, VALUE);
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE);
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
-    assertEquals(List.of(), RecordCodec.waitsFor(record));
+    assertEquals(List.of(), RecordCodec.unstartedDependencies(record));
     ledger.add(job);
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
     assertNull(refusal(job));
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -149,7 +149,7 @@
       List.of(dependencies).forEach(spec.putArray("bidur_eftir")::add);
     }
     spec.put("forgang", priority);
-    ObjectNode record = RecordCodec.fresh(Specs.of(spec), 1, ledger.valueBytes());
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(spec), 1, ledger.valueBytes());
     String key = Keys.job(Specs.of(spec).id());
     List<KeyCondition> none = List.of(KeyCondition.absent(key));
     Outcome<Revision> put =
@@ -295,13 +295,13 @@
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     ledAt = termNow();
-    writer.write("r/1", Json::object, null);
-    writer.write("r/0", Json::object, () -> writer.write("r/0", Json::object, null));
-    writer.write("x/0", Json::object, null);
+    writer.write("r/1", Json::object);
+    writer.write("r/0", Json::object, () -> writer.write("r/0", Json::object));
+    writer.write("x/0", Json::object);
     afterEach =
         () -> {
           if (sent.size() == 2) {
-            writer.write("x/0", () -> Json.object().put("last", true), null);
+            writer.write("x/0", () -> Json.object().put("last", true));
           }
         };
     clock.runFor(1);
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -144,12 +144,12 @@
   @Test
   void freshRecordsAreTheSame() {
     var plain = Specs.json("wk-000001", "batch", 3);
-    assertEquals(PLAIN, text(RecordCodec.fresh(Specs.of(plain), ACCEPTED, 8192)));
+    assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
     var full = Specs.json("wk-000412", "group", 2).put("forgang", "high").put("svaedi", "east");
     full.put("accelerators", 1.0).put("together", true).put("skiladagur_s", 900.0);
     full.put("vista_bil_s", 30.0).put("vistun_s", 4.0);
     full.putArray("velagerdir").add("g8").add("small");
-    assertEquals(FULL, text(RecordCodec.fresh(Specs.of(full), ACCEPTED, 8192)));
+    assertEquals(FULL, text(RecordCodec.encodeNew(Specs.of(full), ACCEPTED, 8192)));
   }
 
   /**
@@ -160,13 +160,14 @@
   void noDependenciesLeaveNoTrace(String none) throws WireException {
     var plain = Specs.json("wk-000001", "batch", 3);
     plain.set("bidur_eftir", json("{\"x\":" + none + "}").get("x"));
-    assertEquals(PLAIN, text(RecordCodec.fresh(Specs.of(plain), ACCEPTED, 8192)));
+    assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
   }
 
   /** A job with dependencies is accepted with the same record. */
   @Test
   void aFreshRecordWithDependenciesIsTheSame() {
-    assertEquals(WAITING, text(RecordCodec.fresh(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
+    assertEquals(
+        WAITING, text(RecordCodec.encodeNew(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
   }
 
   /** How many tasks a segment of a fresh record is for, under the limits on values. */
@@ -198,7 +199,7 @@
     JobSpec spec = Specs.of(twenty(kind, dependencies));
     assertEquals(tasks, RecordSize.segmentSize(spec, valueBytes));
     assertEquals(fits, RecordSize.fits(spec, valueBytes));
-    assertEquals(tasks, RecordCodec.fresh(spec, ACCEPTED, valueBytes).get("p").asInt());
+    assertEquals(tasks, RecordCodec.encodeNew(spec, ACCEPTED, valueBytes).get("p").asInt());
   }
 
   /** A job of twenty tasks that names so many others. */
@@ -225,7 +226,7 @@
   })
   void whatARecordWaitsFor(String name, String ids) throws WireException {
     String found =
-        RecordCodec.waitsFor(json(literal(name))).stream()
+        RecordCodec.unstartedDependencies(json(literal(name))).stream()
             .map(JobId::value)
             .collect(Collectors.joining(" "));
     assertEquals(ids, found);
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -105,7 +105,8 @@
 
   private ObjectNode stored(String kind) throws WireException {
     ObjectNode record =
-        RecordCodec.fresh(Specs.of(Specs.json(JOB.value(), kind, 20)), 1_700_000_000_123L, 8192);
+        RecordCodec.encodeNew(
+            Specs.of(Specs.json(JOB.value(), kind, 20)), 1_700_000_000_123L, 8192);
     String expected = SPEC.replace("KIND", kind) + "\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
     assertEquals(expected, text(record));
     return record;
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -35,17 +35,17 @@
   /** Ends of tasks are gathered, but wait behind others' starts for a while only. */
   @ParameterizedTest(name = "{0}, {1}, waiting {2} s: {3}")
   @CsvSource({
-    "cancelled, low, 0, CANCELS",
-    "opening, production, 0, PRODUCTION_OPENS",
-    "over, production, 0, ENDS",
-    "opening, high, 0, HIGH_OPENS",
-    "opening, normal, 0, OPENS",
-    "opening, low, 9, OPENS",
+    "cancelled, low, 0, CANCELLATIONS",
+    "opening, production, 0, PRODUCTION_STARTS",
+    "over, production, 0, JOB_ENDS",
+    "opening, high, 0, HIGH_PRIORITY_STARTS",
+    "opening, normal, 0, STARTS",
+    "opening, low, 9, STARTS",
     "task ended, production, 0.5, ",
-    "task ended, production, 1.5, ENDINGS",
-    "task ended, production, 5.5, OPENS",
+    "task ended, production, 1.5, TASK_ENDS",
+    "task ended, production, 5.5, STARTS",
     "cancelled by dependency, production, 0.5, ",
-    "cancelled by dependency, production, 5.5, ENDINGS"
+    "cancelled by dependency, production, 5.5, TASK_ENDS"
   })
   void urgencyFollowsFromTheJob(String state, String priority, double waiting, Urgency expected) {
     Job job = job("wk-1", priority);
@@ -72,7 +72,7 @@
     queue.add(first);
     queue.add(second);
     queue.add(first);
-    assertEquals(List.of(first, second), ready().get(Urgency.OPENS));
+    assertEquals(List.of(first, second), ready().get(Urgency.STARTS));
     queue.remove(first);
     queue.remove(second);
     assertTrue(queue.isEmpty());
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -63,7 +63,7 @@
         names.add("wk-" + name);
       }
     }
-    return RecordCodec.fresh(Specs.of(body), 1, VALUE_BYTES);
+    return RecordCodec.encodeNew(Specs.of(body), 1, VALUE_BYTES);
   }
 
   private String found() {
