--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -49,6 +49,7 @@
     }
   }
 
+  /** Which outcome each answer to a transaction has. */
   @Nested
   class AnswersToATransaction {
     @ParameterizedTest(name = "{0} {1}: {2}, detail \"{3}\"")
@@ -87,6 +88,7 @@
     }
   }
 
+  /** What exhausted tokens and refusals do. */
   @Nested
   class RateLimits {
     @ParameterizedTest(name = "{0}: writes pause {1}")
@@ -117,6 +119,7 @@
     }
   }
 
+  /** What reads and watches return. */
   @Nested
   class Reads {
     @Test
