--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.locks.ReentrantLock;
 import org.junit.jupiter.api.BeforeEach;
