--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -124,7 +124,7 @@
   /**
    * Sends a worker the term by a message without commands, whatever is known of the machine.
    *
-   * @param handler gets the outcome, or null where the client failed without one
+   * @param handler gets the outcome
    */
   void announceTerm(Endpoint worker, AgentEpoch epoch, Consumer<Outcome<Answer>> handler) {
     send(worker, epoch, List.of(), handler);
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -49,7 +49,7 @@
   /**
    * Sends a message, whether or not there is a free slot.
    *
-   * @param handler gets the outcome under the lock, or null where the client failed without one
+   * @param handler gets the outcome under the lock
    */
   void send(
       Endpoint worker,
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -126,7 +126,7 @@
       if (newest) {
         planNextRenewal();
       }
-    } else if (outcome != null && outcome.isBecause(Reason.NOT_FOUND)) {
+    } else if (outcome.isBecause(Reason.NOT_FOUND)) {
       ended = true;
       onEnded.run();
     } else if (newest) {
--- a/src/main/java/org/ternhinge/machine/MachineDescription.java
+++ b/src/main/java/org/ternhinge/machine/MachineDescription.java
@@ -21,9 +21,8 @@
   }
 
   /** Whether more than the machine's name is known. */
-  @SuppressWarnings("ReferenceEquality") // a null object
   public boolean isKnown() {
-    return this != UNKNOWN;
+    return !typeName.isEmpty();
   }
 
   /** Whether the machine is known to have exactly these attributes. */
--- a/src/main/java/org/ternhinge/scaling/RetryPolicy.java
+++ b/src/main/java/org/ternhinge/scaling/RetryPolicy.java
@@ -19,16 +19,16 @@
   /**
    * Whether the rate limit held a request back, so that it was not sent.
    *
-   * @param outcome of the request, or null where the client failed without one
+   * @param outcome of the request
    */
   static boolean isRateLimited(Outcome<?> outcome) {
-    return outcome != null && outcome.isBecause(Reason.RATE_LIMITED);
+    return outcome.isBecause(Reason.RATE_LIMITED);
   }
 
   /**
    * Seconds until a request is sent again.
    *
-   * @param outcome of the request, or null where the client failed without one
+   * @param outcome of the request
    */
   double delayS(Outcome<?> outcome) {
     return isRateLimited(outcome) ? RATE_LIMITED_DELAY_S : failedDelayS;
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -59,13 +59,9 @@
   /**
    * Hands the outcome of a call on under the lock, unless the leadership is over by then.
    *
-   * @param next gets the outcome; {@link Outcome.Unknown} where the client failed without one
+   * @param next gets the outcome, {@link Outcome.Unknown} where the call failed without one
    */
   public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
-    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(orUnknown(outcome))));
-  }
-
-  private static <T> Outcome<T> orUnknown(Outcome<T> outcome) {
-    return outcome == null ? Outcome.unknown("the client failed") : outcome;
+    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -58,7 +58,9 @@
       boolean closed,
       Finding finding) {
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.observe(state, fixture.now());
+    if (state.isReported()) {
+      attempt.observe(state, fixture.now());
+    }
     attempt.startAnswered(startAnswered);
     if (stopping) {
       attempt.stop(0, fixture.now());
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -44,7 +44,9 @@
     if (stopping) {
       attempt.stop(0, fixture.now());
     }
-    attempt.observe(seen, fixture.now());
+    if (seen.isReported()) {
+      attempt.observe(seen, fixture.now());
+    }
     // The fixture has sent the start of the attempt; the case says how many are outstanding.
     machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -89,7 +89,9 @@
   void anOpenAttemptIsStartedOrStopped(
       String name, AttemptState state, Double stopGraceS, long epoch, Command.Op expected) {
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.observe(state, fixture.now());
+    if (state.isReported()) {
+      attempt.observe(state, fixture.now());
+    }
     if (stopGraceS != null) {
       attempt.stop(stopGraceS, fixture.now());
     }
