--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -10,6 +10,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
 import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
@@ -27,6 +29,10 @@
   /** A type, with a nested type or a member behind it where there is one. */
   private static final Pattern TYPE = Pattern.compile("[A-Z]\\w*[a-z]\\w*(\\.\\w+)*");
 
+  /** A row of the table of packages: the package, what it holds, and what it may use. */
+  private static final Pattern PACKAGE_ROW =
+      Pattern.compile("\\| `org\\.ternhinge\\.([a-z.]+)` \\|[^|\n]*\\|([^|\n]*)\\|");
+
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -49,6 +55,16 @@
     assertEquals(List.of(), missing);
   }
 
+  @Test
+  void theRulesOnThePageAreThoseThatAreEnforced() throws IOException {
+    Map<String, List<String>> rules = new TreeMap<>();
+    PACKAGE_ROW
+        .matcher(Files.readString(PAGE))
+        .results()
+        .forEach(row -> rules.put(row.group(1), List.of(row.group(2).strip().split(" +"))));
+    assertEquals(PackageRulesTest.rules(), rules);
+  }
+
   @ParameterizedTest
   @CsvSource({
     "a type, `LedgerKeeper`, LedgerKeeper",
