--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -4,14 +4,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Faults of machines and of the ways to and from them: cuts, lost commands, lost reports, hangs,
- * restarts, and heartbeats that arrive late or once more.
+ * Faults of machines and of their links: cuts, lost commands, lost heartbeats, hangs, restarts, and
+ * heartbeats that arrive late or twice.
  */
 public final class MachineFaults {
   private final SimCluster cluster;
@@ -19,8 +20,8 @@
   /** Apart from the cluster's own, so that a seed means the same days with and without faults. */
   private final RandomGenerator random;
 
-  /** Machines whose next heartbeat is held back, and for how long. */
-  private final Map<MachineId, Double> toHold = new HashMap<>();
+  /** Machines whose next heartbeat is delayed, with the delay in seconds. */
+  private final Map<MachineId, Double> heartbeatDelaysS = new HashMap<>();
 
   private final Map<String, SteadyTime> zonesCutUntil = new HashMap<>();
 
@@ -33,18 +34,18 @@
     return cluster.clock.now().plusSeconds(seconds);
   }
 
-  private SimWorker someWorker(RandomGenerator source) {
-    List<SimWorker> live = cluster.liveWorkers();
-    return live.isEmpty() ? null : live.get(source.nextInt(live.size()));
+  private Optional<SimWorker> someWorker(RandomGenerator source) {
+    List<SimWorker> live = cluster.machines.live();
+    return live.isEmpty() ? Optional.empty() : Optional.of(live.get(source.nextInt(live.size())));
   }
 
   // ---- cuts and ends --------------------------------------------------------------------------
 
   /** Cuts all machines of a zone off from everything. */
   public void cutMachinesOfZone(String zone, double seconds) {
-    for (SimWorker worker : cluster.liveWorkers()) {
+    for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
-        worker.cutUntil = in(seconds);
+        worker.links().cut(seconds);
       }
     }
   }
@@ -52,10 +53,12 @@
   /** Cuts every other machine of a zone off from everything. */
   public void cutHalfOfZone(String zone, double seconds) {
     boolean cut = false;
-    for (SimWorker worker : cluster.liveWorkers()) {
+    for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
         cut = !cut;
-        worker.cutUntil = cut ? in(seconds) : worker.cutUntil;
+        if (cut) {
+          worker.links().cut(seconds);
+        }
       }
     }
   }
@@ -68,39 +71,38 @@
 
   /** A machine has come up. */
   void cameUp(SimWorker worker) {
-    worker.cutUntil = zonesCutUntil.get(worker.zone);
+    Optional.ofNullable(zonesCutUntil.get(worker.zone)).ifPresent(worker.links()::cutUntil);
   }
 
   /** Cuts off a machine that runs a job's task. */
   public void cutSomeWorkerWith(JobId id, double seconds) {
     List<MachineId> machines = cluster.tasks.machinesOf(id);
     if (!machines.isEmpty()) {
-      cluster.workers.get(machines.get(0)).cutUntil = in(seconds);
+      cluster.machines.worker(machines.get(0)).links().cut(seconds);
     }
   }
 
   /** Cuts a random machine off, or ends it where the time is 0. */
   public void cutOrEndSomeWorker(double cutS) {
-    SimWorker worker = someWorker(cluster.random);
-    if (worker == null) {
-      return;
-    }
-    if (cutS > 0) {
-      worker.cutUntil = in(cutS);
-    } else {
-      cluster.workers.remove(worker.id());
-      worker.die();
-    }
-  }
-
-  /** A machine restarts: what ran there is gone, and it is back at once. */
+    someWorker(cluster.random)
+        .ifPresent(
+            worker -> {
+              if (cutS > 0) {
+                worker.links().cut(cutS);
+              } else {
+                cluster.machines.end(worker.id());
+              }
+            });
+  }
+
+  /** A machine restarts at once; what ran there is lost. */
   public void restart(SimWorker worker) {
     worker.restart();
   }
 
   /** A share of all machines restart together. */
   public void restartMachines(double share) {
-    for (SimWorker worker : cluster.liveWorkers()) {
+    for (SimWorker worker : cluster.machines.live()) {
       if (cluster.random.nextDouble() < share) {
         worker.restart();
       }
@@ -108,64 +110,56 @@
   }
 
   /** Every task that starts on a machine fails from now on. */
-  public void makeSick(SimWorker worker) {
-    worker.sick = true;
+  public void failAllTasksOn(SimWorker worker) {
+    worker.failEveryTask();
   }
 
-  // ---- lost commands and lost reports ---------------------------------------------------------
+  // ---- lost commands and lost heartbeats ------------------------------------------------------
 
-  /** Some machine's heartbeats arrive, while nothing reaches it. */
-  public SimWorker deafenSomeWorker(double seconds) {
-    SimWorker worker = someWorker(cluster.random);
-    if (worker != null) {
-      worker.deafUntil = in(seconds);
-    }
+  /** Some machine's heartbeats arrive, while neither answers nor commands reach it. */
+  public Optional<SimWorker> dropInboundOfSomeWorker(double seconds) {
+    Optional<SimWorker> worker = someWorker(cluster.random);
+    worker.ifPresent(some -> some.links().loseInbound(seconds));
     return worker;
   }
 
-  /** A machine's heartbeats arrive, while nothing reaches it. */
-  public void deafen(MachineId id, double seconds) {
-    cluster.workers.get(id).deafUntil = in(seconds);
+  /** A machine's heartbeats arrive, while neither answers nor commands reach it. */
+  public void dropInbound(MachineId id, double seconds) {
+    cluster.machines.worker(id).links().loseInbound(seconds);
   }
 
   /** Heartbeats of all machines of a job reach no controller, while direct commands reach them. */
-  public void muteWorkersOf(JobId id, double seconds) {
-    for (SimWorker worker : cluster.workersOf(id)) {
-      worker.muteUntil = in(seconds);
+  public void dropHeartbeatsOf(JobId id, double seconds) {
+    for (SimWorker worker : cluster.machines.running(id)) {
+      worker.links().loseHeartbeats(seconds);
     }
   }
 
   /** Heartbeats of a share of all machines reach no controller. */
-  public void muteWorkers(double share, double seconds) {
-    for (SimWorker worker : cluster.liveWorkers()) {
+  public void dropHeartbeatsOfShare(double share, double seconds) {
+    for (SimWorker worker : cluster.machines.live()) {
       if (random.nextDouble() < share) {
-        worker.muteUntil = in(seconds);
+        worker.links().loseHeartbeats(seconds);
       }
     }
   }
 
-  /** Some machine's reports reach no controller. */
-  public void muteSomeWorker(double seconds) {
-    SimWorker worker = someWorker(random);
-    if (worker != null) {
-      worker.muteUntil = in(seconds);
-    }
+  /** Some machine's heartbeats reach no controller. */
+  public void dropHeartbeatsOfSomeWorker(double seconds) {
+    someWorker(random).ifPresent(worker -> worker.links().loseHeartbeats(seconds));
   }
 
   // ---- hangs ----------------------------------------------------------------------------------
 
   /** Some machine executes nothing for a while; what arrives waits for it. */
   public void hangSomeWorker(double seconds) {
-    SimWorker worker = someWorker(random);
-    if (worker != null) {
-      worker.hang(seconds);
-    }
+    someWorker(random).ifPresent(worker -> worker.hang(seconds));
   }
 
   /** Machines that run a job's tasks, at most so many, execute nothing for a while. */
   public List<SimWorker> hangWorkersOf(JobId id, int most, double seconds) {
     List<SimWorker> hung = new ArrayList<>();
-    for (SimWorker worker : cluster.workersOf(id)) {
+    for (SimWorker worker : cluster.machines.running(id)) {
       if (hung.size() < most) {
         worker.hang(seconds);
         hung.add(worker);
@@ -174,25 +168,21 @@
     return hung;
   }
 
-  // ---- late heartbeats and copies
-  // ----------------------------------------------------------------
+  // ---- late and duplicate heartbeats ----------------------------------------------------------
 
-  /** Some machine's next heartbeat is held back and then reaches whoever leads by then. */
-  public void holdHeartbeat(double seconds) {
-    SimWorker worker = someWorker(random);
-    if (worker != null) {
-      holdHeartbeat(worker.id(), seconds);
-    }
+  /** Some machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  public void delayHeartbeat(double seconds) {
+    someWorker(random).ifPresent(worker -> delayHeartbeat(worker.id(), seconds));
   }
 
-  /** A machine's next heartbeat is held back and then reaches whoever leads by then. */
-  public void holdHeartbeat(MachineId id, double seconds) {
-    toHold.put(id, seconds);
+  /** A machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  public void delayHeartbeat(MachineId id, double seconds) {
+    heartbeatDelaysS.put(id, seconds);
   }
 
-  /** Whether a heartbeat is held back; it is delivered when its time has come. */
-  boolean rateLimited(MachineId id, byte[] heartbeat) {
-    Double seconds = toHold.remove(id);
+  /** Whether a heartbeat is delayed; if so, its late delivery is scheduled. */
+  boolean delays(MachineId id, byte[] heartbeat) {
+    Double seconds = heartbeatDelaysS.remove(id);
     if (seconds == null) {
       return false;
     }
@@ -203,16 +193,19 @@
   private void deliverLate(byte[] heartbeat) {
     int leader = cluster.leader();
     int to = leader >= 0 ? leader : random.nextInt(cluster.nodeCount());
-    cluster.deliver(to, HeartbeatHistory.request(heartbeat), answer -> {});
+    cluster.controllers.deliver(to, HeartbeatHistory.request(heartbeat), answer -> {});
   }
 
-  /** For a while a share of all reports arrives once more, from a second to leases late. */
-  public void copyHeartbeats(double share, double seconds) {
-    cluster.heartbeatHistory.copy(share, seconds);
+  /**
+   * For a while a share of all heartbeats arrives a second time, from a second to several leases
+   * late.
+   */
+  public void duplicateHeartbeats(double share, double seconds) {
+    cluster.machines.heartbeatHistory().duplicate(share, seconds);
   }
 
-  /** A copy of a machine's last heartbeat reaches every controller. */
+  /** A duplicate of a machine's last heartbeat reaches every controller. */
   public void repeatHeartbeat(MachineId id) {
-    cluster.heartbeatHistory.repeatLast(id);
+    cluster.machines.heartbeatHistory().repeatLast(id);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MachineHang.java
+++ b/src/test/java/org/ternhinge/sim/MachineHang.java
@@ -45,16 +45,16 @@
     until = null;
   }
 
-  /** Has an action wait for the end of the hang. */
+  /** Defers an action until the end of the hang. */
   void defer(Runnable action) {
     waiting.add(action);
   }
 
-  /** Runs what has waited, in order. */
+  /** Runs the deferred actions in their order of arrival. */
   void runDeferred() {
-    List<Runnable> held = List.copyOf(waiting);
+    List<Runnable> deferred = List.copyOf(waiting);
     waiting.clear();
-    held.forEach(Runnable::run);
+    deferred.forEach(Runnable::run);
   }
 
   private double hungSeconds() {
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -10,8 +10,8 @@
   private long commandCalls;
   private long commandCallsUnderWay;
   private long mostCommandCallsAtOnce;
-  private long stateChanges;
-  private long stateReads;
+  private long storeChanges;
+  private long storeReads;
   private long machineListings;
   private long provisionCalls;
   private long releaseCalls;
@@ -38,12 +38,12 @@
     }
   }
 
-  void stateRead() {
-    stateReads++;
+  void storeRead() {
+    storeReads++;
   }
 
-  void stateChanges(int changes) {
-    stateChanges += changes;
+  void storeChanges(int changes) {
+    storeChanges += changes;
   }
 
   void machineListing() {
@@ -68,8 +68,8 @@
   }
 
   /** Reads of single keys from the key-value store. */
-  public long stateReads() {
-    return stateReads;
+  public long storeReads() {
+    return storeReads;
   }
 
   /** Heartbeats that workers sent. */
@@ -88,21 +88,21 @@
   }
 
   /** Puts and deletes that controllers sent to the key-value store. */
-  public long stateChanges() {
-    return stateChanges;
+  public long storeChanges() {
+    return storeChanges;
   }
 
-  /** Pages of the machine list that controllers asked for. */
+  /** Pages of the machine list that controllers requested. */
   public long machineListings() {
     return machineListings;
   }
 
-  /** Rental requests. */
+  /** Requests to provision machines. */
   public long provisionCalls() {
     return provisionCalls;
   }
 
-  /** Requests to delete machines. */
+  /** Requests to release machines. */
   public long releaseCalls() {
     return releaseCalls;
   }
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -12,30 +12,30 @@
   /** The place of users, the cloud and the key-value store, which lie in no zone. */
   static final String REGION = null;
 
-  /** Longer than a cut itself, so that what it held arrives after it. */
+  /** Delay after a cut at which the messages that it delayed arrive. */
   private static final double AFTER_CUT_S = 0.01;
 
   private static final double WAKE_AFTER_S = 0.001;
 
   private final SimClock clock;
   private final SimNetwork network;
-  private final SimKeyValueStore state;
+  private final SimKeyValueStore store;
   private final RandomGenerator random;
   private final SteadyTime[] cutFromWorkersUntil;
   private final SteadyTime[] cutFromPeersUntil;
   private String zoneCut;
   private SteadyTime zoneCutUntil;
-  private SteadyTime partedUntil;
+  private SteadyTime partitionedUntil;
 
   NetworkFaults(
       SimClock clock,
       SimNetwork network,
-      SimKeyValueStore state,
+      SimKeyValueStore store,
       int controllers,
       RandomGenerator random) {
     this.clock = clock;
     this.network = network;
-    this.state = state;
+    this.store = store;
     this.random = random;
     this.cutFromWorkersUntil = new SteadyTime[controllers];
     this.cutFromPeersUntil = new SteadyTime[controllers];
@@ -67,7 +67,7 @@
 
   /** Cuts a controller off from the key-value store and the other ones, not from its workers. */
   public void cutOff(int controller, double seconds) {
-    state.refuse(controller, seconds);
+    store.refuse(controller, seconds);
     cutFromPeersUntil[controller] = in(seconds);
   }
 
@@ -101,25 +101,25 @@
   public void cutZone(String zone, double seconds) {
     zoneCut = zone;
     zoneCutUntil = in(seconds);
-    clock.after(seconds + WAKE_AFTER_S, state::wakeWatches);
+    clock.after(seconds + WAKE_AFTER_S, store::wakeWatches);
   }
 
   /** The two zones can't reach each other, while each reaches the region. */
-  public void partZones(double seconds) {
-    partedUntil = in(seconds);
+  public void partitionZones(double seconds) {
+    partitionedUntil = in(seconds);
   }
 
   /** Whether two places can't reach each other. */
   boolean apart(String one, String other) {
-    return cutOff(one, other) || parted(one, other);
+    return cutOff(one, other) || partitioned(one, other);
   }
 
   private boolean cutOff(String one, String other) {
     return lasts(zoneCutUntil) && zoneCut.equals(one) != zoneCut.equals(other);
   }
 
-  private boolean parted(String one, String other) {
-    return lasts(partedUntil) && inZone(one) && inZone(other) && !one.equals(other);
+  private boolean partitioned(String one, String other) {
+    return lasts(partitionedUntil) && inZone(one) && inZone(other) && !one.equals(other);
   }
 
   /** Whether a place lies in a zone, and is not the region as a whole. */
@@ -128,7 +128,7 @@
   }
 
   private double endsIn(String one, String other) {
-    SteadyTime until = cutOff(one, other) ? zoneCutUntil : partedUntil;
+    SteadyTime until = cutOff(one, other) ? zoneCutUntil : partitionedUntil;
     return until.secondsSince(clock.now());
   }
 
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -16,25 +16,24 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Creates a node of the version before dependent jobs. The version before dependent jobs, modelled
- * by what it drops and writes, around the code of today:
+ * The version before dependent jobs, modelled around the current code by what it drops and writes:
  *
  * <ul>
  *   <li>it ignores {@code bidur_eftir} in a submission and in a record, and so writes every record
  *       that it touches back without it;
- *   <li>it does not say in the leader's key that it knows dependent jobs;
+ *   <li>its leader record does not declare support of dependent jobs;
  *   <li>it does not read {@code state.next}, so it writes records under the larger limits.
  * </ul>
  *
- * <p>Its scheduling, its timing and the bytes of its records are not modelled here: the last are
- * pinned in {@code ProductionRecordsTest}.
+ * <p>Its scheduling, its timing and the bytes of its records are not modelled: the bytes are pinned
+ * in {@code ProductionRecordsTest}.
  */
 final class OldVersion {
   private static final String DEPENDENCIES = "bidur_eftir";
 
   private OldVersion() {}
 
-  /** A submission as it understands it. */
+  /** A submission as that version reads it. */
   static Request request(Request request) {
     try {
       if (!request.path().equals("/submissions")) {
@@ -74,77 +73,52 @@
   }
 
   /** The key-value store as that version reads and writes it. */
-  record Store(KeyValueStore behind) implements KeyValueStore {
-    @Override
-    public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
-      return behind
-          .get(key, priority)
-          .thenApply(outcome -> outcome.map(r -> new ReadResult(r.entry().map(OldVersion::entry))));
+  static final class Store extends ForwardingKeyValueStore {
+    Store(KeyValueStore delegate) {
+      super(delegate);
     }
 
     @Override
-    public CompletableFuture<Outcome<Page>> list(
-        String prefix, String after, int limit, RequestPriority priority) {
-      return behind
-          .list(prefix, after, limit, priority)
-          .thenApply(
-              outcome ->
-                  outcome.map(
-                      page ->
-                          new Page(
-                              page.entries().stream().map(OldVersion::entry).toList(),
-                              page.more(),
-                              page.revision())));
-    }
-
-    @Override
-    public CompletableFuture<Outcome<WatchResult>> watch(
-        String prefix, Revision from, double waitS) {
-      return behind
-          .watch(prefix, from, waitS)
-          .thenApply(
-              outcome ->
-                  outcome.map(
-                      seen ->
-                          new WatchResult(
-                              seen.revision(), seen.changes().stream().map(Store::seen).toList())));
-    }
-
-    private static Change.Observed seen(Change.Observed change) {
-      return new Change.Observed(change.key(), value(change.value()), change.revision());
+    public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
+      return super.get(key, priority).thenApply(outcome -> outcome.map(Store::withoutDependencies));
     }
 
-    @Override
-    public CompletableFuture<Outcome<Revision>> compareAndSwap(
-        CompareAndSwap compareAndSwap, RequestPriority priority) {
-      List<Change> changes = compareAndSwap.changes().stream().map(OldVersion::change).toList();
-      return behind.compareAndSwap(
-          new CompareAndSwap(compareAndSwap.conditions(), changes), priority);
+    private static ReadResult withoutDependencies(ReadResult read) {
+      return new ReadResult(read.entry().map(OldVersion::entry));
     }
 
     @Override
-    public CompletableFuture<Outcome<Long>> grantLease(long millis) {
-      return behind.grantLease(millis);
+    public CompletableFuture<Outcome<Page>> list(
+        String prefix, String after, int limit, RequestPriority priority) {
+      return super.list(prefix, after, limit, priority)
+          .thenApply(outcome -> outcome.map(Store::withoutDependencies));
     }
 
-    @Override
-    public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
-      return behind.renewLease(lease, timeoutS);
+    private static Page withoutDependencies(Page page) {
+      List<Entry> entries = page.entries().stream().map(OldVersion::entry).toList();
+      return new Page(entries, page.more(), page.revision());
     }
 
     @Override
-    public CompletableFuture<Outcome<Long>> revokeLease(long lease) {
-      return behind.revokeLease(lease);
+    public CompletableFuture<Outcome<WatchResult>> watch(
+        String prefix, Revision from, double waitS) {
+      return super.watch(prefix, from, waitS)
+          .thenApply(outcome -> outcome.map(Store::withoutDependencies));
     }
 
-    @Override
-    public int availableChanges(RequestPriority priority) {
-      return behind.availableChanges(priority);
+    private static WatchResult withoutDependencies(WatchResult changes) {
+      List<Change.Observed> seen =
+          changes.changes().stream()
+              .map(c -> new Change.Observed(c.key(), value(c.value()), c.revision()))
+              .toList();
+      return new WatchResult(changes.revision(), seen);
     }
 
     @Override
-    public double secondsUntilAvailable(int changes, RequestPriority priority) {
-      return behind.secondsUntilAvailable(changes, priority);
+    public CompletableFuture<Outcome<Revision>> compareAndSwap(
+        CompareAndSwap swap, RequestPriority priority) {
+      List<Change> changes = swap.changes().stream().map(OldVersion::change).toList();
+      return super.compareAndSwap(new CompareAndSwap(swap.conditions(), changes), priority);
     }
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -12,7 +12,12 @@
 
 /** The cloud as one controller reaches it. */
 final class SimCloud implements Cloud {
-  /** Lets answers through to a process that is still alive. */
+  private static final double TIMEOUT_S = 5;
+
+  /** Time of a listing, in seconds. */
+  private static final double LIST_S = 1;
+
+  /** Passes answers on to a process that is still alive. */
   interface Guard {
     <T> CompletableFuture<T> guard(CompletableFuture<T> from);
   }
@@ -32,9 +37,9 @@
     return owner.guard(
         cluster.networkFaults.<List<MachineType>>call(
             NetworkFaults.zoneOf(node),
-            null,
+            NetworkFaults.REGION,
             () -> false,
-            5,
+            TIMEOUT_S,
             to -> to.accept(Outcome.applied(SimMachineTypes.in(cluster.settings.zones())))));
   }
 
@@ -44,10 +49,10 @@
     return owner.guard(
         cluster.networkFaults.<List<MachineId>>call(
             NetworkFaults.zoneOf(node),
-            null,
+            NetworkFaults.REGION,
             () -> false,
-            5,
-            to -> to.accept(Outcome.applied(cluster.stock.provisionNow(request)))));
+            TIMEOUT_S,
+            to -> to.accept(Outcome.applied(cluster.machines.stock().provisionNow(request)))));
   }
 
   @Override
@@ -56,18 +61,11 @@
     return owner.guard(
         cluster.networkFaults.<Integer>call(
             NetworkFaults.zoneOf(node),
-            null,
+            NetworkFaults.REGION,
             () -> false,
-            5,
+            TIMEOUT_S,
             to -> {
-              ids.forEach(
-                  id -> {
-                    cluster.stock.release(id);
-                    SimWorker worker = cluster.workers.remove(id);
-                    if (worker != null) {
-                      worker.die();
-                    }
-                  });
+              ids.forEach(cluster.machines::release);
               to.accept(Outcome.applied(ids.size()));
             }));
   }
@@ -76,22 +74,21 @@
   public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
     cluster.counts.machineListing();
-    if (cluster.networkFaults.apart(NetworkFaults.zoneOf(node), null)) {
-      return owner.guard(cluster.networkFaults.lostCall(5));
+    if (cluster.networkFaults.apart(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
+      return owner.guard(cluster.networkFaults.lostCall(TIMEOUT_S));
     }
-    List<ListedMachine> provisioned = cluster.stock.list();
-    List<ListedMachine> hosts =
+    List<ListedMachine> provisioned = cluster.machines.stock().list();
+    List<ListedMachine> page =
         provisioned.stream()
-            .filter(host -> after == null || host.machine().compareTo(after) > 0)
+            .filter(listed -> after == null || listed.machine().compareTo(after) > 0)
             .limit(limit)
             .toList();
     boolean more =
-        !hosts.isEmpty()
-            && !hosts.get(hosts.size() - 1).equals(provisioned.get(provisioned.size() - 1));
-    ListedMachine.Page page = new ListedMachine.Page(hosts, more);
+        !page.isEmpty()
+            && !page.get(page.size() - 1).equals(provisioned.get(provisioned.size() - 1));
+    ListedMachine.Page answer = new ListedMachine.Page(page, more);
     CompletableFuture<Outcome<ListedMachine.Page>> out = new CompletableFuture<>();
-    // The list lags.
-    cluster.clock.after(1, () -> out.complete(Outcome.applied(page)));
+    cluster.clock.after(LIST_S, () -> out.complete(Outcome.applied(answer)));
     return owner.guard(out);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -65,9 +65,9 @@
       return CompletableFuture.completedFuture(
           Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
     }
-    cluster.counts.commandsLeave(commands, term, cluster.state.term());
+    cluster.counts.commandsLeave(commands, term, cluster.store.term());
     MachineId id = MachineEndpoints.machineAt(endpoint);
-    SimWorker worker = cluster.workers.get(id);
+    SimWorker worker = cluster.machines.worker(id);
     cluster.tasks.sent(id, commands);
     cluster.events.commandsLeave(id, commands);
     return cluster.networkFaults.call(
@@ -84,8 +84,8 @@
 
   private boolean reaches(SimWorker worker) {
     return worker != null
-        && !worker.cut()
-        && !worker.deaf()
+        && !worker.links().isCut()
+        && !worker.links().losesInbound()
         && !cluster.networkFaults.cutFromWorkers(owner.index());
   }
 
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -20,7 +20,7 @@
  * reaches it and nothing comes from it any more; a restart is another process.
  */
 final class SimController implements Clock, SimCloud.Guard {
-  /** Work that the service hands to another thread runs so much later, in seconds. */
+  /** Delay of work that the controller hands to another thread, in seconds. */
   private static final double HAND_OVER_S = 0.001;
 
   private static final String PEER_PATHS = "/peer/";
@@ -31,16 +31,16 @@
   private final ControllerNode node;
   private boolean alive = true;
 
-  /** Until then the process stands still while its clocks run on. */
+  /** Until then the process is paused while its clocks run on. */
   private SteadyTime pausedUntil = new SteadyTime(0);
 
   SimController(SimCluster cluster, int index) {
     this.cluster = cluster;
     this.index = index;
-    this.oldVersion = cluster.runsOldVersion(index);
+    this.oldVersion = cluster.controllers.runsOldVersion(index);
     ReentrantLock lock = new ReentrantLock();
     String name = "node-" + index;
-    // The version before dependent jobs knows nothing of coming limits either.
+    // The version before dependent jobs does not read announced limits either.
     Settings settings =
         oldVersion ? cluster.settings.underFirstLimits(name) : cluster.settings.of(name);
     SimStoreClient client = new SimStoreClient(cluster, this);
@@ -83,7 +83,7 @@
     @Override
     public void ask(
         String to, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
-      cluster.ask(SimController.this, to, request, timeoutS, answer);
+      cluster.controllers.askPeer(SimController.this, to, request, timeoutS, answer);
     }
 
     @Override
@@ -98,7 +98,7 @@
     alive = false;
   }
 
-  /** Stands still for a while; what is due or arrives meanwhile is taken up afterwards. */
+  /** Pauses for a while; timers and messages of that time are processed afterwards. */
   void pause(double seconds) {
     pausedUntil = now().plusSeconds(seconds).max(pausedUntil);
   }
@@ -137,7 +137,7 @@
                 }));
   }
 
-  /** A request of another controller arrives; the old version knows no paths for them alone. */
+  /** A request of another controller arrives; the old version has no peer paths. */
   void handlePeer(Request request, Consumer<Response> answer) {
     if (oldVersion && request.path().startsWith(PEER_PATHS)) {
       answer.accept(Response.of(404));
--- /dev/null
+++ b/src/test/java/org/ternhinge/sim/SimControllers.java
@@ -0,0 +1,146 @@
+package org.ternhinge.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import org.ternhinge.http.Request;
+import org.ternhinge.http.Response;
+import org.ternhinge.model.AsyncCalls;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.wire.Heartbeat;
+import org.ternhinge.wire.Json;
+
+/** The controller processes of a simulated cluster, and the requests that reach them. */
+public final class SimControllers {
+  private static final double USER_TIMEOUT_S = 5;
+  private static final String NODE_PREFIX = "node-";
+
+  private final SimCluster cluster;
+
+  /** The process of each controller, or null while it is down. */
+  private final SimController[] processes;
+
+  /** Controllers whose processes are of the version before dependent jobs. */
+  private final boolean[] oldVersion;
+
+  SimControllers(SimCluster cluster, int count) {
+    this.cluster = cluster;
+    this.processes = new SimController[count];
+    this.oldVersion = new boolean[count];
+  }
+
+  // ---- processes ------------------------------------------------------------------------------
+
+  void startAll() {
+    for (int i = 0; i < processes.length; i++) {
+      start(i);
+    }
+  }
+
+  private void start(int index) {
+    processes[index] = new SimController(cluster, index);
+    processes[index].start();
+  }
+
+  /** Sets whether a controller's processes are of the old version, from its next start on. */
+  public void runsOldVersion(int index, boolean old) {
+    oldVersion[index] = old;
+  }
+
+  boolean runsOldVersion(int index) {
+    return oldVersion[index];
+  }
+
+  /** Ends a controller's process; another one starts after a while. */
+  public void crash(int index, double backAfterS) {
+    if (processes[index] == null) {
+      return;
+    }
+    processes[index].kill();
+    processes[index] = null;
+    cluster.clock.after(backAfterS, () -> start(index));
+  }
+
+  /** Pauses a controller's process for a while; its clocks run on. */
+  public void pause(int index, double seconds) {
+    if (processes[index] != null) {
+      processes[index].pause(seconds);
+    }
+  }
+
+  // ---- requests -------------------------------------------------------------------------------
+
+  /** Delivers a request to a controller at once; a dead one never answers. */
+  public void deliver(int index, Request request, Consumer<Response> answer) {
+    SimController process = processes[index];
+    if (process != null) {
+      process.handle(request, answer);
+    }
+  }
+
+  /** Sends a user's request to some controller, as the load balancer would; answers may be null. */
+  public void user(Request request, Consumer<Response> answer) {
+    user(cluster.random.nextInt(processes.length), request, answer);
+  }
+
+  /** Sends a user's request to one controller; the answer is null where none comes. */
+  public void user(int index, Request request, Consumer<Response> answer) {
+    CompletableFuture<Outcome<Response>> call =
+        cluster.networkFaults.call(
+            NetworkFaults.REGION,
+            NetworkFaults.zoneOf(index),
+            () -> false,
+            USER_TIMEOUT_S,
+            to -> deliver(index, request, response -> to.accept(Outcome.applied(response))));
+    AsyncCalls.whenAnswered(call, outcome -> answer.accept(responseOf(outcome).orElse(null)));
+  }
+
+  /** Delivers a heartbeat to a controller; the answer is null where none comes within a second. */
+  public Response answerTo(int index, Heartbeat heartbeat) {
+    return answerTo(index, "POST", "/agent/beat", Json.bytes(heartbeat.write()));
+  }
+
+  /** Delivers a request to a controller; the answer is null where none comes within a second. */
+  public Response answerTo(int index, String method, String path, byte[] body) {
+    List<Response> answers = new ArrayList<>();
+    deliver(index, new Request(method, path, body), answers::add);
+    cluster.clock.runFor(1);
+    return answers.isEmpty() ? null : answers.get(0);
+  }
+
+  // ---- peers ----------------------------------------------------------------------------------
+
+  /** One controller sends a request to another one; the answer is empty where none comes. */
+  void askPeer(
+      SimController from,
+      String to,
+      Request request,
+      double timeoutS,
+      Consumer<Optional<Response>> answer) {
+    int index = Integer.parseInt(to.substring(NODE_PREFIX.length()));
+    NetworkFaults faults = cluster.networkFaults;
+    CompletableFuture<Outcome<Response>> call =
+        faults.call(
+            from.zone(),
+            NetworkFaults.zoneOf(index),
+            () -> faults.cutFromPeers(from.index()) || faults.cutFromPeers(index),
+            timeoutS,
+            back -> deliverFromPeer(index, request, back));
+    AsyncCalls.whenAnswered(from.guard(call), outcome -> answer.accept(responseOf(outcome)));
+  }
+
+  private void deliverFromPeer(int index, Request request, Consumer<Outcome<Response>> back) {
+    SimController process = processes[index];
+    if (process != null) {
+      process.handlePeer(request, response -> back.accept(Outcome.applied(response)));
+    }
+  }
+
+  private static Optional<Response> responseOf(Outcome<Response> outcome) {
+    return outcome instanceof Outcome.Applied<Response> applied
+        ? Optional.of(applied.value())
+        : Optional.empty();
+  }
+}
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -33,7 +33,7 @@
   private final StoreLimits limits;
   private final SteadyTime[] refusedUntil;
   private SteadyTime outageUntil;
-  private Consumer<Change> carriedOut = change -> {};
+  private Consumer<Change> changeListener = change -> {};
 
   SimKeyValueStore(SimClock clock, int controllers, SimCluster.Limits limits) {
     this.clock = clock;
@@ -42,9 +42,9 @@
     this.refusedUntil = new SteadyTime[controllers];
   }
 
-  /** Has every change of a transaction that is carried out shown to a check. */
-  void onChange(Consumer<Change> check) {
-    carriedOut = check;
+  /** Passes every change of an applied transaction to a listener. */
+  void onChange(Consumer<Change> listener) {
+    changeListener = listener;
   }
 
   StoreCore contents() {
@@ -76,14 +76,14 @@
     return until != null && !until.isBefore(clock.now());
   }
 
-  /** Watches that a fault has held answer with what they have missed. */
+  /** Watches that a fault has suspended are answered with the changes that they missed. */
   void wakeWatches() {
     contents.wake();
   }
 
   // ---- limits ---------------------------------------------------------------------------------
 
-  /** From now on it takes other amounts, without notice. */
+  /** Changes the limits from now on, without notice. */
   void setLimits(SimCluster.Limits to) {
     limits.set(to);
   }
@@ -101,16 +101,16 @@
   // ---- contents -------------------------------------------------------------------------------
 
   /** A transaction of a controller arrives. */
-  Outcome<Revision> compareAndSwap(int controller, CompareAndSwap compareAndSwap) {
+  Outcome<Revision> compareAndSwap(int controller, CompareAndSwap swap) {
     return refuses(controller)
         ? Outcome.notApplied(Reason.REFUSED, "503")
-        : limits.take(compareAndSwap, this::carryOut);
+        : limits.apply(swap, this::apply);
   }
 
-  private Outcome<Revision> carryOut(CompareAndSwap compareAndSwap) {
-    Outcome<Revision> outcome = contents.compareAndSwap(compareAndSwap);
+  private Outcome<Revision> apply(CompareAndSwap swap) {
+    Outcome<Revision> outcome = contents.compareAndSwap(swap);
     if (outcome instanceof Outcome.Applied) {
-      compareAndSwap.changes().forEach(carriedOut);
+      swap.changes().forEach(changeListener);
     }
     return outcome;
   }
@@ -141,7 +141,7 @@
     return new Term(term == null ? 0 : term.path("n").asLong());
   }
 
-  /** The controller that it holds for the leader, or -1. */
+  /** The controller in the leader record, or -1. */
   int leader() {
     JsonNode leader = value(LEADER_KEY);
     return leader == null
--- /dev/null
+++ b/src/test/java/org/ternhinge/sim/SimMachines.java
@@ -0,0 +1,100 @@
+package org.ternhinge.sim;
+
+import java.util.Collection;
+import java.util.Collections;
+import java.util.List;
+import java.util.Objects;
+import java.util.TreeMap;
+import org.ternhinge.model.JobId;
+import org.ternhinge.model.MachineId;
+import org.ternhinge.wire.Heartbeat;
+
+/** The machines of a simulated cluster: those that boot, that are up, and that were removed. */
+public final class SimMachines {
+  private final SimCluster cluster;
+  private final TreeMap<MachineId, SimWorker> workers = new TreeMap<>();
+  private final SimStock stock;
+  private final HeartbeatHistory heartbeatHistory;
+
+  SimMachines(SimCluster cluster) {
+    this.cluster = cluster;
+    this.stock = new SimStock(cluster);
+    this.heartbeatHistory = new HeartbeatHistory(cluster);
+  }
+
+  /** What the cloud has provisioned. */
+  SimStock stock() {
+    return stock;
+  }
+
+  HeartbeatHistory heartbeatHistory() {
+    return heartbeatHistory;
+  }
+
+  /** Adds a machine that has come up. */
+  void add(SimWorker worker) {
+    workers.put(worker.id(), worker);
+  }
+
+  /** Releases a machine, whether it is up or boots. */
+  void release(MachineId id) {
+    stock.release(id);
+    end(id);
+  }
+
+  /** Ends a machine if it is up. */
+  void end(MachineId id) {
+    SimWorker worker = workers.remove(id);
+    if (worker != null) {
+      worker.die();
+    }
+  }
+
+  /** The worker of a machine, or null if it is not up. */
+  SimWorker worker(MachineId id) {
+    return workers.get(id);
+  }
+
+  /** The workers of all machines that are up, ordered by name; a view. */
+  Collection<SimWorker> workers() {
+    return Collections.unmodifiableCollection(workers.values());
+  }
+
+  /** Machines that were ever provisioned. */
+  public int everProvisioned() {
+    return stock.everProvisioned();
+  }
+
+  /** Machines that are provisioned and not up. */
+  public List<MachineId> booting() {
+    return stock.booting();
+  }
+
+  /** Machines that are up now, ordered by name. */
+  public List<SimWorker> live() {
+    return List.copyOf(workers.values());
+  }
+
+  /** Whether a machine is up. */
+  public boolean isLive(MachineId id) {
+    return workers.containsKey(id);
+  }
+
+  /** Machines that are up and run a job's tasks, ordered by name. */
+  public List<SimWorker> running(JobId id) {
+    return cluster.tasks.distinctMachinesOf(id).stream()
+        .map(workers::get)
+        .filter(Objects::nonNull)
+        .toList();
+  }
+
+  /** Machines that have sent a heartbeat and are up no more. */
+  public List<MachineId> removed() {
+    return heartbeatHistory.machines().stream().filter(id -> !isLive(id)).toList();
+  }
+
+  /** The last heartbeat of a machine. */
+  public Heartbeat lastHeartbeat(MachineId id) {
+    return heartbeatHistory.last(id);
+  }
+}
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -12,7 +12,7 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** What the cloud has provisioned out, to whomever. */
+/** What the cloud has provisioned, whoever asked for it. */
 final class SimStock {
   /** A machine that was provisioned and is not up yet. */
   private record Booting(ProvisionRequest request, MachineType machineType) {}
@@ -21,15 +21,15 @@
   private final Map<String, List<MachineId>> provisions = new HashMap<>();
   private final TreeMap<MachineId, Booting> booting = new TreeMap<>();
   private final Map<MachineId, SteadyTime> provisionedAt = new HashMap<>();
-  private int machinesMade;
+  private int everProvisioned;
 
   SimStock(SimCluster cluster) {
     this.cluster = cluster;
   }
 
   /** Machines that were ever provisioned. */
-  int machinesMade() {
-    return machinesMade;
+  int everProvisioned() {
+    return everProvisioned;
   }
 
   /** Machines that are provisioned and not up. */
@@ -44,7 +44,7 @@
       ProvisionRequest other = machine.request;
       count += isOffer(request, other.type(), other.zone(), other.spot()) ? 1 : 0;
     }
-    for (SimWorker worker : cluster.workers.values()) {
+    for (SimWorker worker : cluster.machines.workers()) {
       count += isOffer(request, worker.machineType.name(), worker.zone, worker.spot) ? 1 : 0;
     }
     return count;
@@ -69,13 +69,13 @@
   }
 
   private MachineId provisionOne(ProvisionRequest request) {
-    MachineId id = new MachineId(String.format("n-%06d", machinesMade++));
+    MachineId id = new MachineId(String.format("n-%06d", everProvisioned++));
     MachineType machineType = SimMachineTypes.ALL.get(request.type().equals("small") ? 0 : 1);
     booting.put(id, new Booting(request, machineType));
     provisionedAt.put(id, cluster.clock.now());
     double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
     double bootS = usualS * cluster.bootFaults.factor(request);
-    if (!cluster.bootFaults.neverComesUp(machinesMade - 1)) {
+    if (!cluster.bootFaults.neverComesUp(everProvisioned - 1)) {
       cluster.clock.after(bootS, () -> comesUp(id));
     }
     return id;
@@ -87,12 +87,12 @@
       ProvisionRequest request = machine.request;
       SimWorker worker =
           new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
-      cluster.workers.put(id, worker);
+      cluster.machines.add(worker);
       cluster.machineFaults.cameUp(worker);
     }
   }
 
-  /** A machine that is not up is given back. */
+  /** Releases a machine that is not up. */
   void release(MachineId id) {
     booting.remove(id);
   }
@@ -100,11 +100,11 @@
   /** All machines that are provisioned, as they were some time ago, in the order of their names. */
   List<ListedMachine> list() {
     SteadyTime then = cluster.clock.now().plusSeconds(-cluster.bootFaults.listLagS());
-    TreeMap<MachineId, ListedMachine> hosts = new TreeMap<>();
+    TreeMap<MachineId, ListedMachine> machines = new TreeMap<>();
     booting.forEach(
         (id, machine) -> {
           ProvisionRequest request = machine.request;
-          hosts.put(
+          machines.put(
               id,
               new ListedMachine(
                   id,
@@ -115,21 +115,24 @@
                   ListedMachine.State.BOOTING,
                   then.secondsSince(provisionedAt.get(id))));
         });
-    cluster.workers.forEach(
-        (id, worker) ->
-            hosts.put(
-                id,
-                new ListedMachine(
-                    id,
-                    Optional.of(worker.endpoint()),
-                    worker.machineType.name(),
-                    worker.zone,
-                    worker.spot,
-                    worker.startedAt.isBefore(then) || worker.startedAt.equals(then)
-                        ? ListedMachine.State.RUNNING
-                        : ListedMachine.State.BOOTING,
-                    then.secondsSince(provisionedAt.get(id)))));
-    hosts.values().removeIf(host -> host.ageS() < 0);
-    return List.copyOf(hosts.values());
+    cluster
+        .machines
+        .workers()
+        .forEach(
+            worker ->
+                machines.put(
+                    worker.id(),
+                    new ListedMachine(
+                        worker.id(),
+                        Optional.of(worker.endpoint()),
+                        worker.machineType.name(),
+                        worker.zone,
+                        worker.spot,
+                        worker.startedAt.isBefore(then) || worker.startedAt.equals(then)
+                            ? ListedMachine.State.RUNNING
+                            : ListedMachine.State.BOOTING,
+                        then.secondsSince(provisionedAt.get(worker.id())))));
+    machines.values().removeIf(machine -> machine.ageS() < 0);
+    return List.copyOf(machines.values());
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -9,14 +9,13 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
 import org.ternhinge.store.CompareAndSwap;
-import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
  * The key-value store as one controller process reaches it, with that process's share of limits.
  */
-final class SimStoreClient implements KeyValueStore {
+final class SimStoreClient extends StoreCoreClient {
   /** Of the limit on changes, what the leader uses; the others share the rest. */
   private static final double LEADER_SHARE = 0.7;
 
@@ -38,10 +37,11 @@
   private TokenBucket requests;
 
   SimStoreClient(SimCluster cluster, SimController owner) {
+    super(cluster.store.contents());
     this.cluster = cluster;
     this.owner = owner;
-    this.service = cluster.state;
-    this.faults = cluster.stateFaults;
+    this.service = cluster.store;
+    this.faults = cluster.storeFaults;
     this.changes = new TokenBucket(cluster.clock, rate(false));
     this.timeouts = ResponseTimeouts.of(cluster.clock, Tuning.DEFAULT);
   }
@@ -86,6 +86,16 @@
     return owner.guard(call);
   }
 
+  @Override
+  <T> CompletableFuture<Outcome<T>> call(Kind kind, Supplier<Outcome<T>> work) {
+    return timeouts.measure(kind, limitS -> send(limitS, work));
+  }
+
+  @Override
+  <T> CompletableFuture<Outcome<T>> call(double limitS, Supplier<Outcome<T>> work) {
+    return timeouts.observe(send(limitS, work));
+  }
+
   /** Takes a token for a request, where requests are counted. */
   private boolean mayAsk(RequestPriority priority) {
     if (service.requestRps() == 0) {
@@ -106,36 +116,30 @@
     if (!mayAsk(priority)) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.stateRead();
-    return timeouts.measure(
-        Kind.ofRead(priority),
-        limitS -> send(limitS, () -> Outcome.applied(service.contents().get(key))));
+    cluster.counts.storeRead();
+    return super.get(key, priority);
   }
 
   @Override
   public CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority) {
-    return send(
-        LIST_TIMEOUT_S, () -> Outcome.applied(service.contents().list(prefix, after, limit)));
+    return send(LIST_TIMEOUT_S, () -> Outcome.applied(core().list(prefix, after, limit)));
   }
 
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
-      CompareAndSwap compareAndSwap, RequestPriority priority) {
-    if (!mayAsk(priority) || !changes.tryTake(priority, compareAndSwap.changes().size())) {
+      CompareAndSwap swap, RequestPriority priority) {
+    if (!mayAsk(priority) || !changes.tryTake(priority, swap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.stateChanges(compareAndSwap.changes().size());
+    cluster.counts.storeChanges(swap.changes().size());
     double late = faults.lateBy();
     if (late > 0) {
-      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), compareAndSwap));
+      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), swap));
       return timeouts.measure(
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
-    return timeouts
-        .<Revision>measure(
-            Kind.ofWrite(priority),
-            limitS -> send(limitS, () -> service.compareAndSwap(owner.index(), compareAndSwap)))
+    return call(Kind.ofWrite(priority), () -> service.compareAndSwap(owner.index(), swap))
         .thenApply(this::slowDownIfTooFast);
   }
 
@@ -146,28 +150,6 @@
     return outcome;
   }
 
-  @Override
-  public CompletableFuture<Outcome<Long>> grantLease(long millis) {
-    return timeouts.measure(
-        Kind.LEASE,
-        limitS -> send(limitS, () -> Outcome.applied(service.contents().grant(millis))));
-  }
-
-  @Override
-  public CompletableFuture<Outcome<Long>> renewLease(long lease, double limitS) {
-    return timeouts.observe(send(limitS, () -> service.contents().renew(lease)));
-  }
-
-  @Override
-  public CompletableFuture<Outcome<Long>> revokeLease(long lease) {
-    return timeouts.measure(Kind.LEASE, limitS -> send(limitS, () -> revoked(lease)));
-  }
-
-  private Outcome<Long> revoked(long lease) {
-    service.contents().revoke(lease);
-    return Outcome.applied(lease);
-  }
-
   @Override
   public CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<WatchResult>> call =
@@ -181,19 +163,18 @@
                 answer.accept(Outcome.notApplied(Reason.REFUSED, "503"));
                 return;
               }
-              service
-                  .contents()
+              core()
                   .watch(
                       prefix,
                       from.value(),
                       waitS,
-                      this::watchIsHeld,
+                      this::watchIsSuspended,
                       seen -> faults.delayed(() -> answer.accept(Outcome.applied(seen))));
             });
     return owner.guard(call);
   }
 
-  private boolean watchIsHeld() {
+  private boolean watchIsSuspended() {
     return refused() || cluster.networkFaults.apart(owner.zone(), NetworkFaults.REGION);
   }
 
--- a/src/test/java/org/ternhinge/sim/SimTask.java
+++ b/src/test/java/org/ternhinge/sim/SimTask.java
@@ -12,7 +12,7 @@
   private final TaskId id;
   private final AttemptNumber attempt;
   private TaskState state = TaskState.FETCHING;
-  private EndReason why;
+  private EndReason endReason;
 
   SimTask(Command start) {
     this.id = start.task();
@@ -39,18 +39,18 @@
     state = TaskState.RUNNING;
   }
 
-  /** Ends it together with everything else on its machine, which reports it no more. */
+  /** Ends it with all tasks of its machine; no heartbeat carries it any more. */
   void kill() {
     state = TaskState.ENDED;
   }
 
-  /** Ends it for a reason that the machine reports. */
+  /** Ends it for a reason that the next heartbeats carry. */
   void end(EndReason reason) {
     state = TaskState.ENDED;
-    why = reason;
+    endReason = reason;
   }
 
-  TaskStatus heartbeat() {
-    return new TaskStatus(id, attempt, state, why, false);
+  TaskStatus status() {
+    return new TaskStatus(id, attempt, state, endReason, false);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -1,6 +1,5 @@
 package org.ternhinge.sim;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.ternhinge.model.JobId;
@@ -16,6 +15,11 @@
 
   private static final int SEED = 5;
 
+  private static final double POLL_INTERVAL_S = 3;
+
+  /** Far more than the rounding of times, far less than any interval. */
+  private static final double TIME_TOLERANCE_S = 1e-6;
+
   private final SimCluster cluster;
   private final UserJobs jobs;
   private final UserSubmissions submissions;
@@ -40,22 +44,22 @@
   // ---- submissions ----------------------------------------------------------------------------
 
   /** Submits a job, again and again until it is accepted. */
-  public void submit(ObjectNode body) {
-    submissions.submit(body);
+  public void submit(SubmissionBuilder job) {
+    submissions.submit(job.json());
   }
 
   /** Submits a job as soon as all that it names are accepted. */
-  public void submitAfterNamed(ObjectNode body) {
-    submissions.submitAfterNamed(body);
+  public void submitAfterNamed(SubmissionBuilder job) {
+    submissions.submitAfterNamed(job.json());
   }
 
   /** Submits a job so many seconds after all that it names are over. */
-  public void submitLate(ObjectNode body, double lateS) {
-    submissions.submitLate(body, lateS);
+  public void submitLate(SubmissionBuilder job, double lateS) {
+    submissions.submitLate(job.json(), lateS);
   }
 
-  /** Counts a job as accepted although nobody here has submitted it, since it did so long ago. */
-  public void hadAccepted(JobSpec spec) {
+  /** Counts a job as accepted that was submitted before the cluster began. */
+  public void assumeAccepted(JobSpec spec) {
     jobs.accepted(spec);
   }
 
@@ -81,6 +85,15 @@
     quietSince = cluster.clock.seconds();
   }
 
+  /** Advances the clock while users poll all their jobs, every three seconds and at the end. */
+  public void runPolling(double seconds) {
+    double end = cluster.clock.seconds() + seconds;
+    while (cluster.clock.seconds() < end - TIME_TOLERANCE_S) {
+      cluster.clock.runFor(Math.min(POLL_INTERVAL_S, end - cluster.clock.seconds()));
+      pollAll();
+    }
+  }
+
   /**
    * Asks about every accepted job, and notes those without an answer for too long and those that
    * wait too long beside free room.
@@ -104,14 +117,14 @@
     polls.pollEverywhere(id);
   }
 
-  /** The state that a job's user was told last, or null. */
-  public String lastTold(JobId id) {
-    return jobs.lastTold(id);
+  /** The last state with which a user's question about a job was answered, or null. */
+  public String lastState(JobId id) {
+    return jobs.lastState(id);
   }
 
   // ---- cancellations --------------------------------------------------------------------------
 
-  /** Asks to cancel a job until that is answered, unless it was asked before. */
+  /** Requests a cancellation until it is answered, unless it was requested before. */
   public void cancel(JobId id) {
     cancellations.cancel(id);
   }
@@ -137,9 +150,9 @@
     cancellations.cancelAtEnd(share);
   }
 
-  /** Whether a user has asked to cancel a job. */
-  public boolean cancelAsked(JobId id) {
-    return jobs.cancelAsked(id);
+  /** Whether a user has requested a job's cancellation. */
+  public boolean cancelRequested(JobId id) {
+    return jobs.cancelRequested(id);
   }
 
   /** Whether a job may be cancelled by now, for itself or with a dependency. */
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -22,7 +22,7 @@
     this.cluster = cluster;
   }
 
-  /** To be asked every few seconds for every accepted job that nobody cancelled. */
+  /** To be called every few seconds for each accepted job that nobody cancelled. */
   void check(JobSpec spec) {
     JobId id = spec.id();
     int starts = cluster.tasks.startsOf(id);
@@ -69,9 +69,9 @@
   private int placesIn(String zone, JobSpec spec, int wanted) {
     Map<String, Integer> byZone = new HashMap<>(cluster.placement.tasksByZone(spec.id()));
     int places = 0;
-    for (SimWorker worker : cluster.liveWorkers()) {
+    for (SimWorker worker : cluster.machines.live()) {
       boolean elsewhere = spec.together() && elsewhere(byZone, worker.zone);
-      if (!reached(worker) || !allowed(spec, worker, zone) || elsewhere) {
+      if (!isReachable(worker) || !allowed(spec, worker, zone) || elsewhere) {
         continue;
       }
       Resources left = cluster.tasks.free(worker);
@@ -86,8 +86,8 @@
     return places;
   }
 
-  private static boolean reached(SimWorker worker) {
-    return !worker.cut() && !worker.deaf() && !worker.mute() && !worker.hung();
+  private static boolean isReachable(SimWorker worker) {
+    return worker.links().areWhole() && !worker.hung();
   }
 
   /** Whether a job permits a machine, within a zone or any where that is null. */
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -27,7 +27,10 @@
   private record Lease(double lifeS, SteadyTime ends) {}
 
   private record Watch(
-      String prefix, long from, BooleanSupplier held, Consumer<KeyValueStore.WatchResult> to) {}
+      String prefix,
+      long from,
+      BooleanSupplier suspended,
+      Consumer<KeyValueStore.WatchResult> to) {}
 
   private final Clock clock;
   private final TreeMap<String, Value> keys = new TreeMap<>();
@@ -69,10 +72,9 @@
   }
 
   /** Applies a transaction if its conditions hold. */
-  public Outcome<Revision> compareAndSwap(CompareAndSwap compareAndSwap) {
+  public Outcome<Revision> compareAndSwap(CompareAndSwap swap) {
     StringBuilder failed = new StringBuilder(" ");
-    compareAndSwap
-        .conditions()
+    swap.conditions()
         .forEach(
             condition -> {
               Value value = keys.get(condition.key());
@@ -83,14 +85,14 @@
     if (failed.length() > 1) {
       return Outcome.notApplied(Reason.CONFLICT, failed.toString());
     }
-    for (Change c : compareAndSwap.changes()) {
+    for (Change c : swap.changes()) {
       if (c instanceof Change.Put put && put.lease() != 0 && !leases.containsKey(put.lease())) {
         return Outcome.notApplied(Reason.INVALID, "no such lease");
       }
     }
     revision++;
     Set<String> touched = new HashSet<>();
-    for (Change c : compareAndSwap.changes()) {
+    for (Change c : swap.changes()) {
       if (!touched.add(c.key())) {
         throw new IllegalStateException("a key stands twice in a transaction: " + c.key());
       }
@@ -145,7 +147,7 @@
     leases.replaceAll((id, l) -> new Lease(l.lifeS, clock.now().plusSeconds(seconds + l.lifeS)));
   }
 
-  /** Ends a lease and removes the keys that hang on it. */
+  /** Ends a lease and removes its keys. */
   public void revoke(long id) {
     if (leases.remove(id) == null) {
       return;
@@ -163,20 +165,20 @@
     wake();
   }
 
-  /** Hands on the changes after a revision, as soon as there are any or the time is over. */
+  /** Passes on the changes after a revision, as soon as there are any or the time is over. */
   public void watch(
       String prefix, long from, double waitS, Consumer<KeyValueStore.WatchResult> to) {
     watch(prefix, from, waitS, () -> false, to);
   }
 
-  /** A watch that stays silent while it is held, as in an outage, its end included. */
+  /** A watch that is not answered, not even at its end, while it is suspended, as in an outage. */
   public void watch(
       String prefix,
       long from,
       double waitS,
-      BooleanSupplier held,
+      BooleanSupplier suspended,
       Consumer<KeyValueStore.WatchResult> to) {
-    Watch watch = new Watch(prefix, from, held, to);
+    Watch watch = new Watch(prefix, from, suspended, to);
     if (!answer(watch, false)) {
       watches.add(watch);
       clock.after(waitS, () -> endWatch(watch));
@@ -184,7 +186,7 @@
   }
 
   private void endWatch(Watch watch) {
-    if (watch.held.getAsBoolean()) {
+    if (watch.suspended.getAsBoolean()) {
       clock.after(0.1, () -> endWatch(watch));
     } else if (watches.remove(watch)) {
       answer(watch, true);
@@ -205,10 +207,10 @@
     return true;
   }
 
-  /** Answers the watches that have something to tell and are not held. */
+  /** Answers the watches that have changes and are not suspended. */
   public void wake() {
     for (Watch w : List.copyOf(watches)) {
-      if (!w.held.getAsBoolean() && answer(w, false)) {
+      if (!w.suspended.getAsBoolean() && answer(w, false)) {
         watches.remove(w);
       }
     }
--- /dev/null
+++ b/src/test/java/org/ternhinge/sim/StoreCoreClient.java
@@ -0,0 +1,80 @@
+package org.ternhinge.sim;
+
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Supplier;
+import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.Outcome;
+import org.ternhinge.model.Revision;
+import org.ternhinge.store.CompareAndSwap;
+import org.ternhinge.store.KeyValueStore;
+import org.ternhinge.store.ResponseTimeouts.Kind;
+
+/**
+ * A client of a {@link StoreCore} without limits on rates. Subclasses decide how a call reaches the
+ * store and how its outcome comes back.
+ */
+abstract class StoreCoreClient implements KeyValueStore {
+  private final StoreCore core;
+
+  StoreCoreClient(StoreCore core) {
+    this.core = core;
+  }
+
+  /** The store behind this client. */
+  final StoreCore core() {
+    return core;
+  }
+
+  /** Carries out a call of a kind, whose timeout depends on the answers so far. */
+  abstract <T> CompletableFuture<Outcome<T>> call(Kind kind, Supplier<Outcome<T>> work);
+
+  /** Carries out a call with a timeout of its own in seconds. */
+  abstract <T> CompletableFuture<Outcome<T>> call(double limitS, Supplier<Outcome<T>> work);
+
+  @Override
+  public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
+    return call(Kind.ofRead(priority), () -> Outcome.applied(core.get(key)));
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Page>> list(
+      String prefix, String after, int limit, RequestPriority priority) {
+    return call(Kind.READ, () -> Outcome.applied(core.list(prefix, after, limit)));
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Revision>> compareAndSwap(
+      CompareAndSwap swap, RequestPriority priority) {
+    return call(Kind.ofWrite(priority), () -> core.compareAndSwap(swap));
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Long>> grantLease(long millis) {
+    return call(Kind.LEASE, () -> Outcome.applied(core.grant(millis)));
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
+    return call(timeoutS, () -> core.renew(lease));
+  }
+
+  @Override
+  public CompletableFuture<Outcome<Long>> revokeLease(long lease) {
+    return call(
+        Kind.LEASE,
+        () -> {
+          core.revoke(lease);
+          return Outcome.applied(lease);
+        });
+  }
+
+  @Override
+  public int availableChanges(RequestPriority priority) {
+    return Integer.MAX_VALUE;
+  }
+
+  @Override
+  public double secondsUntilAvailable(int changes, RequestPriority priority) {
+    return 0;
+  }
+}
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -66,7 +66,7 @@
   }
 
   /** Answers take from a quarter of that latency to all of it. */
-  public void slowState(double seconds, double latency) {
+  public void slowDown(double seconds, double latency) {
     latencyS = latency;
     slowUntil = clock.now().plusSeconds(seconds);
   }
@@ -90,6 +90,6 @@
 
   /** The limits become those that the settings name as coming. */
   public void lowerLimits() {
-    service.setLimits(SimCluster.COMING);
+    service.setLimits(SimCluster.ANNOUNCED);
   }
 }
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -13,7 +13,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * What the key-value store takes, as the protocol page gives it; it may become less at any time.
+ * The limits of the key-value store as the protocol gives them; they may be lowered at any time.
  */
 final class StoreLimits {
   private static final int MAX_BODY = 64 * 1024;
@@ -32,40 +32,36 @@
     this.writes = new TokenBucket(clock, first.writeRps());
   }
 
-  /** What is stored stays as it is. */
+  /** Changes the limits; stored values stay as they are. */
   void set(SimCluster.Limits to) {
     now = to;
     writes.setRate(to.writeRps());
   }
 
-  /** Carries a transaction out where it keeps to the limits. */
-  Outcome<Revision> take(
-      CompareAndSwap compareAndSwap, Function<CompareAndSwap, Outcome<Revision>> carryOut) {
-    String against = against(compareAndSwap);
-    if (against != null) {
+  /** Applies a transaction if it keeps to the limits. */
+  Outcome<Revision> apply(CompareAndSwap swap, Function<CompareAndSwap, Outcome<Revision>> write) {
+    String violation = violation(swap);
+    if (violation != null) {
       tooLarge++;
-      return Outcome.notApplied(Reason.INVALID, against);
+      return Outcome.notApplied(Reason.INVALID, violation);
     }
-    // Counted before the conditions are looked at, and also if they fail.
-    int changes = compareAndSwap.changes().size();
+    // Counted before the conditions are evaluated, and also if they fail.
+    int changes = swap.changes().size();
     if (changes > 0 && !writes.tryTake(RequestPriority.RENEWAL, changes)) {
       tooFast++;
       return Outcome.notApplied(Reason.REFUSED, "429");
     }
-    return carryOut.apply(compareAndSwap);
+    return write.apply(swap);
   }
 
-  private String against(CompareAndSwap compareAndSwap) {
-    if (compareAndSwap.changes().size() > now.maxChangesPerSwap()) {
-      return compareAndSwap.changes().size()
-          + " changes, "
-          + now.maxChangesPerSwap()
-          + " are allowed";
+  private String violation(CompareAndSwap swap) {
+    if (swap.changes().size() > now.maxChangesPerSwap()) {
+      return swap.changes().size() + " changes, " + now.maxChangesPerSwap() + " are allowed";
     }
-    if (compareAndSwap.conditions().size() > CONDITIONS_TO_A_CHANGE * now.maxChangesPerSwap()) {
-      return compareAndSwap.conditions().size() + " conditions";
+    if (swap.conditions().size() > CONDITIONS_TO_A_CHANGE * now.maxChangesPerSwap()) {
+      return swap.conditions().size() + " conditions";
     }
-    for (Change c : compareAndSwap.changes()) {
+    for (Change c : swap.changes()) {
       if (c.key().getBytes(StandardCharsets.UTF_8).length > 200) {
         return "key too long: " + c.key();
       }
@@ -76,7 +72,7 @@
         }
       }
     }
-    int size = compareAndSwap.write().length;
+    int size = swap.write().length;
     return size > MAX_BODY ? "a body of " + size + " bytes" : null;
   }
 }
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -17,7 +17,7 @@
   private final List<TaskObserver> checks;
   private Consumer<JobId> lastTaskEnded = id -> {};
 
-  /** The checks hear of each event in their order. */
+  /** Creates the events; the checks receive each event in their order. */
   TaskEvents(
       JobCatalog jobs,
       TaskObservations tasks,
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Has somebody told of each job at the moment at which its last task ends. */
+  /** Sets a listener that is called with each job as its last task ends. */
   void onLastTaskEnd(Consumer<JobId> listener) {
     lastTaskEnded = listener;
   }
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -17,7 +17,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobSpec;
 
-/** Which tasks run where and which have run, as the simulated machines know it. */
+/** Which tasks run where and which have run, as seen on the simulated machines. */
 public final class TaskObservations {
   /** A task starts on a machine of a zone. */
   public record Start(double at, TaskId task, MachineId machine, String zone) {}
--- a/src/test/java/org/ternhinge/sim/TaskObserver.java
+++ b/src/test/java/org/ternhinge/sim/TaskObserver.java
@@ -5,7 +5,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
 
-/** Is told of what really runs on the simulated machines, whatever the service believes. */
+/** Observes what really runs on the simulated machines, whatever the controllers have recorded. */
 interface TaskObserver {
 
   /**
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -21,33 +21,35 @@
     this.random = random;
   }
 
-  /** Asks to cancel a job, unless that was asked before. */
+  /** Requests a job's cancellation, unless it was requested before. */
   void cancel(JobId id) {
-    if (jobs.askToCancel(id)) {
+    if (jobs.requestCancel(id)) {
       send(id, REPEATS);
     }
   }
 
   private void send(JobId id, int repeats) {
     boolean accepted = jobs.isAccepted(id);
-    cluster.user(
+    cluster.controllers.user(
         UserRequests.cancellation(id),
         answer -> {
-          if (!take(id, accepted, answer) && repeats > 0) {
+          if (!accept(id, accepted, answer) && repeats > 0) {
             cluster.clock.after(REPEATED_AFTER_S, () -> send(id, repeats - 1));
           }
         });
   }
 
-  /** Asks one controller to cancel a job; what follows runs as soon as the user has the answer. */
+  /**
+   * Requests a cancellation at one controller; the action runs as soon as the user has the answer.
+   */
   void cancelAt(int controller, JobId id, Runnable then) {
-    jobs.askToCancel(id);
+    jobs.requestCancel(id);
     boolean accepted = jobs.isAccepted(id);
-    cluster.user(
+    cluster.controllers.user(
         controller,
         UserRequests.cancellation(id),
         answer -> {
-          if (!take(id, accepted, answer)) {
+          if (!accept(id, accepted, answer)) {
             cluster.clock.after(REPEATED_AFTER_S, () -> cancelAt(controller, id, then));
           } else if (answer.status() == 200) {
             then.run();
@@ -56,14 +58,14 @@
   }
 
   /**
-   * Takes in an answer, and says whether it decides the request.
+   * Processes an answer; true if it decides the request.
    *
    * @param accepted whether the job was accepted when the request was sent; before that it is
    *     rightly not found, and the request is repeated
    */
-  private boolean take(JobId id, boolean accepted, Response answer) {
+  private boolean accept(JobId id, boolean accepted, Response answer) {
     if (answer != null && answer.status() == 200) {
-      jobs.told(id, UserRequests.state(answer), jobs.lastTold(id));
+      jobs.answered(id, UserRequests.state(answer), jobs.lastState(id));
       return true;
     }
     if (answer != null && answer.status() == 404 && accepted) {
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -12,9 +12,9 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * What users know of their jobs: which were submitted and accepted, which they asked to cancel, and
- * what they were told. Each answer about a job's state is checked against the earlier ones and
- * against what really ran.
+ * The users' view of their jobs: which were submitted and accepted, which cancellations were
+ * requested, and which answers came. Each answer about a job's state is checked against the earlier
+ * ones and against what really ran.
  */
 final class UserJobs {
   static final String DONE = "done";
@@ -25,10 +25,10 @@
   private final Map<JobId, ObjectNode> bodies = new LinkedHashMap<>();
   private final Map<JobId, Double> submittedAt = new HashMap<>();
   private final Map<JobId, Double> lastAnsweredAt = new HashMap<>();
-  private final Map<JobId, String> lastTold = new HashMap<>();
-  private final Map<JobId, String> finalTold = new HashMap<>();
-  private final Set<JobId> toldDone = new HashSet<>();
-  private final Set<JobId> cancelAsked = new HashSet<>();
+  private final Map<JobId, String> lastState = new HashMap<>();
+  private final Map<JobId, String> finalStates = new HashMap<>();
+  private final Set<JobId> answeredDone = new HashSet<>();
+  private final Set<JobId> cancelRequested = new HashSet<>();
 
   UserJobs(SimCluster cluster) {
     this.cluster = cluster;
@@ -77,47 +77,48 @@
 
   // ---- cancellations --------------------------------------------------------------------------
 
-  /** A user asks to cancel a job; says whether that is the first time. */
-  boolean askToCancel(JobId id) {
-    return cancelAsked.add(id);
+  /** Notes that a job's cancellation is requested; true at the first time. */
+  boolean requestCancel(JobId id) {
+    return cancelRequested.add(id);
   }
 
-  boolean cancelAsked(JobId id) {
-    return cancelAsked.contains(id);
+  boolean cancelRequested(JobId id) {
+    return cancelRequested.contains(id);
   }
 
   /**
-   * Whether a job may be cancelled by now: its user or that of a dependency has asked for it, and
-   * was not told that it was too late.
+   * Whether a job may be cancelled by now: its cancellation or that of a dependency was requested,
+   * and was not answered as too late.
    */
   boolean mayBeCancelled(JobId id) {
-    return cancelAsked(id)
+    return cancelRequested(id)
         || cluster.jobs.dependencies(id).stream()
             .anyMatch(
-                dependency -> cancelAsked(dependency) && !DONE.equals(finalTold.get(dependency)));
+                dependency ->
+                    cancelRequested(dependency) && !DONE.equals(finalStates.get(dependency)));
   }
 
-  /** Whether a job has to be cancelled: it is, or a dependency is. */
+  /** Whether a job has to be cancelled: it or a dependency was answered as cancelled. */
   boolean hasToBeCancelled(JobId id) {
-    return CANCELLED.equals(finalTold.get(id))
+    return CANCELLED.equals(finalStates.get(id))
         || cluster.jobs.dependencies(id).stream()
-            .anyMatch(dependency -> CANCELLED.equals(finalTold.get(dependency)));
+            .anyMatch(dependency -> CANCELLED.equals(finalStates.get(dependency)));
   }
 
   // ---- answers --------------------------------------------------------------------------------
 
-  /** The state that a user was told last, or null. */
-  String lastTold(JobId id) {
-    return lastTold.get(id);
+  /** The last state in an answer, or null. */
+  String lastState(JobId id) {
+    return lastState.get(id);
   }
 
   double lastAnsweredAt(JobId id) {
     return lastAnsweredAt.get(id);
   }
 
-  /** Whether its user was told that a job is done or cancelled. */
+  /** Whether an answer has called a job done or cancelled. */
   boolean isOver(JobId id) {
-    return finalTold.containsKey(id);
+    return finalStates.containsKey(id);
   }
 
   static boolean isFinal(String state) {
@@ -125,21 +126,21 @@
   }
 
   /**
-   * A user is told a job's state.
+   * An answer carries a job's state.
    *
-   * @param before what the user knew when asking; only that binds the answer
+   * @param before the last answered state when the request was sent; only that binds the answer
    */
-  void told(JobId id, String state, String before) {
+  void answered(JobId id, String state, String before) {
     lastAnsweredAt.put(id, cluster.clock.seconds());
-    if (!CANCELLED.equals(lastTold.get(id))) {
-      lastTold.put(id, state);
+    if (!CANCELLED.equals(lastState.get(id))) {
+      lastState.put(id, state);
     }
     if (!isFinal(state) && cluster.cancellations.isOverdue(id)) {
-      Double cancelledAt = cluster.cancellations.firstToldAt(id);
+      Double cancelledAt = cluster.cancellations.firstConfirmedAt(id);
       violation("orphaned: " + id + " is " + state + " although cancelled at " + cancelledAt);
     }
     if (state.equals(CANCELLED)) {
-      cluster.cancellations.told(id);
+      cluster.cancellations.confirmed(id);
     }
     checkFinalStateStays(id, state, before);
     if (state.equals(DONE)) {
@@ -148,7 +149,7 @@
     if (state.equals(CANCELLED) && !mayBeCancelled(id)) {
       violation("went_back: " + id + " cancelled by nobody");
     }
-    if (state.equals(DONE) && toldDone.add(id)) {
+    if (state.equals(DONE) && answeredDone.add(id)) {
       checkCancelledWith(id);
     }
   }
@@ -156,9 +157,9 @@
   /** Rule {@code went_back}: a final state never changes. */
   private void checkFinalStateStays(JobId id, String state, String before) {
     if (isFinal(state)) {
-      String first = finalTold.putIfAbsent(id, state);
+      String first = finalStates.putIfAbsent(id, state);
       if (first != null && !first.equals(state)) {
-        violation("went_back: " + id + " was told " + first + " and then " + state);
+        violation("went_back: " + id + " was answered " + first + " and then " + state);
       }
     }
     if (isFinal(before) && !before.equals(state)) {
@@ -168,18 +169,18 @@
 
   /** Rule {@code not_done}: a job is called done only when all its tasks are completed. */
   private void checkDone(JobId id) {
-    if (!cluster.allCompleted(id)) {
+    if (!cluster.jobs.allCompleted(id)) {
       violation("not_done: " + id);
     }
   }
 
   /**
-   * A job that was called cancelled together with a dependency, before its user heard that the
-   * dependency is done, was cancelled by nobody.
+   * A job that was called cancelled together with a dependency, before the dependency was answered
+   * as done, was cancelled by nobody.
    */
   private void checkCancelledWith(JobId done) {
     for (JobId id : accepted.keySet()) {
-      if (CANCELLED.equals(finalTold.get(id)) && !mayBeCancelled(id)) {
+      if (CANCELLED.equals(finalStates.get(id)) && !mayBeCancelled(id)) {
         violation("went_back: " + id + " cancelled with " + done + ", which is done");
       }
     }
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.JobId;
 
-/** Users' polls and repeated submissions of jobs that they know to be accepted. */
+/** Users' polls and repeated submissions of accepted jobs. */
 final class UserPolls {
   private final SimCluster cluster;
   private final UserJobs jobs;
@@ -13,12 +13,12 @@
     this.jobs = jobs;
   }
 
-  /** Asks some controller about a job. */
+  /** Polls a job at some controller. */
   void poll(JobId id) {
     pollAt(cluster.nextInt(cluster.nodeCount()), id);
   }
 
-  /** Asks every controller about a job, once it is accepted. */
+  /** Polls a job at every controller, once it is accepted. */
   void pollEverywhere(JobId id) {
     for (int i = 0; jobs.isAccepted(id) && i < cluster.nodeCount(); i++) {
       pollAt(i, id);
@@ -26,14 +26,14 @@
   }
 
   private void pollAt(int controller, JobId id) {
-    String known = jobs.lastTold(id);
-    cluster.user(
+    String before = jobs.lastState(id);
+    cluster.controllers.user(
         controller,
         UserRequests.poll(id),
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.told(id, UserRequests.state(answer), known);
+                jobs.answered(id, UserRequests.state(answer), before);
               } else {
                 jobs.violation("forgotten: " + id + " answered " + answer.status());
               }
@@ -42,13 +42,13 @@
 
   /** A known job is answered with its state, whatever its repeated submission says. */
   void repeatSubmission(JobId id, ObjectNode body) {
-    String known = jobs.lastTold(id);
-    cluster.user(
+    String before = jobs.lastState(id);
+    cluster.controllers.user(
         UserRequests.submission(body),
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.told(id, UserRequests.state(answer), known);
+                jobs.answered(id, UserRequests.state(answer), before);
               } else {
                 jobs.violation("forgotten: repeat of " + id + " answered " + answer.status());
               }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -43,13 +43,13 @@
 
   void submit(ObjectNode body) {
     JobSpec spec = Specs.of(body);
-    cluster.know(spec, named(body));
+    cluster.jobs.add(spec, named(body));
     jobs.submitted(spec, body);
     send(UserRequests.submission(body), spec);
   }
 
   private void send(Request request, JobSpec spec) {
-    cluster.user(request, answer -> answered(request, spec, answer));
+    cluster.controllers.user(request, answer -> answered(request, spec, answer));
   }
 
   private void answered(Request request, JobSpec spec, Response answer) {
