--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -8,15 +8,17 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
-/** Cancellations just before the key-value store or all controllers are out, on virtual time. */
+/** Cancellations just before an outage of the key-value store or of all controllers. */
 class CancellationAndOutageTest extends CombinedFaultsFixture {
-  /** Another controller has taken over after at most so long a refusal of the leader alone. */
+  /**
+   * A refusal of the leader alone that lasts longer than this has elected another one, in seconds.
+   */
   private static final double LONGEST_ELECTION_S = 7;
 
   /**
    * The key-value store refuses the leader alone; another takes over and confirms cancellations;
-   * then the service is out for everybody for longer than a cancelled task may last, and workers
-   * hold to one node.
+   * then the store refuses all nodes for longer than a cancelled task may last, while the workers
+   * reach one node only.
    */
   @ParameterizedTest(name = "{0} s refused, cancelled {1} s on, {2} s out, heartbeats to {3}")
   @CsvSource({
@@ -67,7 +69,7 @@
     "20, 10, 70, follower",
     "20, 10, 70, new"
   })
-  void theLeaderIsRefusedAloneAndThenEverybody(
+  void cancellationsHoldWhenTheLeaderIsRefusedAndThenAllNodes(
       double refusedS, double cancelledS, double outageS, String heartbeatsTo) {
     for (long seed = 101; seed < 104; seed++) {
       begin(seed, MEDIUM);
@@ -104,12 +106,12 @@
         submit(job("wk-4", "batch", 2, 400)));
   }
 
-  /** Has the leader refused and the workers reach one controller, until another one leads. */
+  /** Refuses the leader until another one leads, while the workers reach one controller only. */
   private void refuseTheLeader(double refusedS, double outageS, String heartbeatsTo) {
     int old = cluster.leader();
     double from = cluster.clock.seconds();
     cluster.storeFaults.refuse(old, refusedS);
-    // The node that leads next is known only then; until then the workers keep to the old one.
+    // The next leader is not known before its election; until then the workers reach the old one.
     int follower = (old + 1) % cluster.nodeCount();
     letWorkersReachOnly(heartbeatsTo.equals("follower") ? follower : old, refusedS + outageS);
     while (!anotherLeads(old) && cluster.clock.seconds() - from < refusedS) {
@@ -131,10 +133,10 @@
     }
   }
 
-  /** The key-value store answers slowly, then refuses the leader, then everybody. */
+  /** The key-value store answers slowly, then refuses the leader, then all nodes. */
   @ParameterizedTest(name = "seed {0}, latency {1} s")
   @CsvSource({"201, 0.4", "202, 0.8", "203, 1.2"})
-  void slowThenRefusedThenOut(long seed, double latencyS) {
+  void cancellationsHoldOverSlownessRefusalAndOutage(long seed, double latencyS) {
     begin(seed, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
     JobId stays = submit(job("wk-2", "daemon", 3, 0));
@@ -150,10 +152,10 @@
     assertRunning(3, stays);
   }
 
-  /** No controller is there for longer than a lease. */
-  @ParameterizedTest(name = "away for {0} s, cancelled {1} s before")
+  /** All controllers are down for longer than a lease. */
+  @ParameterizedTest(name = "down for {0} s, cancelled {1} s before")
   @CsvSource({"20, 0.5", "30, 0.02", "30, 0.5", "40, 0.1", "60, 3"})
-  void allControllersAway(double awayS, double beforeS) {
+  void cancellationsHoldWhileAllControllersAreDown(double awayS, double beforeS) {
     begin(221, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
     JobId stays = submit(job("wk-2", "daemon", 3, 0));
@@ -173,7 +175,7 @@
   /** Ten leaders in two minutes, with and without an outage among them. */
   @ParameterizedTest(name = "seed {0}, outage {1} s, late writes {2}")
   @CsvSource({"171, 0, 0", "172, 30, 0", "173, 50, 0.2", "174, 0, 0.4"})
-  void tenLeadersInTwoMinutes(long seed, double outageS, double lateShare) {
+  void cancellationsHoldOverTenLeadersInTwoMinutes(long seed, double outageS, double lateShare) {
     begin(seed, SimCluster.SMALL);
     JobId stays = submit(job("wk-1", "daemon", 3, 0));
     JobId array = submit(job("wk-2", "batch", 12, 25));
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -20,7 +20,7 @@
 class DependencyAcceptanceTest {
   private static final JobId NAMED = new JobId("wk-1");
 
-  /** Where a submission goes. */
+  /** The node that gets the submission. */
   enum Asked {
     LEADER,
     FOLLOWER,
@@ -29,7 +29,7 @@
 
   private DependentJobs cluster;
 
-  /** One job in each state, named at each kind of node. */
+  /** A dependency in each state, with submissions at each kind of node. */
   @ParameterizedTest(name = "a job that is {0}, at {1}")
   @CsvSource({
     "queued, LEADER, done",
@@ -83,7 +83,7 @@
         end.equals("done"), cluster.world.tasks.began(id).isPresent(), "whether it ever ran");
   }
 
-  /** Brings the job that is to be named into a state. */
+  /** Submits the job to depend on and brings it into a state. */
   private void prepare(String named) throws Exception {
     switch (named) {
       case "queued" -> {
@@ -145,7 +145,9 @@
     cluster.users.assumeAccepted(spec);
   }
 
-  /** The node to ask; where nobody is to lead, the leader is refused until its lease has ended. */
+  /**
+   * The node for the submission; for NOBODY_LEADS the leader is refused until its lease has ended.
+   */
   private int node(Asked asked) {
     int leader = cluster.world.leader();
     if (asked == Asked.LEADER) {
--- a/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
@@ -17,11 +17,11 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 
-/** What a submission may name, and what becomes of it otherwise. */
+/** Which dependencies a submission may name, and how any others are refused. */
 class DependencyNamesTest {
   private DependentJobs cluster;
 
-  /** Each list gets the same status at every node; what is accepted is done in the end. */
+  /** Each list gets the same status at every node; accepted jobs are done in the end. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "null, 201",
@@ -98,7 +98,7 @@
     cluster.assertNoRuleBroken();
   }
 
-  /** Jobs that ended long ago, more of them than anybody keeps in mind, are still known as done. */
+  /** Jobs that ended long ago, more than any node caches, still count as done. */
   @ParameterizedTest(name = "ends before {0}, after {1}, all crash: {2}")
   @CsvSource({"0, 0, false", "0, 0, true", "4500, 0, true", "0, 4500, true", "4500, 4500, false"})
   void namesOfJobsThatEndedLongAgo(int before, int after, boolean crash) {
--- a/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
@@ -15,12 +15,12 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * A submission that can't be taken gets its final answer at once: 400 for a malformed list, 422 for
- * jobs that may not be named, 503 with a time to come back where the node can't decide. A known job
- * is answered with its state before anything is validated.
+ * A submission that can't be accepted gets its final answer at once: 400 for a malformed list, 422
+ * for jobs that may not be named, 503 with a retry time where the node can't decide. A known job is
+ * answered with its state before anything is validated.
  */
 class DependencyRefusalTest {
-  /** A handful of calls that take a few milliseconds each, and now and then some hundred. */
+  /** Time of a few calls that take milliseconds each, and rarely some hundred. */
   private static final double AT_ONCE_S = 1.5;
 
   private DependentJobs cluster;
@@ -58,7 +58,7 @@
     assertTrue(answer.seconds() <= AT_ONCE_S, "answered after " + answer.seconds() + " s");
   }
 
-  /** By every node, the leader and the others. */
+  /** At every node, the leader and the followers. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "{}, 400",
@@ -131,7 +131,7 @@
   }
 
   /**
-   * A node that can't decide says 503 and when to come back, whatever is asked of it, and before a
+   * A node that can't decide answers 503 with a retry time, whatever the submission, and before a
    * user would give up; afterwards it decides.
    *
    * @param fault {@code outage} refuses every node; {@code alone} refuses one, which reaches no
@@ -155,7 +155,7 @@
     List<Integer> nodes = new ArrayList<>(List.of(0, 1, 2));
     if (fault.equals("outage")) {
       cluster.world.storeFaults.outage(40);
-      // From here on nobody's leadership is certain.
+      // From here on no leadership is certain.
       cluster.world.clock.runFor(15);
     } else {
       int follower = (cluster.world.leader() + 1) % 3;
@@ -177,8 +177,8 @@
   }
 
   /**
-   * A name is refused by a fresh look only: one that was accepted by another node a moment ago is
-   * known everywhere, also by a leader that has not seen its record yet.
+   * A name is refused only after a fresh read: a job that another node accepted a moment ago counts
+   * at every node, also at a leader that has not watched its record yet.
    */
   @ParameterizedTest(name = "accepted at {0}, named at {1}")
   @CsvSource({"0, 1", "0, 2", "1, 0", "1, 2", "2, 0", "2, 1", "0, 0"})
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -142,11 +142,11 @@
      */
     @ParameterizedTest(name = "{0}: health {1}")
     @CsvSource({"leader alone, 503", "follower alone, 503", "outage, 200", "refused alone, 200"})
-    void aNodeThatCanServeNoUserIsUnhealthy(String trouble, int status) {
+    void aNodeThatCanServeNoUserIsUnhealthy(String fault, int status) {
       begin(56, SimCluster.SMALL);
       run(10);
-      int node = trouble.startsWith("follower") ? (world.leader() + 1) % 3 : world.leader();
-      switch (trouble) {
+      int node = fault.startsWith("follower") ? (world.leader() + 1) % 3 : world.leader();
+      switch (fault) {
         case "outage" -> world.storeFaults.outage(30);
         case "refused alone" -> world.storeFaults.refuse(node, 30);
         default -> world.networkFaults.cutOff(node, 30);
--- a/src/test/java/org/ternhinge/controller/GuestJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/GuestJobsTest.java
@@ -10,7 +10,7 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/** Work of low priority, of a team beyond its guarantee, beside work of others. */
+/** Jobs of low priority of a team beyond its guarantee, beside jobs of other teams. */
 class GuestJobsTest {
   private static final double WRITES = 30;
 
@@ -27,10 +27,10 @@
     return body.id();
   }
 
-  /** A swarm of tiny jobs keeps no job within a guarantee from starting. */
+  /** Many tiny jobs delay no job within its team's guarantee. */
   @ParameterizedTest(name = "{0} tiny jobs")
   @CsvSource({"100", "300"})
-  void aSwarmDelaysNoGuaranteedWork(int tiny) {
+  void manyTinyJobsDelayNoGuaranteedJob(int tiny) {
     submit("wk-0", 4, 2, 10, "normal");
     cluster.run(25);
     for (int i = 0; i < tiny; i++) {
@@ -47,10 +47,10 @@
     cluster.assertNoRuleBroken();
   }
 
-  /** What one short task of a long array costs, and that it stays within bounds. */
+  /** The work for one short task of a long array is bounded. */
   @ParameterizedTest(name = "{0} tasks of {1} s")
   @CsvSource({"2000, 2", "4000, 4"})
-  void aShortTaskCostsLittle(int tasks, double runS) {
+  void theWorkForAShortTaskIsBounded(int tasks, double runS) {
     submit("wk-0", 40, 2, 20, "normal");
     cluster.run(25);
     long changes = cluster.world.counts.storeChanges();
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -13,7 +13,7 @@
 
 /** Ends and cancellations of jobs while writes or messages are late, on virtual time. */
 class JobEndAndLateMessagesTest extends CombinedFaultsFixture {
-  /** Cancels, questions and repeats at the very end of a job, without other faults. */
+  /** Cancellations, polls and repeats at the very end of a job, without other faults. */
   @Test
   void aCancellationAtTheEndOfTheLastTask() {
     begin(191, SimCluster.SMALL);
@@ -30,7 +30,7 @@
     }
   }
 
-  /** A transaction without an answer is carried out after newer ones of the same controller. */
+  /** A transaction without an answer is applied after newer ones of the same controller. */
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"241, 0.2", "242, 0.4", "243, 0.6", "244, 0.4"})
   void lateWritesWhileJobsEndAndAreCancelled(long seed, double share) {
@@ -56,13 +56,13 @@
   }
 
   /**
-   * More work than room, urgent and not, while each message takes long: places are freed by stops
-   * that arrive late, for starts that arrive late, and some of both are cancelled on the way.
-   * Slower still, calls of the key-value store end before their answers and nobody leads.
+   * More tasks than room, urgent and not, while each message takes long: late stops free room for
+   * late starts, and some jobs are cancelled meanwhile. With even slower links, calls of the
+   * key-value store time out and nobody leads.
    */
   @ParameterizedTest(name = "seed {0}, {1} s each way")
   @CsvSource({"141, 0.1", "142, 0.3", "143, 0.5", "144, 0.8"})
-  void moreWorkThanRoomOverSlowLinks(long seed, double slowS) {
+  void preemptionOverSlowLinks(long seed, double slowS) {
     begin(seed, SimCluster.SMALL);
     List<JobId> lesser = new ArrayList<>();
     List<JobId> urgent = new ArrayList<>();
--- a/src/test/java/org/ternhinge/controller/LateStartTest.java
+++ b/src/test/java/org/ternhinge/controller/LateStartTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * A job of low priority in a full fleet, once it has waited for so long that it is served first.
+ * A job of low priority in a full fleet, after it has waited for so long that it is served first.
  */
 class LateStartTest {
   private static final int LOW_TASKS = 4;
@@ -23,12 +23,12 @@
       new DependentJobs(71, 0, new SimCluster.Size(3, 1, 200, 30));
 
   /**
-   * Its first tasks run to their end. Without the guard they are stopped at once for what waits at
-   * a higher priority, and the job takes the next free places, again and again.
+   * Its first tasks run to their end. Without protection they would be preempted at once by jobs of
+   * a higher priority, and the job would take the next free places, again and again.
    */
   @ParameterizedTest(name = "tasks of {0} s")
   @CsvSource({"8", "15"})
-  void itsFirstTasksAreLeftAlone(double runS) {
+  void itsFirstTasksAreNotPreempted(double runS) {
     for (int i = 0; i < 6; i++) {
       cluster.users.submit(job("wk-1" + i, 200, 12, "normal"));
     }
--- a/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
+++ b/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
@@ -11,10 +11,10 @@
 
 /** Limits of teams and zones of jobs while machines, zones or leaders are lost, on virtual time. */
 class LimitsAndZonesUnderFaultsTest extends CombinedFaultsFixture {
-  /** A team at its limit, machines that can't be asked, a new leader and a cancellation. */
+  /** A team at its limit, unreachable machines, a failover and a cancellation. */
   @ParameterizedTest(name = "seed {0}, cut {1} s, cancelled after {2} s")
   @CsvSource({"141, 20, 1", "142, 40, 3", "143, 40, 8", "144, 60, 8", "145, 30, 12"})
-  void aTeamAtItsLimitOverAChangeOfLeader(long seed, double cutS, double afterS) {
+  void aTeamAtItsLimitOverAFailover(long seed, double cutS, double afterS) {
     begin(seed, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
     JobId longer = submit(job("wk-2", "batch", 6, 60));
@@ -31,10 +31,10 @@
     assertDone(waits);
   }
 
-  /** Work bound to one zone, arrays too, loses machines there. */
+  /** Jobs that one zone alone may run lose machines there. */
   @ParameterizedTest(name = "{0}, seed {1}")
   @CsvSource({"batch, 151", "batch, 152", "group, 153", "group, 154", "daemon, 155"})
-  void workBoundToAZoneLosesMachines(String kind, long seed) {
+  void jobsBoundToAZoneLoseMachines(String kind, long seed) {
     begin(seed, MEDIUM);
     SubmissionBuilder body = job("wk-1", kind, 3, 60).spotAllowed(false).together(true);
     body.zone("west");
@@ -58,7 +58,7 @@
   /** A zone with its controllers is cut off for less and for more than a lease. */
   @ParameterizedTest(name = "{0} for {1} s")
   @CsvSource({"east, 15", "west, 15", "east, 40", "west, 40", "east, 80", "west, 80"})
-  void aZoneWithItsControllers(String zone, double seconds) {
+  void aZoneIsCutOffWithItsControllers(String zone, double seconds) {
     begin(181, MEDIUM);
     JobId stays = submit(job("wk-1", "daemon", 4, 0).scatter(true));
     JobId cancelled = submit(job("wk-2", "batch", 8, 400));
--- a/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
+++ b/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
@@ -60,8 +60,8 @@
    * meanwhile is taken at once, and tasks start.
    */
   @ParameterizedTest(name = "{0}")
-  @CsvSource({"no trouble", "the leader ends", "the leader is refused", "all end"})
-  void eachQuestionIsAnsweredAndNothingElseWaits(String trouble) {
+  @CsvSource({"no fault", "the leader ends", "the leader is refused", "all end"})
+  void eachQuestionIsAnsweredAndNothingElseWaits(String fault) {
     cluster.world.store.limitRequests(REQUESTS);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
@@ -70,7 +70,7 @@
     cluster.run(30);
     askAll(jobs, 6);
     long reads = cluster.world.counts.storeReads();
-    beginFault(trouble);
+    beginFault(fault);
     askAll(jobs, 12);
     cluster.users.cancel(jobs.get(0));
     JobId late = cluster.submit("wk-2", 2, 3);
--- a/src/test/java/org/ternhinge/controller/PausedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/PausedControllerTest.java
@@ -12,8 +12,8 @@
 import org.ternhinge.sim.SimCluster;
 
 /**
- * A leader whose process stands still for seconds while its clocks run on, or all controllers that
- * are away for a minute and more.
+ * A controller whose process is paused for seconds while its clocks run on, or all controllers that
+ * are down for a minute and more.
  */
 class PausedControllerTest {
   private final DependentJobs cluster =
@@ -28,10 +28,10 @@
   }
 
   /**
-   * The commands of a round wait for their connections when the process stops. When it goes on,
-   * another leader may have claimed a higher term; what was decided before must not leave then.
+   * The commands of a round wait for their connections when the process is paused. When it resumes,
+   * another leader may have claimed a higher term; commands of the old term must not be sent.
    */
-  @ParameterizedTest(name = "stands still {0} s after a submission for {1} s")
+  @ParameterizedTest(name = "paused {0} s after a submission for {1} s")
   @CsvSource({
     "0.05, 3",
     "0.05, 8",
@@ -43,9 +43,9 @@
     "0.6, 8",
     "0.8, 30"
   })
-  void nothingDecidedBeforeIsSentOnLapsedAuthority(double afterS, double seconds) {
+  void noCommandIsSentAfterTheLeaseExpired(double afterS, double seconds) {
     submit("wk-1", 4, 6, 60);
-    // Leaves machines that idle, so that the next jobs wait for no boot.
+    // Leaves idle machines, so that the next jobs wait for no boot.
     submit("wk-0", 4, 8, 5);
     cluster.run(35);
     cluster.world.connectS = 0.25;
@@ -81,12 +81,12 @@
   }
 
   /**
-   * All controllers are away for longer than a lease, so all that ran has ended. What was open is
-   * settled in few writes, services run first, and what was confirmed as cancelled stays so.
+   * All controllers are down for longer than a lease, so all tasks have ended. Open attempts are
+   * closed in few writes, services run first, and confirmed cancellations hold.
    */
-  @ParameterizedTest(name = "all away for {0} s")
+  @ParameterizedTest(name = "all down for {0} s")
   @CsvSource({"30", "60", "100"})
-  void allControllersAreAway(double seconds) {
+  void allControllersAreDown(double seconds) {
     List<JobId> services = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       var body = DependentJobs.job("wk-3" + i, 4, 0, List.of());
@@ -116,9 +116,9 @@
     cluster.assertNoRuleBroken();
   }
 
-  /** A follower that stands still is missed by nobody. */
+  /** A paused follower disturbs no user and no job. */
   @Test
-  void aFollowerStandsStill() {
+  void aFollowerIsPaused() {
     List<JobId> jobs = submit("wk-1", 4, 6, 10);
     cluster.world.controllers.pause((cluster.world.leader() + 1) % 3, 40);
     cluster.run(60);
--- a/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
@@ -16,8 +16,8 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * A cancellation takes every job that depends on the cancelled one along, in time and on every
- * node, whatever fails right after the answer; one that meets the end of the job takes none.
+ * A cancellation cancels every job that depends on the cancelled one, in time and at every node,
+ * whatever fails right after the answer; one that comes after the end of the job cancels none.
  */
 class PipelineCancellationTest {
   private DependentJobs cluster;
@@ -134,7 +134,7 @@
     }
   }
 
-  /** A cancel that is answered with done changes nothing for the jobs after it. */
+  /** A cancellation that is answered with "done" changes no dependent job. */
   @ParameterizedTest(name = "{0}, cancelled {1} s after the end of the first")
   @CsvSource({
     "chain, 0",
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Whoever names a cancelled job is accepted all the same, and cancelled. */
+  /** A job that depends on a cancelled one is accepted all the same, and cancelled. */
   @ParameterizedTest(name = "named {0} s after the cancel, first runs: {1}, crash: {2}")
   @CsvSource({
     "0.01, false, false",
@@ -218,7 +218,7 @@
     assertEquals(0, cluster.world.tasks.runningTasks(second));
   }
 
-  /** A repeat of a submission and a cancel of a derived cancellation have the same answer. */
+  /** Repeated submissions and cancellations of dependent jobs get the state "cancelled". */
   @Test
   void repeatsAndCancelsOfDerivedStates() {
     cluster = new DependentJobs(322);
@@ -242,7 +242,9 @@
     cluster.assertNoRuleBroken();
   }
 
-  /** Thousands of jobs wait for one; its cancel is answered at once and settles all of them. */
+  /**
+   * Thousands of jobs depend on one; its cancellation is answered at once and cancels all of them.
+   */
   @ParameterizedTest(name = "asked {0}, then {1}")
   @CsvSource({
     "leader, nothing",
@@ -275,7 +277,7 @@
     cluster.world.clock.runFor(
         confirmedAt[0] + DependentJobs.CANCEL_S + 1 - cluster.world.clock.seconds());
     if (!then.endsWith("outage")) {
-      noNodeCallsThemWaiting(all);
+      assertNoNodeAnswersQueued(all);
     }
     cluster.users.quiet();
     for (int i = 0; i < 8; i++) {
@@ -289,7 +291,9 @@
     assertEquals(0, cluster.world.tasks.runningTasks(first));
   }
 
-  /** Two thousand jobs that wait for one and cost nothing meanwhile. */
+  /**
+   * Submits two thousand jobs that depend on one, and asserts that their waiting causes no work.
+   */
   private List<JobId> submitThousandsAfter(JobId first) {
     List<JobId> all = new ArrayList<>();
     for (int i = 0; i < 2000; i++) {
@@ -309,7 +313,7 @@
     return all;
   }
 
-  private void noNodeCallsThemWaiting(List<JobId> jobs) {
+  private void assertNoNodeAnswersQueued(List<JobId> jobs) {
     for (int i = 0; i < jobs.size(); i += 97) {
       for (int node = 0; node < 3; node++) {
         String says = cluster.stateAt(node, jobs.get(i));
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -21,14 +21,14 @@
 
 /**
  * The key-value store's limits become smaller without notice: records that were written under the
- * larger ones go on being used, nothing is sent that is too large, and no leadership is lost.
+ * larger ones stay in use, no transaction is too large, and no leadership is lost.
  */
 class RecordLimitsTest {
   private DependentJobs cluster;
 
   /**
-   * Records that the version in production laid down under the larger limit are there when the
-   * limits are lowered: nobody loses the leadership over them, and all jobs end well.
+   * Records that the version in production wrote under the larger limit exist when the limits are
+   * lowered: no leadership is lost, and all jobs end well.
    */
   @ParameterizedTest(name = "{0} jobs of {1}, kind {2}, lowered {3}")
   @CsvSource({
@@ -88,8 +88,8 @@
   }
 
   /**
-   * A job as the old version holds it, in pieces of 127 tasks, each on a machine of its own that
-   * nobody finds any more; a half of them done, for the kind so named.
+   * Stores a job as the old version does, in segments of 127 tasks, each task on a machine of its
+   * own that no longer exists; for the kind "half" every other task is done.
    */
   private JobId oldJob(String id, int tasks, String kind, int number) throws Exception {
     boolean array = !kind.equals("group") && !kind.equals("daemon");
@@ -130,7 +130,7 @@
     return spec.id();
   }
 
-  /** Work goes on at the lower rate of changes, and nothing is sent that is too large. */
+  /** Jobs go on at the lower rate of changes, and no transaction is too large. */
   @ParameterizedTest(name = "seed {0}, lowered at {1} s")
   @CsvSource({"391, 0", "392, 12", "393, 30"})
   void workGoesOnUnderLowerLimits(long seed, double at) {
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Controllers that know of no smaller limits lay down large records of work that runs on many
-   * machines; they are replaced one after the other, and then the limits are lowered while it runs.
+   * Controllers without announced limits write large records of jobs that run on many machines;
+   * they are replaced one after the other, and then the limits are lowered while the jobs run.
    */
   @ParameterizedTest(name = "{0}, lowered {1} s after the last is replaced")
   @CsvSource({"batch, 0", "batch, 10", "batch, 25", "group, 5", "daemon, 0", "daemon, 20"})
@@ -202,7 +202,7 @@
     assertEquals("done", cluster.users.lastState(next));
   }
 
-  /** Two jobs whose tasks each take a machine; all of them run, or as many as did in 90 s. */
+  /** Submits two jobs whose tasks take a machine each, and runs until all run, or for 90 s. */
   private List<JobId> runOneTaskToAMachine(String kind) {
     List<JobId> all = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
@@ -61,14 +61,14 @@
   /** Leadership moves once, to a node that can serve, and stays there. */
   @ParameterizedTest(name = "{0} for {1} s")
   @CsvSource({"refused,60", "alone,60", "from workers,60", "refused,8"})
-  void leadershipChangesAtMostOnce(String trouble, double seconds) {
+  void leadershipChangesAtMostOnce(String fault, double seconds) {
     submitJobs();
     // Leaves machines that idle, so that the next job waits for no boot.
     cluster.submit("wk-19", 4, 2);
     cluster.run(25);
     int before = cluster.world.counts.leaderships();
     int leader = cluster.world.leader();
-    switch (trouble) {
+    switch (fault) {
       case "refused" -> cluster.world.storeFaults.refuse(leader, seconds);
       case "alone" -> cluster.world.networkFaults.cutOff(leader, seconds);
       default -> cluster.world.networkFaults.cutWorkers(leader, seconds);
--- a/src/test/java/org/ternhinge/controller/SeededFaultTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaultTest.java
@@ -88,7 +88,7 @@
         users.cancelServices();
       }
       if (step == 100) {
-        // The longest trouble lasts less than a minute.
+        // The longest fault lasts less than a minute.
         users.quiet();
       }
       world.clock.runFor(3);
@@ -107,7 +107,7 @@
     }
   }
 
-  /** What users do in one step. */
+  /** Submissions, cancellations and polls of one step. */
   private void askAndCancel(int step, boolean invalidRequests) {
     if (step < 70 && world.nextInt(3) == 0) {
       submit();
--- a/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
@@ -12,7 +12,7 @@
 
 /**
  * Pipelines under seeded faults on virtual time: no rule is broken, and every job ends as its user
- * and those of the jobs before it have asked.
+ * and those of its dependencies have requested.
  */
 class SeededPipelinesTest {
   private DependentJobs cluster;
--- a/src/test/java/org/ternhinge/controller/SlowStoreTest.java
+++ b/src/test/java/org/ternhinge/controller/SlowStoreTest.java
@@ -14,8 +14,8 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * The whole controller over a key-value store whose answers take long, on virtual time. Delays vary
- * from a quarter of the given ones to all of them.
+ * The whole controller over a slow key-value store, on virtual time. Delays are between a quarter
+ * of the given ones and all of them.
  */
 class SlowStoreTest {
   private static final double QUIET_S = 5;
@@ -43,7 +43,7 @@
     world.storeFaults.slowDown(seconds, 2 * eachWayS);
   }
 
-  private void quickAgain() {
+  private void endSlowness() {
     run(30);
     users.quiet();
     JobId last = submit("wk-9", "batch", 2, 5);
@@ -63,7 +63,7 @@
     "301, 0.3", "302, 0.8", "303, 1.0", "304, 1.3", "305, 1.8",
     "311, 0.3", "312, 0.8", "313, 1.0", "314, 1.3", "315, 1.8"
   })
-  void workGoesOnUnderTheSameLeader(long seed, double eachWayS) {
+  void jobsGoOnUnderTheSameLeader(long seed, double eachWayS) {
     begin(seed);
     JobId stays = submit("wk-1", "daemon", 3, 0);
     JobId goes = submit("wk-2", "batch", 6, 400);
@@ -83,13 +83,13 @@
     assertEquals(0, world.tasks.runningTasks(goes));
     assertEquals("cancelled", users.lastState(goes));
     run(60);
-    quickAgain();
+    endSlowness();
     assertEquals("done", users.lastState(array));
     assertEquals("done", users.lastState(gang));
     assertEquals(3, world.tasks.runningTasks(stays));
   }
 
-  /** A leader ends, or is refused alone, while the service is slow: another takes over. */
+  /** A leader crashes, or is refused alone, while the store is slow: another one takes over. */
   @ParameterizedTest(name = "seed {0}, {1} s each way, {2}")
   @CsvSource({
     "321, 0.3, crash",
@@ -103,7 +103,7 @@
     "334, 1.3, refused",
     "335, 1.8, refused"
   })
-  void anotherIsElectedWhileItIsSlow(long seed, double eachWayS, String how) {
+  void anotherLeaderIsElectedByASlowStore(long seed, double eachWayS, String how) {
     begin(seed);
     JobId stays = submit("wk-1", "daemon", 3, 0);
     JobId goes = submit("wk-2", "batch", 6, 400);
@@ -127,7 +127,7 @@
     assertEquals("cancelled", users.lastState(goes));
     assertEquals(0, world.tasks.runningTasks(goes));
     run(85);
-    quickAgain();
+    endSlowness();
     assertEquals("done", users.lastState(array));
     assertEquals(3, world.tasks.runningTasks(stays));
   }
@@ -135,7 +135,7 @@
   /** Every message takes long, those of users, workers and controllers too. */
   @ParameterizedTest(name = "seed {0}, {1} s each way")
   @CsvSource({"341, 0.3", "342, 0.8", "343, 1.0", "344, 1.3", "345, 1.8"})
-  void urgentWorkBeginsOverSlowLinks(long seed, double eachWayS) {
+  void urgentJobsStartOverSlowLinks(long seed, double eachWayS) {
     begin(seed);
     JobId stays = submit("wk-1", "daemon", 3, 0);
     JobId goes = submit("wk-2", "batch", 6, 400);
@@ -147,13 +147,13 @@
     run(150);
     assertTrue(world.tasks.began(new JobId("wk-3")).isPresent(), "urgent work has not begun");
     world.networkFaults.slowLinks(0);
-    quickAgain();
+    endSlowness();
     assertEquals("cancelled", users.lastState(goes));
     assertEquals(0, world.tasks.runningTasks(goes));
     assertEquals(3, world.tasks.runningTasks(stays));
   }
 
-  /** Whatever the key-value store takes, a node answers users before they give up. */
+  /** However slow the key-value store is, a node answers users before they give up. */
   @ParameterizedTest(name = "{0} s each way")
   @CsvSource({"0.3", "0.8", "1.3", "1.8", "3"})
   void usersAreAnsweredInTime(double eachWayS) {
--- a/src/test/java/org/ternhinge/controller/UpgradeTest.java
+++ b/src/test/java/org/ternhinge/controller/UpgradeTest.java
@@ -12,15 +12,16 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * Controllers are replaced node by node, from the version before dependent jobs to the one of today
+ * Controllers are replaced node by node, from the version before dependent jobs to the current one
  * and back, while faults go on. Users submit no dependent jobs before all nodes have the new
  * version, and the way back begins when the pipelines are over.
  *
- * <p>The old version is modelled around the code of today by what it drops and writes (see {@code
+ * <p>The old version is modelled around the current code by what it drops and writes (see {@code
  * OldVersion} among the stand-ins): it ignores the list of dependencies in submissions and records,
- * writes records back without it, says nothing of dependent jobs in the leader's key, and keeps to
- * the larger limits. A process that dies before its node's turn comes back old. The old program
- * itself is not run here; the bytes that it writes are pinned in {@code ProductionRecordsTest}.
+ * writes records back without it, declares no support of dependent jobs in the leader record, and
+ * keeps to the larger limits. A process that crashes before its node's turn restarts as the old
+ * version. The old program itself is not run here; the bytes that it writes are pinned in {@code
+ * ProductionRecordsTest}.
  */
 class UpgradeTest {
   private DependentJobs cluster;
@@ -45,7 +46,7 @@
     return new JobId(id);
   }
 
-  /** Replaces all nodes, the leader first or last, with jobs coming in and one kind of fault. */
+  /** Replaces all nodes, the leader first or last, under submissions and one kind of fault. */
   private void replaceAll(boolean old, String fault, boolean leaderFirst) {
     List<Integer> order = new ArrayList<>(List.of(0, 1, 2));
     int leader = Math.max(0, world.leader());
@@ -80,9 +81,7 @@
     }
   }
 
-  /**
-   * A chain and a diamond as soon as the last node has the new version; the chain's middle goes.
-   */
+  /** Submits a chain and a diamond after the last node got the new version. */
   private List<JobId> pipelines(JobId old) {
     List<JobId> out = new ArrayList<>();
     out.add(cluster.submit("wk-201", 2, 5, old));
@@ -95,7 +94,7 @@
     return out;
   }
 
-  /** Nothing is lost, run twice or started early on the way there and on the way back. */
+  /** No task is lost, run twice or started early by the upgrade or by the downgrade. */
   @ParameterizedTest(name = "{0}, leader first: {1}, loss {2}")
   @CsvSource({
     "nothing, false, 0",
@@ -113,7 +112,7 @@
     "zones apart, false, 0",
     "zones apart, true, 0"
   })
-  void nodeByNodeAndBack(String fault, boolean leaderFirst, double loss) {
+  void upgradeNodeByNodeAndBack(String fault, boolean leaderFirst, double loss) {
     for (long seed = 601; seed < 603; seed++) {
       jobs = 0;
       beginWithOldVersion(seed, loss);
@@ -151,12 +150,11 @@
 
   /**
    * While a node of the old version leads, a job with dependencies that reaches a new node all the
-   * same is not handed to that leader, which would drop what the job depends on: the record keeps
-   * it.
+   * same is not relayed to that leader, which would drop the dependencies: the record keeps them.
    */
-  @ParameterizedTest(name = "asked at once: {0}")
+  @ParameterizedTest(name = "submitted at once: {0}")
   @CsvSource({"true", "false"})
-  void anOldLeaderIsNotHandedADependentJob(boolean atOnce) {
+  void aDependentJobIsNotRelayedToAnOldLeader(boolean atOnce) {
     beginWithOldVersion(611, 0);
     JobId first = plainJob();
     cluster.run(5);
@@ -167,7 +165,8 @@
     cluster.run(atOnce ? 2 : 10);
     assertEquals(leader, world.leader(), "the old version leads");
     assertTrue(
-        world.store.value("leader").path("deps").isMissingNode(), "and does not know of them");
+        world.store.value("leader").path("deps").isMissingNode(),
+        "and declares no support of dependent jobs");
     SubmissionBuilder body = DependentJobs.job("wk-501", 1, 5, List.of(first));
     DependentJobs.Timed answer = cluster.submitTo(replaced, body.bytes());
     assertEquals(201, answer.response().status());
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -23,7 +23,7 @@
 
 /**
  * A simulated cluster of three zones with ordered failover, on virtual time. Machines are
- * provisioned in the first zone as long as the cloud has any there, so that is the one to lose.
+ * provisioned in the first zone as long as the cloud has any there, so that zone is cut off.
  */
 abstract class ZoneFailoverFixture {
   static final String FIRST = "north";
@@ -34,7 +34,7 @@
 
   static final SimCluster.Size SIZE = new SimCluster.Size(3, 20, 400, 60);
 
-  /** Longer than a lease, what a failover adds to it, and the boot of new machines. */
+  /** Longer than a lease, the failover and the boot of new machines together. */
   static final double RESTART_S = 90;
 
   private static final double JOBS_END_S = 240;
@@ -50,7 +50,7 @@
     return new Tier(name, Set.of(), classes, Set.of(), Set.<Priority>of());
   }
 
-  /** The usual settings with another speed of moves. */
+  /** The usual settings with another rate of releases. */
   static ZoneFailoverSettings settings(ZoneFailoverSettings.Release release) {
     return new ZoneFailoverSettings(
         ZoneFailoverSettings.DEFAULT.detection(),
@@ -114,7 +114,7 @@
     cluster.machineFaults.cutZone(FIRST, seconds);
   }
 
-  /** A restart may be seen so much out of order: the ways of commands differ. */
+  /** Restarts may be observed out of order by so much, since commands take different times. */
   static final double COMMAND_S = 0.5;
 
   /** When the first and the last tasks of each tier started again. */
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Work of the first zone that was running when it was cut off for good. */
+  /** Cuts the first zone off and returns the tasks that were running there. */
   final Set<TaskId> loseTheFirstZone(double seconds) {
     Set<TaskId> lost = runningInFirst();
     cluster.networkFaults.cutsLose();
@@ -158,7 +158,7 @@
     return restarts;
   }
 
-  /** Tasks that started again although nothing had taken their attempt from them. */
+  /** Those of these tasks that started from a time on. */
   final Set<TaskId> startsOf(Set<TaskId> tasks, double from) {
     Set<TaskId> started = new HashSet<>();
     for (Start start : cluster.tasks.startsSince(from)) {
@@ -169,7 +169,7 @@
     return started;
   }
 
-  /** Lets all come to its end and asserts that each job was answered for and no rule was broken. */
+  /** Runs all jobs to their ends and asserts that no rule was broken and that each ended well. */
   final void assertRulesHoldToTheEnd() {
     run(60);
     users.cancelServices();
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -105,7 +105,7 @@
     "25, both",
     "26, both"
   })
-  void aTaskEndsWhileItsCopyBegins(double endsAfterS, String trouble) {
+  void aTaskEndsWhileItsCopyBegins(double endsAfterS, String fault) {
     begin(64);
     JobId[] ids = new JobId[6];
     for (int i = 0; i < ids.length; i++) {
@@ -113,12 +113,12 @@
       ids[i] = submit(job(i % 3, "batch", 3, 40 + endsAfterS - 1 + i * 0.4));
     }
     run(40);
-    if (!trouble.equals("leader")) {
-      cluster.machineFaults.duplicateHeartbeats(trouble.equals("none") ? 0 : 0.5, 80);
+    if (!fault.equals("leader")) {
+      cluster.machineFaults.duplicateHeartbeats(fault.equals("none") ? 0 : 0.5, 80);
     }
     cutFirst(30);
     cluster.clock.runFor(endsAfterS);
-    if (trouble.equals("leader") || trouble.equals("both")) {
+    if (fault.equals("leader") || fault.equals("both")) {
       cluster.controllers.crash(cluster.leader(), 0.3);
     }
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * Zones that are lost, return and flap by the seed, together with other troubles, on virtual time.
+ * Zones that are lost, recover and flap by the seed, together with other faults, on virtual time.
  * The rules are checked on what the stand-ins saw and on the answers to users; work is bounded by
  * counts.
  */
@@ -52,7 +52,7 @@
         users.cancel(users.accepted().get(cluster.nextInt(users.accepted().size())));
       }
       if (step >= 8) {
-        trouble();
+        drawFault();
       }
       run(STEP_S);
     }
@@ -89,7 +89,7 @@
     return oneIn(2) ? FIRST : ZONES.get(cluster.nextInt(ZONES.size()));
   }
 
-  private void trouble() {
+  private void drawFault() {
     double seconds = 3 + cluster.nextInt(45);
     switch (cluster.nextInt(24)) {
       case 0, 1 -> cluster.machineFaults.cutZone(someZone(), seconds);
@@ -103,7 +103,7 @@
       case 9 -> cluster.storeFaults.refuse(Math.max(0, cluster.leader()), seconds);
       case 10 -> cluster.machineFaults.restartMachines(0.2);
       default -> {
-        // Nothing new in this step.
+        // No new fault in this step.
       }
     }
   }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
@@ -18,7 +18,7 @@
 import org.ternhinge.sim.SubmissionBuilder;
 import org.ternhinge.sim.TaskObservations.Start;
 
-/** The loss and return of a zone, alone and with other troubles, on virtual time. */
+/** The loss and recovery of a zone, alone and with other faults, on virtual time. */
 class ZoneFailoverTest extends ZoneFailoverFixture {
   @ParameterizedTest(name = "seed {0}")
   @CsvSource({"1", "2", "3", "4", "5", "6"})
@@ -36,9 +36,9 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** One warning may run in the lost zone only: it waits for it, and the rest does not. */
+  /** One warning may run in the lost zone only: it waits for that zone, and all others do not. */
   @Test
-  void pinnedWorkWaitsAndHoldsNothingBack() {
+  void aPinnedJobWaitsAndDelaysNoOther() {
     begin(21);
     SubmissionBuilder pinned = job(0, "batch", 4, 60);
     JobId pinnedId = submit(pinned.zone(FIRST));
@@ -62,7 +62,7 @@
     return "running".equals(last) ? "queued" : last;
   }
 
-  /** Nothing that runs elsewhere by now is moved back, and new work comes at the pacer's rate. */
+  /** No task that runs elsewhere by now is moved back, and new tasks start at the pacer's rate. */
   @ParameterizedTest(name = "seed {0}, cut for {1} s")
   @CsvSource({"31, 30", "32, 40", "33, 60"})
   void theReturnIsCalm(long seed, double cutS) {
@@ -79,14 +79,14 @@
     cluster.tasks.forEachRunningTask(inPlace::add);
     run(45);
     Set<TaskId> again = startsOf(inPlace, backAt);
-    // Tasks that the cut zone's workers had ended are not among those: their leases were over.
+    // Without tasks that the cut zone's workers had ended, since their leases had expired.
     again.removeIf(task -> lost.contains(task));
     assertEquals(Set.of(), again, "what runs is not moved back");
     assertStartsArePaced(backAt);
     assertRulesHoldToTheEnd();
   }
 
-  /** Starts in the first zone keep to the pace: in each second and over all. */
+  /** Asserts that starts in the first zone keep to the pace, in each second and over all. */
   private void assertStartsArePaced(double from) {
     double[] perSecond = new double[60];
     for (Start start : cluster.tasks.startsSince(from)) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Cuts shorter than a lease end nothing: no task starts twice, none is moved. */
+  /** After cuts shorter than a lease no task starts twice and none is moved. */
   @ParameterizedTest(name = "{0} s, {1} s apart")
   @CsvSource({"12, 10", "15, 20", "14, 8"})
   void shortFlapsMoveNothing(double cutS, double gapS) {
@@ -169,7 +169,7 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** Half of the zone is lost: the other half goes on working, and the lost work runs again. */
+  /** Half of the zone is lost: the other half goes on, and the lost tasks run again. */
   @Test
   void halfAZone() {
     begin(56);
@@ -188,7 +188,7 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** Two zones fall one after the other; their work ends up in the last one. */
+  /** Two zones are lost one after the other; their tasks run in the last one. */
   @Test
   void twoZonesOneAfterTheOther() {
     begin(53);
@@ -201,7 +201,9 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** All workers of all zones are silent to the leader: its links, and no failover begins. */
+  /**
+   * If all workers of all zones are silent, the leader's links are at fault: no failover begins.
+   */
   @Test
   void allZonesAtOnceAreTheLeadersOwnLinks() {
     begin(54);
@@ -218,7 +220,7 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** The survivors are full and the quota is used up: higher tiers still come first. */
+  /** The remaining zones are full and the quota is used up: higher tiers still come first. */
   @Test
   void fullSurvivorsAndAUsedUpQuota() {
     begin(55, new SimCluster.Size(3, 4, 120, 60), tuning());
@@ -233,9 +235,7 @@
     return Tuning.DEFAULT.withZoneFailover(SETTINGS);
   }
 
-  /**
-   * Lists lag by much, or name machines that are not up: the zone's state is not read from them.
-   */
+  /** Machine lists that lag or name dead machines do not decide the state of a zone. */
   @Test
   void listsThatLagChangeNothing() {
     begin(62);
@@ -249,7 +249,7 @@
     assertRulesHoldToTheEnd();
   }
 
-  /** Gangs, services and pipelines move too. */
+  /** Gangs, services and dependent jobs fail over too. */
   @Test
   void gangsServicesAndDependentJobs() {
     begin(63);
