--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -78,12 +78,8 @@
     assertTrue(steps < 600L * FLEET, "a round of " + steps + " evaluations");
   }
 
-  @Test
-  void seventeenHundredMachinesHoldWhenManyFailTogether() {
-    world = new SimCluster(91, 0, new SimCluster.Size(5, PER_OFFER, 12000, WRITES));
-    users = new SimUsers(world);
-    world.clock.runFor(5);
-    Counts start = Counts.of(world);
+  /** Submits services that fill most of the fleet, gangs and long arrays. */
+  private void submitMixedLoad() {
     for (int i = 0; i < 200; i++) {
       services.add(submit(String.format("wk-1%03d", i), "daemon", 6, 4, 0, i % 12));
     }
@@ -93,6 +89,15 @@
     for (int i = 0; i < 20; i++) {
       others.add(submit(String.format("wk-3%03d", i), "batch", 300, 2, 25, i % 14));
     }
+  }
+
+  @Test
+  void seventeenHundredMachinesHoldWhenManyFailTogether() {
+    world = new SimCluster(91, 0, new SimCluster.Size(5, PER_OFFER, 12000, WRITES));
+    users = new SimUsers(world);
+    world.clock.runFor(5);
+    Counts start = Counts.of(world);
+    submitMixedLoad();
     run(75);
     assertTrue(
         world.machines.live().size() > 0.9 * FLEET, world.machines.live().size() + " machines");
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -16,7 +16,8 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The version before dependent jobs, modelled around the current code by what it drops and writes:
+ * The version before dependent jobs, modelled around the current code. It drops and writes as
+ * follows:
  *
  * <ul>
  *   <li>it ignores {@code bidur_eftir} in a submission and in a record, and so writes every record
