--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -18,13 +17,13 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
 import org.ternhinge.sim.SimWorker;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionBuilder;
 import org.ternhinge.sim.TaskObservations.Start;
 import org.ternhinge.wire.Priority;
 
 /**
  * A simulated cluster of three zones with ordered failover, on virtual time. Machines are
- * provisioned in the first zone as long as the cloud has any there, so that is the one to lose.
+ * provisioned in the first zone as long as the cloud has any there, so that zone is cut off.
  */
 abstract class ZoneFailoverFixture {
   static final String FIRST = "north";
@@ -35,10 +34,9 @@
 
   static final SimCluster.Size SIZE = new SimCluster.Size(3, 20, 400, 60);
 
-  /** Longer than a lease, what a failover adds to it, and the boot of new machines. */
+  /** Longer than a lease, the failover and the boot of new machines together. */
   static final double RESTART_S = 90;
 
-  private static final double POLL_S = 3;
   private static final double JOBS_END_S = 240;
 
   SimCluster cluster;
@@ -52,7 +50,7 @@
     return new Tier(name, Set.of(), classes, Set.of(), Set.<Priority>of());
   }
 
-  /** The usual settings with another speed of moves. */
+  /** The usual settings with another rate of releases. */
   static ZoneFailoverSettings settings(ZoneFailoverSettings.Release release) {
     return new ZoneFailoverSettings(
         ZoneFailoverSettings.DEFAULT.detection(),
@@ -73,20 +71,17 @@
     cluster.clock.runFor(5);
   }
 
-  final JobId submit(ObjectNode body) {
+  final JobId submit(SubmissionBuilder body) {
     users.submit(body);
-    return new JobId(body.get("ref").asText());
+    return body.id();
   }
 
   /** A job of a tier, named after it; its tasks take two CPUs each. */
-  final ObjectNode job(int tier, String kind, int tasks, double runS) {
+  final SubmissionBuilder job(int tier, String kind, int tasks, double runS) {
     String id = String.format("wk-%d%05d", tier + 1, ++jobs);
-    ObjectNode body = Specs.json(id, kind, tasks).put("runflokkur", TIERS.get(tier));
-    body.put("cpus", 2.0).put("aaetlun_s", runS);
-    if (kind.equals("daemon")) {
-      body.put("forgang", "production").put("lanvelar", false);
-    }
-    return body;
+    SubmissionBuilder body = SubmissionBuilder.job(id, kind, tasks).jobClass(TIERS.get(tier));
+    body.cpus(2.0).runsFor(runS);
+    return body.productionIfService();
   }
 
   /** Arrays of every tier, the least important first, that fill most of the first zone. */
@@ -102,18 +97,14 @@
     return task.job().value().charAt(3) - '1';
   }
 
-  /** Lets time pass, with polls of every job. */
+  /** Advances the clock while users poll their jobs. */
   final void run(double seconds) {
-    double end = cluster.clock.seconds() + seconds;
-    while (cluster.clock.seconds() < end - 1e-6) {
-      cluster.clock.runFor(Math.min(POLL_S, end - cluster.clock.seconds()));
-      users.pollAll();
-    }
+    users.runPolling(seconds);
   }
 
   /** Tasks that run in the first zone now. */
   final Set<TaskId> runningInFirst() {
-    for (SimWorker worker : cluster.liveWorkers()) {
+    for (SimWorker worker : cluster.machines.live()) {
       zones.put(worker.id(), worker.zone());
     }
     return cluster.tasks.runningIn(FIRST, zones);
@@ -123,7 +114,7 @@
     cluster.machineFaults.cutZone(FIRST, seconds);
   }
 
-  /** A restart may be seen so much out of order: the ways of commands differ. */
+  /** Restarts may be observed out of order by so much, since commands take different times. */
   static final double COMMAND_S = 0.5;
 
   /** When the first and the last tasks of each tier started again. */
@@ -148,7 +139,7 @@
     }
   }
 
-  /** Work of the first zone that was running when it was cut off for good. */
+  /** Cuts the first zone off and returns the tasks that were running there. */
   final Set<TaskId> loseTheFirstZone(double seconds) {
     Set<TaskId> lost = runningInFirst();
     cluster.networkFaults.cutsLose();
@@ -167,7 +158,7 @@
     return restarts;
   }
 
-  /** Tasks that started again although nothing had taken their attempt from them. */
+  /** Those of these tasks that started from a time on. */
   final Set<TaskId> startsOf(Set<TaskId> tasks, double from) {
     Set<TaskId> started = new HashSet<>();
     for (Start start : cluster.tasks.startsSince(from)) {
@@ -178,7 +169,7 @@
     return started;
   }
 
-  /** Lets all come to its end and asserts that each job was answered for and no rule was broken. */
+  /** Runs all jobs to their ends and asserts that no rule was broken and that each ended well. */
   final void assertRulesHoldToTheEnd() {
     run(60);
     users.cancelServices();
@@ -187,7 +178,7 @@
     assertEquals(List.of(), cluster.violations());
     for (JobId id : users.accepted()) {
       if (!users.mayBeCancelled(id)) {
-        assertEquals("done", users.lastTold(id), id.value());
+        assertEquals("done", users.lastState(id), id.value());
       }
     }
   }
