--- a/src/main/java/org/ternhinge/config/Tuning.java
+++ b/src/main/java/org/ternhinge/config/Tuning.java
@@ -48,6 +48,14 @@
     return leadershipS * (1 - Settings.DRIFT) - marginS;
   }
 
+  /**
+   * Seconds after which a worker's lease has certainly expired, by the clock of a controller:
+   * longer than the worker counts, by the drift of clocks and the margin.
+   */
+  public double workerLeaseS(Settings.Workers workers) {
+    return workers.leaseS() * (1 + Settings.DRIFT) + marginS;
+  }
+
   /** Seconds after which an unanswered renewal is followed by the next one ahead of its time. */
   public double renewalOverdueS() {
     return renewS * OVERDUE_SHARE;
--- a/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
@@ -1,7 +1,5 @@
 package org.ternhinge.heartbeat;
 
-import org.ternhinge.config.Settings;
-import org.ternhinge.config.Tuning;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.term.ControllerServices;
@@ -15,9 +13,7 @@
   private final double leaseS;
 
   LeaseRenewal(ControllerServices services) {
-    Settings settings = services.settings();
-    Tuning tuning = services.tuning();
-    this.leaseS = settings.workers().leaseS() * (1 + Settings.DRIFT) + tuning.marginS();
+    this.leaseS = services.tuning().workerLeaseS(services.settings().workers());
   }
 
   /** The worker may count its lease from this time; an earlier one changes nothing. */
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -58,9 +58,7 @@
    */
   private static SteadyTime initialLeaseEnd(
       Settings settings, Tuning tuning, SteadyTime electedAt) {
-    double driftFactor = 1 + Settings.DRIFT;
-    double graceS = Election.grace(tuning, settings.workers()) * driftFactor;
-    double leaseS = settings.workers().leaseS() * driftFactor + tuning.marginS();
-    return electedAt.plusSeconds(graceS + leaseS);
+    double graceS = Election.grace(tuning, settings.workers()) * (1 + Settings.DRIFT);
+    return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
 }
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -31,11 +31,6 @@
     return provisionedAt;
   }
 
-  /** Whether the machine was certainly provisioned before a time. */
-  public boolean isProvisionedBefore(SteadyTime time) {
-    return provisionedAt.isBefore(time);
-  }
-
   void provisionedAt(SteadyTime at) {
     provisionedAt = at;
   }
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -51,9 +51,9 @@
   @Test
   void theProvisionTimeIsThatOfDiscoveryUntilItIsKnown() {
     assertEquals(NOW, cloud.provisionedAt());
-    assertTrue(cloud.isProvisionedBefore(LATER));
+    assertTrue(cloud.provisionedAt().isBefore(LATER));
     cloud.provisionedAt(LATER);
-    assertFalse(cloud.isProvisionedBefore(LATER));
+    assertFalse(cloud.provisionedAt().isBefore(LATER));
   }
 
   static Stream<Named<Consumer<CloudStatus>>> departures() {
