--- a/src/main/java/org/ternhinge/round/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -12,30 +12,30 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The rates at which jobs of each class arrive, so that room can be kept for those that have to
- * start sooner than a machine boots. Guarded by the controller's lock.
+ * Arrival rates of jobs by class. They are used to reserve room in advance for jobs that have to
+ * start sooner than a machine can boot. Guarded by the controller's lock.
  */
 public final class ArrivalRates {
-  /** Seconds over which arrivals are counted: longer than a boot, shorter than a change of load. */
+  /** Window for counting arrivals, in seconds: longer than a boot, shorter than a load change. */
   private static final double WINDOW_S = 180;
 
-  /** Seconds of arrivals that room is kept for: about the time until a machine is up. */
+  /** Seconds of arrivals to reserve room for: about the time until a new machine is up. */
   private static final double LOOKAHEAD_S = 45;
 
-  /** Shortest span of a rate, in seconds; otherwise one early arrival would count as many. */
+  /** Minimum time span of a rate, in seconds; a shorter span would overrate a single arrival. */
   private static final double MIN_SPAN_S = 60;
 
-  /** The kind of objective that limits the wait until the first start. */
+  /** The kind of objective that limits the waiting time until the first start. */
   private static final String WAIT_OBJECTIVE = "wait";
 
   private record Arrival(JobSpec spec, SteadyTime at) {}
 
-  /** The shortest permitted wait of each class that has an objective for it, in seconds. */
+  /** The strictest wait objective of each class that has one, in seconds. */
   private final Map<String, Double> maxWaitSByClass = new HashMap<>();
 
   private final Map<String, ArrayDeque<Arrival>> recentByClass = new HashMap<>();
 
-  /** Creates rates without arrivals, for the classes with an objective for their wait. */
+  /** Creates empty rates for the classes that have a wait objective. */
   public ArrivalRates(List<Objective> objectives) {
     for (Objective objective : objectives) {
       if (objective.kind().equals(WAIT_OBJECTIVE)) {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Counts the arrival of a job, if jobs of its class can't wait until a machine has booted. */
+  /** Records the arrival of a job if jobs of its class can't wait for a machine to boot. */
   public void recordArrival(JobSpec spec, SteadyTime at) {
     Double maxWaitS = maxWaitSByClass.get(spec.jobClass());
     if (maxWaitS != null && maxWaitS < LOOKAHEAD_S) {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** The jobs that are expected within the lookahead, copies of the latest ones of their class. */
+  /** The jobs expected within the lookahead, as copies of the latest arrivals of each class. */
   List<Snapshot.JobView> expectedJobs(SteadyTime now, int zoneCount) {
     List<Snapshot.JobView> expectedJobs = new ArrayList<>();
     for (ArrayDeque<Arrival> recent : recentByClass.values()) {
@@ -76,7 +76,10 @@
     }
   }
 
-  /** The mean of the arrivals within the lookahead plus their standard deviation. */
+  /**
+   * The expected number of arrivals within the lookahead plus their standard deviation, as of a
+   * Poisson process.
+   */
   private static int expectedCount(ArrayDeque<Arrival> recent, SteadyTime now) {
     double spanS = Math.min(WINDOW_S, now.secondsSince(recent.peekFirst().at()));
     double mean = recent.size() / Math.max(MIN_SPAN_S, spanS) * LOOKAHEAD_S;
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -12,13 +12,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Writes one line for each machine to the debug log at intervals: its state and what runs on it.
- * Does nothing while debug logging is off. Guarded by the controller's lock.
+ * Periodically writes one line for each machine to the debug log, with its state and the attempts
+ * on it. Does nothing if debug logging is off. Guarded by the controller's lock.
  */
 public final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
-  /** Seconds between two descriptions of the fleet. */
+  /** Interval between two logs of the fleet, in seconds. */
   private static final double INTERVAL_S = 20;
 
   private final Clock clock;
@@ -36,7 +36,7 @@
     this.lastLogged = clock.now();
   }
 
-  /** Describes the fleet if the interval since the last time is over. */
+  /** Logs the fleet if the interval since the last log has elapsed. */
   public void logIfDue() {
     SteadyTime now = clock.now();
     if (LOG.isDebugEnabled() && now.secondsSince(lastLogged) >= INTERVAL_S) {
--- a/src/main/java/org/ternhinge/round/FleetState.java
+++ b/src/main/java/org/ternhinge/round/FleetState.java
@@ -7,12 +7,12 @@
 import org.ternhinge.machine.TaskFailures;
 
 /**
- * The state of the machines of one leadership that scheduling rounds read. Guarded by the
- * controller's lock.
+ * The machine state of one leadership that scheduling rounds read. Guarded by the controller's
+ * lock.
  *
  * @param machines all machines
- * @param machineTypes the types that the cloud offers
- * @param failures failures of tasks by machine and by job
+ * @param machineTypes the machine types that the cloud offers
+ * @param failures task failures by machine and by job
  * @param bootTimes measured and expected boot times
  * @param reportedTasks the tasks that machines report
  */
--- a/src/main/java/org/ternhinge/round/JobRanking.java
+++ b/src/main/java/org/ternhinge/round/JobRanking.java
@@ -4,28 +4,29 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Orders pending jobs of equal priority and guarantee. Arrival order would make every job overdue
- * in a full cluster; an order by size divided by waiting time lets most start early, and as every
- * job's key improves while it waits, none starves. A pure function of its arguments.
+ * Orders pending jobs of equal priority and guarantee by size divided by waiting time. In a full
+ * cluster, an order by arrival would make every job overdue. With this order most jobs start early,
+ * and none starves because every job's key improves while it waits. A pure function of its
+ * arguments.
  */
 final class JobRanking {
   /**
-   * Seconds without a start after which a job is served like one within its team's guarantee. Half
-   * of the four minutes in which the largest jobs have to start: provisioning, booting and fetching
-   * the image take the rest.
+   * Seconds without a started task after which a job ranks like one within its team's guarantee.
+   * This is half of the four minutes within which the largest jobs have to start; provisioning,
+   * booting and fetching the image take the other half.
    */
   static final double OVERDUE_S = 120;
 
-  /** Added to a job's waiting time, in seconds, so that new jobs are comparable by their size. */
+  /** Added to a job's waiting time, in seconds, so that new jobs are compared by their size. */
   private static final double WAIT_OFFSET_S = 30;
 
-  /** Places gangs before services and arrays; larger than any key from size and wait. */
+  /** Offset that ranks gangs before services and arrays; exceeds any key from size and wait. */
   private static final double GANG_KEY = -1e7;
 
-  /** Places services before arrays and after gangs. */
+  /** Offset that ranks services before arrays and after gangs. */
   private static final double SERVICE_KEY = -1e6;
 
-  /** Places overdue jobs before the others of their kind. */
+  /** Offset that ranks overdue jobs before other jobs of their kind. */
   private static final double OVERDUE_KEY = -1e5;
 
   private JobRanking() {}
@@ -33,10 +34,10 @@
   /**
    * The progress of a job.
    *
-   * @param pending tasks that are not done and have no open attempt
-   * @param done tasks that are done
-   * @param open tasks with an open attempt
-   * @param waitedS seconds since it could first start
+   * @param pending number of tasks that are not done and have no open attempt
+   * @param done number of tasks that are done
+   * @param open number of tasks with an open attempt
+   * @param waitedS seconds since the job first became ready to start
    */
   record Progress(int pending, int done, int open, double waitedS) {
     /** Whether no task was started within {@link #OVERDUE_S}. */
@@ -46,13 +47,14 @@
   }
 
   /**
-   * The sort key of a job, lowest first. Gangs come first and then services, by the CPUs that they
-   * ask for; arrays by the work that is not done; each divided by the time that it has waited.
+   * The sort key of a job; lower keys come first. Gangs rank before services and services before
+   * arrays. Within a kind, the key is the size divided by the waiting time, where the size is the
+   * requested CPUs of a gang or a service and the remaining work of an array.
    */
   static double key(JobSpec spec, Progress progress) {
     double wait = progress.waitedS() + WAIT_OFFSET_S;
     if (progress.isOverdue()) {
-      // Regardless of its size: otherwise short jobs would be preferred to it for ever.
+      // The size is ignored; otherwise short jobs would be preferred indefinitely.
       return kindKey(spec) + OVERDUE_KEY - wait;
     }
     return kindKey(spec) + size(spec, progress) / wait;
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -47,9 +47,9 @@
   }
 
   /**
-   * All jobs with pending tasks, in the order in which they could first start.
+   * All jobs with pending tasks, in the order in which they became ready to start.
    *
-   * @param reservedTasks the number of tasks of each job that room is reserved for
+   * @param reservedTasks number of tasks of each job for which room is reserved
    */
   List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reservedTasks) {
     Map<String, Resources> requestedByTeam = new HashMap<>();
@@ -74,7 +74,7 @@
     return views;
   }
 
-  /** The jobs whose first tasks started after too long a wait and of which none is done yet. */
+  /** The jobs whose first tasks started only after the job was overdue, with none done yet. */
   Set<JobId> lateStartedJobs(SteadyTime now) {
     Set<JobId> jobs = new HashSet<>();
     for (Job job : ledger.jobs()) {
@@ -108,7 +108,7 @@
     return jobs;
   }
 
-  /** Whether what a team has requested so far fits into its guarantee. */
+  /** Whether a team's requests, including those of earlier jobs, fit into its guarantee. */
   private static boolean isWithinGuarantee(Resources requested, Team team) {
     return requested.cpus() <= team.cpus() && (team.gpus() == 0 || requested.gpus() <= team.gpus());
   }
@@ -139,9 +139,9 @@
   }
 
   /**
-   * The first tasks without an open attempt; all of them where the job is a gang.
+   * The first tasks without an open attempt; all of them if the job is a gang.
    *
-   * @param maxStarts how many tasks may start in a round
+   * @param maxStarts maximum number of tasks that may start in a round
    */
   private static IntList pendingTasks(Job job, int maxStarts) {
     int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING);
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -21,11 +21,11 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * Builds the planner's views of the machines that are ready or expected to be so. A machine caches
- * its view until something on it changes. Guarded by the controller's lock.
+ * Builds the planner's views of the machines that are ready or expected to become ready. Each
+ * machine caches its view until its state changes. Guarded by the controller's lock.
  */
 final class MachineViews {
-  /** Seconds without a heartbeat after which a machine is not expected to become ready. */
+  /** Seconds without a heartbeat after which a machine is no longer expected to become ready. */
   private static final double MAX_SILENCE_S = 15;
 
   private final Settings settings;
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Whether a machine may take tasks, if not now then later. One that commands don't reach may not,
-   * or nothing would be provisioned in its place.
+   * Whether a machine can take tasks now or later. A machine that commands do not reach is not
+   * usable; otherwise no replacement would be provisioned.
    */
   private boolean isUsable(Machine machine, SteadyTime now) {
     return machine.cloud().isStaying()
@@ -70,7 +70,7 @@
         && !machine.health().reachability().unreachable();
   }
 
-  /** The views of all machines that are ready or expected to be so. */
+  /** The views of all machines that are ready or expected to become ready. */
   List<Snapshot.MachineView> list(SteadyTime now) {
     List<Snapshot.MachineView> views = new ArrayList<>(machines.all().size());
     Set<MachineId> lateToBoot = bootTimes.late(now);
@@ -86,14 +86,14 @@
     return views;
   }
 
-  /** Whether a machine that is not ready is likely to become so soon. */
+  /** Whether a machine that is not ready is expected to become ready soon. */
   private static boolean isExpected(Machine machine, Set<MachineId> lateToBoot, SteadyTime now) {
     return machine.agent().isHeard()
         ? machine.agent().silentForS(now) <= MAX_SILENCE_S
         : !lateToBoot.contains(machine.id());
   }
 
-  /** The number of tasks of each job that room is reserved for on these machines. */
+  /** The number of tasks of each job for which room is reserved on these machines. */
   static Map<JobId, Integer> reservedTasks(List<Snapshot.MachineView> views) {
     Map<JobId, Integer> reserved = new HashMap<>();
     for (Snapshot.MachineView view : views) {
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -27,20 +27,22 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Carries out a plan as far as it still holds. The planner works on a snapshot without the lock, so
- * jobs and machines may have changed or been removed since: each decision is checked again, and
- * each placement has to pass the ledger's admission. Guarded by the controller's lock.
+ * Executes the decisions of a plan that are still valid. The planner works on a snapshot without
+ * the lock, so jobs and machines may have changed or been removed in the meantime. Each decision is
+ * therefore checked again, and each placement has to pass the ledger's admission check. Guarded by
+ * the controller's lock.
  */
 public final class PlanExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
 
   /**
-   * Seconds for which room is reserved for a job after a preemption: long enough for the victims to
-   * save and end, short enough that no room is wasted if the job is placed elsewhere.
+   * Lifetime of a reservation after a preemption, in seconds: long enough for the preempted tasks
+   * to save a checkpoint and end, and short enough to waste little room if the job is placed
+   * elsewhere.
    */
   private static final double RESERVATION_S = 12;
 
-  /** Seconds besides the time to save, for the command to arrive and the end to be reported. */
+  /** Seconds, besides the time to save, for the command to arrive and the end to be reported. */
   private static final double SAVE_MARGIN_S = 1;
 
   private final Clock clock;
@@ -74,7 +76,7 @@
     this.releaser = releaser;
   }
 
-  /** Carries out what still holds; called under the lock while the leadership certainly holds. */
+  /** Executes a plan; the caller holds the lock and has checked that the leadership is valid. */
   void execute(Plan plan) {
     SteadyTime now = clock.now();
     for (Plan.Placement placement : plan.placements()) {
@@ -114,7 +116,7 @@
     }
   }
 
-  /** The placements that the job's record has room for; a gang's are admitted whole or not. */
+  /** The placements that fit into the job's record; those of a gang are admitted all or none. */
   private List<Ledger.Placement> withRoomInRecord(Job job, List<Ledger.Placement> placements) {
     if (job.spec().isGang()) {
       return placements;
@@ -126,13 +128,13 @@
     return fitting;
   }
 
-  /** The placements whose machine still takes tasks. */
+  /** The placements whose machine still accepts tasks. */
   private List<Ledger.Placement> placements(Plan.Placement planned, Job job, SteadyTime now) {
     List<Ledger.Placement> placements = new ArrayList<>();
     for (int i = 0; i < planned.tasks().size(); i++) {
       int index = planned.tasks().get(i);
       Machine machine = machines.find(planned.machines().get(i)).orElse(null);
-      // A task that some machine still reports must not delay the rest of its array.
+      // Skips a task that a machine still reports, so that it does not block the rest of its job.
       boolean isReported =
           !job.spec().isGang() && reportedTasks.isShown(new TaskId(planned.job(), index));
       if (machine != null && !isReported && snapshots.isPlaceable(machine, now)) {
@@ -153,10 +155,10 @@
         machineTypes.typeOf(machine).orElseThrow().capacity());
   }
 
-  /** Updates a machine on which an attempt of the job has been opened. */
+  /** Updates the state of a machine after an attempt of the job has been opened on it. */
   private void placed(Job job, Machine machine) {
     machine.invalidateView();
-    // Each placed task uses up one reservation.
+    // Each placed task consumes one reservation.
     machine.dropReservation(job.spec().id());
     double cacheGb = machineTypes.typeOf(machine).orElseThrow().cacheGb();
     machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
@@ -164,11 +166,11 @@
 
   // ---- preemptions and releases -----------------------------------------------------------------
 
-  /** Stops tasks on a machine, and reserves their room for the job that they are stopped for. */
+  /** Stops tasks on a machine and reserves their room for the preempting job. */
   private void preempt(Plan.Preemption preemption, SteadyTime now) {
     Machine machine = machines.find(preemption.machine()).orElse(null);
     if (machine == null) {
-      // It was removed after the snapshot.
+      // The machine was removed after the snapshot was taken.
       return;
     }
     SteadyTime until = now.plusSeconds(RESERVATION_S);
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -22,19 +22,19 @@
 
 /**
  * Runs scheduling rounds, one at a time: takes a snapshot under the lock, plans without the lock,
- * and carries the plan out under the lock. Planning takes too long to block heartbeats and the
- * renewal of the leadership. State is guarded by the controller's lock.
+ * and executes the plan under the lock. Planning takes so long that it would block heartbeats and
+ * the renewal of the leadership if the lock were held. State is guarded by the controller's lock.
  */
 public final class SchedulingRounds implements RoundTrigger {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingRounds.class);
 
   /**
-   * Ratio of the pause after a round to the round's duration. It bounds the share of the processor
-   * that planning takes, however large the fleet.
+   * Ratio of the interval between the starts of two rounds to the duration of the last round. It
+   * limits the share of processor time that planning takes in large fleets.
    */
   private static final double PAUSE_FACTOR = 15;
 
-  /** Shortest delay from a request to its round, so that changes made together share a round. */
+  /** Minimum delay from a request to its round, so that simultaneous changes share a round. */
   private static final double MIN_DELAY_S = 0.01;
 
   private final Tuning tuning;
@@ -77,7 +77,7 @@
     this.lastStart = clock.now();
   }
 
-  /** Permits rounds, once the ledger is loaded. Requests made before have no effect. */
+  /** Enables rounds once the ledger is loaded. Earlier requests have no effect. */
   public void enable() {
     enabled = true;
   }
@@ -98,7 +98,7 @@
     begin().ifPresent(snapshot -> finish(plan(snapshot)));
   }
 
-  /** Takes the snapshot to plan on; empty where no round may run now. */
+  /** Takes the snapshot for a round; empty if no round may run now. */
   private Optional<Snapshot> begin() {
     lock.lock();
     try {
@@ -117,12 +117,12 @@
     }
   }
 
-  /** Plans; empty where the planner failed, after which the next round tries again. */
+  /** Plans a round; empty if the planner failed, in which case the next round tries again. */
   private Optional<Plan> plan(Snapshot snapshot) {
     try {
       return Optional.of(Planner.plan(zones.filter(snapshot)));
     } catch (RuntimeException e) {
-      LOG.error("the planner failed", e);
+      LOG.error("planning failed; this scheduling round is skipped", e);
       return Optional.empty();
     }
   }
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -14,12 +14,12 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Takes the planner's snapshots of jobs and machines. Machines cache their views until something on
- * them changes, so that the cost of a round depends on what has changed since the last one and not
- * on the size of the fleet. Guarded by the controller's lock.
+ * Takes snapshots of jobs and machines for the planner. Machines cache their views until their
+ * state changes, so the cost of a snapshot depends on the changes since the last round and not on
+ * the size of the fleet. Guarded by the controller's lock.
  */
 public final class SnapshotBuilder {
-  /** Heartbeat intervals in which every live machine reports to a new leader. */
+  /** Heartbeat intervals within which every live machine reports to a new leader. */
   private static final double FIRST_REPORT_INTERVALS = 2;
 
   private final Settings settings;
@@ -54,7 +54,6 @@
     return machineViews.isPlaceable(machine, now);
   }
 
-  /** Takes a snapshot of the present state. */
   Snapshot snapshot(SteadyTime now) {
     List<Snapshot.MachineView> machines = machineViews.list(now);
     return new Snapshot(
@@ -78,8 +77,8 @@
   }
 
   /**
-   * Whether every live machine has reported to this leader, or has had time to. Until then, tasks
-   * would be sent to places of last resort while better machines have not reported yet.
+   * Whether every live machine has reported to this leader or has had enough time to report. Before
+   * that, tasks could be placed in accelerator slots although better machines are about to report.
    */
   private boolean isInventoryComplete(SteadyTime now) {
     double firstReportsS = FIRST_REPORT_INTERVALS * settings.workers().heartbeatIntervalS();
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -8,17 +8,17 @@
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 
-/** Protects the places of tasks with accelerators from being used up by tasks without. */
+/** Counts the accelerator slots that are lost when a task without accelerators is placed. */
 final class AcceleratorPlaces {
   private static final int MILLIS_PER_GPU = 1000;
 
-  /** CPU of an assumed task with one accelerator: so many eighths of the accelerator's share. */
+  /** CPU of the assumed task, in eighths of one accelerator's share of the machine's CPUs. */
   private static final int ASSUMED_CPU_EIGHTHS = 7;
 
-  /** Memory of such a task: so many quarters of the accelerator's share. */
+  /** Memory of the assumed task, in quarters of one accelerator's share of the memory. */
   private static final int ASSUMED_MEMORY_QUARTERS = 3;
 
-  /** A job with accelerators that represents all of them; null where the snapshot has none. */
+  /** A job with accelerators that stands for all such jobs; null if the snapshot has none. */
   private final JobSpec sampleJob;
 
   AcceleratorPlaces(Snapshot snapshot) {
@@ -47,11 +47,13 @@
   }
 
   /**
-   * How many tasks with accelerators lose their place on a machine to one task of a job.
+   * Returns how many fewer tasks with accelerators fit on a machine if a task of this job is placed
+   * there.
    *
-   * <p>Counted in the room without arrays, which end soon: a service takes what will be free for
-   * good, and arrays may fill only what no task with accelerators could use once they have ended.
-   * When arrays were counted as well, one short task gave a place away for as long as arrays came.
+   * <p>Array tasks on the machine are ignored because they end soon. A service is compared with the
+   * room that remains once they have ended; an array may only use room that no task with
+   * accelerators could use at that time. When running arrays were counted as used room, a single
+   * short task opened the slot to other arrays for as long as new ones arrived.
    */
   int lostPlaces(JobSpec spec, MachineCapacity machine) {
     Resources capacity = machine.machineType().capacity();
@@ -75,12 +77,12 @@
     return arrays.plus(spec.need()).fitsIn(spare) ? 0 : 1;
   }
 
-  /** Whether a job is an array that is preempted when a task with accelerators arrives. */
+  /** Whether a job is an array of lower priority than the sample, so the sample can preempt it. */
   private boolean yieldsToSample(JobSpec spec) {
     return spec.kind() == JobKind.ARRAY && spec.priority().compareTo(sampleJob.priority()) > 0;
   }
 
-  /** A task with one accelerator and nearly its share of the rest of a machine. */
+  /** A task with one accelerator and most of the accelerator's share of CPU and memory. */
   private static Resources assumedTask(Resources capacity) {
     long gpus = Math.max(1, capacity.gpus() / MILLIS_PER_GPU);
     return new Resources(
@@ -90,8 +92,9 @@
   }
 
   /**
-   * How many tasks with accelerators would have to preempt this array's task, or another one on the
-   * machine, before they could start on a machine. None where arrays occupy the machine already.
+   * Returns how many tasks with accelerators could start on a machine now, but only after a
+   * preemption once a task of this array is placed there. This is 0 if other arrays already occupy
+   * the room.
    */
   int obstructedPlaces(JobSpec spec, MachineCapacity machine) {
     if (sampleJob == null || spec.kind() != JobKind.ARRAY || !machine.allows(sampleJob)) {
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -14,22 +14,22 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Moves replicas of services, a few at a time, from accelerated machines on which nothing else runs
- * any more to cheaper room. A service is placed next to tasks with accelerators and stays when
- * these have ended: eighty machines of the most expensive type were kept for half a day for one
- * replica each.
+ * Moves service replicas, a few at a time, from accelerated machines that run only services to
+ * cheaper machines. A service that was placed next to tasks with accelerators remains after these
+ * have ended: without consolidation, eighty machines of the most expensive type were kept for half
+ * a day for one replica each.
  */
 final class Consolidation {
-  /** Share of all replicas that may be moving at one time, as they are down meanwhile. */
+  /** Maximum share of all replicas that move at the same time; a replica is down while it moves. */
   private static final double MOVING_SHARE = 0.002;
 
-  /** Seconds that a replica runs at least before it is moved. */
+  /** Minimum running time of a replica before it is moved, in seconds. */
   private static final double MIN_RUNNING_S = 60;
 
-  /** Cost of the new place, relative to the present one, above which a move is not worthwhile. */
+  /** Maximum cost of the target relative to the source for which a move is worthwhile. */
   private static final double MAX_COST_RATIO = 0.6;
 
-  /** Evaluations that a round may take for consolidation, which is never urgent. */
+  /** Maximum evaluations per round for consolidation, which is never urgent. */
   private static final int MAX_EVALUATIONS = Planner.MAX_EVALUATIONS / 4;
 
   private final PlanBuilder builder;
@@ -39,23 +39,23 @@
 
   private final int zoneCount;
 
-  /** Machines with room for a replica. */
+  /** Ready machines with free CPU. */
   private final List<MachineCapacity> targets = new ArrayList<>();
 
   /**
-   * Searches that found no place. Sources come in order of falling cost and room only gets less, so
-   * the next search for the same service and zone finds none either. Without this record the
-   * searches were three quarters of a leader's work at 1,700 machines.
+   * Searches that found no target. Sources are processed by descending cost and free room only
+   * shrinks, so a later search for the same service and zone can't succeed either. Without this
+   * set, the searches took three quarters of the leader's processor time at 1,700 machines.
    */
   private final Set<Search> failedSearches = new HashSet<>();
 
-  /** Evaluations that this round has taken for consolidation. */
+  /** Evaluations done for consolidation in this round. */
   private long evaluations;
 
-  /** Replicas that are stopping, starting or pending. */
+  /** Number of replicas that are stopping, starting or pending. */
   private int moving;
 
-  /** How many more replicas this round may move. */
+  /** Number of replicas that this round may still move. */
   private int movesLeft;
 
   private record Search(JobId service, int fromZone) {}
@@ -76,12 +76,12 @@
     return machine.machineType().price(machine.spot());
   }
 
-  /** The price of a machine divided by its replicas. */
+  /** The price of a machine divided by the number of replicas on it. */
   private static double pricePerReplica(MachineCapacity machine) {
     return price(machine) / machine.view().attempts().size();
   }
 
-  /** Whether only services run on an accelerated machine, all of which may be moved now. */
+  /** Whether a machine is accelerated and runs only service replicas that may be moved now. */
   private boolean isSource(MachineCapacity machine) {
     if (!machine.ready()
         || machine.used()
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Moves the replicas that may move now. Nothing is provisioned for them: machines that were
-   * provisioned for later moves idled, were released and were provisioned again.
+   * Adds the moves of this round to the plan. No machines are provisioned for moves: machines that
+   * were provisioned for later moves stayed idle, were released and were provisioned again.
    */
   void run() {
     List<MachineCapacity> sources = findSourcesAndTargets();
@@ -113,14 +113,14 @@
       if (evaluations >= MAX_EVALUATIONS) {
         return;
       }
-      // A used one is the target of another move.
+      // A source that is in use by now has become the target of another move.
       if (!source.used()) {
         moveFrom(source);
       }
     }
   }
 
-  /** Counts the replicas, and finds the machines to move from and to. */
+  /** Counts replicas, collects the targets and returns the sources. */
   private List<MachineCapacity> findSourcesAndTargets() {
     List<MachineCapacity> sources = new ArrayList<>();
     int replicas = 0;
@@ -172,10 +172,10 @@
     JobSpec spec = replica.spec();
     replicasByZone.get(spec)[source.zone()]--;
     replicasByZone.get(spec)[target.zone()]++;
-    // Room is reserved also for replicas that move in a later round, so that it is not released.
+    // Reserves room for replicas that move in a later round too, so that it is not released.
     target.reserve(spec);
-    // A replica is down for seconds where its image has to be fetched, else for a moment: replicas
-    // of the first kind move one at a time.
+    // A replica is down for several seconds if the target has to fetch its image. Such replicas
+    // move one at a time.
     boolean quick = target.hasImage(spec.image());
     if (quick ? movesLeft > 0 : moving == 0) {
       movesLeft--;
@@ -184,7 +184,7 @@
     }
   }
 
-  /** The machine with the best score among those that cost much less than the present one. */
+  /** The machine with the best score among those that cost less than the maximum. */
   private Optional<MachineCapacity> findTarget(AttemptView replica, MachineCapacity source) {
     JobSpec spec = replica.spec();
     MachineCapacity best = null;
@@ -209,7 +209,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** The cost of a place; an accelerated machine is a target only if services alone run on it. */
+  /** The cost of one replica on a machine; prohibitive if it also runs accelerator tasks. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
     double pricePerPlace =
         price(machine) / Math.max(1, spec.need().timesIn(machine.machineType().capacity()));
@@ -225,7 +225,7 @@
         : Double.MAX_VALUE;
   }
 
-  /** Whether a scattered service may have another replica in the zone of a machine. */
+  /** Whether a move keeps a scattered service within its limit of replicas for each zone. */
   private boolean zoneAllows(JobSpec spec, MachineCapacity from, MachineCapacity to) {
     return from.zone() == to.zone()
         || !spec.scatter()
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -14,25 +14,27 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Makes room for gangs that do not fit into the free room. Others are preempted only where that
- * makes room for the whole gang. A gang that has waited long reserves free places, or smaller jobs
- * that come later would take each as it becomes free, and the largest gang would never start.
+ * Makes room for gangs that do not fit into the free room. Tasks are preempted only if that makes
+ * room for the whole gang. A gang that has waited long enough reserves free slots. Otherwise
+ * smaller jobs that arrive later would take each slot as it becomes free, and the largest gang
+ * would never start.
  */
 final class GangReservations {
   /**
-   * Seconds that a gang waits, for each doubling of its size, before it preempts others or reserves
-   * places. A large gang that gets room at once makes many small ones late and costs hundreds of
-   * lesser tasks their work; the largest still start within the four minutes that users expect.
+   * Seconds that a gang waits, for each doubling of its size, before it reserves slots. If a large
+   * gang got room at once, many small gangs would start late and hundreds of lower-priority tasks
+   * would lose their work. With this delay, the largest gangs still start within the four minutes
+   * that users expect.
    */
   private static final double PATIENCE_S = 20;
 
-  /** Makes a zone without room for the whole gang cost more than all that have it. */
+  /** Cost factor of zones without room for the whole gang; exceeds any cost of one with room. */
   private static final double INCOMPLETE_COST = 1e12;
 
-  /** A place for one task, and the attempts to preempt for it. */
+  /** Room for one task on a machine, and the attempts to preempt for it. */
   record GangPlace(MachineCapacity machine, List<AttemptView> victims, double cost) {}
 
-  /** Places for tasks of a gang in a zone, the cheapest first. */
+  /** The slots found for a gang in a zone, the cheapest first. */
   private record ZonePlaces(int zone, List<GangPlace> places) {
     double cost() {
       double cost = 0;
@@ -44,10 +46,10 @@
   }
 
   /**
-   * What a gang lacks.
+   * The part of a gang that has no room yet.
    *
-   * @param tasks tasks without a free place
-   * @param tasksByZone tasks with a free place in each zone
+   * @param tasks number of tasks without a free slot
+   * @param tasksByZone number of tasks with a free slot in each zone
    */
   record Missing(int tasks, IntList tasksByZone) {}
 
@@ -62,10 +64,11 @@
   }
 
   /**
-   * Preempts others for a whole gang if that is possible and it has waited long enough. Otherwise
-   * reserves the free places, unless the gang is still patient.
+   * Preempts tasks to make room for a whole gang if the gang is overdue and enough tasks can be
+   * preempted; a gang of one task need not be overdue. Otherwise reserves the free slots, or defers
+   * the reservation if the gang has not waited long enough.
    *
-   * @return what the gang lacks; empty where it will have room for all its tasks
+   * @return the part of the gang without room; empty if there will be room for all its tasks
    */
   Optional<Missing> reserveOrFindMissing(JobView job) {
     JobSpec spec = job.spec();
@@ -87,9 +90,9 @@
   }
 
   /**
-   * Reserves places for the gangs that are still patient. These let other gangs go first, but not
-   * lesser arrays: arrays filled the machines that were provisioned for a gang as they came up, and
-   * then had to be preempted in large numbers.
+   * Reserves slots for the gangs whose reservation was deferred. Other gangs may be placed before
+   * them, but lower-ranked arrays may not: arrays filled the machines that had been provisioned for
+   * a gang as these came up, and then had to be preempted in large numbers.
    */
   void reserveForPatientGangs() {
     for (JobView job : patientGangs) {
@@ -100,7 +103,7 @@
     patientGangs.clear();
   }
 
-  /** The cheapest zone for the whole gang; if none holds it, the one where least is missing. */
+  /** The cheapest zone with room for the whole gang, else the zone with the most slots. */
   private ZonePlaces bestZone(JobView job, boolean mayPreempt) {
     ZonePlaces best = new ZonePlaces(PlanBuilder.ANY_ZONE, List.of());
     double lowestCost = Double.MAX_VALUE;
@@ -156,7 +159,7 @@
     return new Missing(job.spec().tasks() - free, IntArrayList.wrap(tasksByZone));
   }
 
-  /** The cheapest places in a zone, as many as the gang has tasks. */
+  /** The cheapest slots in a zone, at most as many as the gang has tasks. */
   private List<GangPlace> findPlaces(JobView job, int zone, boolean mayPreempt) {
     JobSpec spec = job.spec();
     List<GangPlace> places = new ArrayList<>();
@@ -169,12 +172,12 @@
         preemption.addGangPlaces(job, machine, mayPreempt, places);
       }
     }
-    // The sort is stable and a machine's later places cost more, so theirs is the order of finding.
+    // The sort is stable and costs rise within a machine, so each machine's slots keep their order.
     places.sort(Comparator.comparingDouble(GangPlace::cost));
     return places.size() > spec.tasks() ? places.subList(0, spec.tasks()) : places;
   }
 
-  /** The machines that a task fits on when they are empty; shared by gangs of the same size. */
+  /** The machines with enough capacity for a task; cached for gangs with the same request. */
   private List<MachineCapacity> hosts(JobSpec spec) {
     return hostsByNeed.computeIfAbsent(spec.need(), this::findHosts);
   }
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -16,15 +16,15 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A machine, present or to be provisioned, with the room that is left on it as a plan grows.
- * Amounts are plain numbers, not {@link Resources}: a round evaluates hundreds of tasks on hundreds
- * of machines, and an allocation for each evaluation would cost more than the evaluation.
+ * The remaining capacity of an existing or planned machine while a plan is built. Amounts are kept
+ * as primitives instead of {@link Resources}: a round evaluates hundreds of tasks on hundreds of
+ * machines, and allocating an object for each evaluation would cost more than the evaluation.
  */
 final class MachineCapacity {
-  /** Score, in seconds, of each other task of the same service on the machine. */
+  /** Penalty, in seconds, for each other task of the same service on the machine. */
   private static final double SIBLING_S = 4;
 
-  /** Null for a machine that is not provisioned yet. */
+  /** The machine in the snapshot; null for a machine that is not provisioned yet. */
   private final MachineView view;
 
   private final MachineType machineType;
@@ -37,13 +37,13 @@
   private long gpus;
   private long memory;
 
-  /** Resources of array tasks on an accelerated machine; they end by themselves before long. */
+  /** CPU of array tasks on an accelerated machine; these tasks end soon. */
   private long arrayCpus;
 
   private long arrayGpus;
   private long arrayMemory;
 
-  /** Room that preemptions of this plan free, less what the plan has reserved of it. */
+  /** Resources freed by preemptions of this plan, minus what the plan has reserved of them. */
   private Resources freedByPreemption = Resources.ZERO;
 
   private List<AttemptView> preempted = List.of();
@@ -51,10 +51,10 @@
   private List<JobSpec> placedServices = List.of();
   private Set<JobId> reservedByPlan = Set.of();
 
-  /** The lowest priority among the open attempts; null where there are none. */
+  /** The lowest priority among the open attempts; null if there are none. */
   private Priority lowestPriority;
 
-  /** Whether the plan uses the machine, so that it is not released. */
+  /** Whether the plan places or reserves something here, so the machine must not be released. */
   private boolean used;
 
   MachineCapacity(MachineView view) {
@@ -99,7 +99,7 @@
     arrayMemory += need.memory();
   }
 
-  /** The machine as the snapshot has it; only for machines of the snapshot. */
+  /** The machine in the snapshot; null for a machine that is not provisioned yet. */
   MachineView view() {
     return view;
   }
@@ -117,7 +117,7 @@
     return spot;
   }
 
-  /** Whether tasks may be placed on it now. */
+  /** Whether tasks may be placed on the machine now. */
   boolean ready() {
     return view != null && view.ready();
   }
@@ -134,17 +134,17 @@
     return new Resources(cpus, gpus, memory);
   }
 
-  /** Free room and that of the arrays on the machine, if it is accelerated. */
+  /** The free room plus, on an accelerated machine, the room that its array tasks use. */
   Resources freeAndArrays() {
     return new Resources(cpus + arrayCpus, gpus + arrayGpus, memory + arrayMemory);
   }
 
-  /** The lowest priority among the open attempts, or null where there are none. */
+  /** The lowest priority among the open attempts, or null if there are none. */
   Priority lowestPriority() {
     return lowestPriority;
   }
 
-  /** Whether a job may run on such a machine, however much room there is. */
+  /** Whether a job's constraints permit this kind of machine and its zone, whatever is free. */
   boolean allows(JobSpec spec) {
     return (!spot || spec.spotAllowed())
         && spec.allowsZone(zoneName)
@@ -155,7 +155,7 @@
     return (view != null && view.images().contains(image)) || fetchedImages.contains(image);
   }
 
-  /** Whether a task fits into what is free and not reserved for another job. */
+  /** Whether a task fits into the free room that is not reserved for other jobs. */
   boolean fits(JobSpec spec) {
     Resources need = spec.need();
     if (need.cpus() > cpus || need.gpus() > gpus || need.memory() > memory) {
@@ -174,7 +174,7 @@
     return false;
   }
 
-  /** What is free and not reserved for another job. */
+  /** The free room that is not reserved for other jobs. */
   private Resources roomFor(JobId job) {
     Resources room = free();
     for (Reservation reservation : reservations) {
@@ -185,8 +185,8 @@
     return room;
   }
 
-  /** The score of placing a service's task beside others of the same service. */
-  @SuppressWarnings("ReferenceEquality") // one spec object a job; a hot path
+  /** The penalty for placing a service's task on the same machine as others of the service. */
+  @SuppressWarnings("ReferenceEquality") // each job has one spec object; this is a hot path
   double siblingScore(JobSpec spec) {
     int siblings = 0;
     if (view != null) {
@@ -204,7 +204,7 @@
     return SIBLING_S * siblings;
   }
 
-  /** Subtracts a task's resources for the time of a search; {@link #unassume} adds them again. */
+  /** Subtracts a task's resources; {@link #unassume} adds them back. */
   void assume(JobSpec spec) {
     Resources need = spec.need();
     cpus -= need.cpus();
@@ -212,7 +212,7 @@
     memory -= need.memory();
   }
 
-  /** Places a task. */
+  /** Allocates a task's resources for good and records its image as fetched here. */
   void place(JobSpec spec) {
     assume(spec);
     used = true;
@@ -241,7 +241,7 @@
     return !reservedByPlan.isEmpty() && reservedByPlan.contains(job);
   }
 
-  @SuppressWarnings("ReferenceEquality") // a plan sees one view of an attempt, from one snapshot
+  @SuppressWarnings("ReferenceEquality") // a snapshot has one view object for each attempt
   boolean isPreempted(AttemptView attempt) {
     for (AttemptView victim : preempted) {
       if (victim == attempt) {
@@ -251,7 +251,7 @@
     return false;
   }
 
-  /** Room that a job could use without a further preemption, once those under way are done. */
+  /** The room that a job can use once the preemptions planned so far have taken effect. */
   Resources roomAfterPreemptions(JobId job) {
     return roomFor(job).plus(freedByPreemption);
   }
@@ -262,8 +262,8 @@
   }
 
   /**
-   * Preempts tasks for a task of a job. What it needs is subtracted from the free room first, so
-   * that nothing else of this plan goes there, then from what the preemptions free.
+   * Preempts tasks for one task of a job and reserves its resources. They are taken from the free
+   * room first, so that the plan places nothing else there, then from what the preemptions free.
    */
   void preempt(JobSpec forJob, List<AttemptView> victims) {
     Resources freed = Resources.ZERO;
--- a/src/main/java/org/ternhinge/schedule/MachinesWithRoom.java
+++ b/src/main/java/org/ternhinge/schedule/MachinesWithRoom.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * Machines that may have room for the smallest request of a round. Full ones are removed once they
- * are many, so that later searches do not evaluate them again. The order of the rest is kept.
+ * Machines that may have room for the smallest request of a round. Full machines are removed in
+ * bulk once there are many, so that later searches do not evaluate them again. The order of the
+ * others is kept.
  */
 final class MachinesWithRoom {
-  /** Full machines are removed where they are more than one in so many. */
+  /** Full machines are removed once more than one in this many machines is full. */
   private static final int REMOVAL_RATIO = 4;
 
-  /** CPU of the smallest request, in millis; a machine with less is full. */
+  /** CPU of the smallest request, in thousandths; a machine with less free CPU is full. */
   private final long smallestRequestCpus;
 
   private final List<MachineCapacity> machines = new ArrayList<>();
@@ -36,15 +37,15 @@
     return machines.get(index);
   }
 
-  /** All machines that were added and not removed; to be read only. */
+  /** All machines that were added and not removed; callers must not modify the list. */
   List<MachineCapacity> all() {
     return machines;
   }
 
   /**
-   * Removes the full machines if they are many.
+   * Removes the full machines if there are many.
    *
-   * @param fullCount how many the caller has found full
+   * @param fullCount number of full machines that the caller has counted
    */
   void removeFullIfMany(int fullCount) {
     if (fullCount * REMOVAL_RATIO > machines.size()) {
@@ -52,7 +53,7 @@
     }
   }
 
-  /** Counts the full machines and removes them if they are many. */
+  /** Counts the full machines and removes them if there are many. */
   void removeFullIfMany() {
     int full = 0;
     for (MachineCapacity machine : machines) {
--- a/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
@@ -8,8 +8,8 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * The properties of a job, besides its size, that decide where its tasks may be placed. Jobs with
- * equal constraints share the result of a search. Used as part of the keys of one round's maps.
+ * The properties of a job, besides its resource request, that decide where its tasks may be placed.
+ * Jobs with equal constraints share the result of a search. Used in map keys within one round.
  */
 record PlacementConstraints(
     JobKind kind,
@@ -25,7 +25,7 @@
     return of(spec, spec.scatter(), spec.together());
   }
 
-  /** The constraints that a single machine can check: how tasks spread over zones is left out. */
+  /** The constraints that can be checked for one machine; distribution over zones is left out. */
   static PlacementConstraints ofSingleMachine(JobSpec spec) {
     return of(spec, false, false);
   }
@@ -41,8 +41,8 @@
         spec.types());
   }
 
-  // Written by hand, as those that the compiler derives are slow until they are optimized; they run
-  // for each job and scope of a round.
+  // Written by hand because the generated methods of records are slow until the JIT has compiled
+  // them, and these run for each job and scope of a round.
   @Override
   public boolean equals(Object other) {
     return other instanceof PlacementConstraints that
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,20 +1,20 @@
 package org.ternhinge.schedule;
 
-/** Which places a search considers, and whose tasks it may preempt. */
+/** Which machines a search considers and which tasks it may preempt. */
 enum PlacementScope {
-  /** Places that no task with accelerators loses. */
+  /** Only room that does not reduce the number of accelerator slots. */
   PLAIN(false, false, false),
 
-  /** The same, on machines that hold the job's image. */
+  /** Like {@link #PLAIN}, but only machines that hold the job's image. */
   CACHED(false, false, true),
 
-  /** Also places that tasks with accelerators lose. */
+  /** Also room that reduces the number of accelerator slots. */
   LAST_RESORT(true, false, false),
 
-  /** Only by preempting tasks of the job's own team, which lowers the team's use as well. */
+  /** Preempts only tasks of the job's own team, which also lowers the team's usage. */
   OWN_TEAM(false, true, false),
 
-  /** The same, also in places that tasks with accelerators lose. */
+  /** Like {@link #OWN_TEAM}, but also room that reduces the number of accelerator slots. */
   OWN_TEAM_LAST_RESORT(true, true, false);
 
   private final boolean mayUseAcceleratorPlaces;
@@ -27,17 +27,17 @@
     this.cached = cached;
   }
 
-  /** Whether places are considered that tasks with accelerators lose. */
+  /** Whether the search may reduce the number of accelerator slots. */
   boolean mayUseAcceleratorPlaces() {
     return mayUseAcceleratorPlaces;
   }
 
-  /** Whether only tasks of the job's own team may be preempted. */
+  /** Whether the search may preempt only tasks of the job's own team. */
   boolean ownTeam() {
     return ownTeam;
   }
 
-  /** Whether only machines are considered that hold the job's image. */
+  /** Whether the search considers only machines that hold the job's image. */
   boolean cached() {
     return cached;
   }
--- a/src/main/java/org/ternhinge/schedule/Plan.java
+++ b/src/main/java/org/ternhinge/schedule/Plan.java
@@ -7,12 +7,12 @@
 import org.ternhinge.model.Resources;
 
 /**
- * The decisions of one scheduling round. They rest on a snapshot, so whoever carries them out has
- * to check each of them against the present state.
+ * The decisions of one scheduling round. They are based on a snapshot, so the executor has to check
+ * each of them against the current state.
  */
 public final class Plan {
   /**
-   * Tasks of one job to start together.
+   * Tasks of one job to start.
    *
    * @param tasks indexes of the tasks
    * @param machines the machine of each task, in the same order
@@ -20,13 +20,13 @@
   public record Placement(JobId job, List<Integer> tasks, List<MachineId> machines) {}
 
   /**
-   * Tasks to stop on a machine, so that a task of another job fits there.
+   * Tasks to stop on a machine to make room for a task of another job.
    *
    * @param room the resources to reserve on the machine for that job
    */
   public record Preemption(MachineId machine, JobId forJob, Resources room, List<Victim> victims) {}
 
-  /** A task to stop. Where it belongs to a gang, the whole gang is stopped. */
+  /** A task to stop. If it belongs to a gang, the whole gang is stopped. */
   public record Victim(JobId job, int index) {}
 
   /** Machines of one type to provision in one zone. */
@@ -38,12 +38,12 @@
   private final List<MachineId> releases = new ArrayList<>();
   private long evaluations;
 
-  /** Tasks to start, each with its machine. */
+  /** Tasks to start, with their machines. */
   public List<Placement> placements() {
     return placements;
   }
 
-  /** Tasks to stop, each with the job that gets its room. */
+  /** Tasks to stop, with the job that gets their room. */
   public List<Preemption> preemptions() {
     return preemptions;
   }
@@ -58,7 +58,7 @@
     return releases;
   }
 
-  /** How many times a job was evaluated against a machine or an offer for this plan. */
+  /** Number of evaluations of a job against a machine or an offer while planning. */
   public long evaluations() {
     return evaluations;
   }
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -17,23 +17,23 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The state of one planning round: the decisions so far, and the room and team limits that they
- * leave. Scores a task on a machine in seconds, the lowest score being the best.
+ * The state of one planning round: the decisions so far, the remaining room and the remaining team
+ * quotas. Scores a task on a machine in seconds; lower is better.
  */
 final class PlanBuilder {
-  /** Takes the place of a zone where the tasks of a job may be spread over several. */
+  /** Used instead of a zone index if the tasks of a job may be spread over several zones. */
   static final int ANY_ZONE = -1;
 
-  /** Score of each place that a task with accelerators loses. */
+  /** Penalty for each accelerator slot that is lost. */
   private static final double LOST_PLACE_S = 120;
 
-  /** Score of each place that a task with accelerators gets only by preempting this one. */
+  /** Penalty for each accelerator slot that becomes available only by preempting this task. */
   private static final double OBSTRUCTED_PLACE_S = 15;
 
-  /** Score of an on-demand machine for a job that may run on spot machines. */
+  /** Penalty for placing a job that may run on spot machines on an on-demand machine. */
   private static final double ON_DEMAND_S = 3;
 
-  /** Score of leaving all CPUs of a machine unused; in proportion for a part of them. */
+  /** Penalty for leaving all CPUs of a machine unused; scaled by the unused fraction. */
   private static final double UNUSED_MACHINE_S = 2.0;
 
   private final Snapshot snapshot;
@@ -43,7 +43,7 @@
   private final Map<String, Resources> teamUse;
   private final Map<JobId, int[]> tasksByZone = new HashMap<>();
 
-  /** Use of arrays by team; computed at the first use. */
+  /** Resources that array tasks use, by team; computed on first access. */
   private Map<String, Resources> arrayUse;
 
   private long evaluations;
@@ -61,7 +61,7 @@
     return snapshot;
   }
 
-  /** All machines of the snapshot, with the room that the plan leaves. */
+  /** All machines of the snapshot, with the room that the plan has left on them so far. */
   List<MachineCapacity> machines() {
     return machines;
   }
@@ -79,7 +79,7 @@
     return evaluations;
   }
 
-  /** The CPU of the smallest request among jobs, in millis. */
+  /** The smallest CPU request among jobs, in thousandths; {@link Long#MAX_VALUE} if none. */
   static long smallestRequestCpus(List<JobView> jobs) {
     long smallest = Long.MAX_VALUE;
     for (JobView job : jobs) {
@@ -90,19 +90,19 @@
 
   // ---- decisions --------------------------------------------------------------------------------
 
-  /** Starts tasks, each on the machine at its position, and charges them to the team. */
+  /** Adds a placement to the plan, one machine for each task, and charges it to the team. */
   void place(JobSpec spec, List<Integer> tasks, List<MachineId> onMachines) {
     charge(spec, tasks.size());
     plan.placements().add(new Plan.Placement(spec.id(), tasks, onMachines));
   }
 
-  /** Preempts tasks on a machine and reserves the room there for one task of a job. */
+  /** Adds a preemption to the plan and reserves the room on the machine for one task of a job. */
   void preempt(MachineCapacity machine, JobSpec forJob, List<AttemptView> victims) {
     addPreemption(machine, forJob, victims);
     machine.preempt(forJob, victims);
   }
 
-  /** Adds a preemption to the plan without any change of the machine's capacity. */
+  /** Adds a preemption to the plan without changing the machine's remaining capacity. */
   void addPreemption(MachineCapacity machine, JobSpec forJob, List<AttemptView> victims) {
     List<Plan.Victim> planned = new ArrayList<>(victims.size());
     for (AttemptView attempt : victims) {
@@ -112,18 +112,18 @@
         .add(new Plan.Preemption(machine.view().id(), forJob.id(), forJob.need(), planned));
   }
 
-  /** Provisions machines of an offer. */
+  /** Adds the provisioning of machines of an offer to the plan. */
   void scaleOut(Offer offer, int count) {
     plan.scaleOuts()
         .add(new Plan.ScaleOut(offer.machineType().name(), offer.zoneName(), offer.spot(), count));
   }
 
-  /** Releases an idle machine. */
+  /** Adds the release of an idle machine to the plan. */
   void release(MachineId machine) {
     plan.releases().add(machine);
   }
 
-  /** The plan, with the number of evaluations that it took. */
+  /** Returns the finished plan, with the number of evaluations. */
   Plan finish() {
     plan.evaluations(evaluations);
     return plan;
@@ -135,19 +135,19 @@
     return teamUse.getOrDefault(team, Resources.ZERO);
   }
 
-  /** Adds tasks of a job to its team's use. */
+  /** Adds the resources of tasks to their team's usage. */
   void charge(JobSpec spec, int tasks) {
     if (tasks > 0) {
       teamUse.merge(spec.team(), spec.need().times(tasks), Resources::plus);
     }
   }
 
-  /** How many more tasks of this size the team's limit permits. */
+  /** How many more tasks of this job the team's limit permits. */
   int tasksWithinLimit(JobSpec spec) {
     return tasksWithinLimit(spec, Resources.ZERO);
   }
 
-  /** The same once the team's arrays have ended, which they do before long. */
+  /** The same, as if the team's running array tasks had ended; they usually end soon. */
   int tasksWithinLimitWithoutArrays(JobSpec spec) {
     if (arrayUse == null) {
       arrayUse = arrayUse(snapshot);
@@ -182,12 +182,12 @@
 
   // ---- filter -----------------------------------------------------------------------------------
 
-  /** The number of a job's tasks in each zone, in the present plan; callers count it up. */
+  /** Number of a job's tasks in each zone under the plan so far; callers update the array. */
   int[] tasksByZone(JobView job) {
     return tasksByZone.computeIfAbsent(job.spec().id(), id -> job.openByZone().toIntArray());
   }
 
-  /** The zones to try one by one for all of a job's tasks together, or {@link #ANY_ZONE} alone. */
+  /** The zones to search one by one; only {@link #ANY_ZONE} if the tasks may be spread. */
   static int[] candidateZones(JobView job) {
     if (!job.spec().together()) {
       return new int[] {ANY_ZONE};
@@ -195,7 +195,7 @@
     return IntStream.range(0, job.openByZone().size()).toArray();
   }
 
-  /** Whether another task of a job may go to a zone, given its tasks by zone. */
+  /** Whether another task of a job may be placed in a zone, given its tasks by zone. */
   static boolean zoneAllows(JobSpec spec, int[] tasksByZone, int zone) {
     if (tasksByZone[zone] >= spec.zoneLimit()) {
       return false;
@@ -210,25 +210,25 @@
     return true;
   }
 
-  /** Whether a scope includes a place for a task on a machine. */
+  /** Whether a scope permits placing a task on a machine. */
   boolean scopeIncludes(PlacementScope scope, JobSpec spec, MachineCapacity machine) {
     return (!scope.cached() || machine.hasImage(spec.image()))
         && (scope.mayUseAcceleratorPlaces() || acceleratorPlaces.lostPlaces(spec, machine) <= 0);
   }
 
-  /** Whether a job has failed on a machine. */
+  /** Whether a job avoids a machine because it has failed there. */
   static boolean isAvoided(JobView job, MachineCapacity machine) {
     return !job.avoidedMachines().isEmpty() && job.avoidedMachines().contains(machine.view().id());
   }
 
   // ---- score ------------------------------------------------------------------------------------
 
-  /** Seconds until a machine holds the job's image. */
+  /** Estimated seconds to fetch the job's image; 0 if the machine has it. */
   double imageFetchS(JobSpec spec, MachineCapacity machine) {
     return machine.hasImage(spec.image()) ? 0 : machine.machineType().fetchSeconds(spec.imageGb());
   }
 
-  /** Estimated seconds of waiting and waste for a task on a machine; the lowest is the best. */
+  /** The score of a task on a machine: fetch time and penalties in seconds; lower is better. */
   double score(JobSpec spec, MachineCapacity machine) {
     double score = imageFetchS(spec, machine);
     int lost = acceleratorPlaces.lostPlaces(spec, machine);
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -11,13 +11,13 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * Plans one scheduling round, as a pure function of the snapshot. Jobs are served in order of
- * priority, guarantee and queue position. Each job's tasks go to the free places with the best
- * score; where there are none, lesser tasks are preempted; for what is still pending, machines are
- * provisioned.
+ * Plans one scheduling round, as a pure function of the snapshot. Jobs are scheduled in order of
+ * priority, guarantee and queue position. Each job's tasks are placed in the free room with the
+ * best score. If there is none, tasks of lower priority are preempted, and machines are provisioned
+ * for the tasks that remain.
  */
 public final class Planner {
-  /** The order in which jobs are served. */
+  /** The order in which jobs are scheduled. */
   public static final Comparator<JobView> ORDER =
       Comparator.comparing((JobView job) -> job.spec().priority() != Priority.PRODUCTION)
           .thenComparing(job -> !job.withinGuarantee() && !job.overdue())
@@ -25,24 +25,27 @@
           .thenComparingDouble(JobView::sortKey);
 
   /**
-   * Evaluations that one round may take for jobs that are not production. What is left waits for
-   * the next round, so that a long round never delays heartbeats and the renewal of the leadership.
+   * Budget of evaluations in one round for jobs below production priority. Jobs beyond the budget
+   * wait for the next round, so that a long round never delays heartbeats or the renewal of the
+   * leadership.
    */
   static final int MAX_EVALUATIONS = 60_000;
 
-  /** The same in a large fleet, for each of its machines. */
+  /** The same budget for each machine; it applies in large fleets, where it is the larger one. */
   private static final int MAX_EVALUATIONS_PER_MACHINE = 60;
 
   /**
-   * Share of these evaluations that gangs may take. They come first and search longest; without the
-   * limit, arrays got no evaluations for as long as many gangs were waiting for room.
+   * Share of the budget that gangs may use. Gangs are scheduled first and need the most
+   * evaluations; without this limit, arrays got no evaluations while many gangs were waiting for
+   * room.
    */
   private static final double GANG_SHARE = 0.5;
 
   /**
-   * Tasks that found no room.
+   * Tasks of a job for which there is no room.
    *
-   * @param tasksByZone tasks of the job that have room or have it reserved
+   * @param tasks number of tasks without room
+   * @param tasksByZone number of tasks in each zone that have room or a reservation
    */
   private record Demand(JobView job, int tasks, IntList tasksByZone) {}
 
@@ -59,7 +62,7 @@
     this.gangReservations = new GangReservations(builder, preemption);
   }
 
-  /** Plans a round. */
+  /** Plans one scheduling round on a snapshot. */
   public static Plan plan(Snapshot snapshot) {
     return new Planner(snapshot).run();
   }
@@ -126,7 +129,7 @@
     }
     if (builder.tasksWithinLimit(spec) < spec.tasks()) {
       if (builder.tasksWithinLimitWithoutArrays(spec) >= spec.tasks()) {
-        // Keeps the rest of the limit for the gang, or new arrays would use it up.
+        // Holds the rest of the limit for the gang; otherwise new arrays would use it up.
         builder.charge(spec, spec.tasks());
       }
       return;
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -13,18 +13,18 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-/** Chooses tasks to preempt, as far as priorities and guarantees permit. */
+/** Selects tasks to preempt within the rules of priorities and guarantees. */
 final class PreemptionPlanner {
-  /** Seconds of work that a restart from a checkpoint costs besides the time to save it. */
+  /** Seconds of work lost by a restart from a checkpoint, in addition to the time to save it. */
   private static final double RESTART_S = 5;
 
-  /** Cost of preempting a service, whose users notice; in CPU seconds like all of these costs. */
+  /** Cost of preempting a service, which its users notice; in CPU seconds, like all costs here. */
   private static final double SERVICE_COST = 10_000;
 
-  /** Cost of each level of priority. */
+  /** Cost for each priority level of the preempted task. */
   private static final double PRIORITY_LEVEL_COST = 1000;
 
-  /** Cost of each preempted task of a gang's place. */
+  /** Additional cost of each task that is preempted for a gang. */
   private static final double VICTIM_COST = 1;
 
   /** The tasks to preempt on one machine for one task. */
@@ -32,12 +32,12 @@
 
   private final PlanBuilder builder;
 
-  /** Created once a round, as it is used for each machine that is evaluated. */
+  /** Created once for each round because it is used for each machine that is evaluated. */
   private final Comparator<AttemptView> cheapestFirst;
 
   private final UnplaceableRequests unplaceable = new UnplaceableRequests(Search.PREEMPTION);
 
-  /** The lowest priority that runs anywhere; null where nothing runs. */
+  /** The lowest priority among all open attempts; null if there are none. */
   private final Priority lowestPriority;
 
   PreemptionPlanner(PlanBuilder builder) {
@@ -58,13 +58,13 @@
     return lowest;
   }
 
-  // ---- tasks that start one by one --------------------------------------------------------------
+  // ---- tasks that start individually ------------------------------------------------------------
 
   /**
-   * Preempts for tasks of a job, on each machine for one task at most.
+   * Preempts other tasks to make room for tasks of a job, at most one task on each machine.
    *
-   * @param most for how many tasks at most
-   * @return for how many tasks room is made
+   * @param most maximum number of tasks to make room for
+   * @return number of tasks for which room is made
    */
   int makeRoom(JobView job, int most, PlacementScope scope) {
     if (most <= 0 || nothingYields(job, lowestPriority) || unplaceable.contains(job, scope)) {
@@ -83,7 +83,8 @@
     options.sort(Comparator.comparingDouble(Option::cost));
     int made = preemptCheapest(job.spec(), options, tasksByZone, most);
     if (options.isEmpty() && !hasReserved) {
-      // Otherwise the job got its one place on each machine, so others may still find room.
+      // A job with a reservation may only have reached its limit of one task on each machine, so
+      // other jobs may still find room.
       unplaceable.add(job, tasksByZone, scope);
     }
     return made;
@@ -115,7 +116,7 @@
         && !PlanBuilder.isAvoided(job, machine);
   }
 
-  /** Adds the cheapest preemption on a machine that makes room for one task, if there is one. */
+  /** Adds an option with the cheapest tasks to preempt on a machine for one task, if any. */
   private void addOption(
       JobView job, MachineCapacity machine, PlacementScope scope, List<Option> options) {
     JobSpec spec = job.spec();
@@ -144,7 +145,8 @@
   }
 
   /**
-   * Whether the freed CPU lets a task start within the team's limit, where the scope requires it.
+   * Whether the freed CPU is enough to start a task of a team that is at its limit. Always true if
+   * the scope is not limited to the job's own team.
    */
   private static boolean limitPermits(JobSpec spec, long freedCpus, PlacementScope scope) {
     return !scope.ownTeam() || spec.need().cpus() <= freedCpus;
@@ -153,11 +155,11 @@
   // ---- gangs ------------------------------------------------------------------------------------
 
   /**
-   * Finds places for tasks of a gang on one machine: first the free ones, then those that need
-   * preemptions, each with a higher cost than the one before.
+   * Finds slots for tasks of a gang on one machine: first free slots, then slots that need
+   * preemptions, in order of cost.
    *
-   * @param mayPreempt whether the gang may preempt others now
-   * @param places the list to which the places are added
+   * @param mayPreempt whether the gang may preempt other tasks now
+   * @param places the list to which the slots are added
    */
   void addGangPlaces(
       JobView job,
@@ -192,12 +194,12 @@
     }
   }
 
-  // ---- who yields to whom -----------------------------------------------------------------------
+  // ---- preemption rules -------------------------------------------------------------------------
 
   /**
-   * Whether no attempt yields to a job.
+   * Whether a job can't preempt any of a set of attempts because of their priorities.
    *
-   * @param lowest the lowest priority of these attempts, or null where there are none
+   * @param lowest the lowest priority among the attempts, or null if there are none
    */
   private static boolean nothingYields(JobView job, Priority lowest) {
     return lowest == null
@@ -244,21 +246,21 @@
   }
 
   /**
-   * Whether a job got its first tasks only after too long a wait, and none of them is done. If any
-   * job of higher priority could preempt these, it would be overdue again, get the next free places
-   * and lose them in turn: thousands of starts, none of any use.
+   * Whether the first tasks of a job started only after it was overdue and none of them is done. If
+   * any job of higher priority could preempt these tasks, this job would be overdue again, get the
+   * next free room and lose it in turn: this caused thousands of starts without any progress.
    */
   private boolean hasStartedLate(JobSpec spec) {
     return !builder.snapshot().lateStartedJobs().isEmpty()
         && builder.snapshot().lateStartedJobs().contains(spec.id());
   }
 
-  /** Whether a job is served before an overdue one, or is overdue as well. */
+  /** Whether a job ranks at least as high as an overdue job in the queue. */
   private static boolean precedesOverdue(JobView job) {
     return job.withinGuarantee() || job.overdue() || job.spec().priority() == Priority.PRODUCTION;
   }
 
-  /** Whether a task's team still uses as much as its guarantee without that task. */
+  /** Whether the usage of a task's team is still at or above its guarantee without that task. */
   private boolean teamStaysAboveGuarantee(JobSpec victim) {
     Team team = builder.snapshot().teams().get(victim.team());
     if (team == null) {
@@ -272,7 +274,7 @@
         && (!countsGpus || use.gpus() - freed.gpus() >= team.gpus());
   }
 
-  /** The cost of a preemption: CPU seconds of lost work, and what makes the task worth keeping. */
+  /** The cost of preempting a task: lost work in CPU seconds, plus costs of kind and priority. */
   private static double preemptionCost(AttemptView attempt, SteadyTime now) {
     JobSpec spec = attempt.spec();
     double lostS = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -18,26 +18,26 @@
 
 /** Plans scale-out for pending and expected jobs, and the release of idle machines. */
 final class ScalingPlanner {
-  /** Estimated seconds of an array's task that are worth a machine of its own for each task. */
+  /** Estimated duration of array tasks, in seconds, from which all of them get room at once. */
   private static final double ARRAY_TURN_S = 60;
 
-  /** Seconds until a machine is usable that weigh as much as its price. */
+  /** Waiting time until a machine is usable that doubles the cost of its offer, in seconds. */
   private static final double WAIT_WORTH_PRICE_S = 120;
 
-  /** Seconds after its provisioning during which a machine is not released. */
+  /** Minimum time between provisioning and release of a machine, in seconds. */
   private static final double MIN_LIFETIME_S = 60;
 
   private static final int NO_OFFER = -1;
 
   private final PlanBuilder builder;
 
-  /** Machines that are expected to come up, those of this plan included. */
+  /** Machines that are not ready yet, including those that this plan provisions. */
   private final MachinesWithRoom pendingMachines;
 
-  /** How many machines of each offer this plan provisions. */
+  /** Number of machines of each offer that this plan provisions. */
   private final int[] provisioned;
 
-  /** Machines that may still have room for expected jobs of a shape. */
+  /** Machines that may still have room for expected jobs, by shape. */
   private final Map<TaskShape, ArrayDeque<MachineCapacity>> roomByShape = new HashMap<>();
 
   ScalingPlanner(PlanBuilder builder) {
@@ -54,7 +54,8 @@
         pendingMachines.add(machine);
       }
     }
-    // Otherwise each round until the cloud's answer would provision for the same demand again.
+    // Counts unanswered requests too; otherwise each round would provision for the same demand
+    // again until the cloud has answered.
     for (PendingProvision pending : snapshot.pendingProvisions()) {
       for (int i = 0; i < pending.count(); i++) {
         pendingMachines.add(new MachineCapacity(pending.offer()));
@@ -65,10 +66,11 @@
   // ---- pending jobs -----------------------------------------------------------------------------
 
   /**
-   * Assigns tasks without room to machines that are expected to come up, then provisions for the
+   * Assigns tasks without room to machines that are not ready yet, then provisions machines for the
    * rest.
    *
-   * @param tasksByZone tasks of the job that have room in each zone
+   * @param tasks number of tasks without room
+   * @param tasksByZone number of the job's tasks that have room in each zone
    */
   void provisionFor(JobView job, int tasks, IntList tasksByZone) {
     JobSpec spec = job.spec();
@@ -86,7 +88,7 @@
     }
   }
 
-  /** How many tasks to provision for at once: short tasks of an array take turns. */
+  /** How many tasks to provision for; short array tasks share machines one after another. */
   private static int placesWorthProvisioning(JobSpec spec, int tasks) {
     if (spec.kind() != JobKind.ARRAY) {
       return tasks;
@@ -94,7 +96,7 @@
     return (int) Math.ceil(tasks * Math.min(1, Math.max(1, spec.estimateS()) / ARRAY_TURN_S));
   }
 
-  /** Fills machines that are expected to come up, and returns how many tasks are left. */
+  /** Assigns tasks to machines that are not ready yet, and returns how many remain. */
   private int assignToPending(JobSpec spec, int[] zones, int tasks) {
     int left = tasks;
     int full = 0;
@@ -110,7 +112,7 @@
     return left;
   }
 
-  /** Places as many tasks on a machine as fit, and returns how many. */
+  /** Assigns as many tasks to a machine as fit, and returns how many. */
   private int fill(MachineCapacity machine, JobSpec spec, int[] zones, int most) {
     builder.countEvaluation();
     int filled = 0;
@@ -125,7 +127,7 @@
     return filled;
   }
 
-  /** The index of the offer with the lowest price a task, or {@link #NO_OFFER}. */
+  /** The index of the offer with the lowest cost for each task, or {@link #NO_OFFER}. */
   private int cheapestOffer(JobSpec spec, int[] zones, int wanted) {
     List<Offer> offers = builder.snapshot().offers();
     int cheapest = NO_OFFER;
@@ -155,7 +157,7 @@
             || builder.acceleratorPlaces().lostPlaces(spec, machine) <= 0);
   }
 
-  /** The price of one of the tasks that share a machine, raised by the time until it is usable. */
+  /** The machine's price for each task that shares it, raised with the time until it is usable. */
   private static double costOfTask(JobSpec spec, Offer offer, int tasks) {
     double price = offer.machineType().price(offer.spot()) / tasks;
     double waitS = offer.bootS() + offer.machineType().fetchSeconds(spec.imageGb());
@@ -165,10 +167,10 @@
   // ---- expected jobs ----------------------------------------------------------------------------
 
   /**
-   * Keeps room for an expected job on the machines that are there, else provisions. Jobs of one
-   * shape share the machines: each machine is evaluated until it has no more room for them. At a
-   * start from nothing, a hundred expected jobs that evaluated every machine twice in every round
-   * were most of the leader's work.
+   * Reserves room for an expected job on existing machines, and provisions machines for the rest.
+   * Jobs of the same shape share a queue of machines, and a machine is removed from it once it has
+   * no more room for them. When each of a hundred expected jobs evaluated every machine twice in
+   * every round, that was most of the leader's work while a cluster started up.
    */
   void keepRoomFor(JobView expected) {
     JobSpec spec = expected.spec();
@@ -187,7 +189,7 @@
     }
   }
 
-  /** Keeps room for tasks on one machine, and returns for how many. */
+  /** Reserves room for tasks on one machine, and returns for how many. */
   private int keepRoomOn(MachineCapacity machine, JobSpec spec, int most) {
     builder.countEvaluation();
     if (!machine.allows(spec) || builder.acceleratorPlaces().lostPlaces(spec, machine) != 0) {
@@ -203,7 +205,7 @@
     return kept;
   }
 
-  /** All machines, the busy ones first, as idle ones may be released. */
+  /** All machines, busy ones first, so that idle ones can be released. */
   private ArrayDeque<MachineCapacity> busyMachinesFirst() {
     ArrayDeque<MachineCapacity> machines = new ArrayDeque<>();
     List<MachineCapacity> idle = new ArrayList<>();
@@ -218,14 +220,14 @@
     return machines;
   }
 
-  /** The room that a job could get on a machine by preempting all lesser tasks but gangs. */
+  /** The room for a job if all tasks of lower priority except gangs were preempted. */
   private static Resources roomWithPreemption(MachineCapacity machine, JobSpec spec) {
     Resources free = machine.free();
     if (machine.lowestPriority() == null
         || machine.lowestPriority().compareTo(spec.priority()) <= 0) {
       return free;
     }
-    // Added up in plain numbers, as this runs for each machine that keeps room.
+    // Sums primitives to avoid allocations, as this runs for each machine that is evaluated.
     long cpus = free.cpus();
     long gpus = free.gpus();
     long memory = free.memory();
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -14,16 +14,16 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * The planner's whole input; nothing in it changes while a round is planned.
+ * The complete input of the planner. It does not change while a round is planned.
  *
- * @param expectedJobs jobs that may arrive before a machine provisioned now would be up
- * @param teamUse resources in use by team
- * @param offers what can be provisioned
+ * @param expectedJobs jobs that may arrive before a machine that is provisioned now is up
+ * @param teamUse resources in use, by team
+ * @param offers the machines that can be provisioned
  * @param pendingProvisions provision requests that the cloud has not answered yet
- * @param lateStartedJobs jobs whose first tasks started after too long a wait and of which none is
- *     done yet
- * @param inventoryComplete whether every live machine has reported to this leader, or has had time
- *     to
+ * @param lateStartedJobs jobs whose first tasks started only after the job was overdue, and of
+ *     which no task is done yet
+ * @param inventoryComplete whether every live machine has reported to this leader or has had enough
+ *     time to report
  * @param maxIdleS seconds after which an idle machine is released
  */
 public record Snapshot(
@@ -40,12 +40,12 @@
     SteadyTime now) {
 
   /**
-   * A machine.
+   * A machine that is ready or expected to become ready.
    *
-   * @param zone index of its zone
-   * @param ready whether tasks may be placed on it now; otherwise it is expected to come up
+   * @param zone index of the zone
+   * @param ready whether tasks may be placed on it now; otherwise it is expected to become ready
    * @param images images that it holds or is fetching
-   * @param idleSince since when no attempt has been open on it
+   * @param idleSince time since which it has had no open attempt
    */
   public record MachineView(
       MachineId id,
@@ -61,7 +61,7 @@
       List<AttemptView> attempts,
       List<Reservation> reservations) {
 
-    /** The same machine, expected to come up. */
+    /** A copy of this view that is not ready. */
     public MachineView notReady() {
       return new MachineView(
           id,
@@ -79,30 +79,30 @@
     }
   }
 
-  /** Room on a machine that is reserved for a job, after tasks were preempted for it. */
+  /** Room on a machine that is reserved for a job for which tasks were preempted. */
   public record Reservation(JobId job, Resources room) {}
 
   /**
    * An open attempt, which may be preempted.
    *
-   * @param index index of its task in the job
-   * @param runningSince null while it is not running
+   * @param index index of the task in the job
+   * @param runningSince time since which it has been running; null if it is not running
    */
   public record AttemptView(JobSpec spec, int index, boolean stopping, SteadyTime runningSince) {}
 
   /**
    * A job with pending tasks: tasks that are neither done nor have an open attempt.
    *
-   * @param sortKey its place in the queue, lowest first, among jobs of one priority and guarantee
-   * @param waitedS seconds since it could first start
+   * @param sortKey position in the queue, lowest first, among jobs of equal priority and guarantee
+   * @param waitedS seconds since the job first became ready to start
    * @param withinGuarantee whether it fits into its team's guarantee
-   * @param overdue whether it has waited too long without any start
-   * @param pendingTasks indexes of the first pending tasks, as many as a round may start
+   * @param overdue whether it has waited too long without a started task
+   * @param pendingTasks indexes of the first pending tasks, at most as many as a round may start
    * @param pendingCount number of pending tasks that may start
    * @param openByZone number of open attempts in each zone
-   * @param blocked whether nothing of it may start now
-   * @param avoidedMachines machines that it failed on
-   * @param reservedTasks number of tasks that room is reserved for
+   * @param blocked whether none of its tasks may start now, because of earlier failures
+   * @param avoidedMachines machines on which it has failed
+   * @param reservedTasks number of tasks for which room is reserved
    */
   public record JobView(
       JobSpec spec,
@@ -117,10 +117,10 @@
       Set<MachineId> avoidedMachines,
       int reservedTasks) {
 
-    /** Tasks of one job that a round may start; more follow in the next round. */
+    /** Maximum tasks of one job that a round starts; the rest follow in later rounds. */
     public static final int MAX_PENDING = 400;
 
-    /** The same job with other pending tasks. */
+    /** A copy of this view with other pending tasks. */
     public JobView withTasks(IntList otherTasks, int otherCount, boolean otherBlocked) {
       return new JobView(
           spec,
@@ -136,21 +136,21 @@
           reservedTasks);
     }
 
-    /** A job without pending tasks, for which room is only kept or provisioned. */
+    /** A job without pending tasks, for which room is only reserved or provisioned. */
     public static JobView expected(JobSpec spec, double sortKey, int zoneCount) {
       IntList open = IntArrayList.wrap(new int[zoneCount]);
       return new JobView(spec, sortKey, 0, false, false, IntList.of(), 0, open, false, Set.of(), 0);
     }
   }
 
-  /** Machines that were requested from the cloud and have no names yet. */
+  /** Machines that were requested from the cloud and have no identifiers yet. */
   public record PendingProvision(Offer offer, int count) {}
 
   /**
-   * A machine type that can be provisioned in a zone, as spot or on-demand machine.
+   * A machine type that can be provisioned in a zone, as a spot or an on-demand machine.
    *
-   * @param maxCount how many may be provisioned at once
-   * @param bootS seconds from the request until such a machine is up in that zone
+   * @param maxCount maximum number of machines to provision at once
+   * @param bootS expected seconds from the request until a machine is up in that zone
    */
   public record Offer(
       MachineType machineType,
@@ -160,7 +160,7 @@
       int maxCount,
       double bootS) {
 
-    /** An offer of machines that boot in their type's usual time. */
+    /** Creates an offer with the usual boot time of the machine type. */
     public Offer(MachineType machineType, int zone, String zoneName, boolean spot, int maxCount) {
       this(machineType, zone, zoneName, spot, maxCount, machineType.bootS());
     }
--- a/src/main/java/org/ternhinge/schedule/TaskAllocation.java
+++ b/src/main/java/org/ternhinge/schedule/TaskAllocation.java
@@ -5,8 +5,8 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * Serves one job whose tasks may start one by one: places as many as find free room and preempts
- * for the rest, in one scope after another.
+ * Allocates room for a job whose tasks may start individually: in each scope in turn, places tasks
+ * in free room and preempts other tasks for the rest.
  */
 final class TaskAllocation {
   private final PlanBuilder builder;
@@ -14,13 +14,13 @@
   private final PreemptionPlanner preemption;
   private final JobView job;
 
-  /** Tasks that were placed. */
+  /** Number of tasks that were placed. */
   private int placed;
 
-  /** Tasks within the team's limit that have neither a place nor reserved room. */
+  /** Number of tasks within the team's limit that are neither placed nor have a reservation. */
   private int unserved;
 
-  /** Tasks with reserved room that are not subtracted from {@link #unserved} yet. */
+  /** Number of tasks with a reservation that is not yet subtracted from {@link #unserved}. */
   private int uncountedReservations;
 
   TaskAllocation(
@@ -32,14 +32,14 @@
     this.uncountedReservations = job.reservedTasks();
   }
 
-  /** Serves the job and returns the number of tasks within the team's limit without room. */
+  /** Allocates room and returns the number of tasks within the team's limit that got none. */
   int run() {
     JobSpec spec = job.spec();
     boolean production = spec.priority() == Priority.PRODUCTION;
     int allowed = Math.min(job.pendingCount(), builder.tasksWithinLimit(spec));
     unserved = allowed;
     if (production) {
-      // Fetching an image takes longer than a preemption: machines that hold it come first.
+      // Machines that hold the image come first because a fetch takes longer than a preemption.
       placeAndPreempt(PlacementScope.CACHED);
     }
     placeAndPreempt(PlacementScope.PLAIN);
@@ -60,7 +60,10 @@
     unserved -= preemption.makeRoom(job, unserved, scope);
   }
 
-  /** The team's own lesser tasks may use up the limit that keeps the rest of the job pending. */
+  /**
+   * Preempts the team's own tasks of lower priority for the tasks that exceed the team's limit, as
+   * these may be what uses up the limit.
+   */
   private void preemptOwnTeam(int allowed) {
     Priority priority = job.spec().priority();
     int overLimit = job.pendingCount() - Math.max(allowed, placed + job.reservedTasks());
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -14,25 +14,25 @@
 
 /**
  * Places tasks in free room. Each job is evaluated once against each machine with room and then
- * fills the best ones: an evaluation for every task of every machine took a round's whole time with
- * hundreds of machines and arrays of hundreds of tasks.
+ * fills the machines with the best scores. Evaluating every task against every machine took a whole
+ * round with hundreds of machines and arrays of hundreds of tasks.
  */
 final class TaskPlacer {
-  /** Score, in seconds, in favour of room that is reserved for the job. */
+  /** Bonus, in seconds, for room that is reserved for the job. */
   private static final double RESERVED_S = 1000;
 
   /**
-   * A machine that a task may go to.
+   * A machine on which a task may be placed.
    *
-   * @param order its position in the search, which decides between equal scores
+   * @param order position in the search, which breaks ties between equal scores
    */
   private record Candidate(MachineCapacity machine, int order, double score) {}
 
-  /** What is searched for. */
+  /** The parameters of a search. */
   private static final class Query {
     private final JobView job;
 
-    /** Tasks of the job in each zone, counted up as the search finds places. */
+    /** Number of the job's tasks in each zone, updated as the search finds machines. */
     private final int[] tasksByZone;
 
     /** The zone to search, or {@link PlanBuilder#ANY_ZONE}. */
@@ -62,7 +62,7 @@
   private final PlanBuilder builder;
   private final UnplaceableRequests unplaceable = new UnplaceableRequests(Search.FREE_ROOM);
 
-  /** The fewest tasks of a gang of each shape that found no room in this round. */
+  /** Size of the smallest gang of each shape for which there was no room in this round. */
   private final Map<TaskShape, Integer> unplaceableGangs = new HashMap<>();
 
   private final MachinesWithRoom machinesWithRoom;
@@ -81,9 +81,9 @@
   /**
    * Places pending tasks of a job.
    *
-   * @param from position of the first of them among the job's pending tasks
-   * @param most how many to place at most
-   * @return how many were placed
+   * @param from position of the first task to place among the job's pending tasks
+   * @param most maximum number of tasks to place
+   * @return number of tasks placed
    */
   int place(JobView job, int from, int most, PlacementScope scope) {
     int wanted = Math.min(most, job.pendingTasks().size() - from);
@@ -107,10 +107,10 @@
   }
 
   /**
-   * Places a whole gang or nothing of it. Where it has to stay in one zone, that is the zone where
-   * the last of its images is fetched first, as all tasks wait for that one.
+   * Places either all tasks of a gang or none. If the gang has to stay in one zone, chooses the
+   * zone in which the slowest image fetch ends first, because all tasks wait for the last one.
    *
-   * @return whether it was placed
+   * @return whether the gang was placed
    */
   boolean placeGang(JobView job) {
     JobSpec spec = job.spec();
@@ -143,7 +143,7 @@
     return ids;
   }
 
-  /** The machines for a gang whose last image is fetched first; empty where none has room. */
+  /** The machines in the zone with the fastest image fetch; empty if no zone has room. */
   private List<MachineCapacity> findBestGang(JobView job) {
     List<MachineCapacity> best = List.of();
     double soonestS = Double.MAX_VALUE;
@@ -161,7 +161,7 @@
     return best;
   }
 
-  /** A machine for each task of a gang, or none where not all find room; nothing is placed yet. */
+  /** A machine for each task of a gang, or none if there is not enough room. Places nothing. */
   private List<MachineCapacity> findGang(JobView job, int zone) {
     JobSpec spec = job.spec();
     int[] tasksByZone = new int[job.openByZone().size()];
@@ -174,11 +174,11 @@
   }
 
   /**
-   * Finds a machine for each of several tasks, the best first.
+   * Finds a machine for each of several tasks, in order of score.
    *
    * @param wanted number of tasks
-   * @param allocate subtracts a task's resources from those of a machine that was found
-   * @return the machines, fewer than wanted where there is no more room
+   * @param allocate allocates a task on a machine that was found
+   * @return the machines; fewer than wanted if there is not enough room
    */
   private List<MachineCapacity> search(
       Query query, int wanted, BiConsumer<MachineCapacity, JobSpec> allocate) {
@@ -195,7 +195,7 @@
       if (isEligible(query, machine)) {
         candidates.add(new Candidate(machine, best.order, score(spec, machine)));
       }
-      // This task may have been the last that its zone allows.
+      // The zone may have reached its limit of tasks with this one.
       while (!candidates.isEmpty() && !query.zoneAllows(candidates.peek().machine)) {
         candidates.poll();
       }
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -10,18 +10,18 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The requests for which a search of this round found no more room. Room only gets less while a
- * plan grows, so a job with the same constraints that requests as much or more finds none either,
- * and its search is skipped. In a full fleet of a thousand machines every waiting job was evaluated
- * against every machine in every round, which used up the round's evaluations before the last jobs
- * in the queue had their turn.
+ * The requests for which a search in this round found no more room. Free room only shrinks while a
+ * plan is built, so the search is skipped for a job with the same constraints that requests as much
+ * or more. Without this, every waiting job in a full fleet of a thousand machines was evaluated
+ * against every machine in every round, which used up the round's evaluations before it reached the
+ * last jobs in the queue.
  */
 final class UnplaceableRequests {
   /**
    * Jobs that share the result of a search.
    *
-   * @param team null where the search is for free room
-   * @param image null where the scope does not ask for it
+   * @param team the job's team; null if the search is for free room
+   * @param image the job's image; null if the scope does not require it to be cached
    */
   private record Key(
       PlacementConstraints constraints,
@@ -30,7 +30,7 @@
       String team,
       String image) {
 
-    // Written by hand for the reason given at PlacementConstraints.
+    // Written by hand for the reason given in PlacementConstraints.
     @Override
     public boolean equals(Object other) {
       return other instanceof Key that
@@ -50,9 +50,9 @@
 
   /** How room is searched for. */
   enum Search {
-    /** Among what is free. */
+    /** In free room, without preemption. */
     FREE_ROOM,
-    /** By preempting others, which depends on the job's team and its guarantee. */
+    /** By preempting other tasks, which depends on the job's team and its guarantee. */
     PREEMPTION
   }
 
@@ -74,7 +74,7 @@
         scope.cached() ? spec.image() : null);
   }
 
-  /** Whether a search would find nothing. Never so for a job with reserved room. */
+  /** Whether a search is known to find nothing. Always false for a job with reservations. */
   boolean contains(JobView job, PlacementScope scope) {
     if (needsByKey.isEmpty() || job.reservedTasks() > 0) {
       return false;
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Records that a search found less room than a job requests. That does not apply to other jobs
-   * where this one's own tasks in a zone, or machines that it failed on, limited the search: then
-   * nothing is recorded.
+   * Records that a search found less room than a job requests. Records nothing if the search was
+   * limited by the job's own tasks in a zone or by machines that it avoids, because the result then
+   * does not apply to other jobs.
    */
   void add(JobView job, int[] tasksByZone, PlacementScope scope) {
     JobSpec spec = job.spec();
--- a/src/main/java/org/ternhinge/schedule/package-info.java
+++ b/src/main/java/org/ternhinge/schedule/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Planning without side effects: from a snapshot of jobs and machines to the placements,
- * preemptions, scale-outs and releases of one scheduling round. Holds no state between rounds and
- * needs no lock.
+ * Side-effect-free planning: computes the placements, preemptions, scale-outs and releases of one
+ * scheduling round from a snapshot of jobs and machines. Keeps no state between rounds and needs no
+ * lock.
  */
 package org.ternhinge.schedule;
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -10,15 +10,15 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** Which jobs are expected to arrive next. */
+/** The number of jobs that are expected to arrive. */
 class ArrivalRatesTest {
   private static final SteadyTime START = new SteadyTime(0);
 
   /**
-   * Room is kept for 45 s of arrivals and their deviation, where jobs have to start sooner than a
-   * machine boots.
+   * Room is reserved for 45 s of arrivals plus their standard deviation, if jobs of the class have
+   * to start sooner than a machine boots.
    */
-  @ParameterizedTest(name = "{1} arrivals {2} s apart, {3} s after, a permitted wait of {0} s")
+  @ParameterizedTest(name = "{1} arrivals {2} s apart, {3} s later, wait limit {0} s: {4} expected")
   @CsvSource({
     "18, 0, 0, 0, 0",
     "18, 1, 0, 0, 1",
--- a/src/test/java/org/ternhinge/round/JobRankingTest.java
+++ b/src/test/java/org/ternhinge/round/JobRankingTest.java
@@ -14,7 +14,7 @@
     return Specs.of(Specs.json("wk-1", kind, tasks).put("cpus", cpus).put("aaetlun_s", estimateS));
   }
 
-  /** A job reads: kind, tasks, tasks done, seconds waited. */
+  /** The key of a job in the form: kind, tasks, tasks done, seconds waited. */
   private static double key(String job) {
     String[] words = job.trim().split(" ", -1);
     int tasks = Integer.parseInt(words[1]);
@@ -24,7 +24,7 @@
         spec(words[0], tasks, 2, 10), new JobRanking.Progress(tasks - done, done, 0, waited));
   }
 
-  @ParameterizedTest(name = "{0} before {1}")
+  @ParameterizedTest(name = "{0} ranks before {1}")
   @CsvSource({
     "group 9 0 0, daemon 1 0 100",
     "daemon 9 0 0, batch 1 0 100",
@@ -43,7 +43,7 @@
     assertTrue(key(first) < key(second), key(first) + " < " + key(second));
   }
 
-  @ParameterizedTest(name = "open {0}, done {1}, waited {2}: {3}")
+  @ParameterizedTest(name = "open {0}, done {1}, waited {2} s: overdue {3}")
   @CsvSource({"0, 0, 120, false", "0, 0, 121, true", "1, 0, 121, false", "0, 1, 121, false"})
   void onlyAJobWithoutAnyStartIsOverdue(int open, int done, double waited, boolean overdue) {
     assertEquals(overdue, new JobRanking.Progress(3, done, open, waited).isOverdue());
--- a/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.wire.JobSpec;
 
-/** Full machines are removed once they are more than a quarter. */
+/** Removal of full machines once they are more than a quarter of all machines. */
 class MachinesWithRoomTest extends PlannerFixture {
   private static final JobSpec WHOLE_MACHINE = spec("wk-1", "batch", 1, Map.of("cpus", 4.0));
 
@@ -37,7 +37,7 @@
     machinesWithRoom.get(1).place(WHOLE_MACHINE);
     machinesWithRoom.get(4).place(WHOLE_MACHINE);
     machinesWithRoom.removeFullIfMany();
-    assertEquals(8, machinesWithRoom.size(), "a quarter is not more than a quarter");
+    assertEquals(8, machinesWithRoom.size(), "exactly a quarter of the machines is full");
     machinesWithRoom.get(6).place(WHOLE_MACHINE);
     machinesWithRoom.removeFullIfMany();
     assertEquals(
--- a/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.wire.JobSpec;
 
-/** Which jobs share the result of a search. */
+/** Equality of constraints, which decides whether jobs share the result of a search. */
 class PlacementConstraintsTest {
   private static JobSpec job(String id, String kind, Map<String, Object> changes) {
     return PlannerFixture.spec(id, kind, 2, changes);
--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -12,9 +12,9 @@
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.wire.JobSpec;
 
-/** How many evaluations a round takes in large fleets, and what its budget must not prevent. */
+/** The number of evaluations of a round in large fleets, and the effects of its budget. */
 class PlannerEffortTest extends PlannerFixture {
-  /** At 1,700 machines these two once took nine tenths of a leader's processor time. */
+  /** At 1,700 machines, these two steps once took nine tenths of the leader's processor time. */
   @Test
   void consolidationAndExpectedJobsEvaluateEachMachineAFewTimes() {
     int fleet = 1700;
@@ -22,11 +22,11 @@
     for (int i = 0; i < fleet / 2; i++) {
       JobSpec service = spec("wk-1" + i % 100, "daemon", 40, ask);
       machine("n-1" + i, FAST, 0, Set.of(), running(service, i / 100, 100));
-      // Room that is too expensive to move to, and that no expected job may use.
+      // Free room that is too expensive as a target and that expected jobs must not use.
       machine("n-2" + i, FAST, 0, Set.of());
     }
     long evaluations = plan().evaluations();
-    assertTrue(evaluations < 20L * fleet, "replicas that could move: " + evaluations);
+    assertTrue(evaluations < 20L * fleet, "evaluations for consolidation: " + evaluations);
     machines.clear();
     for (int i = 0; i < fleet; i++) {
       machine("n-" + i, PLAIN, 0, Set.of(), running(spec("wk-9", "daemon", 1, ask), 0, 10));
@@ -35,7 +35,7 @@
       expectedJobs.add(JobView.expected(spec("wk-3" + i, "daemon", 9, ask), i, 2));
     }
     evaluations = plan().evaluations();
-    assertTrue(evaluations < 5L * fleet, "expected jobs: " + evaluations);
+    assertTrue(evaluations < 5L * fleet, "evaluations for expected jobs: " + evaluations);
   }
 
   @Test
@@ -45,17 +45,17 @@
     machine("n-2", PLAIN, 0, Set.of(), running(spec("wk-9", "daemon", 1, ask), 0, 100));
     assertEquals(List.of(new MachineId("n-1")), plan().releases());
     expectedJobs.add(JobView.expected(spec("wk-1", "daemon", 1, ask), 0, 2));
-    assertEquals(1, plan().releases().size(), "the busy machine has room");
+    assertEquals(1, plan().releases().size(), "the busy machine has room for the expected job");
     expectedJobs.add(JobView.expected(spec("wk-2", "daemon", 1, ask), 1, 2));
     assertEquals(List.of(), plan().releases());
     offers.add(new Offer(PLAIN, 0, "east", false, 10));
     expectedJobs.add(JobView.expected(spec("wk-3", "daemon", 3, ask), 2, 2));
-    assertEquals(1, plan().scaleOuts().size(), "n-1 has room for one more");
+    assertEquals(1, plan().scaleOuts().size(), "n-1 has room for one more task");
   }
 
   /**
-   * Gangs come before arrays and search longest. Where dozens of them were waiting, they used up
-   * the evaluations of every round before any array had its turn.
+   * Gangs are scheduled before arrays and need the most evaluations. Dozens of waiting gangs used
+   * up the budget of every round, so that no array was scheduled.
    */
   @Test
   void manyWaitingGangsLeaveEvaluationsForArrays() {
@@ -74,11 +74,11 @@
     }
     job(spec("wk-4", "batch", 10, Map.of("eigandi", "green")), false);
     Plan plan = plan();
-    assertEquals(10, on(plan).size(), "each has a place on a plain machine");
+    assertEquals(10, on(plan).size(), "every array task fits on a machine without accelerators");
     assertTrue(plan.evaluations() < 200_000, "evaluations: " + plan.evaluations());
   }
 
-  /** A search without a result is skipped for jobs that ask for as much, and for no others. */
+  /** A failed search is skipped for jobs that request at least as much, but not for others. */
   @Test
   void aSearchWithoutResultDoesNotAffectSmallerOrOtherJobs() {
     Map<String, Object> service = Map.of("cpus", 1.0, "forgang", "production");
@@ -86,7 +86,7 @@
     job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), true);
     job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), true);
     job(spec("wk-3", "batch", 1, Map.of("cpus", 3.0)), true);
-    assertEquals(List.of("n-1"), on(plan()), "the smallest fits");
+    assertEquals(List.of("n-1"), on(plan()), "the smallest request fits");
     jobs.clear();
     machines.clear();
     JobSpec low = spec("wk-9", "batch", 4, Map.of("forgang", "low"));
@@ -108,6 +108,6 @@
     machine("n-1", PLAIN, 0, Set.of());
     job(spec("wk-1", "daemon", 4, spread), true);
     job(spec("wk-2", "daemon", 2, spread), true);
-    assertEquals(3, on(plan()).size(), "limited by its own zones, not by the room");
+    assertEquals(3, on(plan()).size(), "the first job is limited by zone, not by room");
   }
 }
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
-/** Builds a snapshot of a small fleet with jobs, and plans a round on it. */
+/** Base class of planner tests: builds a snapshot of machines and jobs and plans a round on it. */
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
@@ -31,7 +31,7 @@
 
   static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
 
-  /** Seconds without a start after which a job is overdue. */
+  /** Seconds without a started task after which a job is overdue. */
   private static final double OVERDUE_S = 120;
 
   final List<MachineView> machines = new ArrayList<>();
@@ -127,7 +127,7 @@
             NOW));
   }
 
-  /** The machines of all tasks that a plan starts. */
+  /** The names of the machines of all placed tasks. */
   static List<String> on(Plan plan) {
     List<String> machines = new ArrayList<>();
     plan.placements()
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -15,9 +15,9 @@
 import org.ternhinge.schedule.Snapshot.Offer;
 import org.ternhinge.wire.JobSpec;
 
-/** What the planner decides for small fleets, one nested class for each step of a round. */
+/** The planner's decisions for small fleets, with a nested class for each step of a round. */
 class PlannerTest extends PlannerFixture {
-  /** Free room: which place a task gets. */
+  /** Placement of tasks in free room. */
   @Nested
   class Placement {
     @Test
@@ -34,7 +34,7 @@
       job(spec("wk-1", "batch", 4, Map.of()), true);
       job(spec("wk-2", "group", 1, Map.of("cpus", 14.0, "accelerators", 2.0)), true);
       Plan plan = plan();
-      assertEquals(3, on(plan).size(), "two plain tasks beside the one with accelerators");
+      assertEquals(3, on(plan).size(), "two array tasks and the gang with accelerators");
     }
 
     @Test
@@ -55,11 +55,11 @@
       machine("n-1", PLAIN, 0, Set.of());
       machine("n-2", PLAIN, 0, Set.of());
       job(spec("wk-1", "daemon", 3, Map.of("scatter", true)), true);
-      assertEquals(2, on(plan()).size(), "the third waits for another zone");
+      assertEquals(2, on(plan()).size(), "the third replica waits for another zone");
     }
   }
 
-  /** Gangs start whole or not at all. */
+  /** Placement, preemption and reservation for gangs. */
   @Nested
   class Gangs {
     @Test
@@ -92,17 +92,17 @@
       machine("n-1", FAST, 0, Set.of(), running(array, 0, 5), running(array, 1, 9));
       machine("n-2", FAST, 0, Set.of(), running(array, 2, 5), running(service, 0, 100));
       job(accelerated("wk-1", 2), true, 130);
-      assertEquals(0, plan().preemptions().size(), "room for one of two tasks is useless");
+      assertEquals(0, plan().preemptions().size(), "room for one of two tasks is not enough");
       machine("n-3", FAST, 0, Set.of(), running(array, 3, 5));
       jobs.clear();
       job(accelerated("wk-1", 2), true, 60);
-      assertEquals(0, plan().preemptions().size(), "it is not overdue yet");
+      assertEquals(0, plan().preemptions().size(), "the gang is not overdue yet");
       jobs.clear();
       job(accelerated("wk-1", 2), true, 130);
       Plan plan = plan();
       assertEquals(2, plan.preemptions().size());
       int victims = plan.preemptions().stream().mapToInt(s -> s.victims().size()).sum();
-      assertEquals(3, victims, "both on n-1 and the one on n-3");
+      assertEquals(3, victims, "both tasks on n-1 and the one on n-3");
     }
 
     @Test
@@ -110,20 +110,20 @@
       machine("n-1", FAST, 0, Set.of());
       job(accelerated("wk-1", 2), true, 5);
       job(accelerated("wk-2", 1), true);
-      assertEquals(List.of("n-1"), on(plan()), "a patient gang lets other gangs go first");
+      assertEquals(List.of("n-1"), on(plan()), "other gangs are placed before the delay ends");
       jobs.remove(1);
       job(spec("wk-3", "batch", 1, Map.of("cpus", 4.0, "forgang", "low")), true);
-      assertEquals(List.of(), on(plan()), "but not lesser arrays");
+      assertEquals(List.of(), on(plan()), "arrays of lower priority are not");
       jobs.clear();
       job(accelerated("wk-1", 2), true, 30);
       job(accelerated("wk-2", 1), true);
-      assertEquals(List.of(), on(plan()), "one that has waited reserves what is free");
+      assertEquals(List.of(), on(plan()), "a gang that has waited reserves the free slot");
       machine("n-2", FAST, 1, Set.of());
-      assertEquals(List.of("n-2"), on(plan()), "other gangs start where it can not");
+      assertEquals(List.of("n-2"), on(plan()), "other gangs start in the other zone");
     }
   }
 
-  /** Who yields to whom. */
+  /** Which tasks may be preempted by which jobs. */
   @Nested
   class Preemptions {
     @Test
@@ -137,12 +137,12 @@
           new AttemptView(low, 0, false, NOW.plusSeconds(-5)),
           new AttemptView(low, 1, false, NOW.plusSeconds(-5)));
       job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), true);
-      assertEquals(0, plan().preemptions().size(), "blue is within its guarantee");
+      assertEquals(0, plan().preemptions().size(), "team blue is within its guarantee");
       use.put("blue", new Resources(12_000, 0, 0));
-      assertEquals(1, plan().preemptions().size(), "blue exceeds it");
+      assertEquals(1, plan().preemptions().size(), "team blue exceeds its guarantee");
       jobs.clear();
       job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), false);
-      assertEquals(0, plan().preemptions().size(), "red is beyond its guarantee");
+      assertEquals(0, plan().preemptions().size(), "the job of team red is beyond its guarantee");
       jobs.clear();
       job(spec("wk-1", "daemon", 1, Map.of("cpus", 2.0, "forgang", "production")), false);
       assertEquals(1, plan().preemptions().get(0).victims().size(), "one victim is enough");
@@ -158,15 +158,15 @@
     }
 
     /**
-     * Otherwise a job of low priority that has waited too long loses its first tasks at once, takes
-     * the next free places, and loses them again.
+     * Without this rule, an overdue job of low priority loses its first tasks immediately, gets the
+     * next free room and loses it again.
      */
-    @ParameterizedTest(name = "started late {0}, guaranteed {1}, waited {2} s: stops {3}")
+    @ParameterizedTest(name = "started late {0}, guaranteed {1}, waited {2} s: {3} preemptions")
     @CsvSource({
-      "false, false, 10, 1", // priority alone
+      "false, false, 10, 1", // higher priority is enough
       "true, false, 10, 0",
-      "true, true, 10, 1", // a guarantee precedes it
-      "true, false, 130, 1" // so does a job that is overdue as well
+      "true, true, 10, 1", // a job within its guarantee may preempt
+      "true, false, 130, 1" // an overdue job may preempt
     })
     void spareTheFirstTasksOfAJobThatStartedLate(
         boolean late, boolean guaranteed, double waitedS, int stops) {
@@ -180,7 +180,7 @@
     }
   }
 
-  /** What is provisioned and what is released. */
+  /** Provisioning and release of machines. */
   @Nested
   class Scaling {
     @Test
@@ -218,7 +218,7 @@
     }
   }
 
-  /** Services on accelerated machines. */
+  /** Moves of service replicas away from accelerated machines. */
   @Nested
   class Consolidating {
     @Test
@@ -227,13 +227,13 @@
       JobSpec service = spec("wk-8", "daemon", 3, ask);
       machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 30));
       machine("n-2", PLAIN, 0, Set.of("img-1"));
-      assertEquals(List.of(), plan().preemptions(), "it has run for too short a time");
+      assertEquals(List.of(), plan().preemptions(), "the replica has not run long enough");
       machines.clear();
       machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 100));
       machine("n-2", PLAIN, 0, Set.of("img-1"));
       machine("n-3", FAST, 1, Set.of("img-1"), running(service, 1, 100));
       Plan plan = plan();
-      assertEquals(1, plan.preemptions().size(), "one at a time");
+      assertEquals(1, plan.preemptions().size(), "one move at a time");
       assertEquals("n-2", plan.preemptions().get(0).machine().value());
       assertEquals(1, plan.preemptions().get(0).victims().size());
       assertEquals(List.of(), plan.releases(), "the room for later moves is not released");
