--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -212,7 +212,7 @@
     memory -= need.memory();
   }
 
-  /** Allocates a task's resources for good and records its image as fetched here. */
+  /** Allocates the resources of a task in the plan and records its image as fetched here. */
   void place(JobSpec spec) {
     assume(spec);
     used = true;
--- a/src/main/java/org/ternhinge/schedule/TaskAllocation.java
+++ b/src/main/java/org/ternhinge/schedule/TaskAllocation.java
@@ -62,7 +62,7 @@
 
   /**
    * Preempts the team's own tasks of lower priority for the tasks that exceed the team's limit, as
-   * these may be what uses up the limit.
+   * those tasks may account for the usage.
    */
   private void preemptOwnTeam(int allowed) {
     Priority priority = job.spec().priority();
--- a/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerEffortTest.java
@@ -108,6 +108,6 @@
     machine("n-1", PLAIN, 0, Set.of());
     job(spec("wk-1", "daemon", 4, spread), true);
     job(spec("wk-2", "daemon", 2, spread), true);
-    assertEquals(3, on(plan()).size(), "the first job is limited by zone, not by room");
+    assertEquals(3, on(plan()).size(), "each job is limited by zone, not by room");
   }
 }
