--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -52,7 +52,7 @@
 
   private void reportWaitingTasks(Job job, String zone, SteadyTime now) {
     int task = job.nextWaiting(0);
-    for (int i = 0; i < Snapshot.JobView.MAX_PENDING && task >= 0; i++) {
+    for (int i = 0; i < Snapshot.JobView.MAX_PENDING_TASKS && task >= 0; i++) {
       failover.attemptLost(job.planned(), task, UNKNOWN_ATTEMPT, zone, now);
       task = job.nextWaiting(task + 1);
     }
--- a/src/main/java/org/ternhinge/round/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -60,7 +60,7 @@
   List<Snapshot.JobView> expectedJobs(SteadyTime now, int zoneCount) {
     List<Snapshot.JobView> expectedJobs = new ArrayList<>();
     for (ArrayDeque<Arrival> recent : recentByClass.values()) {
-      dropOld(recent, now);
+      removeExpired(recent, now);
       int count = recent.isEmpty() ? 0 : expectedCount(recent, now);
       Iterator<Arrival> latest = recent.descendingIterator();
       for (int i = 0; i < count; i++) {
@@ -70,7 +70,7 @@
     return expectedJobs;
   }
 
-  private static void dropOld(ArrayDeque<Arrival> recent, SteadyTime now) {
+  private static void removeExpired(ArrayDeque<Arrival> recent, SteadyTime now) {
     while (!recent.isEmpty() && now.secondsSince(recent.peekFirst().at()) > WINDOW_S) {
       recent.pollFirst();
     }
--- a/src/main/java/org/ternhinge/round/JobRanking.java
+++ b/src/main/java/org/ternhinge/round/JobRanking.java
@@ -21,13 +21,13 @@
   private static final double WAIT_OFFSET_S = 30;
 
   /** Offset that ranks gangs before services and arrays; exceeds any key from size and wait. */
-  private static final double GANG_KEY = -1e7;
+  private static final double GANG_OFFSET = -1e7;
 
   /** Offset that ranks services before arrays and after gangs. */
-  private static final double SERVICE_KEY = -1e6;
+  private static final double SERVICE_OFFSET = -1e6;
 
   /** Offset that ranks overdue jobs before other jobs of their kind. */
-  private static final double OVERDUE_KEY = -1e5;
+  private static final double OVERDUE_OFFSET = -1e5;
 
   private JobRanking() {}
 
@@ -52,18 +52,18 @@
    * requested CPUs of a gang or a service and the remaining work of an array.
    */
   static double key(JobSpec spec, Progress progress) {
-    double wait = progress.waitedS() + WAIT_OFFSET_S;
+    double waitS = progress.waitedS() + WAIT_OFFSET_S;
     if (progress.isOverdue()) {
       // The size is ignored; otherwise short jobs would be preferred indefinitely.
-      return kindKey(spec) + OVERDUE_KEY - wait;
+      return kindOffset(spec) + OVERDUE_OFFSET - waitS;
     }
-    return kindKey(spec) + size(spec, progress) / wait;
+    return kindOffset(spec) + size(spec, progress) / waitS;
   }
 
-  private static double kindKey(JobSpec spec) {
+  private static double kindOffset(JobSpec spec) {
     return switch (spec.kind()) {
-      case GANG -> GANG_KEY;
-      case SERVICE -> SERVICE_KEY;
+      case GANG -> GANG_OFFSET;
+      case SERVICE -> SERVICE_OFFSET;
       case ARRAY -> 0;
     };
   }
@@ -73,7 +73,7 @@
     if (spec.kind() != JobKind.ARRAY) {
       return progress.pending() * spec.cpus();
     }
-    int undone = spec.tasks() - progress.done();
-    return undone * spec.cpus() * Math.max(1, spec.estimateS());
+    int remaining = spec.tasks() - progress.done();
+    return remaining * spec.cpus() * Math.max(1, spec.estimateS());
   }
 }
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -54,7 +54,7 @@
   List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reservedTasks) {
     Map<String, Resources> requestedByTeam = new HashMap<>();
     List<Snapshot.JobView> views = new ArrayList<>();
-    for (Job job : unfinished()) {
+    for (Job job : unfinishedJobs()) {
       JobSpec spec = job.planned();
       Team team = settings.teams().get(spec.team());
       if (team == null) {
@@ -97,7 +97,7 @@
     return progress.waitedS() - openForS > JobRanking.OVERDUE_S;
   }
 
-  private List<Job> unfinished() {
+  private List<Job> unfinishedJobs() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       if (!job.hasUnmetDependencies() && !job.cancelled() && !job.over()) {
@@ -144,7 +144,7 @@
    * @param maxStarts maximum number of tasks that may start in a round
    */
   private static IntList pendingTasks(Job job, int maxStarts) {
-    int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING);
+    int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING_TASKS);
     IntList pending = new IntArrayList(Math.min(job.waitingCount(), limit));
     boolean gang = job.spec().isGang();
     int task = job.nextWaiting(0);
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -140,8 +140,8 @@
 
   private static List<Snapshot.Reservation> reservations(Machine machine) {
     List<Snapshot.Reservation> reservations = new ArrayList<>();
-    for (Machine.Reservation kept : machine.reservations()) {
-      reservations.add(new Snapshot.Reservation(kept.job(), kept.room()));
+    for (Machine.Reservation reservation : machine.reservations()) {
+      reservations.add(new Snapshot.Reservation(reservation.job(), reservation.room()));
     }
     return reservations;
   }
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -43,7 +43,7 @@
   private static final double RESERVATION_S = 12;
 
   /** Seconds, besides the time to save, for the command to arrive and the end to be reported. */
-  private static final double SAVE_MARGIN_S = 1;
+  private static final double CHECKPOINT_MARGIN_S = 1;
 
   private final Clock clock;
   private final Ledger ledger;
@@ -101,7 +101,7 @@
     if (job == null) {
       return;
     }
-    List<Ledger.Placement> placements = withRoomInRecord(job, placements(planned, job, now));
+    List<Ledger.Placement> placements = limitToRecordSize(job, validPlacements(planned, job, now));
     Optional<AdmissionRefusal> refusal =
         placements.isEmpty()
             ? Optional.of(AdmissionRefusal.NOTHING_TO_PLACE)
@@ -112,12 +112,12 @@
     }
     LOG.debug("placed {} ({}) on {}", planned.job(), job.spec().jobClass(), planned.machines());
     for (Ledger.Placement placement : placements) {
-      placed(job, machines.find(placement.site().machine()).orElseThrow());
+      updateAfterPlacement(job, machines.find(placement.site().machine()).orElseThrow());
     }
   }
 
   /** The placements that fit into the job's record; those of a gang are admitted all or none. */
-  private List<Ledger.Placement> withRoomInRecord(Job job, List<Ledger.Placement> placements) {
+  private List<Ledger.Placement> limitToRecordSize(Job job, List<Ledger.Placement> placements) {
     if (job.spec().isGang()) {
       return placements;
     }
@@ -129,7 +129,7 @@
   }
 
   /** The placements whose machine still accepts tasks. */
-  private List<Ledger.Placement> placements(Plan.Placement planned, Job job, SteadyTime now) {
+  private List<Ledger.Placement> validPlacements(Plan.Placement planned, Job job, SteadyTime now) {
     List<Ledger.Placement> placements = new ArrayList<>();
     for (int i = 0; i < planned.tasks().size(); i++) {
       int index = planned.tasks().get(i);
@@ -156,7 +156,7 @@
   }
 
   /** Updates the state of a machine after an attempt of the job has been opened on it. */
-  private void placed(Job job, Machine machine) {
+  private void updateAfterPlacement(Job job, Machine machine) {
     machine.invalidateView();
     // Each placed task consumes one reservation.
     machine.dropReservation(job.spec().id());
@@ -189,7 +189,7 @@
     LOG.debug("preempting {} for {}", attempt.task(), forJob);
     boolean savesCheckpoint = job.spec().checkpointIntervalS() > 0;
     attempts.stopWithGang(
-        attempt, savesCheckpoint ? job.spec().checkpointSaveS() + SAVE_MARGIN_S : 0);
+        attempt, savesCheckpoint ? job.spec().checkpointSaveS() + CHECKPOINT_MARGIN_S : 0);
     attempts.closeIfNeverSent(attempt);
   }
 
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -32,7 +32,7 @@
    * Ratio of the interval between the starts of two rounds to the duration of the last round. It
    * limits the share of processor time that planning takes in large fleets.
    */
-  private static final double PAUSE_FACTOR = 15;
+  private static final double INTERVAL_FACTOR = 15;
 
   /** Minimum delay from a request to its round, so that simultaneous changes share a round. */
   private static final double MIN_DELAY_S = 0.01;
@@ -88,13 +88,13 @@
       return;
     }
     requested = true;
-    double pauseS = Math.min(tuning.roundS(), lastDurationS * PAUSE_FACTOR);
-    double intervalS = Math.max(tuning.roundGapS(), pauseS);
+    double scaledIntervalS = Math.min(tuning.roundS(), lastDurationS * INTERVAL_FACTOR);
+    double intervalS = Math.max(tuning.roundGapS(), scaledIntervalS);
     double delayS = Math.max(MIN_DELAY_S, intervalS - clock.now().secondsSince(lastStart));
-    clock.after(delayS, () -> scheduler.execute(this::round));
+    clock.after(delayS, () -> scheduler.execute(this::runRound));
   }
 
-  private void round() {
+  private void runRound() {
     begin().ifPresent(snapshot -> finish(plan(snapshot)));
   }
 
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -85,14 +85,14 @@
     if (now.secondsSince(electedAt) > firstReportsS) {
       return true;
     }
-    boolean isListed = false;
+    boolean anyListed = false;
     for (Machine machine : fleet.machines().all()) {
-      isListed |= machine.cloud().isListed();
+      anyListed |= machine.cloud().isListed();
       if (!machine.agent().isHeard()
           && (machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty())) {
         return false;
       }
     }
-    return isListed;
+    return anyListed;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorSlots.java
@@ -9,7 +9,7 @@
 import org.ternhinge.wire.JobSpec;
 
 /** Counts the accelerator slots that are lost when a task without accelerators is placed. */
-final class AcceleratorPlaces {
+final class AcceleratorSlots {
   private static final int MILLIS_PER_GPU = 1000;
 
   /** CPU of the assumed task, in eighths of one accelerator's share of the machine's CPUs. */
@@ -21,7 +21,7 @@
   /** A job with accelerators that stands for all such jobs; null if the snapshot has none. */
   private final JobSpec sampleJob;
 
-  AcceleratorPlaces(Snapshot snapshot) {
+  AcceleratorSlots(Snapshot snapshot) {
     this.sampleJob = findSample(snapshot).orElse(null);
   }
 
@@ -55,30 +55,30 @@
    * accelerators could use at that time. When running arrays were counted as used room, a single
    * short task opened the slot to other arrays for as long as new ones arrived.
    */
-  int lostPlaces(JobSpec spec, MachineCapacity machine) {
+  int lostSlots(JobSpec spec, MachineCapacity machine) {
     Resources capacity = machine.machineType().capacity();
     if (capacity.gpus() == 0 || spec.need().gpus() > 0) {
       return 0;
     }
-    if (sampleJob != null && (!machine.allows(sampleJob) || yieldsToSample(spec))) {
+    if (sampleJob != null && (!machine.allows(sampleJob) || isPreemptibleBySample(spec))) {
       return 0;
     }
     Resources task = sampleJob == null ? assumedTask(capacity) : sampleJob.need();
-    Resources room = machine.freeAndArrays();
-    int places = task.timesIn(room);
+    Resources room = machine.freeWithoutArrays();
+    int slots = task.timesIn(room);
     if (spec.kind() != JobKind.ARRAY) {
-      return places - task.timesIn(room.minus(spec.need()));
+      return slots - task.timesIn(room.minus(spec.need()));
     }
-    if (places == 0) {
+    if (slots == 0) {
       return 0;
     }
-    Resources spare = room.minus(task.times(places));
+    Resources spare = room.minus(task.times(slots));
     Resources arrays = room.minus(machine.free());
     return arrays.plus(spec.need()).fitsIn(spare) ? 0 : 1;
   }
 
   /** Whether a job is an array of lower priority than the sample, so the sample can preempt it. */
-  private boolean yieldsToSample(JobSpec spec) {
+  private boolean isPreemptibleBySample(JobSpec spec) {
     return spec.kind() == JobKind.ARRAY && spec.priority().compareTo(sampleJob.priority()) > 0;
   }
 
@@ -96,12 +96,12 @@
    * preemption once a task of this array is placed there. This is 0 if other arrays already occupy
    * the room.
    */
-  int obstructedPlaces(JobSpec spec, MachineCapacity machine) {
+  int blockedSlots(JobSpec spec, MachineCapacity machine) {
     if (sampleJob == null || spec.kind() != JobKind.ARRAY || !machine.allows(sampleJob)) {
       return 0;
     }
     Resources room = machine.free();
-    int places = sampleJob.need().timesIn(room);
-    return places == 0 ? 0 : places - sampleJob.need().timesIn(room.minus(spec.need()));
+    int slots = sampleJob.need().timesIn(room);
+    return slots == 0 ? 0 : slots - sampleJob.need().timesIn(room.minus(spec.need()));
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -21,7 +21,7 @@
  */
 final class Consolidation {
   /** Maximum share of all replicas that move at the same time; a replica is down while it moves. */
-  private static final double MOVING_SHARE = 0.002;
+  private static final double MAX_MOVING_SHARE = 0.002;
 
   /** Minimum running time of a replica before it is moved, in seconds. */
   private static final double MIN_RUNNING_S = 60;
@@ -53,7 +53,7 @@
   private long evaluations;
 
   /** Number of replicas that are stopping, starting or pending. */
-  private int moving;
+  private int movingCount;
 
   /** Number of replicas that this round may still move. */
   private int movesLeft;
@@ -84,7 +84,7 @@
   /** Whether a machine is accelerated and runs only service replicas that may be moved now. */
   private boolean isSource(MachineCapacity machine) {
     if (!machine.ready()
-        || machine.used()
+        || machine.usedByPlan()
         || machine.machineType().capacity().gpus() == 0
         || machine.view().attempts().isEmpty()
         || !machine.view().reservations().isEmpty()) {
@@ -114,7 +114,7 @@
         return;
       }
       // A source that is in use by now has become the target of another move.
-      if (!source.used()) {
+      if (!source.usedByPlan()) {
         moveFrom(source);
       }
     }
@@ -134,9 +134,9 @@
       }
     }
     for (JobView job : builder.snapshot().jobs()) {
-      moving += job.spec().isService() ? job.pendingCount() : 0;
+      movingCount += job.spec().isService() ? job.pendingCount() : 0;
     }
-    movesLeft = (int) Math.ceil(replicas * MOVING_SHARE) - moving;
+    movesLeft = (int) Math.ceil(replicas * MAX_MOVING_SHARE) - movingCount;
     return sources;
   }
 
@@ -147,7 +147,7 @@
         replicas++;
         replicasByZone
             .computeIfAbsent(attempt.spec(), spec -> new int[zoneCount])[machine.zone()]++;
-        moving += attempt.stopping() || attempt.runningSince() == null ? 1 : 0;
+        movingCount += attempt.stopping() || attempt.runningSince() == null ? 1 : 0;
       }
     }
     return replicas;
@@ -176,10 +176,10 @@
     target.reserve(spec);
     // A replica is down for several seconds if the target has to fetch its image. Such replicas
     // move one at a time.
-    boolean quick = target.hasImage(spec.image());
-    if (quick ? movesLeft > 0 : moving == 0) {
+    boolean imageCached = target.hasImage(spec.image());
+    if (imageCached ? movesLeft > 0 : movingCount == 0) {
       movesLeft--;
-      moving++;
+      movingCount++;
       builder.addPreemption(target, spec, List.of(replica));
     }
   }
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -26,20 +26,20 @@
    * would lose their work. With this delay, the largest gangs still start within the four minutes
    * that users expect.
    */
-  private static final double PATIENCE_S = 20;
+  private static final double RESERVATION_DELAY_PER_DOUBLING_S = 20;
 
   /** Cost factor of zones without room for the whole gang; exceeds any cost of one with room. */
   private static final double INCOMPLETE_COST = 1e12;
 
   /** Room for one task on a machine, and the attempts to preempt for it. */
-  record GangPlace(MachineCapacity machine, List<AttemptView> victims, double cost) {}
+  record GangSlot(MachineCapacity machine, List<AttemptView> victims, double cost) {}
 
   /** The slots found for a gang in a zone, the cheapest first. */
-  private record ZonePlaces(int zone, List<GangPlace> places) {
+  private record ZoneSlots(int zone, List<GangSlot> slots) {
     double cost() {
       double cost = 0;
-      for (GangPlace place : places) {
-        cost += place.cost;
+      for (GangSlot slot : slots) {
+        cost += slot.cost;
       }
       return cost;
     }
@@ -51,11 +51,11 @@
    * @param tasks number of tasks without a free slot
    * @param tasksByZone number of tasks with a free slot in each zone
    */
-  record Missing(int tasks, IntList tasksByZone) {}
+  record Shortfall(int tasks, IntList tasksByZone) {}
 
   private final PlanBuilder builder;
   private final PreemptionPlanner preemption;
-  private final List<JobView> patientGangs = new ArrayList<>();
+  private final List<JobView> deferredGangs = new ArrayList<>();
   private final Map<Resources, List<MachineCapacity>> hostsByNeed = new HashMap<>();
 
   GangReservations(PlanBuilder builder, PreemptionPlanner preemption) {
@@ -70,23 +70,23 @@
    *
    * @return the part of the gang without room; empty if there will be room for all its tasks
    */
-  Optional<Missing> reserveOrFindMissing(JobView job) {
+  Optional<Shortfall> preemptOrReserve(JobView job) {
     JobSpec spec = job.spec();
     boolean mayPreempt = spec.tasks() == 1 || job.overdue();
-    ZonePlaces best = bestZone(job, mayPreempt);
-    if (best.places.size() == spec.tasks() && mayPreempt) {
-      for (GangPlace place : best.places) {
-        builder.preempt(place.machine, spec, place.victims);
+    ZoneSlots best = bestZone(job, mayPreempt);
+    if (best.slots.size() == spec.tasks() && mayPreempt) {
+      for (GangSlot slot : best.slots) {
+        builder.preempt(slot.machine, spec, slot.victims);
       }
       return Optional.empty();
     }
-    boolean patient = job.waitedS() < patienceS(spec);
-    if (patient) {
-      patientGangs.add(job);
+    boolean deferred = job.waitedS() < reservationDelayS(spec);
+    if (deferred) {
+      deferredGangs.add(job);
     } else {
       reserveFree(spec, best);
     }
-    return Optional.of(missing(job, best));
+    return Optional.of(shortfall(job, best));
   }
 
   /**
@@ -94,22 +94,22 @@
    * them, but lower-ranked arrays may not: arrays filled the machines that had been provisioned for
    * a gang as these came up, and then had to be preempted in large numbers.
    */
-  void reserveForPatientGangs() {
-    for (JobView job : patientGangs) {
-      for (GangPlace place : mostFreePlaces(job)) {
-        place.machine.reserve(job.spec());
+  void reserveForDeferredGangs() {
+    for (JobView job : deferredGangs) {
+      for (GangSlot slot : mostFreeSlots(job)) {
+        slot.machine.reserve(job.spec());
       }
     }
-    patientGangs.clear();
+    deferredGangs.clear();
   }
 
   /** The cheapest zone with room for the whole gang, else the zone with the most slots. */
-  private ZonePlaces bestZone(JobView job, boolean mayPreempt) {
-    ZonePlaces best = new ZonePlaces(PlanBuilder.ANY_ZONE, List.of());
+  private ZoneSlots bestZone(JobView job, boolean mayPreempt) {
+    ZoneSlots best = new ZoneSlots(PlanBuilder.ANY_ZONE, List.of());
     double lowestCost = Double.MAX_VALUE;
     for (int zone : PlanBuilder.candidateZones(job)) {
-      ZonePlaces candidate = new ZonePlaces(zone, findPlaces(job, zone, mayPreempt));
-      int missing = job.spec().tasks() - candidate.places.size();
+      ZoneSlots candidate = new ZoneSlots(zone, findSlots(job, zone, mayPreempt));
+      int missing = job.spec().tasks() - candidate.slots.size();
       double cost = missing == 0 ? candidate.cost() : INCOMPLETE_COST * (1 + missing);
       if (cost < lowestCost) {
         lowestCost = cost;
@@ -119,62 +119,62 @@
     return best;
   }
 
-  private static double patienceS(JobSpec spec) {
+  private static double reservationDelayS(JobSpec spec) {
     int doublings = Integer.numberOfTrailingZeros(Integer.highestOneBit(spec.tasks()));
-    return PATIENCE_S * doublings;
+    return RESERVATION_DELAY_PER_DOUBLING_S * doublings;
   }
 
-  private List<GangPlace> mostFreePlaces(JobView job) {
-    List<GangPlace> most = List.of();
+  private List<GangSlot> mostFreeSlots(JobView job) {
+    List<GangSlot> most = List.of();
     int mostCount = -1;
     for (int zone : PlanBuilder.candidateZones(job)) {
-      List<GangPlace> places = findPlaces(job, zone, false);
-      if (places.size() > mostCount) {
-        mostCount = places.size();
-        most = places;
+      List<GangSlot> slots = findSlots(job, zone, false);
+      if (slots.size() > mostCount) {
+        mostCount = slots.size();
+        most = slots;
       }
     }
     return most;
   }
 
-  private static void reserveFree(JobSpec spec, ZonePlaces zone) {
-    for (GangPlace place : zone.places) {
-      if (place.victims.isEmpty()) {
-        place.machine.reserve(spec);
+  private static void reserveFree(JobSpec spec, ZoneSlots zone) {
+    for (GangSlot slot : zone.slots) {
+      if (slot.victims.isEmpty()) {
+        slot.machine.reserve(spec);
       }
     }
   }
 
-  private static Missing missing(JobView job, ZonePlaces best) {
+  private static Shortfall shortfall(JobView job, ZoneSlots best) {
     int[] tasksByZone = new int[job.openByZone().size()];
     int free = 0;
-    for (GangPlace place : best.places) {
-      if (place.victims.isEmpty()) {
+    for (GangSlot slot : best.slots) {
+      if (slot.victims.isEmpty()) {
         free++;
       }
     }
     if (best.zone != PlanBuilder.ANY_ZONE) {
       tasksByZone[best.zone] = free;
     }
-    return new Missing(job.spec().tasks() - free, IntArrayList.wrap(tasksByZone));
+    return new Shortfall(job.spec().tasks() - free, IntArrayList.wrap(tasksByZone));
   }
 
   /** The cheapest slots in a zone, at most as many as the gang has tasks. */
-  private List<GangPlace> findPlaces(JobView job, int zone, boolean mayPreempt) {
+  private List<GangSlot> findSlots(JobView job, int zone, boolean mayPreempt) {
     JobSpec spec = job.spec();
-    List<GangPlace> places = new ArrayList<>();
+    List<GangSlot> slots = new ArrayList<>();
     for (MachineCapacity machine : hosts(spec)) {
       if ((zone == PlanBuilder.ANY_ZONE || machine.zone() == zone)
           && machine.allows(spec)
           && (mayPreempt || machine.freeCpus() >= spec.need().cpus())
           && !PlanBuilder.isAvoided(job, machine)) {
         builder.countEvaluation();
-        preemption.addGangPlaces(job, machine, mayPreempt, places);
+        preemption.addGangSlots(job, machine, mayPreempt, slots);
       }
     }
     // The sort is stable and costs rise within a machine, so each machine's slots keep their order.
-    places.sort(Comparator.comparingDouble(GangPlace::cost));
-    return places.size() > spec.tasks() ? places.subList(0, spec.tasks()) : places;
+    slots.sort(Comparator.comparingDouble(GangSlot::cost));
+    return slots.size() > spec.tasks() ? slots.subList(0, spec.tasks()) : slots;
   }
 
   /** The machines with enough capacity for a task; cached for gangs with the same request. */
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -22,7 +22,7 @@
  */
 final class MachineCapacity {
   /** Penalty, in seconds, for each other task of the same service on the machine. */
-  private static final double SIBLING_S = 4;
+  private static final double COLOCATION_PENALTY_S = 4;
 
   /** The machine in the snapshot; null for a machine that is not provisioned yet. */
   private final MachineView view;
@@ -55,7 +55,7 @@
   private Priority lowestPriority;
 
   /** Whether the plan places or reserves something here, so the machine must not be released. */
-  private boolean used;
+  private boolean usedByPlan;
 
   MachineCapacity(MachineView view) {
     this.view = view;
@@ -72,7 +72,7 @@
         lowestPriority = spec.priority();
       }
       if (accelerated && spec.kind() == JobKind.ARRAY) {
-        addArrayRoom(spec.need());
+        addArrayUse(spec.need());
       }
     }
   }
@@ -93,7 +93,7 @@
     memory = room.memory();
   }
 
-  private void addArrayRoom(Resources need) {
+  private void addArrayUse(Resources need) {
     arrayCpus += need.cpus();
     arrayGpus += need.gpus();
     arrayMemory += need.memory();
@@ -122,8 +122,8 @@
     return view != null && view.ready();
   }
 
-  boolean used() {
-    return used;
+  boolean usedByPlan() {
+    return usedByPlan;
   }
 
   long freeCpus() {
@@ -135,7 +135,7 @@
   }
 
   /** The free room plus, on an accelerated machine, the room that its array tasks use. */
-  Resources freeAndArrays() {
+  Resources freeWithoutArrays() {
     return new Resources(cpus + arrayCpus, gpus + arrayGpus, memory + arrayMemory);
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Whether an earlier round has reserved room here for a job. */
-  boolean reservedFor(JobId job) {
+  boolean hasReservationFor(JobId job) {
     for (Reservation reservation : reservations) {
       if (reservation.job().equals(job)) {
         return true;
@@ -187,25 +187,25 @@
 
   /** The penalty for placing a service's task on the same machine as others of the service. */
   @SuppressWarnings("ReferenceEquality") // each job has one spec object; this is a hot path
-  double siblingScore(JobSpec spec) {
-    int siblings = 0;
+  double colocationPenalty(JobSpec spec) {
+    int colocated = 0;
     if (view != null) {
       for (AttemptView attempt : view.attempts()) {
         if (attempt.spec() == spec) {
-          siblings++;
+          colocated++;
         }
       }
     }
     for (JobSpec other : placedServices) {
       if (other == spec) {
-        siblings++;
+        colocated++;
       }
     }
-    return SIBLING_S * siblings;
+    return COLOCATION_PENALTY_S * colocated;
   }
 
-  /** Subtracts a task's resources; {@link #unassume} adds them back. */
-  void assume(JobSpec spec) {
+  /** Subtracts a task's resources; {@link #deallocate} adds them back. */
+  void allocate(JobSpec spec) {
     Resources need = spec.need();
     cpus -= need.cpus();
     gpus -= need.gpus();
@@ -214,10 +214,10 @@
 
   /** Allocates the resources of a task in the plan and records its image as fetched here. */
   void place(JobSpec spec) {
-    assume(spec);
-    used = true;
+    allocate(spec);
+    usedByPlan = true;
     if (spec.kind() == JobKind.ARRAY) {
-      addArrayRoom(spec.need());
+      addArrayUse(spec.need());
     } else if (spec.isService()) {
       placedServices = placedServices.isEmpty() ? new ArrayList<>(2) : placedServices;
       placedServices.add(spec);
@@ -228,8 +228,8 @@
     }
   }
 
-  /** Reverts {@link #assume}. */
-  void unassume(JobSpec spec) {
+  /** Reverts {@link #allocate}. */
+  void deallocate(JobSpec spec) {
     Resources need = spec.need();
     cpus += need.cpus();
     gpus += need.gpus();
@@ -286,6 +286,6 @@
     freedByPreemption = freedByPreemption.plus(freed).minus(need.minus(freeNow));
     reservedByPlan = reservedByPlan.isEmpty() ? new HashSet<>() : reservedByPlan;
     reservedByPlan.add(forJob.id());
-    used = true;
+    usedByPlan = true;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -3,42 +3,42 @@
 /** Which machines a search considers and which tasks it may preempt. */
 enum PlacementScope {
   /** Only room that does not reduce the number of accelerator slots. */
-  PLAIN(false, false, false),
+  STANDARD(false, false, false),
 
-  /** Like {@link #PLAIN}, but only machines that hold the job's image. */
-  CACHED(false, false, true),
+  /** Like {@link #STANDARD}, but only machines that hold the job's image. */
+  IMAGE_CACHED(false, false, true),
 
   /** Also room that reduces the number of accelerator slots. */
-  LAST_RESORT(true, false, false),
+  ACCELERATOR_SLOTS(true, false, false),
 
   /** Preempts only tasks of the job's own team, which also lowers the team's usage. */
   OWN_TEAM(false, true, false),
 
   /** Like {@link #OWN_TEAM}, but also room that reduces the number of accelerator slots. */
-  OWN_TEAM_LAST_RESORT(true, true, false);
+  OWN_TEAM_ACCELERATOR_SLOTS(true, true, false);
 
-  private final boolean mayUseAcceleratorPlaces;
-  private final boolean ownTeam;
-  private final boolean cached;
+  private final boolean mayUseAcceleratorSlots;
+  private final boolean ownTeamOnly;
+  private final boolean imageCached;
 
-  PlacementScope(boolean mayUseAcceleratorPlaces, boolean ownTeam, boolean cached) {
-    this.mayUseAcceleratorPlaces = mayUseAcceleratorPlaces;
-    this.ownTeam = ownTeam;
-    this.cached = cached;
+  PlacementScope(boolean mayUseAcceleratorSlots, boolean ownTeamOnly, boolean imageCached) {
+    this.mayUseAcceleratorSlots = mayUseAcceleratorSlots;
+    this.ownTeamOnly = ownTeamOnly;
+    this.imageCached = imageCached;
   }
 
   /** Whether the search may reduce the number of accelerator slots. */
-  boolean mayUseAcceleratorPlaces() {
-    return mayUseAcceleratorPlaces;
+  boolean mayUseAcceleratorSlots() {
+    return mayUseAcceleratorSlots;
   }
 
   /** Whether the search may preempt only tasks of the job's own team. */
-  boolean ownTeam() {
-    return ownTeam;
+  boolean ownTeamOnly() {
+    return ownTeamOnly;
   }
 
   /** Whether the search considers only machines that hold the job's image. */
-  boolean cached() {
-    return cached;
+  boolean imageCached() {
+    return imageCached;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -25,21 +25,21 @@
   static final int ANY_ZONE = -1;
 
   /** Penalty for each accelerator slot that is lost. */
-  private static final double LOST_PLACE_S = 120;
+  private static final double LOST_SLOT_PENALTY_S = 120;
 
   /** Penalty for each accelerator slot that becomes available only by preempting this task. */
-  private static final double OBSTRUCTED_PLACE_S = 15;
+  private static final double BLOCKED_SLOT_PENALTY_S = 15;
 
   /** Penalty for placing a job that may run on spot machines on an on-demand machine. */
-  private static final double ON_DEMAND_S = 3;
+  private static final double ON_DEMAND_PENALTY_S = 3;
 
   /** Penalty for leaving all CPUs of a machine unused; scaled by the unused fraction. */
-  private static final double UNUSED_MACHINE_S = 2.0;
+  private static final double UNUSED_CPUS_PENALTY_S = 2.0;
 
   private final Snapshot snapshot;
   private final Plan plan = new Plan();
   private final List<MachineCapacity> machines = new ArrayList<>();
-  private final AcceleratorPlaces acceleratorPlaces;
+  private final AcceleratorSlots acceleratorSlots;
   private final Map<String, Resources> teamUse;
   private final Map<JobId, int[]> tasksByZone = new HashMap<>();
 
@@ -51,7 +51,7 @@
   PlanBuilder(Snapshot snapshot) {
     this.snapshot = snapshot;
     this.teamUse = new HashMap<>(snapshot.teamUse());
-    this.acceleratorPlaces = new AcceleratorPlaces(snapshot);
+    this.acceleratorSlots = new AcceleratorSlots(snapshot);
     for (MachineView machine : snapshot.machines()) {
       machines.add(new MachineCapacity(machine));
     }
@@ -66,8 +66,8 @@
     return machines;
   }
 
-  AcceleratorPlaces acceleratorPlaces() {
-    return acceleratorPlaces;
+  AcceleratorSlots acceleratorSlots() {
+    return acceleratorSlots;
   }
 
   /** Counts one evaluation of a job against a machine or an offer, the unit of a round's budget. */
@@ -124,7 +124,7 @@
   }
 
   /** Returns the finished plan, with the number of evaluations. */
-  Plan finish() {
+  Plan build() {
     plan.evaluations(evaluations);
     return plan;
   }
@@ -211,9 +211,9 @@
   }
 
   /** Whether a scope permits placing a task on a machine. */
-  boolean scopeIncludes(PlacementScope scope, JobSpec spec, MachineCapacity machine) {
-    return (!scope.cached() || machine.hasImage(spec.image()))
-        && (scope.mayUseAcceleratorPlaces() || acceleratorPlaces.lostPlaces(spec, machine) <= 0);
+  boolean scopePermits(PlacementScope scope, JobSpec spec, MachineCapacity machine) {
+    return (!scope.imageCached() || machine.hasImage(spec.image()))
+        && (scope.mayUseAcceleratorSlots() || acceleratorSlots.lostSlots(spec, machine) <= 0);
   }
 
   /** Whether a job avoids a machine because it has failed there. */
@@ -231,19 +231,19 @@
   /** The score of a task on a machine: fetch time and penalties in seconds; lower is better. */
   double score(JobSpec spec, MachineCapacity machine) {
     double score = imageFetchS(spec, machine);
-    int lost = acceleratorPlaces.lostPlaces(spec, machine);
-    if (lost > 0) {
-      score += LOST_PLACE_S * lost;
+    int lostSlots = acceleratorSlots.lostSlots(spec, machine);
+    if (lostSlots > 0) {
+      score += LOST_SLOT_PENALTY_S * lostSlots;
     } else if (machine.machineType().capacity().gpus() > 0) {
-      score += OBSTRUCTED_PLACE_S * acceleratorPlaces.obstructedPlaces(spec, machine);
+      score += BLOCKED_SLOT_PENALTY_S * acceleratorSlots.blockedSlots(spec, machine);
     }
     if (spec.spotAllowed() && !machine.spot()) {
-      score += ON_DEMAND_S;
+      score += ON_DEMAND_PENALTY_S;
     }
     if (spec.isService()) {
-      score += machine.siblingScore(spec);
+      score += machine.colocationPenalty(spec);
     }
     long capacityCpus = Math.max(1, machine.machineType().capacity().cpus());
-    return score + UNUSED_MACHINE_S * (machine.freeCpus() - spec.need().cpus()) / capacityCpus;
+    return score + UNUSED_CPUS_PENALTY_S * (machine.freeCpus() - spec.need().cpus()) / capacityCpus;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -18,7 +18,7 @@
  */
 public final class Planner {
   /** The order in which jobs are scheduled. */
-  public static final Comparator<JobView> ORDER =
+  public static final Comparator<JobView> QUEUE_ORDER =
       Comparator.comparing((JobView job) -> job.spec().priority() != Priority.PRODUCTION)
           .thenComparing(job -> !job.withinGuarantee() && !job.overdue())
           .thenComparing(job -> job.spec().priority())
@@ -39,7 +39,7 @@
    * evaluations; without this limit, arrays got no evaluations while many gangs were waiting for
    * room.
    */
-  private static final double GANG_SHARE = 0.5;
+  private static final double MAX_GANG_SHARE = 0.5;
 
   /**
    * Tasks of a job for which there is no room.
@@ -68,35 +68,35 @@
   }
 
   private Plan run() {
-    serveJobs();
-    scale();
-    return builder.finish();
+    scheduleJobs();
+    planScaling();
+    return builder.build();
   }
 
-  private void serveJobs() {
+  private void scheduleJobs() {
     List<JobView> queue = new ArrayList<>(builder.snapshot().jobs());
-    queue.sort(ORDER);
+    queue.sort(QUEUE_ORDER);
     long budget =
         Math.max(MAX_EVALUATIONS, (long) MAX_EVALUATIONS_PER_MACHINE * builder.machines().size());
     long evaluationsForProduction = 0;
     for (JobView job : queue) {
       JobSpec spec = job.spec();
       if (spec.priority() == Priority.PRODUCTION) {
-        serve(job);
+        schedule(job);
         evaluationsForProduction = builder.evaluations();
         continue;
       }
       if (spec.kind() == JobKind.ARRAY) {
-        gangReservations.reserveForPatientGangs();
+        gangReservations.reserveForDeferredGangs();
       }
-      double share = spec.isGang() ? GANG_SHARE : 1;
+      double share = spec.isGang() ? MAX_GANG_SHARE : 1;
       if (builder.evaluations() - evaluationsForProduction < share * budget) {
-        serve(job);
+        schedule(job);
       }
     }
   }
 
-  private void scale() {
+  private void planScaling() {
     ScalingPlanner scaling = new ScalingPlanner(builder);
     for (Demand demand : unmetDemand) {
       scaling.provisionFor(demand.job, demand.tasks, demand.tasksByZone);
@@ -104,16 +104,16 @@
     if (builder.snapshot().inventoryComplete()) {
       new Consolidation(builder).run();
     }
-    builder.snapshot().expectedJobs().forEach(scaling::keepRoomFor);
-    scaling.finish();
+    builder.snapshot().expectedJobs().forEach(scaling::reserveForExpected);
+    scaling.addToPlan();
   }
 
-  private void serve(JobView job) {
+  private void schedule(JobView job) {
     if (job.blocked()) {
       return;
     }
     if (job.spec().isGang()) {
-      serveGang(job);
+      scheduleGang(job);
     } else {
       int unmet = new TaskAllocation(builder, placer, preemption, job).run();
       if (unmet > 0) {
@@ -122,7 +122,7 @@
     }
   }
 
-  private void serveGang(JobView job) {
+  private void scheduleGang(JobView job) {
     JobSpec spec = job.spec();
     if (job.pendingCount() < spec.tasks()) {
       return;
@@ -140,9 +140,10 @@
     builder.charge(spec, spec.tasks());
     if (job.reservedTasks() < spec.tasks()) {
       gangReservations
-          .reserveOrFindMissing(job)
+          .preemptOrReserve(job)
           .ifPresent(
-              missing -> unmetDemand.add(new Demand(job, missing.tasks(), missing.tasksByZone())));
+              shortfall ->
+                  unmetDemand.add(new Demand(job, shortfall.tasks(), shortfall.tasksByZone())));
     }
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -16,7 +16,7 @@
 /** Selects tasks to preempt within the rules of priorities and guarantees. */
 final class PreemptionPlanner {
   /** Seconds of work lost by a restart from a checkpoint, in addition to the time to save it. */
-  private static final double RESTART_S = 5;
+  private static final double RESTART_OVERHEAD_S = 5;
 
   /** Cost of preempting a service, which its users notice; in CPU seconds, like all costs here. */
   private static final double SERVICE_COST = 10_000;
@@ -25,10 +25,11 @@
   private static final double PRIORITY_LEVEL_COST = 1000;
 
   /** Additional cost of each task that is preempted for a gang. */
-  private static final double VICTIM_COST = 1;
+  private static final double GANG_VICTIM_COST = 1;
 
   /** The tasks to preempt on one machine for one task. */
-  private record Option(MachineCapacity machine, List<AttemptView> victims, double cost) {}
+  private record PreemptionOption(
+      MachineCapacity machine, List<AttemptView> victims, double cost) {}
 
   private final PlanBuilder builder;
 
@@ -63,15 +64,15 @@
   /**
    * Preempts other tasks to make room for tasks of a job, at most one task on each machine.
    *
-   * @param most maximum number of tasks to make room for
+   * @param maxTasks maximum number of tasks to make room for
    * @return number of tasks for which room is made
    */
-  int makeRoom(JobView job, int most, PlacementScope scope) {
-    if (most <= 0 || nothingYields(job, lowestPriority) || unplaceable.contains(job, scope)) {
+  int makeRoom(JobView job, int maxTasks, PlacementScope scope) {
+    if (maxTasks <= 0 || nonePreemptible(job, lowestPriority) || unplaceable.contains(job, scope)) {
       return 0;
     }
     int[] tasksByZone = builder.tasksByZone(job);
-    List<Option> options = new ArrayList<>();
+    List<PreemptionOption> options = new ArrayList<>();
     boolean hasReserved = false;
     for (MachineCapacity machine : builder.machines()) {
       hasReserved |= machine.reservedByPlanFor(job.spec().id());
@@ -80,20 +81,21 @@
         addOption(job, machine, scope, options);
       }
     }
-    options.sort(Comparator.comparingDouble(Option::cost));
-    int made = preemptCheapest(job.spec(), options, tasksByZone, most);
+    options.sort(Comparator.comparingDouble(PreemptionOption::cost));
+    int tasksWithRoom = preemptCheapest(job.spec(), options, tasksByZone, maxTasks);
     if (options.isEmpty() && !hasReserved) {
       // A job with a reservation may only have reached its limit of one task on each machine, so
       // other jobs may still find room.
       unplaceable.add(job, tasksByZone, scope);
     }
-    return made;
+    return tasksWithRoom;
   }
 
-  private int preemptCheapest(JobSpec spec, List<Option> options, int[] tasksByZone, int most) {
-    int made = 0;
-    for (Option option : options) {
-      if (made == most) {
+  private int preemptCheapest(
+      JobSpec spec, List<PreemptionOption> options, int[] tasksByZone, int maxTasks) {
+    int tasksWithRoom = 0;
+    for (PreemptionOption option : options) {
+      if (tasksWithRoom == maxTasks) {
         break;
       }
       int zone = option.machine.zone();
@@ -101,15 +103,15 @@
         builder.preempt(option.machine, spec, option.victims);
         tasksByZone[zone]++;
         builder.charge(spec, 1);
-        made++;
+        tasksWithRoom++;
       }
     }
-    return made;
+    return tasksWithRoom;
   }
 
   private boolean mayPreemptOn(JobView job, MachineCapacity machine, int[] tasksByZone) {
     return machine.ready()
-        && !nothingYields(job, machine.lowestPriority())
+        && !nonePreemptible(job, machine.lowestPriority())
         && !machine.reservedByPlanFor(job.spec().id())
         && machine.allows(job.spec())
         && PlanBuilder.zoneAllows(job.spec(), tasksByZone, machine.zone())
@@ -118,10 +120,10 @@
 
   /** Adds an option with the cheapest tasks to preempt on a machine for one task, if any. */
   private void addOption(
-      JobView job, MachineCapacity machine, PlacementScope scope, List<Option> options) {
+      JobView job, MachineCapacity machine, PlacementScope scope, List<PreemptionOption> options) {
     JobSpec spec = job.spec();
-    List<AttemptView> candidates = candidates(job, machine, scope);
-    if (candidates.isEmpty() || !builder.scopeIncludes(scope, spec, machine)) {
+    List<AttemptView> candidates = preemptibleAttempts(job, machine, scope);
+    if (candidates.isEmpty() || !builder.scopePermits(scope, spec, machine)) {
       return;
     }
     SteadyTime now = builder.snapshot().now();
@@ -140,7 +142,7 @@
     }
     boolean enough = limitPermits(spec, freedCpus, scope) && spec.need().fitsIn(room);
     if (!victims.isEmpty() && enough) {
-      options.add(new Option(machine, victims, builder.score(spec, machine) + cost));
+      options.add(new PreemptionOption(machine, victims, builder.score(spec, machine) + cost));
     }
   }
 
@@ -149,7 +151,7 @@
    * the scope is not limited to the job's own team.
    */
   private static boolean limitPermits(JobSpec spec, long freedCpus, PlacementScope scope) {
-    return !scope.ownTeam() || spec.need().cpus() <= freedCpus;
+    return !scope.ownTeamOnly() || spec.need().cpus() <= freedCpus;
   }
 
   // ---- gangs ------------------------------------------------------------------------------------
@@ -159,35 +161,35 @@
    * preemptions, in order of cost.
    *
    * @param mayPreempt whether the gang may preempt other tasks now
-   * @param places the list to which the slots are added
+   * @param slots the list to which the slots are added
    */
-  void addGangPlaces(
+  void addGangSlots(
       JobView job,
       MachineCapacity machine,
       boolean mayPreempt,
-      List<GangReservations.GangPlace> places) {
+      List<GangReservations.GangSlot> slots) {
     JobSpec spec = job.spec();
     Resources room = machine.roomAfterPreemptions(spec.id());
-    boolean othersMayYield = mayPreempt && !nothingYields(job, machine.lowestPriority());
-    if (!othersMayYield && !spec.need().fitsIn(room)) {
+    boolean canPreempt = mayPreempt && !nonePreemptible(job, machine.lowestPriority());
+    if (!canPreempt && !spec.need().fitsIn(room)) {
       return;
     }
     double cost = builder.score(spec, machine);
     while (spec.need().fitsIn(room)) {
-      places.add(new GangReservations.GangPlace(machine, List.of(), cost));
+      slots.add(new GangReservations.GangSlot(machine, List.of(), cost));
       room = room.minus(spec.need());
     }
-    if (!othersMayYield) {
+    if (!canPreempt) {
       return;
     }
     SteadyTime now = builder.snapshot().now();
     List<AttemptView> victims = new ArrayList<>();
-    for (AttemptView attempt : candidates(job, machine, PlacementScope.PLAIN)) {
+    for (AttemptView attempt : preemptibleAttempts(job, machine, PlacementScope.STANDARD)) {
       victims.add(attempt);
       room = room.plus(attempt.spec().need());
-      cost += VICTIM_COST + preemptionCost(attempt, now);
+      cost += GANG_VICTIM_COST + preemptionCost(attempt, now);
       if (spec.need().fitsIn(room)) {
-        places.add(new GangReservations.GangPlace(machine, List.copyOf(victims), cost));
+        slots.add(new GangReservations.GangSlot(machine, List.copyOf(victims), cost));
         room = room.minus(spec.need());
         victims.clear();
       }
@@ -201,22 +203,23 @@
    *
    * @param lowest the lowest priority among the attempts, or null if there are none
    */
-  private static boolean nothingYields(JobView job, Priority lowest) {
+  private static boolean nonePreemptible(JobView job, Priority lowest) {
     return lowest == null
         || (!job.withinGuarantee() && lowest.compareTo(job.spec().priority()) <= 0);
   }
 
   /** The attempts on a machine that may be preempted for a job, the cheapest first. */
-  private List<AttemptView> candidates(JobView job, MachineCapacity machine, PlacementScope scope) {
+  private List<AttemptView> preemptibleAttempts(
+      JobView job, MachineCapacity machine, PlacementScope scope) {
     JobSpec spec = job.spec();
     List<AttemptView> candidates = List.of();
     for (AttemptView attempt : machine.view().attempts()) {
-      boolean losesAccelerator = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
-      if (yields(attempt, job)
+      boolean takesAcceleratorSlot = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
+      if (isPreemptible(attempt, job)
           && !machine.isPreempted(attempt)
           && (attempt.spec().kind() != JobKind.GANG || attempt.spec().tasks() == 1)
-          && (scope.mayUseAcceleratorPlaces() || !losesAccelerator)
-          && (!scope.ownTeam() || attempt.spec().team().equals(spec.team()))) {
+          && (scope.mayUseAcceleratorSlots() || !takesAcceleratorSlot)
+          && (!scope.ownTeamOnly() || attempt.spec().team().equals(spec.team()))) {
         candidates = candidates.isEmpty() ? new ArrayList<>() : candidates;
         candidates.add(attempt);
       }
@@ -228,7 +231,7 @@
   }
 
   /** Whether an attempt may be preempted for a job. */
-  private boolean yields(AttemptView victim, JobView job) {
+  private boolean isPreemptible(AttemptView victim, JobView job) {
     if (victim.stopping()) {
       return false;
     }
@@ -279,7 +282,7 @@
     JobSpec spec = attempt.spec();
     double lostS = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
     if (spec.checkpointIntervalS() > 0) {
-      lostS = Math.min(lostS, spec.checkpointSaveS() + RESTART_S);
+      lostS = Math.min(lostS, spec.checkpointSaveS() + RESTART_OVERHEAD_S);
     }
     return lostS * Math.max(1, spec.cpus())
         + (spec.isService() ? SERVICE_COST : 0)
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -19,10 +19,10 @@
 /** Plans scale-out for pending and expected jobs, and the release of idle machines. */
 final class ScalingPlanner {
   /** Estimated duration of array tasks, in seconds, from which all of them get room at once. */
-  private static final double ARRAY_TURN_S = 60;
+  private static final double FULL_PARALLELISM_TASK_S = 60;
 
   /** Waiting time until a machine is usable that doubles the cost of its offer, in seconds. */
-  private static final double WAIT_WORTH_PRICE_S = 120;
+  private static final double COST_DOUBLING_WAIT_S = 120;
 
   /** Minimum time between provisioning and release of a machine, in seconds. */
   private static final double MIN_LIFETIME_S = 60;
@@ -35,7 +35,7 @@
   private final MachinesWithRoom pendingMachines;
 
   /** Number of machines of each offer that this plan provisions. */
-  private final int[] provisioned;
+  private final int[] provisionedCounts;
 
   /** Machines that may still have room for expected jobs, by shape. */
   private final Map<TaskShape, ArrayDeque<MachineCapacity>> roomByShape = new HashMap<>();
@@ -43,7 +43,7 @@
   ScalingPlanner(PlanBuilder builder) {
     this.builder = builder;
     Snapshot snapshot = builder.snapshot();
-    this.provisioned = new int[snapshot.offers().size()];
+    this.provisionedCounts = new int[snapshot.offers().size()];
     this.pendingMachines =
         new MachinesWithRoom(
             Math.min(
@@ -75,56 +75,57 @@
   void provisionFor(JobView job, int tasks, IntList tasksByZone) {
     JobSpec spec = job.spec();
     int[] zones = tasksByZone.toIntArray();
-    int left = assignToPending(spec, zones, placesWorthProvisioning(spec, tasks));
-    while (left > 0) {
-      int offer = cheapestOffer(spec, zones, left);
+    int remaining = assignToPending(spec, zones, tasksToProvisionFor(spec, tasks));
+    while (remaining > 0) {
+      int offer = cheapestOffer(spec, zones, remaining);
       if (offer == NO_OFFER) {
         return;
       }
-      provisioned[offer]++;
+      provisionedCounts[offer]++;
       MachineCapacity machine = new MachineCapacity(builder.snapshot().offers().get(offer));
       pendingMachines.add(machine);
-      left -= fill(machine, spec, zones, left);
+      remaining -= assignTo(machine, spec, zones, remaining);
     }
   }
 
   /** How many tasks to provision for; short array tasks share machines one after another. */
-  private static int placesWorthProvisioning(JobSpec spec, int tasks) {
+  private static int tasksToProvisionFor(JobSpec spec, int tasks) {
     if (spec.kind() != JobKind.ARRAY) {
       return tasks;
     }
-    return (int) Math.ceil(tasks * Math.min(1, Math.max(1, spec.estimateS()) / ARRAY_TURN_S));
+    return (int)
+        Math.ceil(tasks * Math.min(1, Math.max(1, spec.estimateS()) / FULL_PARALLELISM_TASK_S));
   }
 
   /** Assigns tasks to machines that are not ready yet, and returns how many remain. */
   private int assignToPending(JobSpec spec, int[] zones, int tasks) {
-    int left = tasks;
+    int remaining = tasks;
     int full = 0;
-    for (int i = 0; i < pendingMachines.size() && left > 0; i++) {
+    for (int i = 0; i < pendingMachines.size() && remaining > 0; i++) {
       MachineCapacity machine = pendingMachines.get(i);
       if (pendingMachines.isFull(machine)) {
         full++;
       } else {
-        left -= fill(machine, spec, zones, left);
+        remaining -= assignTo(machine, spec, zones, remaining);
       }
     }
     pendingMachines.removeFullIfMany(full);
-    return left;
+    return remaining;
   }
 
   /** Assigns as many tasks to a machine as fit, and returns how many. */
-  private int fill(MachineCapacity machine, JobSpec spec, int[] zones, int most) {
+  private int assignTo(MachineCapacity machine, JobSpec spec, int[] zones, int maxTasks) {
     builder.countEvaluation();
-    int filled = 0;
-    while (filled < most
+    int assigned = 0;
+    while (assigned < maxTasks
         && machine.fits(spec)
         && machine.allows(spec)
         && PlanBuilder.zoneAllows(spec, zones, machine.zone())) {
       machine.place(spec);
       zones[machine.zone()]++;
-      filled++;
+      assigned++;
     }
-    return filled;
+    return assigned;
   }
 
   /** The index of the offer with the lowest cost for each task, or {@link #NO_OFFER}. */
@@ -132,15 +133,15 @@
     List<Offer> offers = builder.snapshot().offers();
     int cheapest = NO_OFFER;
     double lowestCost = Double.MAX_VALUE;
-    for (int i = 0; i < provisioned.length; i++) {
+    for (int i = 0; i < provisionedCounts.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
-      int fitting = spec.need().timesIn(offer.machineType().capacity());
-      if (fitting > 0
+      int tasksPerMachine = spec.need().timesIn(offer.machineType().capacity());
+      if (tasksPerMachine > 0
           && PlanBuilder.zoneAllows(spec, zones, offer.zone())
-          && provisioned[i] < offer.maxCount()
-          && suits(spec, offer)) {
-        double cost = costOfTask(spec, offer, Math.min(fitting, Math.max(1, wanted)));
+          && provisionedCounts[i] < offer.maxCount()
+          && isSuitable(spec, offer)) {
+        double cost = costPerTask(spec, offer, Math.min(tasksPerMachine, Math.max(1, wanted)));
         if (cost < lowestCost) {
           lowestCost = cost;
           cheapest = i;
@@ -150,18 +151,18 @@
     return cheapest;
   }
 
-  private boolean suits(JobSpec spec, Offer offer) {
+  private boolean isSuitable(JobSpec spec, Offer offer) {
     MachineCapacity machine = new MachineCapacity(offer);
     return machine.allows(spec)
         && (spec.priority() == Priority.PRODUCTION
-            || builder.acceleratorPlaces().lostPlaces(spec, machine) <= 0);
+            || builder.acceleratorSlots().lostSlots(spec, machine) <= 0);
   }
 
   /** The machine's price for each task that shares it, raised with the time until it is usable. */
-  private static double costOfTask(JobSpec spec, Offer offer, int tasks) {
+  private static double costPerTask(JobSpec spec, Offer offer, int tasks) {
     double price = offer.machineType().price(offer.spot()) / tasks;
     double waitS = offer.bootS() + offer.machineType().fetchSeconds(spec.imageGb());
-    return price * (1 + waitS / WAIT_WORTH_PRICE_S);
+    return price * (1 + waitS / COST_DOUBLING_WAIT_S);
   }
 
   // ---- expected jobs ----------------------------------------------------------------------------
@@ -172,37 +173,37 @@
    * no more room for them. When each of a hundred expected jobs evaluated every machine twice in
    * every round, that was most of the leader's work while a cluster started up.
    */
-  void keepRoomFor(JobView expected) {
+  void reserveForExpected(JobView expected) {
     JobSpec spec = expected.spec();
-    int left = spec.tasks();
+    int remaining = spec.tasks();
     TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.ofSingleMachine(spec));
     ArrayDeque<MachineCapacity> machines =
         roomByShape.computeIfAbsent(shape, key -> busyMachinesFirst());
-    while (left > 0 && !machines.isEmpty()) {
-      left -= keepRoomOn(machines.peekFirst(), spec, left);
-      if (left > 0) {
+    while (remaining > 0 && !machines.isEmpty()) {
+      remaining -= reserveOn(machines.peekFirst(), spec, remaining);
+      if (remaining > 0) {
         machines.pollFirst();
       }
     }
-    if (left > 0) {
-      provisionFor(expected, left, expected.openByZone());
+    if (remaining > 0) {
+      provisionFor(expected, remaining, expected.openByZone());
     }
   }
 
   /** Reserves room for tasks on one machine, and returns for how many. */
-  private int keepRoomOn(MachineCapacity machine, JobSpec spec, int most) {
+  private int reserveOn(MachineCapacity machine, JobSpec spec, int maxTasks) {
     builder.countEvaluation();
-    if (!machine.allows(spec) || builder.acceleratorPlaces().lostPlaces(spec, machine) != 0) {
+    if (!machine.allows(spec) || builder.acceleratorSlots().lostSlots(spec, machine) != 0) {
       return 0;
     }
-    int kept = 0;
+    int reserved = 0;
     Resources room = roomWithPreemption(machine, spec);
-    while (kept < most && spec.need().fitsIn(room)) {
+    while (reserved < maxTasks && spec.need().fitsIn(room)) {
       machine.place(spec);
       room = room.minus(spec.need());
-      kept++;
+      reserved++;
     }
-    return kept;
+    return reserved;
   }
 
   /** All machines, busy ones first, so that idle ones can be released. */
@@ -210,7 +211,7 @@
     ArrayDeque<MachineCapacity> machines = new ArrayDeque<>();
     List<MachineCapacity> idle = new ArrayList<>();
     for (MachineCapacity machine : builder.machines()) {
-      if (machine.view().attempts().isEmpty() && !machine.used()) {
+      if (machine.view().attempts().isEmpty() && !machine.usedByPlan()) {
         idle.add(machine);
       } else {
         machines.add(machine);
@@ -245,15 +246,15 @@
   // ---- result -----------------------------------------------------------------------------------
 
   /** Adds the scale-outs and the releases to the plan. */
-  void finish() {
+  void addToPlan() {
     List<Offer> offers = builder.snapshot().offers();
-    for (int i = 0; i < provisioned.length; i++) {
-      if (provisioned[i] > 0) {
-        builder.scaleOut(offers.get(i), provisioned[i]);
+    for (int i = 0; i < provisionedCounts.length; i++) {
+      if (provisionedCounts[i] > 0) {
+        builder.scaleOut(offers.get(i), provisionedCounts[i]);
       }
     }
     for (MachineCapacity machine : builder.machines()) {
-      if (!machine.used() && isReleasable(machine.view())) {
+      if (!machine.usedByPlan() && isReleasable(machine.view())) {
         builder.release(machine.view().id());
       }
     }
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -62,7 +62,7 @@
       List<Reservation> reservations) {
 
     /** A copy of this view that is not ready. */
-    public MachineView notReady() {
+    public MachineView asNotReady() {
       return new MachineView(
           id,
           machineType,
@@ -118,10 +118,10 @@
       int reservedTasks) {
 
     /** Maximum tasks of one job that a round starts; the rest follow in later rounds. */
-    public static final int MAX_PENDING = 400;
+    public static final int MAX_PENDING_TASKS = 400;
 
     /** A copy of this view with other pending tasks. */
-    public JobView withTasks(IntList otherTasks, int otherCount, boolean otherBlocked) {
+    public JobView withPendingTasks(IntList otherTasks, int otherCount, boolean otherBlocked) {
       return new JobView(
           spec,
           sortKey,
--- a/src/main/java/org/ternhinge/schedule/TaskAllocation.java
+++ b/src/main/java/org/ternhinge/schedule/TaskAllocation.java
@@ -18,9 +18,9 @@
   private int placed;
 
   /** Number of tasks within the team's limit that are neither placed nor have a reservation. */
-  private int unserved;
+  private int unplaced;
 
-  /** Number of tasks with a reservation that is not yet subtracted from {@link #unserved}. */
+  /** Number of tasks with a reservation that is not yet subtracted from {@link #unplaced}. */
   private int uncountedReservations;
 
   TaskAllocation(
@@ -37,27 +37,27 @@
     JobSpec spec = job.spec();
     boolean production = spec.priority() == Priority.PRODUCTION;
     int allowed = Math.min(job.pendingCount(), builder.tasksWithinLimit(spec));
-    unserved = allowed;
+    unplaced = allowed;
     if (production) {
       // Machines that hold the image come first because a fetch takes longer than a preemption.
-      placeAndPreempt(PlacementScope.CACHED);
+      placeAndPreempt(PlacementScope.IMAGE_CACHED);
     }
-    placeAndPreempt(PlacementScope.PLAIN);
+    placeAndPreempt(PlacementScope.STANDARD);
     if (production && builder.snapshot().inventoryComplete()) {
-      placeAndPreempt(PlacementScope.LAST_RESORT);
+      placeAndPreempt(PlacementScope.ACCELERATOR_SLOTS);
     }
-    int unmet = Math.max(0, unserved);
+    int unmet = Math.max(0, unplaced);
     preemptOwnTeam(allowed);
     builder.charge(spec, Math.min(job.reservedTasks(), job.pendingCount() - placed));
     return unmet;
   }
 
   private void placeAndPreempt(PlacementScope scope) {
-    int started = placer.place(job, placed, unserved, scope);
+    int started = placer.place(job, placed, unplaced, scope);
     placed += started;
-    unserved -= started + uncountedReservations;
+    unplaced -= started + uncountedReservations;
     uncountedReservations = 0;
-    unserved -= preemption.makeRoom(job, unserved, scope);
+    unplaced -= preemption.makeRoom(job, unplaced, scope);
   }
 
   /**
@@ -71,7 +71,7 @@
       overLimit -= preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM);
     }
     if (overLimit > 0 && priority == Priority.PRODUCTION) {
-      preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM_LAST_RESORT);
+      preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM_ACCELERATOR_SLOTS);
     }
   }
 }
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -19,7 +19,7 @@
  */
 final class TaskPlacer {
   /** Bonus, in seconds, for room that is reserved for the job. */
-  private static final double RESERVED_S = 1000;
+  private static final double RESERVATION_BONUS_S = 1000;
 
   /**
    * A machine on which a task may be placed.
@@ -81,12 +81,12 @@
   /**
    * Places pending tasks of a job.
    *
-   * @param from position of the first task to place among the job's pending tasks
-   * @param most maximum number of tasks to place
+   * @param firstIndex position of the first task to place among the job's pending tasks
+   * @param maxTasks maximum number of tasks to place
    * @return number of tasks placed
    */
-  int place(JobView job, int from, int most, PlacementScope scope) {
-    int wanted = Math.min(most, job.pendingTasks().size() - from);
+  int place(JobView job, int firstIndex, int maxTasks, PlacementScope scope) {
+    int wanted = Math.min(maxTasks, job.pendingTasks().size() - firstIndex);
     if (wanted <= 0 || unplaceable.contains(job, scope)) {
       return 0;
     }
@@ -99,7 +99,7 @@
     if (!found.isEmpty()) {
       List<Integer> tasks = new ArrayList<>(found.size());
       for (int i = 0; i < found.size(); i++) {
-        tasks.add(job.pendingTasks().getInt(from + i));
+        tasks.add(job.pendingTasks().getInt(firstIndex + i));
       }
       builder.place(job.spec(), tasks, ids(found));
     }
@@ -119,7 +119,7 @@
     if (!reserved && spec.tasks() >= unplaceableGangs.getOrDefault(shape, Integer.MAX_VALUE)) {
       return false;
     }
-    List<MachineCapacity> best = findBestGang(job);
+    List<MachineCapacity> best = findBestMachines(job);
     if (best.isEmpty()) {
       if (!reserved && job.avoidedMachines().isEmpty()) {
         unplaceableGangs.merge(shape, spec.tasks(), Math::min);
@@ -144,17 +144,17 @@
   }
 
   /** The machines in the zone with the fastest image fetch; empty if no zone has room. */
-  private List<MachineCapacity> findBestGang(JobView job) {
+  private List<MachineCapacity> findBestMachines(JobView job) {
     List<MachineCapacity> best = List.of();
-    double soonestS = Double.MAX_VALUE;
+    double shortestFetchS = Double.MAX_VALUE;
     for (int zone : PlanBuilder.candidateZones(job)) {
-      List<MachineCapacity> found = findGang(job, zone);
-      double lastFetchS = 0;
+      List<MachineCapacity> found = findMachinesInZone(job, zone);
+      double slowestFetchS = 0;
       for (MachineCapacity machine : found) {
-        lastFetchS = Math.max(lastFetchS, builder.imageFetchS(job.spec(), machine));
+        slowestFetchS = Math.max(slowestFetchS, builder.imageFetchS(job.spec(), machine));
       }
-      if (!found.isEmpty() && lastFetchS < soonestS) {
-        soonestS = lastFetchS;
+      if (!found.isEmpty() && slowestFetchS < shortestFetchS) {
+        shortestFetchS = slowestFetchS;
         best = found;
       }
     }
@@ -162,13 +162,13 @@
   }
 
   /** A machine for each task of a gang, or none if there is not enough room. Places nothing. */
-  private List<MachineCapacity> findGang(JobView job, int zone) {
+  private List<MachineCapacity> findMachinesInZone(JobView job, int zone) {
     JobSpec spec = job.spec();
     int[] tasksByZone = new int[job.openByZone().size()];
-    Query query = new Query(job, tasksByZone, zone, PlacementScope.PLAIN);
-    List<MachineCapacity> found = search(query, spec.tasks(), MachineCapacity::assume);
+    Query query = new Query(job, tasksByZone, zone, PlacementScope.STANDARD);
+    List<MachineCapacity> found = search(query, spec.tasks(), MachineCapacity::allocate);
     for (MachineCapacity machine : found) {
-      machine.unassume(spec);
+      machine.deallocate(spec);
     }
     return found.size() < spec.tasks() ? List.of() : found;
   }
@@ -223,11 +223,12 @@
         && machine.allows(spec)
         && query.zoneAllows(machine)
         && !PlanBuilder.isAvoided(query.job, machine)
-        && (builder.scopeIncludes(query.scope, spec, machine) || machine.reservedFor(spec.id()));
+        && (builder.scopePermits(query.scope, spec, machine)
+            || machine.hasReservationFor(spec.id()));
   }
 
   private double score(JobSpec spec, MachineCapacity machine) {
     double score = builder.score(spec, machine);
-    return machine.reservedFor(spec.id()) ? score - RESERVED_S : score;
+    return machine.hasReservationFor(spec.id()) ? score - RESERVATION_BONUS_S : score;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -71,7 +71,7 @@
         scope,
         preempts && job.withinGuarantee(),
         preempts ? spec.team() : null,
-        scope.cached() ? spec.image() : null);
+        scope.imageCached() ? spec.image() : null);
   }
 
   /** Whether a search is known to find nothing. Always false for a job with reservations. */
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -57,7 +57,7 @@
     for (Snapshot.MachineView machine : all) {
       if (isCounted(machine.zoneName())) {
         boolean unchanged = !machine.ready() || takesStartsNow(machine.zoneName());
-        remaining.add(unchanged ? machine : machine.notReady());
+        remaining.add(unchanged ? machine : machine.asNotReady());
       }
     }
     return remaining;
@@ -99,7 +99,7 @@
   /** A job without its held tasks; a gang starts whole or not at all. */
   private static Snapshot.JobView withoutHeld(Snapshot.JobView job, PSet<Integer> held) {
     if (job.spec().isGang()) {
-      return job.withTasks(job.pendingTasks(), job.pendingCount(), true);
+      return job.withPendingTasks(job.pendingTasks(), job.pendingCount(), true);
     }
     IntList pending = new IntArrayList(job.pendingTasks().size());
     for (int i = 0; i < job.pendingTasks().size(); i++) {
@@ -110,6 +110,7 @@
     }
     int pendingCount = Math.max(pending.size(), job.pendingCount() - held.size());
     boolean nothingLeft = pending.isEmpty();
-    return job.withTasks(pending, nothingLeft ? 0 : pendingCount, job.blocked() || nothingLeft);
+    return job.withPendingTasks(
+        pending, nothingLeft ? 0 : pendingCount, job.blocked() || nothingLeft);
   }
 }
--- a/src/test/java/org/ternhinge/round/JobRankingTest.java
+++ b/src/test/java/org/ternhinge/round/JobRankingTest.java
@@ -39,13 +39,13 @@
     "batch 1 0 0, batch 900 1 121",
     "group 900 0 121, group 1 0 0"
   })
-  void comesBefore(String first, String second) {
+  void ranksBefore(String first, String second) {
     assertTrue(key(first) < key(second), key(first) + " < " + key(second));
   }
 
   @ParameterizedTest(name = "open {0}, done {1}, waited {2} s: overdue {3}")
   @CsvSource({"0, 0, 120, false", "0, 0, 121, true", "1, 0, 121, false", "0, 1, 121, false"})
-  void onlyAJobWithoutAnyStartIsOverdue(int open, int done, double waited, boolean overdue) {
+  void onlyJobWithoutStartedTaskIsOverdue(int open, int done, double waited, boolean overdue) {
     assertEquals(overdue, new JobRanking.Progress(3, done, open, waited).isOverdue());
   }
 }
--- a/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aMachineWithLessThanTheSmallestRequestIsFull() {
+  void machineWithLessThanSmallestRequestIsFull() {
     MachineCapacity machine = add("n-1");
     assertTrue(!machinesWithRoom.isFull(machine));
     machine.place(WHOLE_MACHINE);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void fullMachinesAreKeptWhileTheyAreFewAndTheOrderOfTheRestStays() {
+  void fullMachinesAboveAQuarterAreRemovedInStableOrder() {
     for (int i = 0; i < 8; i++) {
       add("n-" + i);
     }
--- a/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void jobsThatDifferInSizeOnlyAreEqual() {
+  void constraintsIgnoreRequestSize() {
     PlacementConstraints small = PlacementConstraints.of(job("wk-1", "batch", Map.of()));
     PlacementConstraints large = PlacementConstraints.of(job("wk-2", "batch", Map.of("cpus", 4.0)));
     assertEquals(small, large);
@@ -30,7 +30,7 @@
     "scatter, true",
     "together, true",
   })
-  void jobsThatDifferInAConstraintAreNotEqual(String field, String value) {
+  void constraintsDifferInEachField(String field, String value) {
     boolean flag = value.equals("true") || value.equals("false");
     Object changed = flag ? (Object) Boolean.valueOf(value) : value;
     assertNotEquals(
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aSingleMachineDoesNotSeeHowTasksSpreadOverZones() {
+  void singleMachineConstraintsIgnoreScatter() {
     JobSpec plain = job("wk-1", "daemon", Map.of());
     JobSpec scattered = job("wk-2", "daemon", Map.of("scatter", true));
     assertNotEquals(PlacementConstraints.of(plain), PlacementConstraints.of(scattered));
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -26,7 +26,7 @@
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
       new MachineType("plain", Resources.offer(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
-  static final MachineType FAST =
+  static final MachineType ACCELERATED =
       new MachineType("fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
 
   static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
@@ -40,14 +40,14 @@
   final List<Offer> offers = new ArrayList<>();
   final List<Snapshot.PendingProvision> pendingProvisions = new ArrayList<>();
   final Set<JobId> lateStartedJobs = new HashSet<>();
-  final Map<String, Resources> use = new HashMap<>();
+  final Map<String, Resources> teamUse = new HashMap<>();
 
   MachineView machine(
       String name, MachineType machineType, int zone, Set<String> images, AttemptView... attempts) {
     Resources free = machineType.capacity();
     for (AttemptView attempt : attempts) {
       free = free.minus(attempt.spec().need());
-      use.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
+      teamUse.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
     }
     MachineView machine =
         new MachineView(
@@ -118,7 +118,7 @@
             jobs,
             expectedJobs,
             teams,
-            use,
+            teamUse,
             offers,
             pendingProvisions,
             lateStartedJobs,
@@ -128,7 +128,7 @@
   }
 
   /** The names of the machines of all placed tasks. */
-  static List<String> on(Plan plan) {
+  static List<String> placedMachines(Plan plan) {
     List<String> machines = new ArrayList<>();
     plan.placements()
         .forEach(placement -> placement.machines().forEach(id -> machines.add(id.value())));
@@ -139,9 +139,9 @@
     return new AttemptView(spec, index, false, NOW.plusSeconds(-seconds));
   }
 
-  static JobSpec accelerated(String id, int tasks) {
-    Map<String, Object> ask =
+  static JobSpec acceleratedGang(String id, int tasks) {
+    Map<String, Object> request =
         Map.of("cpus", 14.0, "accelerators", 2.0, "forgang", "high", "together", true);
-    return spec(id, "group", tasks, ask);
+    return spec(id, "group", tasks, request);
   }
 }
--- a/src/test/java/org/ternhinge/schedule/PlannerTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerTest.java
@@ -21,41 +21,42 @@
   @Nested
   class Placement {
     @Test
-    void prefersAMachineThatHoldsTheImage() {
+    void prefersMachineWithCachedImage() {
       machine("n-1", PLAIN, 0, Set.of());
       machine("n-2", PLAIN, 0, Set.of("img-1"));
       job(spec("wk-1", "batch", 1, Map.of()), true);
-      assertEquals(List.of("n-2"), on(plan()));
+      assertEquals(List.of("n-2"), placedMachines(plan()));
     }
 
     @Test
-    void keepsPlacesForTasksWithAccelerators() {
-      machine("n-1", FAST, 0, Set.of("img-1"));
+    void keepsAcceleratorSlotsFree() {
+      machine("n-1", ACCELERATED, 0, Set.of("img-1"));
       job(spec("wk-1", "batch", 4, Map.of()), true);
       job(spec("wk-2", "group", 1, Map.of("cpus", 14.0, "accelerators", 2.0)), true);
       Plan plan = plan();
-      assertEquals(3, on(plan).size(), "two array tasks and the gang with accelerators");
+      assertEquals(
+          3, placedMachines(plan).size(), "two array tasks and the gang with accelerators");
     }
 
     @Test
-    void putsLesserArraysWhereOtherArraysObstructAcceleratorsAlready() {
+    void placesArrayWhereOtherArraysAlreadyBlockAccelerators() {
       JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 4.0));
-      machine("n-1", FAST, 0, Set.of("img-1"));
-      machine("n-2", FAST, 0, Set.of("img-1"), running(array, 0, 5));
-      job(accelerated("wk-1", 4), true);
+      machine("n-1", ACCELERATED, 0, Set.of("img-1"));
+      machine("n-2", ACCELERATED, 0, Set.of("img-1"), running(array, 0, 5));
+      job(acceleratedGang("wk-1", 4), true);
       job(spec("wk-2", "batch", 1, Map.of("cpus", 4.0)), false);
-      offers.add(new Offer(FAST, 0, "east", false, 10));
+      offers.add(new Offer(ACCELERATED, 0, "east", false, 10));
       jobs.remove(0);
-      job(accelerated("wk-3", 9), false);
-      assertEquals(List.of("n-2"), on(plan()));
+      job(acceleratedGang("wk-3", 9), false);
+      assertEquals(List.of("n-2"), placedMachines(plan()));
     }
 
     @Test
-    void putsAtMostHalfOfScatteredReplicasInOneZone() {
+    void placesAtMostHalfOfScatteredReplicasInOneZone() {
       machine("n-1", PLAIN, 0, Set.of());
       machine("n-2", PLAIN, 0, Set.of());
       job(spec("wk-1", "daemon", 3, Map.of("scatter", true)), true);
-      assertEquals(2, on(plan()).size(), "the third replica waits for another zone");
+      assertEquals(2, placedMachines(plan()).size(), "the third replica waits for another zone");
     }
   }
 
@@ -63,42 +64,42 @@
   @Nested
   class Gangs {
     @Test
-    void startWholeAndInOneZoneOrNotAtAll() {
+    void startCompletelyInOneZoneOrNotAtAll() {
       machine("n-1", PLAIN, 0, Set.of());
       machine("n-2", PLAIN, 1, Set.of());
-      Map<String, Object> apart = Map.of("cpus", 3.0, "together", true);
-      job(spec("wk-1", "group", 2, apart), true);
-      assertEquals(List.of(), on(plan()));
+      Map<String, Object> request = Map.of("cpus", 3.0, "together", true);
+      job(spec("wk-1", "group", 2, request), true);
+      assertEquals(List.of(), placedMachines(plan()));
       machine("n-3", PLAIN, 1, Set.of());
-      assertEquals(Set.of("n-2", "n-3"), Set.copyOf(on(plan())));
+      assertEquals(Set.of("n-2", "n-3"), Set.copyOf(placedMachines(plan())));
     }
 
     @Test
-    void goToTheZoneWhereTheLastImageIsFetchedFirst() {
-      machine("n-1", FAST, 0, Set.of("img-1"));
-      machine("n-2", FAST, 0, Set.of());
-      machine("n-3", FAST, 1, Set.of("img-1"));
-      machine("n-4", FAST, 1, Set.of("img-1"));
-      job(accelerated("wk-1", 2), true);
-      assertEquals(Set.of("n-3", "n-4"), Set.copyOf(on(plan())));
+    void startInZoneWithFastestImageFetch() {
+      machine("n-1", ACCELERATED, 0, Set.of("img-1"));
+      machine("n-2", ACCELERATED, 0, Set.of());
+      machine("n-3", ACCELERATED, 1, Set.of("img-1"));
+      machine("n-4", ACCELERATED, 1, Set.of("img-1"));
+      job(acceleratedGang("wk-1", 2), true);
+      assertEquals(Set.of("n-3", "n-4"), Set.copyOf(placedMachines(plan())));
     }
 
     @Test
-    void preemptOnlyForAllTheirTasksAndOnlyWhenOverdue() {
+    void preemptOnlyForAllTasksAndOnlyWhenOverdue() {
       JobSpec array = spec("wk-9", "batch", 4, Map.of("cpus", 8.0, "eigandi", "blue"));
       JobSpec service =
           spec(
               "wk-8", "daemon", 1, Map.of("cpus", 8.0, "forgang", "production", "lanvelar", false));
-      machine("n-1", FAST, 0, Set.of(), running(array, 0, 5), running(array, 1, 9));
-      machine("n-2", FAST, 0, Set.of(), running(array, 2, 5), running(service, 0, 100));
-      job(accelerated("wk-1", 2), true, 130);
+      machine("n-1", ACCELERATED, 0, Set.of(), running(array, 0, 5), running(array, 1, 9));
+      machine("n-2", ACCELERATED, 0, Set.of(), running(array, 2, 5), running(service, 0, 100));
+      job(acceleratedGang("wk-1", 2), true, 130);
       assertEquals(0, plan().preemptions().size(), "room for one of two tasks is not enough");
-      machine("n-3", FAST, 0, Set.of(), running(array, 3, 5));
+      machine("n-3", ACCELERATED, 0, Set.of(), running(array, 3, 5));
       jobs.clear();
-      job(accelerated("wk-1", 2), true, 60);
+      job(acceleratedGang("wk-1", 2), true, 60);
       assertEquals(0, plan().preemptions().size(), "the gang is not overdue yet");
       jobs.clear();
-      job(accelerated("wk-1", 2), true, 130);
+      job(acceleratedGang("wk-1", 2), true, 130);
       Plan plan = plan();
       assertEquals(2, plan.preemptions().size());
       int victims = plan.preemptions().stream().mapToInt(s -> s.victims().size()).sum();
@@ -106,20 +107,22 @@
     }
 
     @Test
-    void reserveFreePlacesOnceTheyHaveWaited() {
-      machine("n-1", FAST, 0, Set.of());
-      job(accelerated("wk-1", 2), true, 5);
-      job(accelerated("wk-2", 1), true);
-      assertEquals(List.of("n-1"), on(plan()), "other gangs are placed before the delay ends");
+    void reserveFreeSlotsAfterDelay() {
+      machine("n-1", ACCELERATED, 0, Set.of());
+      job(acceleratedGang("wk-1", 2), true, 5);
+      job(acceleratedGang("wk-2", 1), true);
+      assertEquals(
+          List.of("n-1"), placedMachines(plan()), "other gangs are placed before the delay ends");
       jobs.remove(1);
       job(spec("wk-3", "batch", 1, Map.of("cpus", 4.0, "forgang", "low")), true);
-      assertEquals(List.of(), on(plan()), "arrays of lower priority are not");
+      assertEquals(List.of(), placedMachines(plan()), "arrays of lower priority are not");
       jobs.clear();
-      job(accelerated("wk-1", 2), true, 30);
-      job(accelerated("wk-2", 1), true);
-      assertEquals(List.of(), on(plan()), "a gang that has waited reserves the free slot");
-      machine("n-2", FAST, 1, Set.of());
-      assertEquals(List.of("n-2"), on(plan()), "other gangs start in the other zone");
+      job(acceleratedGang("wk-1", 2), true, 30);
+      job(acceleratedGang("wk-2", 1), true);
+      assertEquals(
+          List.of(), placedMachines(plan()), "a gang that has waited reserves the free slot");
+      machine("n-2", ACCELERATED, 1, Set.of());
+      assertEquals(List.of("n-2"), placedMachines(plan()), "other gangs start in the other zone");
     }
   }
 
@@ -127,7 +130,7 @@
   @Nested
   class Preemptions {
     @Test
-    void needHigherPriorityOrAGuarantee() {
+    void requireHigherPriorityOrGuarantee() {
       JobSpec low = spec("wk-9", "batch", 4, Map.of("eigandi", "blue", "cpus", 2.0));
       machine(
           "n-1",
@@ -138,7 +141,7 @@
           new AttemptView(low, 1, false, NOW.plusSeconds(-5)));
       job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), true);
       assertEquals(0, plan().preemptions().size(), "team blue is within its guarantee");
-      use.put("blue", new Resources(12_000, 0, 0));
+      teamUse.put("blue", new Resources(12_000, 0, 0));
       assertEquals(1, plan().preemptions().size(), "team blue exceeds its guarantee");
       jobs.clear();
       job(spec("wk-1", "batch", 1, Map.of("cpus", 2.0)), false);
@@ -149,7 +152,7 @@
     }
 
     @Test
-    void useTheRoomOfAVictimForOneJobOnly() {
+    void useRoomOfVictimForOneJobOnly() {
       JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
       machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 5));
       job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), true);
@@ -168,15 +171,15 @@
       "true, true, 10, 1", // a job within its guarantee may preempt
       "true, false, 130, 1" // an overdue job may preempt
     })
-    void spareTheFirstTasksOfAJobThatStartedLate(
-        boolean late, boolean guaranteed, double waitedS, int stops) {
+    void spareFirstTasksOfLateStartedJob(
+        boolean late, boolean guaranteed, double waitedS, int preemptions) {
       JobSpec low = spec("wk-9", "batch", 1, Map.of("cpus", 4.0, "forgang", "low"));
       machine("n-1", PLAIN, 0, Set.of(), running(low, 0, 2));
       if (late) {
         lateStartedJobs.add(low.id());
       }
       job(spec("wk-1", "batch", 1, Map.of("cpus", 4.0)), guaranteed, waitedS);
-      assertEquals(stops, plan().preemptions().size());
+      assertEquals(preemptions, plan().preemptions().size());
     }
   }
 
@@ -185,7 +188,7 @@
   class Scaling {
     @Test
     void provisionsTheCheapestPermittedOffer() {
-      offers.add(new Offer(FAST, 0, "east", false, 10));
+      offers.add(new Offer(ACCELERATED, 0, "east", false, 10));
       offers.add(new Offer(PLAIN, 0, "east", false, 10));
       offers.add(new Offer(PLAIN, 0, "east", true, 10));
       job(spec("wk-1", "daemon", 2, Map.of("cpus", 4.0, "lanvelar", false)), true);
@@ -214,24 +217,24 @@
       job(spec("wk-1", "batch", 1, Map.of()), true);
       Plan plan = plan();
       assertEquals(1, plan.releases().size());
-      assertTrue(!on(plan).contains(plan.releases().get(0).value()));
+      assertTrue(!placedMachines(plan).contains(plan.releases().get(0).value()));
     }
   }
 
   /** Moves of service replicas away from accelerated machines. */
   @Nested
-  class Consolidating {
+  class ServiceConsolidation {
     @Test
     void movesReplicasToCheaperRoomOneAtATime() {
-      Map<String, Object> ask = Map.of("cpus", 4.0, "forgang", "production", "scatter", true);
-      JobSpec service = spec("wk-8", "daemon", 3, ask);
-      machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 30));
+      Map<String, Object> request = Map.of("cpus", 4.0, "forgang", "production", "scatter", true);
+      JobSpec service = spec("wk-8", "daemon", 3, request);
+      machine("n-1", ACCELERATED, 0, Set.of("img-1"), running(service, 0, 30));
       machine("n-2", PLAIN, 0, Set.of("img-1"));
       assertEquals(List.of(), plan().preemptions(), "the replica has not run long enough");
       machines.clear();
-      machine("n-1", FAST, 0, Set.of("img-1"), running(service, 0, 100));
+      machine("n-1", ACCELERATED, 0, Set.of("img-1"), running(service, 0, 100));
       machine("n-2", PLAIN, 0, Set.of("img-1"));
-      machine("n-3", FAST, 1, Set.of("img-1"), running(service, 1, 100));
+      machine("n-3", ACCELERATED, 1, Set.of("img-1"), running(service, 1, 100));
       Plan plan = plan();
       assertEquals(1, plan.preemptions().size(), "one move at a time");
       assertEquals("n-2", plan.preemptions().get(0).machine().value());
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -199,7 +199,8 @@
     for (JobSpec job : jobs) {
       IntList pending = IntList.of(IntStream.range(0, job.tasks()).toArray());
       views.add(
-          Snapshot.JobView.expected(job, 0, ZONES.size()).withTasks(pending, job.tasks(), false));
+          Snapshot.JobView.expected(job, 0, ZONES.size())
+              .withPendingTasks(pending, job.tasks(), false));
     }
     return new Snapshot(
         machines,
