--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -47,14 +47,14 @@
   }
 
   /**
-   * All jobs with pending tasks, in the order in which they could first start.
+   * All jobs with pending tasks, in the order in which they became ready to start.
    *
-   * @param reservedTasks the number of tasks of each job that room is reserved for
+   * @param reservedTasks number of tasks of each job for which room is reserved
    */
   List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reservedTasks) {
     Map<String, Resources> requestedByTeam = new HashMap<>();
     List<Snapshot.JobView> views = new ArrayList<>();
-    for (Job job : unfinished()) {
+    for (Job job : unfinishedJobs()) {
       JobSpec spec = job.planned();
       Team team = settings.teams().get(spec.team());
       if (team == null) {
@@ -74,7 +74,7 @@
     return views;
   }
 
-  /** The jobs whose first tasks started after too long a wait and of which none is done yet. */
+  /** The jobs whose first tasks started only after the job was overdue, with none done yet. */
   Set<JobId> lateStartedJobs(SteadyTime now) {
     Set<JobId> jobs = new HashSet<>();
     for (Job job : ledger.jobs()) {
@@ -97,7 +97,7 @@
     return progress.waitedS() - openForS > JobRanking.OVERDUE_S;
   }
 
-  private List<Job> unfinished() {
+  private List<Job> unfinishedJobs() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : ledger.jobs()) {
       if (!job.hasUnmetDependencies() && !job.cancelled() && !job.over()) {
@@ -108,7 +108,7 @@
     return jobs;
   }
 
-  /** Whether what a team has requested so far fits into its guarantee. */
+  /** Whether a team's requests, including those of earlier jobs, fit into its guarantee. */
   private static boolean isWithinGuarantee(Resources requested, Team team) {
     return requested.cpus() <= team.cpus() && (team.gpus() == 0 || requested.gpus() <= team.gpus());
   }
@@ -139,12 +139,12 @@
   }
 
   /**
-   * The first tasks without an open attempt; all of them where the job is a gang.
+   * The first tasks without an open attempt; all of them if the job is a gang.
    *
-   * @param maxStarts how many tasks may start in a round
+   * @param maxStarts maximum number of tasks that may start in a round
    */
   private static IntList pendingTasks(Job job, int maxStarts) {
-    int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING);
+    int limit = Math.min(maxStarts, Snapshot.JobView.MAX_PENDING_TASKS);
     IntList pending = new IntArrayList(Math.min(job.waitingCount(), limit));
     boolean gang = job.spec().isGang();
     int task = job.nextWaiting(0);
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -16,15 +16,15 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * A machine, present or to be provisioned, with the room that is left on it as a plan grows.
- * Amounts are plain numbers, not {@link Resources}: a round evaluates hundreds of tasks on hundreds
- * of machines, and an allocation for each evaluation would cost more than the evaluation.
+ * The remaining capacity of an existing or planned machine while a plan is built. Amounts are kept
+ * as primitives instead of {@link Resources}: a round evaluates hundreds of tasks on hundreds of
+ * machines, and allocating an object for each evaluation would cost more than the evaluation.
  */
 final class MachineCapacity {
-  /** Score, in seconds, of each other task of the same service on the machine. */
-  private static final double SIBLING_S = 4;
+  /** Penalty, in seconds, for each other task of the same service on the machine. */
+  private static final double COLOCATION_PENALTY_S = 4;
 
-  /** Null for a machine that is not provisioned yet. */
+  /** The machine in the snapshot; null for a machine that is not provisioned yet. */
   private final MachineView view;
 
   private final MachineType machineType;
@@ -37,13 +37,13 @@
   private long gpus;
   private long memory;
 
-  /** Resources of array tasks on an accelerated machine; they end by themselves before long. */
+  /** CPU of array tasks on an accelerated machine; these tasks end soon. */
   private long arrayCpus;
 
   private long arrayGpus;
   private long arrayMemory;
 
-  /** Room that preemptions of this plan free, less what the plan has reserved of it. */
+  /** Resources freed by preemptions of this plan, minus what the plan has reserved of them. */
   private Resources freedByPreemption = Resources.ZERO;
 
   private List<AttemptView> preempted = List.of();
@@ -51,11 +51,11 @@
   private List<JobSpec> placedServices = List.of();
   private Set<JobId> reservedByPlan = Set.of();
 
-  /** The lowest priority among the open attempts; null where there are none. */
+  /** The lowest priority among the open attempts; null if there are none. */
   private Priority lowestPriority;
 
-  /** Whether the plan uses the machine, so that it is not released. */
-  private boolean used;
+  /** Whether the plan places or reserves something here, so the machine must not be released. */
+  private boolean usedByPlan;
 
   MachineCapacity(MachineView view) {
     this.view = view;
@@ -72,7 +72,7 @@
         lowestPriority = spec.priority();
       }
       if (accelerated && spec.kind() == JobKind.ARRAY) {
-        addArrayRoom(spec.need());
+        addArrayUse(spec.need());
       }
     }
   }
@@ -93,13 +93,13 @@
     memory = room.memory();
   }
 
-  private void addArrayRoom(Resources need) {
+  private void addArrayUse(Resources need) {
     arrayCpus += need.cpus();
     arrayGpus += need.gpus();
     arrayMemory += need.memory();
   }
 
-  /** The machine as the snapshot has it; only for machines of the snapshot. */
+  /** The machine in the snapshot; null for a machine that is not provisioned yet. */
   MachineView view() {
     return view;
   }
@@ -117,13 +117,13 @@
     return spot;
   }
 
-  /** Whether tasks may be placed on it now. */
+  /** Whether tasks may be placed on the machine now. */
   boolean ready() {
     return view != null && view.ready();
   }
 
-  boolean used() {
-    return used;
+  boolean usedByPlan() {
+    return usedByPlan;
   }
 
   long freeCpus() {
@@ -134,17 +134,17 @@
     return new Resources(cpus, gpus, memory);
   }
 
-  /** Free room and that of the arrays on the machine, if it is accelerated. */
-  Resources freeAndArrays() {
+  /** The free room plus, on an accelerated machine, the room that its array tasks use. */
+  Resources freeWithoutArrays() {
     return new Resources(cpus + arrayCpus, gpus + arrayGpus, memory + arrayMemory);
   }
 
-  /** The lowest priority among the open attempts, or null where there are none. */
+  /** The lowest priority among the open attempts, or null if there are none. */
   Priority lowestPriority() {
     return lowestPriority;
   }
 
-  /** Whether a job may run on such a machine, however much room there is. */
+  /** Whether a job's constraints permit this kind of machine and its zone, whatever is free. */
   boolean allows(JobSpec spec) {
     return (!spot || spec.spotAllowed())
         && spec.allowsZone(zoneName)
@@ -155,7 +155,7 @@
     return (view != null && view.images().contains(image)) || fetchedImages.contains(image);
   }
 
-  /** Whether a task fits into what is free and not reserved for another job. */
+  /** Whether a task fits into the free room that is not reserved for other jobs. */
   boolean fits(JobSpec spec) {
     Resources need = spec.need();
     if (need.cpus() > cpus || need.gpus() > gpus || need.memory() > memory) {
@@ -165,7 +165,7 @@
   }
 
   /** Whether an earlier round has reserved room here for a job. */
-  boolean reservedFor(JobId job) {
+  boolean hasReservationFor(JobId job) {
     for (Reservation reservation : reservations) {
       if (reservation.job().equals(job)) {
         return true;
@@ -174,7 +174,7 @@
     return false;
   }
 
-  /** What is free and not reserved for another job. */
+  /** The free room that is not reserved for other jobs. */
   private Resources roomFor(JobId job) {
     Resources room = free();
     for (Reservation reservation : reservations) {
@@ -185,39 +185,39 @@
     return room;
   }
 
-  /** The score of placing a service's task beside others of the same service. */
-  @SuppressWarnings("ReferenceEquality") // one spec object a job; a hot path
-  double siblingScore(JobSpec spec) {
-    int siblings = 0;
+  /** The penalty for placing a service's task on the same machine as others of the service. */
+  @SuppressWarnings("ReferenceEquality") // each job has one spec object; this is a hot path
+  double colocationPenalty(JobSpec spec) {
+    int colocated = 0;
     if (view != null) {
       for (AttemptView attempt : view.attempts()) {
         if (attempt.spec() == spec) {
-          siblings++;
+          colocated++;
         }
       }
     }
     for (JobSpec other : placedServices) {
       if (other == spec) {
-        siblings++;
+        colocated++;
       }
     }
-    return SIBLING_S * siblings;
+    return COLOCATION_PENALTY_S * colocated;
   }
 
-  /** Subtracts a task's resources for the time of a search; {@link #unassume} adds them again. */
-  void assume(JobSpec spec) {
+  /** Subtracts a task's resources; {@link #deallocate} adds them back. */
+  void allocate(JobSpec spec) {
     Resources need = spec.need();
     cpus -= need.cpus();
     gpus -= need.gpus();
     memory -= need.memory();
   }
 
-  /** Places a task. */
+  /** Allocates the resources of a task in the plan and records its image as fetched here. */
   void place(JobSpec spec) {
-    assume(spec);
-    used = true;
+    allocate(spec);
+    usedByPlan = true;
     if (spec.kind() == JobKind.ARRAY) {
-      addArrayRoom(spec.need());
+      addArrayUse(spec.need());
     } else if (spec.isService()) {
       placedServices = placedServices.isEmpty() ? new ArrayList<>(2) : placedServices;
       placedServices.add(spec);
@@ -228,8 +228,8 @@
     }
   }
 
-  /** Reverts {@link #assume}. */
-  void unassume(JobSpec spec) {
+  /** Reverts {@link #allocate}. */
+  void deallocate(JobSpec spec) {
     Resources need = spec.need();
     cpus += need.cpus();
     gpus += need.gpus();
@@ -241,7 +241,7 @@
     return !reservedByPlan.isEmpty() && reservedByPlan.contains(job);
   }
 
-  @SuppressWarnings("ReferenceEquality") // a plan sees one view of an attempt, from one snapshot
+  @SuppressWarnings("ReferenceEquality") // a snapshot has one view object for each attempt
   boolean isPreempted(AttemptView attempt) {
     for (AttemptView victim : preempted) {
       if (victim == attempt) {
@@ -251,7 +251,7 @@
     return false;
   }
 
-  /** Room that a job could use without a further preemption, once those under way are done. */
+  /** The room that a job can use once the preemptions planned so far have taken effect. */
   Resources roomAfterPreemptions(JobId job) {
     return roomFor(job).plus(freedByPreemption);
   }
@@ -262,8 +262,8 @@
   }
 
   /**
-   * Preempts tasks for a task of a job. What it needs is subtracted from the free room first, so
-   * that nothing else of this plan goes there, then from what the preemptions free.
+   * Preempts tasks for one task of a job and reserves its resources. They are taken from the free
+   * room first, so that the plan places nothing else there, then from what the preemptions free.
    */
   void preempt(JobSpec forJob, List<AttemptView> victims) {
     Resources freed = Resources.ZERO;
@@ -286,6 +286,6 @@
     freedByPreemption = freedByPreemption.plus(freed).minus(need.minus(freeNow));
     reservedByPlan = reservedByPlan.isEmpty() ? new HashSet<>() : reservedByPlan;
     reservedByPlan.add(forJob.id());
-    used = true;
+    usedByPlan = true;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PlacementScope.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementScope.java
@@ -1,44 +1,44 @@
 package org.ternhinge.schedule;
 
-/** Which places a search considers, and whose tasks it may preempt. */
+/** Which machines a search considers and which tasks it may preempt. */
 enum PlacementScope {
-  /** Places that no task with accelerators loses. */
-  PLAIN(false, false, false),
+  /** Only room that does not reduce the number of accelerator slots. */
+  STANDARD(false, false, false),
 
-  /** The same, on machines that hold the job's image. */
-  CACHED(false, false, true),
+  /** Like {@link #STANDARD}, but only machines that hold the job's image. */
+  IMAGE_CACHED(false, false, true),
 
-  /** Also places that tasks with accelerators lose. */
-  LAST_RESORT(true, false, false),
+  /** Also room that reduces the number of accelerator slots. */
+  ACCELERATOR_SLOTS(true, false, false),
 
-  /** Only by preempting tasks of the job's own team, which lowers the team's use as well. */
+  /** Preempts only tasks of the job's own team, which also lowers the team's usage. */
   OWN_TEAM(false, true, false),
 
-  /** The same, also in places that tasks with accelerators lose. */
-  OWN_TEAM_LAST_RESORT(true, true, false);
+  /** Like {@link #OWN_TEAM}, but also room that reduces the number of accelerator slots. */
+  OWN_TEAM_ACCELERATOR_SLOTS(true, true, false);
 
-  private final boolean mayUseAcceleratorPlaces;
-  private final boolean ownTeam;
-  private final boolean cached;
+  private final boolean mayUseAcceleratorSlots;
+  private final boolean ownTeamOnly;
+  private final boolean imageCached;
 
-  PlacementScope(boolean mayUseAcceleratorPlaces, boolean ownTeam, boolean cached) {
-    this.mayUseAcceleratorPlaces = mayUseAcceleratorPlaces;
-    this.ownTeam = ownTeam;
-    this.cached = cached;
+  PlacementScope(boolean mayUseAcceleratorSlots, boolean ownTeamOnly, boolean imageCached) {
+    this.mayUseAcceleratorSlots = mayUseAcceleratorSlots;
+    this.ownTeamOnly = ownTeamOnly;
+    this.imageCached = imageCached;
   }
 
-  /** Whether places are considered that tasks with accelerators lose. */
-  boolean mayUseAcceleratorPlaces() {
-    return mayUseAcceleratorPlaces;
+  /** Whether the search may reduce the number of accelerator slots. */
+  boolean mayUseAcceleratorSlots() {
+    return mayUseAcceleratorSlots;
   }
 
-  /** Whether only tasks of the job's own team may be preempted. */
-  boolean ownTeam() {
-    return ownTeam;
+  /** Whether the search may preempt only tasks of the job's own team. */
+  boolean ownTeamOnly() {
+    return ownTeamOnly;
   }
 
-  /** Whether only machines are considered that hold the job's image. */
-  boolean cached() {
-    return cached;
+  /** Whether the search considers only machines that hold the job's image. */
+  boolean imageCached() {
+    return imageCached;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Planner.java
+++ b/src/main/java/org/ternhinge/schedule/Planner.java
@@ -11,38 +11,41 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * Plans one scheduling round, as a pure function of the snapshot. Jobs are served in order of
- * priority, guarantee and queue position. Each job's tasks go to the free places with the best
- * score; where there are none, lesser tasks are preempted; for what is still pending, machines are
- * provisioned.
+ * Plans one scheduling round, as a pure function of the snapshot. Jobs are scheduled in order of
+ * priority, guarantee and queue position. Each job's tasks are placed in the free room with the
+ * best score. If there is none, tasks of lower priority are preempted, and machines are provisioned
+ * for the tasks that remain.
  */
 public final class Planner {
-  /** The order in which jobs are served. */
-  public static final Comparator<JobView> ORDER =
+  /** The order in which jobs are scheduled. */
+  public static final Comparator<JobView> QUEUE_ORDER =
       Comparator.comparing((JobView job) -> job.spec().priority() != Priority.PRODUCTION)
           .thenComparing(job -> !job.withinGuarantee() && !job.overdue())
           .thenComparing(job -> job.spec().priority())
           .thenComparingDouble(JobView::sortKey);
 
   /**
-   * Evaluations that one round may take for jobs that are not production. What is left waits for
-   * the next round, so that a long round never delays heartbeats and the renewal of the leadership.
+   * Budget of evaluations in one round for jobs below production priority. Jobs beyond the budget
+   * wait for the next round, so that a long round never delays heartbeats or the renewal of the
+   * leadership.
    */
   static final int MAX_EVALUATIONS = 60_000;
 
-  /** The same in a large fleet, for each of its machines. */
+  /** The same budget for each machine; it applies in large fleets, where it is the larger one. */
   private static final int MAX_EVALUATIONS_PER_MACHINE = 60;
 
   /**
-   * Share of these evaluations that gangs may take. They come first and search longest; without the
-   * limit, arrays got no evaluations for as long as many gangs were waiting for room.
+   * Share of the budget that gangs may use. Gangs are scheduled first and need the most
+   * evaluations; without this limit, arrays got no evaluations while many gangs were waiting for
+   * room.
    */
-  private static final double GANG_SHARE = 0.5;
+  private static final double MAX_GANG_SHARE = 0.5;
 
   /**
-   * Tasks that found no room.
+   * Tasks of a job for which there is no room.
    *
-   * @param tasksByZone tasks of the job that have room or have it reserved
+   * @param tasks number of tasks without room
+   * @param tasksByZone number of tasks in each zone that have room or a reservation
    */
   private record Demand(JobView job, int tasks, IntList tasksByZone) {}
 
@@ -59,41 +62,41 @@
     this.gangReservations = new GangReservations(builder, preemption);
   }
 
-  /** Plans a round. */
+  /** Plans one scheduling round on a snapshot. */
   public static Plan plan(Snapshot snapshot) {
     return new Planner(snapshot).run();
   }
 
   private Plan run() {
-    serveJobs();
-    scale();
-    return builder.finish();
+    scheduleJobs();
+    planScaling();
+    return builder.build();
   }
 
-  private void serveJobs() {
+  private void scheduleJobs() {
     List<JobView> queue = new ArrayList<>(builder.snapshot().jobs());
-    queue.sort(ORDER);
+    queue.sort(QUEUE_ORDER);
     long budget =
         Math.max(MAX_EVALUATIONS, (long) MAX_EVALUATIONS_PER_MACHINE * builder.machines().size());
     long evaluationsForProduction = 0;
     for (JobView job : queue) {
       JobSpec spec = job.spec();
       if (spec.priority() == Priority.PRODUCTION) {
-        serve(job);
+        schedule(job);
         evaluationsForProduction = builder.evaluations();
         continue;
       }
       if (spec.kind() == JobKind.ARRAY) {
-        gangReservations.reserveForPatientGangs();
+        gangReservations.reserveForDeferredGangs();
       }
-      double share = spec.isGang() ? GANG_SHARE : 1;
+      double share = spec.isGang() ? MAX_GANG_SHARE : 1;
       if (builder.evaluations() - evaluationsForProduction < share * budget) {
-        serve(job);
+        schedule(job);
       }
     }
   }
 
-  private void scale() {
+  private void planScaling() {
     ScalingPlanner scaling = new ScalingPlanner(builder);
     for (Demand demand : unmetDemand) {
       scaling.provisionFor(demand.job, demand.tasks, demand.tasksByZone);
@@ -101,16 +104,16 @@
     if (builder.snapshot().inventoryComplete()) {
       new Consolidation(builder).run();
     }
-    builder.snapshot().expectedJobs().forEach(scaling::keepRoomFor);
-    scaling.finish();
+    builder.snapshot().expectedJobs().forEach(scaling::reserveForExpected);
+    scaling.addToPlan();
   }
 
-  private void serve(JobView job) {
+  private void schedule(JobView job) {
     if (job.blocked()) {
       return;
     }
     if (job.spec().isGang()) {
-      serveGang(job);
+      scheduleGang(job);
     } else {
       int unmet = new TaskAllocation(builder, placer, preemption, job).run();
       if (unmet > 0) {
@@ -119,14 +122,14 @@
     }
   }
 
-  private void serveGang(JobView job) {
+  private void scheduleGang(JobView job) {
     JobSpec spec = job.spec();
     if (job.pendingCount() < spec.tasks()) {
       return;
     }
     if (builder.tasksWithinLimit(spec) < spec.tasks()) {
       if (builder.tasksWithinLimitWithoutArrays(spec) >= spec.tasks()) {
-        // Keeps the rest of the limit for the gang, or new arrays would use it up.
+        // Holds the rest of the limit for the gang; otherwise new arrays would use it up.
         builder.charge(spec, spec.tasks());
       }
       return;
@@ -137,9 +140,10 @@
     builder.charge(spec, spec.tasks());
     if (job.reservedTasks() < spec.tasks()) {
       gangReservations
-          .reserveOrFindMissing(job)
+          .preemptOrReserve(job)
           .ifPresent(
-              missing -> unmetDemand.add(new Demand(job, missing.tasks(), missing.tasksByZone())));
+              shortfall ->
+                  unmetDemand.add(new Demand(job, shortfall.tasks(), shortfall.tasksByZone())));
     }
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -13,31 +13,32 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Priority;
 
-/** Chooses tasks to preempt, as far as priorities and guarantees permit. */
+/** Selects tasks to preempt within the rules of priorities and guarantees. */
 final class PreemptionPlanner {
-  /** Seconds of work that a restart from a checkpoint costs besides the time to save it. */
-  private static final double RESTART_S = 5;
+  /** Seconds of work lost by a restart from a checkpoint, in addition to the time to save it. */
+  private static final double RESTART_OVERHEAD_S = 5;
 
-  /** Cost of preempting a service, whose users notice; in CPU seconds like all of these costs. */
+  /** Cost of preempting a service, which its users notice; in CPU seconds, like all costs here. */
   private static final double SERVICE_COST = 10_000;
 
-  /** Cost of each level of priority. */
+  /** Cost for each priority level of the preempted task. */
   private static final double PRIORITY_LEVEL_COST = 1000;
 
-  /** Cost of each preempted task of a gang's place. */
-  private static final double VICTIM_COST = 1;
+  /** Additional cost of each task that is preempted for a gang. */
+  private static final double GANG_VICTIM_COST = 1;
 
   /** The tasks to preempt on one machine for one task. */
-  private record Option(MachineCapacity machine, List<AttemptView> victims, double cost) {}
+  private record PreemptionOption(
+      MachineCapacity machine, List<AttemptView> victims, double cost) {}
 
   private final PlanBuilder builder;
 
-  /** Created once a round, as it is used for each machine that is evaluated. */
+  /** Created once for each round because it is used for each machine that is evaluated. */
   private final Comparator<AttemptView> cheapestFirst;
 
   private final UnplaceableRequests unplaceable = new UnplaceableRequests(Search.PREEMPTION);
 
-  /** The lowest priority that runs anywhere; null where nothing runs. */
+  /** The lowest priority among all open attempts; null if there are none. */
   private final Priority lowestPriority;
 
   PreemptionPlanner(PlanBuilder builder) {
@@ -58,20 +59,20 @@
     return lowest;
   }
 
-  // ---- tasks that start one by one --------------------------------------------------------------
+  // ---- tasks that start individually ------------------------------------------------------------
 
   /**
-   * Preempts for tasks of a job, on each machine for one task at most.
+   * Preempts other tasks to make room for tasks of a job, at most one task on each machine.
    *
-   * @param most for how many tasks at most
-   * @return for how many tasks room is made
+   * @param maxTasks maximum number of tasks to make room for
+   * @return number of tasks for which room is made
    */
-  int makeRoom(JobView job, int most, PlacementScope scope) {
-    if (most <= 0 || nothingYields(job, lowestPriority) || unplaceable.contains(job, scope)) {
+  int makeRoom(JobView job, int maxTasks, PlacementScope scope) {
+    if (maxTasks <= 0 || nonePreemptible(job, lowestPriority) || unplaceable.contains(job, scope)) {
       return 0;
     }
     int[] tasksByZone = builder.tasksByZone(job);
-    List<Option> options = new ArrayList<>();
+    List<PreemptionOption> options = new ArrayList<>();
     boolean hasReserved = false;
     for (MachineCapacity machine : builder.machines()) {
       hasReserved |= machine.reservedByPlanFor(job.spec().id());
@@ -80,19 +81,21 @@
         addOption(job, machine, scope, options);
       }
     }
-    options.sort(Comparator.comparingDouble(Option::cost));
-    int made = preemptCheapest(job.spec(), options, tasksByZone, most);
+    options.sort(Comparator.comparingDouble(PreemptionOption::cost));
+    int tasksWithRoom = preemptCheapest(job.spec(), options, tasksByZone, maxTasks);
     if (options.isEmpty() && !hasReserved) {
-      // Otherwise the job got its one place on each machine, so others may still find room.
+      // A job with a reservation may only have reached its limit of one task on each machine, so
+      // other jobs may still find room.
       unplaceable.add(job, tasksByZone, scope);
     }
-    return made;
+    return tasksWithRoom;
   }
 
-  private int preemptCheapest(JobSpec spec, List<Option> options, int[] tasksByZone, int most) {
-    int made = 0;
-    for (Option option : options) {
-      if (made == most) {
+  private int preemptCheapest(
+      JobSpec spec, List<PreemptionOption> options, int[] tasksByZone, int maxTasks) {
+    int tasksWithRoom = 0;
+    for (PreemptionOption option : options) {
+      if (tasksWithRoom == maxTasks) {
         break;
       }
       int zone = option.machine.zone();
@@ -100,27 +103,27 @@
         builder.preempt(option.machine, spec, option.victims);
         tasksByZone[zone]++;
         builder.charge(spec, 1);
-        made++;
+        tasksWithRoom++;
       }
     }
-    return made;
+    return tasksWithRoom;
   }
 
   private boolean mayPreemptOn(JobView job, MachineCapacity machine, int[] tasksByZone) {
     return machine.ready()
-        && !nothingYields(job, machine.lowestPriority())
+        && !nonePreemptible(job, machine.lowestPriority())
         && !machine.reservedByPlanFor(job.spec().id())
         && machine.allows(job.spec())
         && PlanBuilder.zoneAllows(job.spec(), tasksByZone, machine.zone())
         && !PlanBuilder.isAvoided(job, machine);
   }
 
-  /** Adds the cheapest preemption on a machine that makes room for one task, if there is one. */
+  /** Adds an option with the cheapest tasks to preempt on a machine for one task, if any. */
   private void addOption(
-      JobView job, MachineCapacity machine, PlacementScope scope, List<Option> options) {
+      JobView job, MachineCapacity machine, PlacementScope scope, List<PreemptionOption> options) {
     JobSpec spec = job.spec();
-    List<AttemptView> candidates = candidates(job, machine, scope);
-    if (candidates.isEmpty() || !builder.scopeIncludes(scope, spec, machine)) {
+    List<AttemptView> candidates = preemptibleAttempts(job, machine, scope);
+    if (candidates.isEmpty() || !builder.scopePermits(scope, spec, machine)) {
       return;
     }
     SteadyTime now = builder.snapshot().now();
@@ -139,82 +142,84 @@
     }
     boolean enough = limitPermits(spec, freedCpus, scope) && spec.need().fitsIn(room);
     if (!victims.isEmpty() && enough) {
-      options.add(new Option(machine, victims, builder.score(spec, machine) + cost));
+      options.add(new PreemptionOption(machine, victims, builder.score(spec, machine) + cost));
     }
   }
 
   /**
-   * Whether the freed CPU lets a task start within the team's limit, where the scope requires it.
+   * Whether the freed CPU is enough to start a task of a team that is at its limit. Always true if
+   * the scope is not limited to the job's own team.
    */
   private static boolean limitPermits(JobSpec spec, long freedCpus, PlacementScope scope) {
-    return !scope.ownTeam() || spec.need().cpus() <= freedCpus;
+    return !scope.ownTeamOnly() || spec.need().cpus() <= freedCpus;
   }
 
   // ---- gangs ------------------------------------------------------------------------------------
 
   /**
-   * Finds places for tasks of a gang on one machine: first the free ones, then those that need
-   * preemptions, each with a higher cost than the one before.
+   * Finds slots for tasks of a gang on one machine: first free slots, then slots that need
+   * preemptions, in order of cost.
    *
-   * @param mayPreempt whether the gang may preempt others now
-   * @param places the list to which the places are added
+   * @param mayPreempt whether the gang may preempt other tasks now
+   * @param slots the list to which the slots are added
    */
-  void addGangPlaces(
+  void addGangSlots(
       JobView job,
       MachineCapacity machine,
       boolean mayPreempt,
-      List<GangReservations.GangPlace> places) {
+      List<GangReservations.GangSlot> slots) {
     JobSpec spec = job.spec();
     Resources room = machine.roomAfterPreemptions(spec.id());
-    boolean othersMayYield = mayPreempt && !nothingYields(job, machine.lowestPriority());
-    if (!othersMayYield && !spec.need().fitsIn(room)) {
+    boolean canPreempt = mayPreempt && !nonePreemptible(job, machine.lowestPriority());
+    if (!canPreempt && !spec.need().fitsIn(room)) {
       return;
     }
     double cost = builder.score(spec, machine);
     while (spec.need().fitsIn(room)) {
-      places.add(new GangReservations.GangPlace(machine, List.of(), cost));
+      slots.add(new GangReservations.GangSlot(machine, List.of(), cost));
       room = room.minus(spec.need());
     }
-    if (!othersMayYield) {
+    if (!canPreempt) {
       return;
     }
     SteadyTime now = builder.snapshot().now();
     List<AttemptView> victims = new ArrayList<>();
-    for (AttemptView attempt : candidates(job, machine, PlacementScope.PLAIN)) {
+    for (AttemptView attempt : preemptibleAttempts(job, machine, PlacementScope.STANDARD)) {
       victims.add(attempt);
       room = room.plus(attempt.spec().need());
-      cost += VICTIM_COST + preemptionCost(attempt, now);
+      cost += GANG_VICTIM_COST + preemptionCost(attempt, now);
       if (spec.need().fitsIn(room)) {
-        places.add(new GangReservations.GangPlace(machine, List.copyOf(victims), cost));
+        slots.add(new GangReservations.GangSlot(machine, List.copyOf(victims), cost));
         room = room.minus(spec.need());
         victims.clear();
       }
     }
   }
 
-  // ---- who yields to whom -----------------------------------------------------------------------
+  // ---- preemption rules -------------------------------------------------------------------------
 
   /**
-   * Whether no attempt yields to a job.
+   * Whether a job can't preempt any of a set of attempts because of their priorities.
    *
-   * @param lowest the lowest priority of these attempts, or null where there are none
+   * @param lowest the lowest priority among the attempts, or null if there are none
    */
-  private static boolean nothingYields(JobView job, Priority lowest) {
+  private static boolean nonePreemptible(JobView job, Priority lowest) {
     return lowest == null
         || (!job.withinGuarantee() && lowest.compareTo(job.spec().priority()) <= 0);
   }
 
   /** The attempts on a machine that may be preempted for a job, the cheapest first. */
-  private List<AttemptView> candidates(JobView job, MachineCapacity machine, PlacementScope scope) {
+  private List<AttemptView> preemptibleAttempts(
+      JobView job, MachineCapacity machine, PlacementScope scope) {
     JobSpec spec = job.spec();
     List<AttemptView> candidates = List.of();
     for (AttemptView attempt : machine.view().attempts()) {
-      boolean losesAccelerator = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
-      if (yields(attempt, job)
+      boolean takesAcceleratorSlot = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
+      if (isPreemptible(attempt, job)
           && !machine.isPreempted(attempt)
           && (attempt.spec().kind() != JobKind.GANG || attempt.spec().tasks() == 1)
-          && (scope.mayUseAcceleratorPlaces() || !losesAccelerator)
-          && (!scope.ownTeam() || attempt.spec().team().equals(spec.team()))) {
+          && (scope.mayUseAcceleratorSlots() || !takesAcceleratorSlot)
+          && (!scope.ownTeamOnly() || attempt.spec().team().equals(spec.team()))) {
         candidates = candidates.isEmpty() ? new ArrayList<>() : candidates;
         candidates.add(attempt);
       }
@@ -226,7 +231,7 @@
   }
 
   /** Whether an attempt may be preempted for a job. */
-  private boolean yields(AttemptView victim, JobView job) {
+  private boolean isPreemptible(AttemptView victim, JobView job) {
     if (victim.stopping()) {
       return false;
     }
@@ -244,21 +249,21 @@
   }
 
   /**
-   * Whether a job got its first tasks only after too long a wait, and none of them is done. If any
-   * job of higher priority could preempt these, it would be overdue again, get the next free places
-   * and lose them in turn: thousands of starts, none of any use.
+   * Whether the first tasks of a job started only after it was overdue and none of them is done. If
+   * any job of higher priority could preempt these tasks, this job would be overdue again, get the
+   * next free room and lose it in turn: this caused thousands of starts without any progress.
    */
   private boolean hasStartedLate(JobSpec spec) {
     return !builder.snapshot().lateStartedJobs().isEmpty()
         && builder.snapshot().lateStartedJobs().contains(spec.id());
   }
 
-  /** Whether a job is served before an overdue one, or is overdue as well. */
+  /** Whether a job ranks at least as high as an overdue job in the queue. */
   private static boolean precedesOverdue(JobView job) {
     return job.withinGuarantee() || job.overdue() || job.spec().priority() == Priority.PRODUCTION;
   }
 
-  /** Whether a task's team still uses as much as its guarantee without that task. */
+  /** Whether the usage of a task's team is still at or above its guarantee without that task. */
   private boolean teamStaysAboveGuarantee(JobSpec victim) {
     Team team = builder.snapshot().teams().get(victim.team());
     if (team == null) {
@@ -272,12 +277,12 @@
         && (!countsGpus || use.gpus() - freed.gpus() >= team.gpus());
   }
 
-  /** The cost of a preemption: CPU seconds of lost work, and what makes the task worth keeping. */
+  /** The cost of preempting a task: lost work in CPU seconds, plus costs of kind and priority. */
   private static double preemptionCost(AttemptView attempt, SteadyTime now) {
     JobSpec spec = attempt.spec();
     double lostS = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
     if (spec.checkpointIntervalS() > 0) {
-      lostS = Math.min(lostS, spec.checkpointSaveS() + RESTART_S);
+      lostS = Math.min(lostS, spec.checkpointSaveS() + RESTART_OVERHEAD_S);
     }
     return lostS * Math.max(1, spec.cpus())
         + (spec.isService() ? SERVICE_COST : 0)
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -18,32 +18,32 @@
 
 /** Plans scale-out for pending and expected jobs, and the release of idle machines. */
 final class ScalingPlanner {
-  /** Estimated seconds of an array's task that are worth a machine of its own for each task. */
-  private static final double ARRAY_TURN_S = 60;
+  /** Estimated duration of array tasks, in seconds, from which all of them get room at once. */
+  private static final double FULL_PARALLELISM_TASK_S = 60;
 
-  /** Seconds until a machine is usable that weigh as much as its price. */
-  private static final double WAIT_WORTH_PRICE_S = 120;
+  /** Waiting time until a machine is usable that doubles the cost of its offer, in seconds. */
+  private static final double COST_DOUBLING_WAIT_S = 120;
 
-  /** Seconds after its provisioning during which a machine is not released. */
+  /** Minimum time between provisioning and release of a machine, in seconds. */
   private static final double MIN_LIFETIME_S = 60;
 
   private static final int NO_OFFER = -1;
 
   private final PlanBuilder builder;
 
-  /** Machines that are expected to come up, those of this plan included. */
+  /** Machines that are not ready yet, including those that this plan provisions. */
   private final MachinesWithRoom pendingMachines;
 
-  /** How many machines of each offer this plan provisions. */
-  private final int[] provisioned;
+  /** Number of machines of each offer that this plan provisions. */
+  private final int[] provisionedCounts;
 
-  /** Machines that may still have room for expected jobs of a shape. */
+  /** Machines that may still have room for expected jobs, by shape. */
   private final Map<TaskShape, ArrayDeque<MachineCapacity>> roomByShape = new HashMap<>();
 
   ScalingPlanner(PlanBuilder builder) {
     this.builder = builder;
     Snapshot snapshot = builder.snapshot();
-    this.provisioned = new int[snapshot.offers().size()];
+    this.provisionedCounts = new int[snapshot.offers().size()];
     this.pendingMachines =
         new MachinesWithRoom(
             Math.min(
@@ -54,7 +54,8 @@
         pendingMachines.add(machine);
       }
     }
-    // Otherwise each round until the cloud's answer would provision for the same demand again.
+    // Counts unanswered requests too; otherwise each round would provision for the same demand
+    // again until the cloud has answered.
     for (PendingProvision pending : snapshot.pendingProvisions()) {
       for (int i = 0; i < pending.count(); i++) {
         pendingMachines.add(new MachineCapacity(pending.offer()));
@@ -65,80 +66,82 @@
   // ---- pending jobs -----------------------------------------------------------------------------
 
   /**
-   * Assigns tasks without room to machines that are expected to come up, then provisions for the
+   * Assigns tasks without room to machines that are not ready yet, then provisions machines for the
    * rest.
    *
-   * @param tasksByZone tasks of the job that have room in each zone
+   * @param tasks number of tasks without room
+   * @param tasksByZone number of the job's tasks that have room in each zone
    */
   void provisionFor(JobView job, int tasks, IntList tasksByZone) {
     JobSpec spec = job.spec();
     int[] zones = tasksByZone.toIntArray();
-    int left = assignToPending(spec, zones, placesWorthProvisioning(spec, tasks));
-    while (left > 0) {
-      int offer = cheapestOffer(spec, zones, left);
+    int remaining = assignToPending(spec, zones, tasksToProvisionFor(spec, tasks));
+    while (remaining > 0) {
+      int offer = cheapestOffer(spec, zones, remaining);
       if (offer == NO_OFFER) {
         return;
       }
-      provisioned[offer]++;
+      provisionedCounts[offer]++;
       MachineCapacity machine = new MachineCapacity(builder.snapshot().offers().get(offer));
       pendingMachines.add(machine);
-      left -= fill(machine, spec, zones, left);
+      remaining -= assignTo(machine, spec, zones, remaining);
     }
   }
 
-  /** How many tasks to provision for at once: short tasks of an array take turns. */
-  private static int placesWorthProvisioning(JobSpec spec, int tasks) {
+  /** How many tasks to provision for; short array tasks share machines one after another. */
+  private static int tasksToProvisionFor(JobSpec spec, int tasks) {
     if (spec.kind() != JobKind.ARRAY) {
       return tasks;
     }
-    return (int) Math.ceil(tasks * Math.min(1, Math.max(1, spec.estimateS()) / ARRAY_TURN_S));
+    return (int)
+        Math.ceil(tasks * Math.min(1, Math.max(1, spec.estimateS()) / FULL_PARALLELISM_TASK_S));
   }
 
-  /** Fills machines that are expected to come up, and returns how many tasks are left. */
+  /** Assigns tasks to machines that are not ready yet, and returns how many remain. */
   private int assignToPending(JobSpec spec, int[] zones, int tasks) {
-    int left = tasks;
+    int remaining = tasks;
     int full = 0;
-    for (int i = 0; i < pendingMachines.size() && left > 0; i++) {
+    for (int i = 0; i < pendingMachines.size() && remaining > 0; i++) {
       MachineCapacity machine = pendingMachines.get(i);
       if (pendingMachines.isFull(machine)) {
         full++;
       } else {
-        left -= fill(machine, spec, zones, left);
+        remaining -= assignTo(machine, spec, zones, remaining);
       }
     }
     pendingMachines.removeFullIfMany(full);
-    return left;
+    return remaining;
   }
 
-  /** Places as many tasks on a machine as fit, and returns how many. */
-  private int fill(MachineCapacity machine, JobSpec spec, int[] zones, int most) {
+  /** Assigns as many tasks to a machine as fit, and returns how many. */
+  private int assignTo(MachineCapacity machine, JobSpec spec, int[] zones, int maxTasks) {
     builder.countEvaluation();
-    int filled = 0;
-    while (filled < most
+    int assigned = 0;
+    while (assigned < maxTasks
         && machine.fits(spec)
         && machine.allows(spec)
         && PlanBuilder.zoneAllows(spec, zones, machine.zone())) {
       machine.place(spec);
       zones[machine.zone()]++;
-      filled++;
+      assigned++;
     }
-    return filled;
+    return assigned;
   }
 
-  /** The index of the offer with the lowest price a task, or {@link #NO_OFFER}. */
+  /** The index of the offer with the lowest cost for each task, or {@link #NO_OFFER}. */
   private int cheapestOffer(JobSpec spec, int[] zones, int wanted) {
     List<Offer> offers = builder.snapshot().offers();
     int cheapest = NO_OFFER;
     double lowestCost = Double.MAX_VALUE;
-    for (int i = 0; i < provisioned.length; i++) {
+    for (int i = 0; i < provisionedCounts.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
-      int fitting = spec.need().timesIn(offer.machineType().capacity());
-      if (fitting > 0
+      int tasksPerMachine = spec.need().timesIn(offer.machineType().capacity());
+      if (tasksPerMachine > 0
           && PlanBuilder.zoneAllows(spec, zones, offer.zone())
-          && provisioned[i] < offer.maxCount()
-          && suits(spec, offer)) {
-        double cost = costOfTask(spec, offer, Math.min(fitting, Math.max(1, wanted)));
+          && provisionedCounts[i] < offer.maxCount()
+          && isSuitable(spec, offer)) {
+        double cost = costPerTask(spec, offer, Math.min(tasksPerMachine, Math.max(1, wanted)));
         if (cost < lowestCost) {
           lowestCost = cost;
           cheapest = i;
@@ -148,67 +151,67 @@
     return cheapest;
   }
 
-  private boolean suits(JobSpec spec, Offer offer) {
+  private boolean isSuitable(JobSpec spec, Offer offer) {
     MachineCapacity machine = new MachineCapacity(offer);
     return machine.allows(spec)
         && (spec.priority() == Priority.PRODUCTION
-            || builder.acceleratorPlaces().lostPlaces(spec, machine) <= 0);
+            || builder.acceleratorSlots().lostSlots(spec, machine) <= 0);
   }
 
-  /** The price of one of the tasks that share a machine, raised by the time until it is usable. */
-  private static double costOfTask(JobSpec spec, Offer offer, int tasks) {
+  /** The machine's price for each task that shares it, raised with the time until it is usable. */
+  private static double costPerTask(JobSpec spec, Offer offer, int tasks) {
     double price = offer.machineType().price(offer.spot()) / tasks;
     double waitS = offer.bootS() + offer.machineType().fetchSeconds(spec.imageGb());
-    return price * (1 + waitS / WAIT_WORTH_PRICE_S);
+    return price * (1 + waitS / COST_DOUBLING_WAIT_S);
   }
 
   // ---- expected jobs ----------------------------------------------------------------------------
 
   /**
-   * Keeps room for an expected job on the machines that are there, else provisions. Jobs of one
-   * shape share the machines: each machine is evaluated until it has no more room for them. At a
-   * start from nothing, a hundred expected jobs that evaluated every machine twice in every round
-   * were most of the leader's work.
+   * Reserves room for an expected job on existing machines, and provisions machines for the rest.
+   * Jobs of the same shape share a queue of machines, and a machine is removed from it once it has
+   * no more room for them. When each of a hundred expected jobs evaluated every machine twice in
+   * every round, that was most of the leader's work while a cluster started up.
    */
-  void keepRoomFor(JobView expected) {
+  void reserveForExpected(JobView expected) {
     JobSpec spec = expected.spec();
-    int left = spec.tasks();
+    int remaining = spec.tasks();
     TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.ofSingleMachine(spec));
     ArrayDeque<MachineCapacity> machines =
         roomByShape.computeIfAbsent(shape, key -> busyMachinesFirst());
-    while (left > 0 && !machines.isEmpty()) {
-      left -= keepRoomOn(machines.peekFirst(), spec, left);
-      if (left > 0) {
+    while (remaining > 0 && !machines.isEmpty()) {
+      remaining -= reserveOn(machines.peekFirst(), spec, remaining);
+      if (remaining > 0) {
         machines.pollFirst();
       }
     }
-    if (left > 0) {
-      provisionFor(expected, left, expected.openByZone());
+    if (remaining > 0) {
+      provisionFor(expected, remaining, expected.openByZone());
     }
   }
 
-  /** Keeps room for tasks on one machine, and returns for how many. */
-  private int keepRoomOn(MachineCapacity machine, JobSpec spec, int most) {
+  /** Reserves room for tasks on one machine, and returns for how many. */
+  private int reserveOn(MachineCapacity machine, JobSpec spec, int maxTasks) {
     builder.countEvaluation();
-    if (!machine.allows(spec) || builder.acceleratorPlaces().lostPlaces(spec, machine) != 0) {
+    if (!machine.allows(spec) || builder.acceleratorSlots().lostSlots(spec, machine) != 0) {
       return 0;
     }
-    int kept = 0;
+    int reserved = 0;
     Resources room = roomWithPreemption(machine, spec);
-    while (kept < most && spec.need().fitsIn(room)) {
+    while (reserved < maxTasks && spec.need().fitsIn(room)) {
       machine.place(spec);
       room = room.minus(spec.need());
-      kept++;
+      reserved++;
     }
-    return kept;
+    return reserved;
   }
 
-  /** All machines, the busy ones first, as idle ones may be released. */
+  /** All machines, busy ones first, so that idle ones can be released. */
   private ArrayDeque<MachineCapacity> busyMachinesFirst() {
     ArrayDeque<MachineCapacity> machines = new ArrayDeque<>();
     List<MachineCapacity> idle = new ArrayList<>();
     for (MachineCapacity machine : builder.machines()) {
-      if (machine.view().attempts().isEmpty() && !machine.used()) {
+      if (machine.view().attempts().isEmpty() && !machine.usedByPlan()) {
         idle.add(machine);
       } else {
         machines.add(machine);
@@ -218,14 +221,14 @@
     return machines;
   }
 
-  /** The room that a job could get on a machine by preempting all lesser tasks but gangs. */
+  /** The room for a job if all tasks of lower priority except gangs were preempted. */
   private static Resources roomWithPreemption(MachineCapacity machine, JobSpec spec) {
     Resources free = machine.free();
     if (machine.lowestPriority() == null
         || machine.lowestPriority().compareTo(spec.priority()) <= 0) {
       return free;
     }
-    // Added up in plain numbers, as this runs for each machine that keeps room.
+    // Sums primitives to avoid allocations, as this runs for each machine that is evaluated.
     long cpus = free.cpus();
     long gpus = free.gpus();
     long memory = free.memory();
@@ -243,15 +246,15 @@
   // ---- result -----------------------------------------------------------------------------------
 
   /** Adds the scale-outs and the releases to the plan. */
-  void finish() {
+  void addToPlan() {
     List<Offer> offers = builder.snapshot().offers();
-    for (int i = 0; i < provisioned.length; i++) {
-      if (provisioned[i] > 0) {
-        builder.scaleOut(offers.get(i), provisioned[i]);
+    for (int i = 0; i < provisionedCounts.length; i++) {
+      if (provisionedCounts[i] > 0) {
+        builder.scaleOut(offers.get(i), provisionedCounts[i]);
       }
     }
     for (MachineCapacity machine : builder.machines()) {
-      if (!machine.used() && isReleasable(machine.view())) {
+      if (!machine.usedByPlan() && isReleasable(machine.view())) {
         builder.release(machine.view().id());
       }
     }
--- a/src/main/java/org/ternhinge/schedule/TaskAllocation.java
+++ b/src/main/java/org/ternhinge/schedule/TaskAllocation.java
@@ -5,8 +5,8 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * Serves one job whose tasks may start one by one: places as many as find free room and preempts
- * for the rest, in one scope after another.
+ * Allocates room for a job whose tasks may start individually: in each scope in turn, places tasks
+ * in free room and preempts other tasks for the rest.
  */
 final class TaskAllocation {
   private final PlanBuilder builder;
@@ -14,13 +14,13 @@
   private final PreemptionPlanner preemption;
   private final JobView job;
 
-  /** Tasks that were placed. */
+  /** Number of tasks that were placed. */
   private int placed;
 
-  /** Tasks within the team's limit that have neither a place nor reserved room. */
-  private int unserved;
+  /** Number of tasks within the team's limit that are neither placed nor have a reservation. */
+  private int unplaced;
 
-  /** Tasks with reserved room that are not subtracted from {@link #unserved} yet. */
+  /** Number of tasks with a reservation that is not yet subtracted from {@link #unplaced}. */
   private int uncountedReservations;
 
   TaskAllocation(
@@ -32,35 +32,38 @@
     this.uncountedReservations = job.reservedTasks();
   }
 
-  /** Serves the job and returns the number of tasks within the team's limit without room. */
+  /** Allocates room and returns the number of tasks within the team's limit that got none. */
   int run() {
     JobSpec spec = job.spec();
     boolean production = spec.priority() == Priority.PRODUCTION;
     int allowed = Math.min(job.pendingCount(), builder.tasksWithinLimit(spec));
-    unserved = allowed;
+    unplaced = allowed;
     if (production) {
-      // Fetching an image takes longer than a preemption: machines that hold it come first.
-      placeAndPreempt(PlacementScope.CACHED);
+      // Machines that hold the image come first because a fetch takes longer than a preemption.
+      placeAndPreempt(PlacementScope.IMAGE_CACHED);
     }
-    placeAndPreempt(PlacementScope.PLAIN);
+    placeAndPreempt(PlacementScope.STANDARD);
     if (production && builder.snapshot().inventoryComplete()) {
-      placeAndPreempt(PlacementScope.LAST_RESORT);
+      placeAndPreempt(PlacementScope.ACCELERATOR_SLOTS);
     }
-    int unmet = Math.max(0, unserved);
+    int unmet = Math.max(0, unplaced);
     preemptOwnTeam(allowed);
     builder.charge(spec, Math.min(job.reservedTasks(), job.pendingCount() - placed));
     return unmet;
   }
 
   private void placeAndPreempt(PlacementScope scope) {
-    int started = placer.place(job, placed, unserved, scope);
+    int started = placer.place(job, placed, unplaced, scope);
     placed += started;
-    unserved -= started + uncountedReservations;
+    unplaced -= started + uncountedReservations;
     uncountedReservations = 0;
-    unserved -= preemption.makeRoom(job, unserved, scope);
+    unplaced -= preemption.makeRoom(job, unplaced, scope);
   }
 
-  /** The team's own lesser tasks may use up the limit that keeps the rest of the job pending. */
+  /**
+   * Preempts the team's own tasks of lower priority for the tasks that exceed the team's limit, as
+   * those tasks may account for the usage.
+   */
   private void preemptOwnTeam(int allowed) {
     Priority priority = job.spec().priority();
     int overLimit = job.pendingCount() - Math.max(allowed, placed + job.reservedTasks());
@@ -68,7 +71,7 @@
       overLimit -= preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM);
     }
     if (overLimit > 0 && priority == Priority.PRODUCTION) {
-      preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM_LAST_RESORT);
+      preemption.makeRoom(job, overLimit, PlacementScope.OWN_TEAM_ACCELERATOR_SLOTS);
     }
   }
 }
--- a/src/test/java/org/ternhinge/ExternalNamesTest.java
+++ b/src/test/java/org/ternhinge/ExternalNamesTest.java
@@ -17,8 +17,8 @@
 
 /**
  * Every name in {@code config/external-names.txt} still appears in the program. These names are
- * part of messages, stored records, settings, flags, metrics or parsed log lines, so users, workers,
- * operators and other versions depend on their spelling.
+ * part of messages, stored records, settings, flags, metrics or parsed log lines, so users,
+ * workers, operators and other versions depend on their spelling.
  */
 class ExternalNamesTest {
   private static final Path NAMES = Path.of("config/external-names.txt");
--- a/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.wire.JobSpec;
 
-/** Full machines are removed once they are more than a quarter. */
+/** Removal of full machines once they are more than a quarter of all machines. */
 class MachinesWithRoomTest extends PlannerFixture {
   private static final JobSpec WHOLE_MACHINE = spec("wk-1", "batch", 1, Map.of("cpus", 4.0));
 
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aMachineWithLessThanTheSmallestRequestIsFull() {
+  void machineWithLessThanSmallestRequestIsFull() {
     MachineCapacity machine = add("n-1");
     assertTrue(!machinesWithRoom.isFull(machine));
     machine.place(WHOLE_MACHINE);
@@ -30,14 +30,14 @@
   }
 
   @Test
-  void fullMachinesAreKeptWhileTheyAreFewAndTheOrderOfTheRestStays() {
+  void fullMachinesAboveAQuarterAreRemovedInStableOrder() {
     for (int i = 0; i < 8; i++) {
       add("n-" + i);
     }
     machinesWithRoom.get(1).place(WHOLE_MACHINE);
     machinesWithRoom.get(4).place(WHOLE_MACHINE);
     machinesWithRoom.removeFullIfMany();
-    assertEquals(8, machinesWithRoom.size(), "a quarter is not more than a quarter");
+    assertEquals(8, machinesWithRoom.size(), "exactly a quarter of the machines is full");
     machinesWithRoom.get(6).place(WHOLE_MACHINE);
     machinesWithRoom.removeFullIfMany();
     assertEquals(
--- a/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
+++ b/src/test/java/org/ternhinge/schedule/PlacementConstraintsTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.wire.JobSpec;
 
-/** Which jobs share the result of a search. */
+/** Equality of constraints, which decides whether jobs share the result of a search. */
 class PlacementConstraintsTest {
   private static JobSpec job(String id, String kind, Map<String, Object> changes) {
     return PlannerFixture.spec(id, kind, 2, changes);
   }
 
   @Test
-  void jobsThatDifferInSizeOnlyAreEqual() {
+  void constraintsIgnoreRequestSize() {
     PlacementConstraints small = PlacementConstraints.of(job("wk-1", "batch", Map.of()));
     PlacementConstraints large = PlacementConstraints.of(job("wk-2", "batch", Map.of("cpus", 4.0)));
     assertEquals(small, large);
@@ -30,7 +30,7 @@
     "scatter, true",
     "together, true",
   })
-  void jobsThatDifferInAConstraintAreNotEqual(String field, String value) {
+  void constraintsDifferInEachField(String field, String value) {
     boolean flag = value.equals("true") || value.equals("false");
     Object changed = flag ? (Object) Boolean.valueOf(value) : value;
     assertNotEquals(
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aSingleMachineDoesNotSeeHowTasksSpreadOverZones() {
+  void singleMachineConstraintsIgnoreScatter() {
     JobSpec plain = job("wk-1", "daemon", Map.of());
     JobSpec scattered = job("wk-2", "daemon", Map.of("scatter", true));
     assertNotEquals(PlacementConstraints.of(plain), PlacementConstraints.of(scattered));
