--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -10,29 +10,27 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Reconciles the open attempts that a worker's newest status does not show. An attempt is closed
- * only where no start of it can still arrive, since its task would otherwise run twice.
+ * Reconciles the open attempts that are absent from a worker's latest status report. An attempt is closed only if none of its start commands can still arrive; otherwise its task could run twice.
  *
  * <pre>
- * attempt that is not shown       closed if                              evidence
+ * absent attempt                  closed if                              evidence
  * ------------------------------  -------------------------------------  ---------------------
- * not durable yet                 never: its start is still to be sent   -
+ * not durable yet                 never: its start is not sent yet       -
  * opened by an earlier leader     the worker has seen this term          ABSENT_AFTER_FAILOVER
- * shown before                    always                                 VANISHED
- * never shown, to be started      never: its start may still arrive      -
- * never shown, to be stopped      no direct start is outstanding, and    STOPPED_BEFORE_START
- *                                 no answer that carried a start is
+ * reported before                 always                                 VANISHED
+ * never reported, to be started   never: its start may still arrive      -
+ * never reported, to be stopped   no direct start is outstanding, and    STOPPED_BEFORE_START
+ *                                 no heartbeat response with a start is
  * </pre>
  *
- * <p>An answer that carried a start is settled by a later heartbeat, which the worker sends only
- * after it has received the answer or given it up. Guarded by the controller's lock.
+ * <p>A heartbeat response with a start is settled by a later heartbeat: the worker sends the next heartbeat only after it has received the response or stopped waiting for it. Guarded by the controller's lock.
  */
 public final class AbsentAttemptReconciler {
-  /** What absent attempts tell about the answers to heartbeats. */
+  /** What absent attempts show about the delivery of heartbeat responses. */
   public enum Finding {
-    /** No answer is known to be lost. */
+    /** No response is known to be lost. */
     NONE,
-    /** The worker lacks a start that an earlier answer has carried. */
+    /** The worker has not received a start that an earlier response contained. */
     ANSWER_MISSED
   }
 
@@ -40,23 +38,23 @@
   private final Authority authority;
   private final Ledger ledger;
 
-  /** Creates a reconciler for the attempts of one leadership. */
+  /** Creates a reconciler for the attempts of one leadership term. */
   public AbsentAttemptReconciler(AttemptLifecycle attempts, Authority authority, Ledger ledger) {
     this.attempts = attempts;
     this.authority = authority;
     this.ledger = ledger;
   }
 
-  /** Closes the absent attempts of the worker's epoch that are proved to be over. */
+  /** Closes the absent attempts of the worker's epoch that can no longer run. */
   public Finding reconcile(Machine machine, Heartbeat status, MessageOrigin origin) {
     Finding finding = Finding.NONE;
     for (Attempt attempt : absentAttempts(machine, status)) {
-      if (hasMissedAnswer(attempt, status, origin)) {
+      if (hasMissedResponse(attempt, status, origin)) {
         finding = Finding.ANSWER_MISSED;
       }
-      if (isLeftByEarlierLeader(attempt, status)) {
+      if (isAbsentAfterFailover(attempt, status)) {
         attempts.close(attempt, ClosingEvidence.ABSENT_AFTER_FAILOVER);
-      } else if (hasVanished(attempt)) {
+      } else if (isNoLongerReported(attempt)) {
         attempts.close(attempt, ClosingEvidence.VANISHED);
       } else if (isStoppedBeforeStart(machine, attempt, status, origin)) {
         attempts.close(attempt, ClosingEvidence.STOPPED_BEFORE_START);
@@ -65,12 +63,12 @@
     return finding;
   }
 
-  /** The absent attempts, apart from the ledger's own collection, which closing one changes. */
+  /** Returns a copy, since closing an attempt modifies the ledger's own collection. */
   private List<Attempt> absentAttempts(Machine machine, Heartbeat status) {
     List<Attempt> absent = List.of();
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       if (attempt.shownIn() != machine.tasksRevision() && attempt.epoch().equals(status.epoch())) {
-        // Most heartbeats show all attempts, and this runs for all of them.
+        // Allocated on demand: this runs for every heartbeat, and most report all attempts.
         absent = absent.isEmpty() ? new ArrayList<>() : absent;
         absent.add(attempt);
       }
@@ -78,41 +76,41 @@
     return absent;
   }
 
-  private boolean isLeftByEarlierLeader(Attempt attempt, Heartbeat status) {
+  private boolean isAbsentAfterFailover(Attempt attempt, Heartbeat status) {
     return attempt.durable()
         && attempt.recovered()
         && status.fencingToken().compareTo(authority.term()) >= 0;
   }
 
-  private static boolean hasVanished(Attempt attempt) {
+  private static boolean isNoLongerReported(Attempt attempt) {
     return !attempt.recovered() && attempt.isReported();
   }
 
   private static boolean isStoppedBeforeStart(
       Machine machine, Attempt attempt, Heartbeat status, MessageOrigin origin) {
-    return isNeverShown(attempt)
+    return isNeverReported(attempt)
         && attempt.stopping()
-        && (!wasStartInAnswer(attempt) || isAnswerSettled(attempt, status, origin))
+        && (!wasStartInHeartbeatResponse(attempt) || isHeartbeatResponseSettled(attempt, status, origin))
         && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
   }
 
-  private static boolean hasMissedAnswer(Attempt attempt, Heartbeat status, MessageOrigin origin) {
-    return isNeverShown(attempt)
+  private static boolean hasMissedResponse(Attempt attempt, Heartbeat status, MessageOrigin origin) {
+    return isNeverReported(attempt)
         && !attempt.stopping()
-        && wasStartInAnswer(attempt)
-        && isAnswerSettled(attempt, status, origin);
+        && wasStartInHeartbeatResponse(attempt)
+        && isHeartbeatResponseSettled(attempt, status, origin);
   }
 
-  private static boolean isNeverShown(Attempt attempt) {
+  private static boolean isNeverReported(Attempt attempt) {
     return !attempt.recovered() && attempt.state() == AttemptState.STARTING;
   }
 
-  private static boolean wasStartInAnswer(Attempt attempt) {
+  private static boolean wasStartInHeartbeatResponse(Attempt attempt) {
     return attempt.startAnswered() >= 0;
   }
 
-  /** Whether a heartbeat has come that is later than the one whose answer carried the start. */
-  private static boolean isAnswerSettled(Attempt attempt, Heartbeat status, MessageOrigin origin) {
+  /** Whether this heartbeat is later than the one whose response contained the start. */
+  private static boolean isHeartbeatResponseSettled(Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return origin == MessageOrigin.HEARTBEAT && status.sequence() > attempt.startAnswered();
   }
 }
--- a/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
+++ b/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
@@ -4,14 +4,14 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.Heartbeat;
 
-/** Receives the status of worker agents, from heartbeats and from responses to commands. */
+/** Receives the status reports of worker agents, from heartbeats and from command responses. */
 @FunctionalInterface
 public interface AgentStatusSink {
-  /** What has become of a status. */
+  /** How a status report was handled. */
   enum Result {
-    /** The status is the newest of its worker and was applied. */
+    /** The report is the worker's latest and was applied. */
     APPLIED,
-    /** The status is no newer than one applied before, and changed nothing. */
+    /** The report is no newer than one already applied, and was ignored. */
     OUTDATED
   }
 
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -17,9 +17,7 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Takes attempts from their durable record to their end: sends their starts, stops them, and closes
- * them on proof that they are gone. A start goes out only after the key-value store holds the
- * attempt, so that the next leader finds everything that may run. Guarded by the controller's lock.
+ * Manages attempts from the time their record is durable: sends start commands, stops attempts, and closes them once there is evidence that they have ended. A start is sent only after the attempt is stored in the key-value store, so that the next leader knows of every attempt that may be running. Guarded by the controller's lock.
  */
 public final class AttemptLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -33,9 +31,9 @@
   private final AttemptListener listener;
 
   /**
-   * Creates the life cycle of one leadership's attempts.
+   * Creates the lifecycle manager for the attempts of one leadership term.
    *
-   * @param listener is called for each attempt that is closed
+   * @param listener notified of each attempt that is closed
    */
   public AttemptLifecycle(
       LeadershipContext context,
@@ -52,8 +50,7 @@
   }
 
   /**
-   * Sends the starts of attempts that the key-value store now holds. Those that were stopped, or
-   * whose job was cancelled, while they were being written are closed instead.
+   * Sends start commands for attempts that have just become durable. Attempts that were stopped, or whose job was cancelled, while the write was in progress are closed instead.
    */
   public void startDurable(List<Attempt> attempts) {
     Set<Machine> recipients = new LinkedHashSet<>();
@@ -79,9 +76,7 @@
   }
 
   /**
-   * Closes an attempt that is proved to be over. A gang that loses a task this way is stopped as a
-   * whole, since its other tasks can't go on alone. Does nothing for an attempt that was closed
-   * before.
+   * Closes an attempt that has ended. If the task belongs to a gang and is not done, the rest of the gang is stopped, since it cannot continue without the task. Does nothing if the attempt is already closed.
    */
   public void close(Attempt attempt, ClosingEvidence evidence) {
     Job job = attempt.job();
@@ -93,7 +88,7 @@
     listener.attemptClosed(attempt, done);
     releaseMachine(attempt);
     LOG.debug(
-        "closed {} attempt {} on {}: {}",
+        "closed task {} attempt {} on {}: {}",
         attempt.task(),
         attempt.number(),
         attempt.machine(),
@@ -117,7 +112,7 @@
   }
 
   /**
-   * Stops the other tasks of a gang at once, except those that are saving their progress already.
+   * Stops the other tasks of a gang without grace, except those that are already stopping and may be saving a checkpoint.
    */
   private void stopRestOfGang(Job job) {
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
@@ -128,9 +123,9 @@
   }
 
   /**
-   * Stops one attempt. An earlier stop stands unless this one leaves less time.
+   * Stops one attempt. If it is already stopping, only a shorter grace period has an effect.
    *
-   * @param graceS seconds that the task may take to save its progress
+   * @param graceS time in seconds that the task gets to save a checkpoint
    */
   public void stop(Attempt attempt, double graceS) {
     if (attempt.stopping() && attempt.stopGraceS() <= graceS) {
@@ -148,7 +143,7 @@
     }
   }
 
-  /** Stops an attempt, and with it its whole gang, whose tasks save their progress together. */
+  /** Stops an attempt and the rest of its gang, whose tasks save their checkpoints together. */
   public void stopWithGang(Attempt attempt, double graceS) {
     if (!attempt.job().spec().isGang()) {
       stop(attempt, graceS);
@@ -159,7 +154,7 @@
     }
   }
 
-  /** Stops all of a job's attempts at once; those that were never sent are closed. */
+  /** Stops all attempts of a job without grace, and closes those whose start was never sent. */
   void stopAll(Job job) {
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
       stop(attempt, 0);
@@ -172,10 +167,7 @@
   }
 
   /**
-   * Closes an attempt that is to be stopped and whose start was never sent, neither by a direct
-   * command nor in the answer to a heartbeat: nothing of it can arrive, so no status of the worker
-   * is needed as proof. Starts of an earlier leader's attempts may be in flight unknown to this
-   * one.
+   * Closes a stopping attempt whose start was never sent, neither as a direct command nor in a heartbeat response. No start of it can arrive, so no status report of the worker is needed. Attempts of an earlier leader are excluded, since this leader does not know which of their starts are in flight.
    */
   public void closeIfNeverSent(Attempt attempt) {
     if (!attempt.recovered()
--- a/src/main/java/org/ternhinge/attempt/AttemptListener.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptListener.java
@@ -2,13 +2,13 @@
 
 import org.ternhinge.ledger.Attempt;
 
-/** Is notified of attempts that are closed. Called under the controller's lock. */
+/** Listens for attempts that are closed. Called under the controller's lock. */
 @FunctionalInterface
 public interface AttemptListener {
   /**
-   * An attempt was closed, on proof that it is over.
+   * Called after an attempt was closed.
    *
-   * @param done whether its task has finished its work
+   * @param done whether its task completed successfully
    */
   void attemptClosed(Attempt attempt, boolean done);
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -19,8 +19,7 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Applies the tasks that a worker's newest status shows to the open attempts: their states, and the
- * ends that the worker reports. Guarded by the controller's lock.
+ * Updates the open attempts from the tasks in a worker's latest status report: their states and their reported ends. Guarded by the controller's lock.
  */
 public final class AttemptObserver {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptObserver.class);
@@ -31,7 +30,7 @@
   private final TaskFailures failures;
   private final Metrics metrics;
 
-  /** Creates an observer of one leadership's attempts. */
+  /** Creates an updater for the attempts of one leadership term. */
   public AttemptObserver(
       AttemptLifecycle attempts,
       Ledger ledger,
@@ -45,14 +44,14 @@
     this.metrics = metrics;
   }
 
-  /** Applies the tasks of a status that are attempts of the ledger on that machine. */
+  /** Applies the reported tasks that match an open attempt on the machine. */
   public void observeAll(Machine machine, Heartbeat status, SteadyTime now) {
     for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
       if (attempt != null && isStatusOf(attempt, task, machine, status)) {
         attempt.shownIn(machine.tasksRevision());
-        observe(machine, attempt, task, now);
+        applyReport(machine, attempt, task, now);
       }
     }
   }
@@ -64,15 +63,15 @@
         && attempt.epoch().equals(status.epoch());
   }
 
-  private void observe(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
+  private void applyReport(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
     if (task.ended()) {
-      ended(machine, attempt, task.endReason(), now);
+      applyEnd(machine, attempt, task.endReason(), now);
     } else {
-      running(machine, attempt, stateOf(task), now);
+      applyState(machine, attempt, toAttemptState(task), now);
     }
   }
 
-  private void running(Machine machine, Attempt attempt, AttemptState state, SteadyTime now) {
+  private void applyState(Machine machine, Attempt attempt, AttemptState state, SteadyTime now) {
     AttemptState before = attempt.state();
     attempt.observe(state, now);
     JobSpec spec = attempt.job().spec();
@@ -90,7 +89,7 @@
     }
   }
 
-  private static AttemptState stateOf(TaskStatus task) {
+  private static AttemptState toAttemptState(TaskStatus task) {
     return switch (task.state()) {
       case FETCHING -> AttemptState.FETCHING;
       case WAITING -> AttemptState.WAITING;
@@ -105,10 +104,10 @@
     machine.useImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
-  private void ended(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
+  private void applyEnd(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
     Job job = attempt.job();
     LOG.debug(
-        "{} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id(), endReason);
+        "task {} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id(), endReason);
     recordOutcome(machine, job, endReason, now);
     if (attempt.state() == AttemptState.RUNNING && endReason != EndReason.ERROR) {
       useImage(machine, job.spec());
@@ -116,7 +115,7 @@
     attempts.close(attempt, ClosingEvidence.reported(endReason));
   }
 
-  /** Records what the end of a task tells about its machine and its job. */
+  /** Records the success or failure of the task for its machine and its job. */
   private void recordOutcome(Machine machine, Job job, EndReason endReason, SteadyTime now) {
     switch (endReason) {
       case DONE -> failures.succeeded(machine, job, now);
@@ -124,7 +123,7 @@
       case NO_ROOM -> failures.noRoom(machine, now);
       case UNKNOWN -> failures.unknownJob(job, now);
       default -> {
-        // The task was stopped or lost its peers, which tells nothing about machine or job.
+        // A task that was stopped or lost its peers is no failure of the machine or the job.
       }
     }
   }
--- a/src/main/java/org/ternhinge/attempt/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/Cancellations.java
@@ -12,19 +12,17 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Cancels jobs on behalf of users. A request is answered only once the key-value store holds the
- * cancellation: an earlier answer could be contradicted by the next leader, which would run the
- * job. Guarded by the controller's lock.
+ * Cancels jobs at the request of users. A request is completed only when the cancellation is durable in the key-value store. Otherwise, the next leader might not know of a confirmed cancellation and would run the job. Guarded by the controller's lock.
  */
 public final class Cancellations {
   private final Ledger ledger;
   private final AttemptLifecycle attempts;
   private final LedgerWriter writer;
 
-  /** The requests whose cancellation is not durable yet, in order of arrival. */
+  /** Listeners of requests whose cancellation is not durable yet, in order of arrival. */
   private final Map<Job, List<Consumer<JobState>>> pending = new LinkedHashMap<>();
 
-  /** Creates the cancellations of one leadership, with none pending. */
+  /** Creates a canceller for the jobs of one leadership term. */
   public Cancellations(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
     this.ledger = ledger;
     this.attempts = attempts;
@@ -32,9 +30,9 @@
   }
 
   /**
-   * Cancels a job that the ledger holds, and stops its attempts.
+   * Cancels a job of the ledger and stops its attempts.
    *
-   * @param listener gets the job's state once the key-value store holds it, and not before
+   * @param listener receives the job's state once that state is durable in the key-value store
    */
   public void cancel(Job job, Consumer<JobState> listener) {
     pending.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
@@ -44,7 +42,7 @@
     answerDurable();
   }
 
-  /** Answers the requests whose job's end has become durable. Called after each write. */
+  /** Completes the requests whose cancellation has become durable. Called after each write. */
   public void answerDurable() {
     Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = pending.entrySet().iterator();
     while (entries.hasNext()) {
--- a/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
+++ b/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
@@ -2,40 +2,42 @@
 
 import org.ternhinge.wire.EndReason;
 
-/** What proves that an attempt is over, so that its task may start elsewhere. */
+/** Evidence that an attempt has ended, so that its task may be started elsewhere. */
 public enum ClosingEvidence {
   /** The cloud lists the machine as failed. */
   MACHINE_FAILED("machine failed"),
   /** The cloud no longer lists the machine. */
-  MACHINE_NOT_LISTED("machine taken"),
-  /** The machine was released, or is gone for another reason. */
-  MACHINE_GONE("machine gone"),
-  /** The worker's lease has expired, after which it has killed its tasks. */
-  LEASE_EXPIRED("lease over"),
-  /** The worker has begun a newer epoch, with none of the tasks of earlier ones. */
-  EPOCH_ENDED("agent epoch over"),
-  /** An earlier leader's attempt does not show on a worker that refuses that leader's commands. */
-  ABSENT_AFTER_FAILOVER("never arrived or is gone"),
-  /** The worker has shown the attempt before and no longer does. */
-  VANISHED("vanished"),
-  /** The attempt was stopped, and no start of it can arrive any more. */
-  STOPPED_BEFORE_START("stopped before it started"),
-  /** No start of the attempt was ever sent. */
-  NEVER_SENT("never sent"),
+  MACHINE_NOT_LISTED("machine not listed"),
+  /** The machine was released or no longer exists for another reason. */
+  MACHINE_GONE("machine removed"),
+  /** The worker's lease has expired, so the worker has killed its tasks. */
+  LEASE_EXPIRED("lease expired"),
+  /** The worker has begun a newer epoch, in which no tasks of earlier epochs run. */
+  EPOCH_ENDED("agent epoch ended"),
+  /**
+   * An earlier leader opened the attempt, and a worker that rejects that leader's commands does not report it.
+   */
+  ABSENT_AFTER_FAILOVER("not reported after failover"),
+  /** The worker has reported the attempt before and no longer does. */
+  VANISHED("no longer reported"),
+  /** The attempt was stopped, and none of its start commands can still arrive. */
+  STOPPED_BEFORE_START("stopped before start"),
+  /** No start command for the attempt was ever sent. */
+  NEVER_SENT("start never sent"),
 
-  /** The worker reports that the task has finished its work. */
+  /** The worker reports that the task completed successfully. */
   REPORTED_DONE(EndReason.DONE),
   /** The worker reports that the task was stopped. */
   REPORTED_STOPPED(EndReason.STOPPED),
   /** The worker reports that the other tasks of the gang have ended. */
   REPORTED_PEERS(EndReason.PEERS),
-  /** The worker reports that the task found no other task of its gang. */
+  /** The worker reports that the gang of the task was not complete in time. */
   REPORTED_ALONE(EndReason.ALONE),
   /** The worker reports that the task has failed. */
   REPORTED_ERROR(EndReason.ERROR),
   /** The worker reports that the machine has no room for the task. */
   REPORTED_NO_ROOM(EndReason.NO_ROOM),
-  /** The worker reports that it was busy. */
+  /** The worker reports that the machine already has another attempt of the task. */
   REPORTED_BUSY(EndReason.BUSY),
   /** The worker reports that it does not know the job. */
   REPORTED_UNKNOWN(EndReason.UNKNOWN);
@@ -50,7 +52,7 @@
     this.text = reported.word();
   }
 
-  /** The evidence that a worker gives by reporting the end of a task. */
+  /** Returns the evidence for an end that the worker reports. */
   public static ClosingEvidence reported(EndReason reason) {
     return switch (reason) {
       case DONE -> REPORTED_DONE;
@@ -64,12 +66,12 @@
     };
   }
 
-  /** Whether the task has finished its work, and so needs no further attempt. */
+  /** Whether the task completed successfully and needs no further attempt. */
   public boolean isTaskDone() {
     return this == REPORTED_DONE;
   }
 
-  /** The evidence as the log has it. */
+  /** Returns the description for the log. */
   public String text() {
     return text;
   }
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -21,16 +21,14 @@
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends commands to workers directly, one message at a time to a machine, so that commands keep
- * their order. Machines wait in a queue while too many messages are in flight. A direct start whose
- * response is lost stays outstanding until nothing of it can arrive. Guarded by the controller's
+ * Sends commands directly to workers. At most one message per machine is in flight, so that commands arrive in order, and machines are queued while the limit on messages in flight is reached. A start whose response is lost stays outstanding until the start can no longer arrive. Guarded by the controller's
  * lock.
  */
 public final class CommandDispatcher {
-  /** Commands that one message carries at most. */
+  /** Maximum number of commands per message. */
   public static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
-  /** A worker that has missed so many heartbeats is sent no direct commands. */
+  /** Heartbeat intervals without a message after which a worker gets no direct commands. */
   private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
   private final AgentStatusSink statusSink;
@@ -42,13 +40,13 @@
   private final CommandSender sender;
   private final CommandSelector selector;
 
-  /** Machines with commands that wait for a free slot. */
+  /** Machines with commands that are waiting for a free slot. */
   private final Set<Machine> queue = new LinkedHashSet<>();
 
   /**
-   * Creates a dispatcher without messages in flight.
+   * Creates a dispatcher with no messages in flight.
    *
-   * @param statusSink receives the status that each response carries
+   * @param statusSink receives the status report in each response
    */
   public CommandDispatcher(LeadershipContext context, AgentStatusSink statusSink) {
     this.statusSink = statusSink;
@@ -61,7 +59,7 @@
     this.selector = new CommandSelector(context.ledger());
   }
 
-  /** How many more messages may be sent now. */
+  /** Returns how many more messages may be sent now. */
   public int freeSlots() {
     return sender.freeSlots();
   }
@@ -72,8 +70,7 @@
   }
 
   /**
-   * Sends the commands that wait in a machine's outbox, unless a message to it is in flight. They
-   * are dropped where the machine takes no direct commands.
+   * Sends the commands in a machine's outbox, unless a message to the machine is in flight. The commands are dropped if the machine does not accept direct commands.
    */
   void dispatch(Machine machine) {
     SteadyTime now = clock.now();
@@ -95,9 +92,7 @@
   }
 
   /**
-   * Whether direct commands may be sent to a machine. Not to one that has been silent: the answer
-   * to its next heartbeat carries the commands, and messages to a whole zone that is cut off would
-   * occupy all slots until they time out.
+   * Whether direct commands may be sent to a machine. Excludes machines that have been silent: they get the commands in the response to their next heartbeat, and messages to a partitioned zone would occupy all slots until they time out.
    */
   private boolean acceptsDirectCommands(Machine machine, SteadyTime now) {
     if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
@@ -116,15 +111,15 @@
     }
   }
 
-  /** Requests the status of a worker that seems unreachable, by a message without commands. */
+  /** Requests the status of a possibly unreachable worker by sending a message without commands. */
   public void probe(Machine machine, SteadyTime now) {
     sendCommands(machine, List.of(), now);
   }
 
   /**
-   * Sends a worker the term by a message without commands, whatever is known of the machine.
+   * Announces the term to a worker by sending a message without commands, regardless of the state of the machine.
    *
-   * @param handler gets the outcome
+   * @param handler receives the outcome
    */
   void announceTerm(Endpoint worker, AgentEpoch epoch, Consumer<Outcome<Answer>> handler) {
     send(worker, epoch, List.of(), handler);
@@ -134,7 +129,7 @@
     machine.outbox().markInFlight();
     CommandMessage message = new CommandMessage(machine, machine.agent().epoch(), commands, now);
     Endpoint worker = machine.agent().endpoint().orElseThrow();
-    send(worker, message.epoch(), commands, outcome -> completed(message, outcome));
+    send(worker, message.epoch(), commands, outcome -> handleOutcome(message, outcome));
   }
 
   private void send(
@@ -154,21 +149,21 @@
 
   // ---- responses --------------------------------------------------------------------------------
 
-  private void completed(CommandMessage message, Outcome<Answer> outcome) {
+  private void handleOutcome(CommandMessage message, Outcome<Answer> outcome) {
     message.machine().outbox().markLanded();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
       Heartbeat status = applied.value().heartbeat();
       if (higherTermCheck.endsLeadership(status)) {
         return;
       }
-      responded(message, status);
+      handleResponse(message, status);
     } else {
-      failed(message, outcome);
+      handleFailure(message, outcome);
     }
     dispatch(message.machine());
   }
 
-  private void responded(CommandMessage message, Heartbeat status) {
+  private void handleResponse(CommandMessage message, Heartbeat status) {
     SteadyTime now = clock.now();
     message.settleStarts();
     message.machine().health().reachability().probeAnswered();
@@ -176,18 +171,18 @@
     statusSink.apply(message.machine(), status, MessageOrigin.COMMAND_RESPONSE, now);
   }
 
-  private void failed(CommandMessage message, Outcome<Answer> outcome) {
-    if (hasCertainlyNotArrived(outcome)) {
+  private void handleFailure(CommandMessage message, Outcome<Answer> outcome) {
+    if (isKnownUndelivered(outcome)) {
       message.settleStarts();
     }
-    // Otherwise the message may still arrive: its starts stay outstanding until the epoch ends.
+    // Otherwise, the message may still arrive, and its starts stay outstanding until the epoch ends.
     message
         .machine()
         .outbox()
         .pauseUntil(clock.now().plusSeconds(workerSettings.heartbeatIntervalS()));
   }
 
-  private static boolean hasCertainlyNotArrived(Outcome<Answer> outcome) {
+  private static boolean isKnownUndelivered(Outcome<Answer> outcome) {
     return outcome instanceof Outcome.NotApplied<Answer> notApplied
         && notApplied.reason() != Reason.NO_CONNECTION;
   }
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -7,17 +7,16 @@
 import org.ternhinge.wire.Command;
 
 /**
- * A message of commands that was sent to one worker.
+ * A message with commands that was sent to one worker.
  *
- * @param epoch the worker's epoch that the commands are meant for
- * @param commands what it carries; none at all asks for the worker's status only
+ * @param epoch the worker epoch that the commands apply to
+ * @param commands the commands; an empty list only requests the worker's status
  */
 record CommandMessage(
     Machine machine, AgentEpoch epoch, List<Command> commands, SteadyTime sentAt) {
 
   /**
-   * Settles the starts that it carries: each has been carried out, or never will be. Changes
-   * nothing once the worker has begun another epoch, which none of them reaches.
+   * Marks the starts in this message as settled: each was executed or never will be. Does nothing if the worker has begun another epoch, in which these starts are not accepted.
    */
   void settleStarts() {
     if (!epoch.equals(machine.agent().epoch())) {
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -9,8 +9,7 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Chooses the commands of the next message to a worker. Starts that became obsolete while they
- * waited are dropped. Guarded by the controller's lock.
+ * Selects the commands for the next message to a worker. Drops starts that became obsolete while queued. Guarded by the controller's lock.
  */
 final class CommandSelector {
   private final Ledger ledger;
@@ -20,8 +19,7 @@
   }
 
   /**
-   * Removes the commands of one message from a machine's outbox. Their starts are outstanding from
-   * here on.
+   * Removes the commands for one message from a machine's outbox and marks the starts among them as outstanding.
    */
   List<Command> takeNext(Machine machine) {
     List<Command> commands = new ArrayList<>();
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -16,7 +16,7 @@
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends messages to workers and counts those in flight, each of which takes a socket. Guarded by
+ * Sends messages to workers and limits the number in flight, since each occupies a socket. Guarded by
  * the controller's lock.
  */
 final class CommandSender {
@@ -36,7 +36,7 @@
     this.maxInFlight = SocketShares.of(services.settings().maxSockets()).calls();
   }
 
-  /** How many more messages may be sent now. */
+  /** Returns how many more messages may be sent now. */
   int freeSlots() {
     return Math.max(0, maxInFlight - inFlight);
   }
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Sends a message, whether or not there is a free slot.
+   * Sends a message, even if there is no free slot.
    *
-   * @param handler gets the outcome under the lock
+   * @param handler receives the outcome under the lock
    */
   void send(
       Endpoint worker,
@@ -66,9 +66,7 @@
   }
 
   /**
-   * Whether the authority that a command was decided on still holds as it is about to leave. The
-   * process may have been paused since, or the connection have taken long; another leader may have
-   * decided otherwise by now. Called on any thread.
+   * Checks the authority again immediately before a command is sent. The process may have been paused, or connecting may have taken long, and another leader may have been elected in the meantime. Called on any thread.
    */
   private boolean maySend() {
     lock.lock();
--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -5,21 +5,20 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Ends the leadership when a worker shows a fencing token above the leadership's term: another
- * leader has been elected since. Guarded by the controller's lock.
+ * Ends the leadership when a worker reports a fencing token above the current term, which means that another leader has been elected. Guarded by the controller's lock.
  */
 public final class HigherTermCheck {
   private final Authority authority;
 
-  /** Creates a check against the term of this authority. */
+  /** Creates a check against the term of an authority. */
   public HigherTermCheck(Authority authority) {
     this.authority = authority;
   }
 
   /**
-   * Ends the leadership if a worker has seen a higher term.
+   * Ends the leadership if the worker has seen a higher term.
    *
-   * @return whether it has ended, after which the status must not be applied
+   * @return whether the leadership has ended, in which case the status must not be applied
    */
   public boolean endsLeadership(Heartbeat status) {
     if (status.fencingToken().compareTo(authority.term()) <= 0) {
--- a/src/main/java/org/ternhinge/attempt/MessageOrigin.java
+++ b/src/main/java/org/ternhinge/attempt/MessageOrigin.java
@@ -1,9 +1,9 @@
 package org.ternhinge.attempt;
 
-/** Why a worker has sent its status. */
+/** The kind of message that contained a status report. */
 public enum MessageOrigin {
-  /** A periodic heartbeat, whose answer carries commands. */
+  /** A periodic heartbeat, whose response contains commands. */
   HEARTBEAT,
-  /** The response to a direct command; it proves nothing about answers to heartbeats. */
+  /** The response to a direct command; says nothing about the delivery of heartbeat responses. */
   COMMAND_RESPONSE
 }
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -14,14 +14,12 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * Announces this leadership's term to workers that have not sent it a heartbeat. Such a worker may
- * still send its heartbeats to an earlier leader that is cut off from everything else; once it has
- * seen the new term it refuses that leader. Guarded by the controller's lock.
+ * Announces the current term to workers that have not sent a heartbeat to this leader. Such a worker may still be sending heartbeats to an earlier leader that is otherwise partitioned. Once it has seen the new term, it rejects commands of the earlier leader. Guarded by the controller's lock.
  */
 public final class TermAnnouncer {
   private static final Logger LOG = LoggerFactory.getLogger(TermAnnouncer.class);
 
-  /** The first message may be refused for its epoch; the refusal names the current one. */
+  /** The first message may be refused for a wrong epoch; the refusal contains the current one. */
   private static final int MAX_ATTEMPTS = 2;
 
   private final Authority authority;
@@ -30,9 +28,9 @@
   private final Clock clock;
 
   /**
-   * Creates an announcer of the authority's term.
+   * Creates an announcer for the authority's term.
    *
-   * @param statusSink receives the status that each response carries
+   * @param statusSink receives the status report in each response
    */
   public TermAnnouncer(
       Authority authority, CommandDispatcher dispatcher, AgentStatusSink statusSink, Clock clock) {
@@ -43,10 +41,9 @@
   }
 
   /**
-   * Announces the term to a machine's worker, if the cloud lists the machine as running and the
-   * worker has not sent a heartbeat.
+   * Announces the term to the worker on a machine if the cloud lists the machine as running and the worker has not sent a heartbeat.
    *
-   * @return whether an announcement was made
+   * @return whether an announcement was sent
    */
   public boolean announce(Machine machine, ListedMachine listed) {
     if (machine.agent().isHeard()
@@ -63,7 +60,7 @@
     try {
       return Optional.of(Endpoint.parse(listed.endpoint().orElseThrow()));
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {} is listed without a usable endpoint", machine.id());
+      LOG.warn("machine {}: invalid endpoint in the cloud's machine list", machine.id());
       return Optional.empty();
     }
   }
@@ -71,11 +68,11 @@
   private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int attemptsLeft) {
     if (authority.valid()) {
       dispatcher.announceTerm(
-          endpoint, epoch, outcome -> answered(machine, endpoint, outcome, attemptsLeft));
+          endpoint, epoch, outcome -> handleResponse(machine, endpoint, outcome, attemptsLeft));
     }
   }
 
-  private void answered(
+  private void handleResponse(
       Machine machine, Endpoint endpoint, Outcome<Workers.Answer> outcome, int attemptsLeft) {
     if (!(outcome instanceof Outcome.Applied<Workers.Answer> applied)) {
       return;
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -12,37 +12,34 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Raises the leadership's own term to fence outstanding starts: direct starts without a response,
- * which may arrive after their attempt was stopped. A worker that has seen the higher term refuses
- * them, so the attempt can be closed as soon as the worker shows that term. Otherwise it would stay
- * open until the worker's epoch ends. Guarded by the controller's lock.
+ * Raises the leader's own term to fence outstanding starts: direct starts without a response, which may arrive after their attempt was stopped. A worker that has seen the higher term rejects them, so the attempt can be closed as soon as the worker reports that term. Without fencing, the attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
  */
 public final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
 
-  /** Seconds after a stop before a raise is worth a write: most late starts arrive sooner. */
+  /** Delay in seconds after a stop; most late starts arrive earlier and need no write. */
   static final double FENCE_AFTER_S = 4;
 
-  /** Seconds between two raises, each of which outdates the fencing tokens of all workers. */
+  /** Minimum interval in seconds; each raise makes the fencing tokens of all workers outdated. */
   static final double MIN_INTERVAL_S = 10;
 
   private final Authority authority;
   private final LedgerWriter writer;
   private final MachineRegistry machines;
 
-  /** When the last raise began; null before the first. */
+  /** When the last raise was started; null before the first. */
   private SteadyTime lastRaiseAt;
 
   private boolean raiseInProgress;
 
-  /** Creates a fence that has not raised the term yet. */
+  /** Creates a fence for the outstanding starts of these machines. */
   public TermFence(Authority authority, LedgerWriter writer, MachineRegistry machines) {
     this.authority = authority;
     this.writer = writer;
     this.machines = machines;
   }
 
-  /** Whether a raise of the term is needed to close any of a machine's attempts. */
+  /** Whether the term must be raised to close any of these attempts. */
   public boolean isNeededForAny(Machine machine, List<Attempt> attempts, SteadyTime now) {
     for (Attempt attempt : attempts) {
       if (isNeeded(machine, attempt, now)) {
@@ -52,7 +49,7 @@
     return false;
   }
 
-  /** Whether a stopped attempt stays open only because a start of it may still arrive unfenced. */
+  /** Whether a stopped attempt stays open only because an unfenced start may still arrive. */
   public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
     OutstandingStarts starts = machine.outstandingStarts();
     return attempt.stopping()
@@ -62,23 +59,23 @@
         && !starts.isFenced(attempt.task(), attempt.number());
   }
 
-  /** Raises the term, unless a raise is in progress or was made a short time ago. */
+  /** Raises the term, unless a raise is in progress or was started recently. */
   public void raise(SteadyTime now) {
-    if (raiseInProgress || wasRaisedLately(now)) {
+    if (raiseInProgress || wasRaisedRecently(now)) {
       return;
     }
     raiseInProgress = true;
     lastRaiseAt = now;
-    writer.raiseTerm(this::raised);
+    writer.raiseTerm(this::handleRaised);
   }
 
-  private boolean wasRaisedLately(SteadyTime now) {
+  private boolean wasRaisedRecently(SteadyTime now) {
     return lastRaiseAt != null && now.secondsSince(lastRaiseAt) < MIN_INTERVAL_S;
   }
 
-  private void raised() {
+  private void handleRaised() {
     raiseInProgress = false;
-    LOG.info("raised the term to {} against outstanding starts", authority.term());
+    LOG.info("raised the term to {} to fence outstanding starts", authority.term());
     for (Machine machine : machines.all()) {
       machine.outstandingStarts().fence(authority.term());
     }
--- a/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
@@ -10,15 +10,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Begins a new epoch of a worker agent. The agent's lease has expired or the agent was started
- * anew, so nothing that ran in earlier epochs runs any more. Guarded by the controller's lock.
+ * Handles the beginning of a new worker agent epoch. The agent's lease has expired or the agent was restarted, so no task of an earlier epoch is still running. Guarded by the controller's lock.
  */
 final class AgentEpochChange {
   /**
-   * An epoch that ends so many seconds before its lease, as counted here, ended because the worker
-   * did not receive the answers that renewed the lease.
+   * If an epoch ends more than this many seconds before the controller's lease expiry, the worker did not receive the responses that renewed the lease.
    */
-  private static final double MIN_LAPSE_S = 2;
+  private static final double MIN_REMAINING_LEASE_S = 2;
 
   private final Ledger ledger;
   private final AttemptLifecycle attempts;
@@ -36,7 +34,7 @@
     this.leases = leases;
   }
 
-  /** Begins an epoch that is newer than the present one. */
+  /** Begins an epoch that is newer than the current one. */
   void begin(Machine machine, AgentEpoch epoch, SteadyTime now) {
     closeAttemptsBefore(machine, epoch);
     machine.outstandingStarts().clear();
@@ -45,7 +43,7 @@
     if (hasLeaseLapsed(machine, now)) {
       reachability.leaseLapsed(machine, now);
     }
-    // The epoch may have begun just now, and lasts a whole lease without any answer.
+    // The epoch may have just begun, and lasts for a full lease even without a response.
     leases.renewFrom(machine, now);
   }
 
@@ -59,6 +57,6 @@
 
   private static boolean hasLeaseLapsed(Machine machine, SteadyTime now) {
     return machine.agent().wasAnswered()
-        && machine.agent().leaseExpiry().secondsSince(now) > MIN_LAPSE_S;
+        && machine.agent().leaseExpiry().secondsSince(now) > MIN_REMAINING_LEASE_S;
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -18,9 +18,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Applies the status of worker agents to machines and attempts, in the order in which each worker
- * sent it. A status that is no newer than the last changes nothing, and one that shows the same
- * tasks as the last costs one comparison of them. Guarded by the controller's lock.
+ * Applies the status reports of worker agents to machines and attempts, in the order in which each worker sent them. A report that is no newer than the last one is ignored. If the reported tasks are unchanged, the only cost is one comparison of the task lists. Guarded by the controller's lock.
  */
 public final class AgentStatusUpdater implements AgentStatusSink {
   private static final Logger LOG = LoggerFactory.getLogger(AgentStatusUpdater.class);
@@ -28,7 +26,7 @@
   private final List<String> zones;
   private final ReachabilityMonitor reachability;
   private final ReportedTasks reportedTasks;
-  private final AttemptObserver observer;
+  private final AttemptObserver attemptUpdater;
   private final AbsentAttemptReconciler absentAttempts;
   private final AgentEpochChange epochChange;
   private final FirstHeartbeatHandler firstHeartbeats;
@@ -37,20 +35,20 @@
   /**
    * Creates an updater.
    *
-   * @param observer applies the tasks that a status shows to the open attempts
+   * @param attemptUpdater updates the open attempts from the reported tasks
    * @param attempts stops and closes attempts
    */
   public AgentStatusUpdater(
       LeadershipContext context,
       ReachabilityMonitor reachability,
       ReportedTasks reportedTasks,
-      AttemptObserver observer,
+      AttemptObserver attemptUpdater,
       AttemptLifecycle attempts,
       FirstHeartbeatHandler firstHeartbeats) {
     this.zones = context.services().settings().zones();
     this.reachability = reachability;
     this.reportedTasks = reportedTasks;
-    this.observer = observer;
+    this.attemptUpdater = attemptUpdater;
     this.absentAttempts =
         new AbsentAttemptReconciler(attempts, context.authority(), context.ledger());
     this.epochChange =
@@ -107,14 +105,14 @@
     try {
       machine.agent().endpoint(status.endpoint());
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id());
+      LOG.warn("machine {}: invalid endpoint in status report", machine.id());
     }
   }
 
   private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
     if (!machine.tasks().equals(status.tasks())) {
       reportedTasks.show(machine, status.tasks());
-      observer.observeAll(machine, status, now);
+      attemptUpdater.observeAll(machine, status, now);
     }
   }
 
--- a/src/main/java/org/ternhinge/heartbeat/CommandList.java
+++ b/src/main/java/org/ternhinge/heartbeat/CommandList.java
@@ -9,9 +9,7 @@
 import org.ternhinge.wire.Command;
 
 /**
- * The commands of one answer: first stops, then forgets, then starts, each in the order in which
- * they were added. Stops come first since they must not be cut off where there are more commands
- * than one message carries.
+ * The commands in one heartbeat response: stops, then forgets, then starts, each in insertion order. Stops come first so that they are not truncated when there are more commands than one message may contain.
  */
 final class CommandList {
   private final List<Command> commands = new ArrayList<>();
@@ -32,12 +30,12 @@
     commands.add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
   }
 
-  /** Whether one message carries no more commands than these. */
+  /** Whether the maximum number of commands per message is reached. */
   boolean isFull() {
     return commands.size() >= CommandDispatcher.MAX_COMMANDS_PER_MESSAGE;
   }
 
-  /** The commands that one message carries. */
+  /** Returns the commands, truncated to the maximum number per message. */
   List<Command> commands() {
     return commands.size() > CommandDispatcher.MAX_COMMANDS_PER_MESSAGE
         ? commands.subList(0, CommandDispatcher.MAX_COMMANDS_PER_MESSAGE)
--- a/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
@@ -9,7 +9,7 @@
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Makes a machine available to the planner at its first heartbeat in a leadership. Guarded by the
+ * Makes a machine available to the planner when its first heartbeat in a leadership term arrives. Guarded by the
  * controller's lock.
  */
 public final class FirstHeartbeatHandler {
@@ -18,7 +18,7 @@
   private final MachineProvisioner provisioner;
   private final BootTimes bootTimes;
 
-  /** Creates a handler for the machines of one leadership. */
+  /** Creates a handler for the machines of one leadership term. */
   public FirstHeartbeatHandler(
       LeadershipContext context, MachineProvisioner provisioner, BootTimes bootTimes) {
     this.ledger = context.ledger();
@@ -27,7 +27,7 @@
     this.bootTimes = bootTimes;
   }
 
-  /** The first heartbeat of a machine's worker has come. */
+  /** Handles the first heartbeat of a machine's worker. */
   void handle(Machine machine, SteadyTime now) {
     machine.invalidateView();
     if (ledger.attemptsOn(machine.id()).isEmpty()) {
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -11,24 +11,24 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Chooses the commands in the answers to heartbeats. The rules:
+ * Selects the commands for heartbeat responses. The rules:
  *
  * <pre>
- * task shown, without an open attempt   command
+ * reported task without open attempt    command
  * ------------------------------------  --------------------------------------------------
- * not ended                             stop without grace
- * ended, and its end is recorded        forget, unless a direct start of it may still arrive
- * ended, and its end is not recorded    none: the task is forgotten once it is
+ * not ended                             stop without grace period
+ * ended, and its end is durable         forget, unless a direct start of it may still arrive
+ * ended, and its end is not durable     none: the task is forgotten once it is
  *
  * open attempt of the worker's epoch    command
  * ------------------------------------  --------------------------------------------------
- * being stopped, was shown              stop, unless it is saving within its grace
- * being stopped, was never shown        none: a start of it may be in flight
+ * stopping, was reported                stop, unless checkpointing within its grace period
+ * stopping, was never reported          none: a start of it may be in flight
  * starting and durable                  start, unless an earlier leader may have sent it
  * other                                 none
  * </pre>
  *
- * <p>A worker that has forgotten a task would run it again if a start of it arrived. Guarded by the
+ * <p>A worker that has forgotten a task would run it again if a late start of it arrived. Guarded by the
  * controller's lock.
  */
 final class HeartbeatCommands {
@@ -38,7 +38,7 @@
     this.ledger = ledger;
   }
 
-  /** The commands for the answer to a worker's newest heartbeat. */
+  /** Returns the commands for the response to a worker's latest heartbeat. */
   List<Command> commands(Machine machine, Heartbeat heartbeat) {
     CommandList commands = new CommandList();
     for (TaskStatus task : heartbeat.tasks()) {
@@ -54,7 +54,7 @@
     return commands.commands();
   }
 
-  /** The stops that are due on a machine, whatever its heartbeat shows. */
+  /** Returns the stops that are due on a machine, regardless of what its heartbeat reports. */
   List<Command> stops(Machine machine) {
     CommandList commands = new CommandList();
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
@@ -68,7 +68,7 @@
   private void addForTaskWithoutAttempt(Machine machine, TaskStatus task, CommandList commands) {
     if (!task.ended()) {
       commands.addStop(task.task(), task.attempt(), 0);
-    } else if (isEndRecorded(task)
+    } else if (isEndDurable(task)
         && !machine.outstandingStarts().mayArrive(task.task(), task.attempt())) {
       commands.addForget(task.task(), task.attempt());
     }
@@ -83,16 +83,16 @@
     }
   }
 
-  private boolean isEndRecorded(TaskStatus task) {
+  private boolean isEndDurable(TaskStatus task) {
     Job job = ledger.job(task.task().job());
     return job == null || job.recorded(task.task().index());
   }
 
   private static boolean isStopDue(Attempt attempt) {
-    return attempt.stopping() && attempt.isReported() && !isSavingWithinGrace(attempt);
+    return attempt.stopping() && attempt.isReported() && !isCheckpointingWithinGrace(attempt);
   }
 
-  private static boolean isSavingWithinGrace(Attempt attempt) {
+  private static boolean isCheckpointingWithinGrace(Attempt attempt) {
     return attempt.state() == AttemptState.CHECKPOINTING && attempt.stopGraceS() != 0;
   }
 
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -16,21 +16,18 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Processes the heartbeats of workers. The steps are:
+ * Processes worker heartbeats in these steps:
  *
  * <ol>
  *   <li>fence check: a higher fencing token ends the leadership;
- *   <li>admission: a machine or epoch that is held to be gone gets no answer;
- *   <li>update of the machine and its attempts, by {@link AgentStatusUpdater}, unless a newer
- *       status has overtaken the heartbeat;
- *   <li>check whether the worker has received the answer before;
- *   <li>renewal of the lease;
- *   <li>commands for the answer, by {@link HeartbeatCommands}.
+ *   <li>admission: heartbeats from removed or terminated machines and from ended epochs get no response;
+ *   <li>update of the machine and its attempts by {@link AgentStatusUpdater}, unless a newer status report has been applied already;
+ *   <li>check whether the worker has received the previous response;
+ *   <li>lease renewal;
+ *   <li>selection of the commands for the response by {@link HeartbeatCommands}.
  * </ol>
  *
- * <p>An answer renews the lease of the worker that receives it. A heartbeat that gets none is a
- * late copy, which no worker waits for, or it shows that the evidence was wrong; then the expiry of
- * the lease is what stops the tasks. Guarded by the controller's lock.
+ * <p>A response renews the lease of the worker that receives it. A heartbeat without a response is either a delayed duplicate, for which no worker is waiting, or it proves that the machine or epoch was wrongly considered ended. In the latter case the tasks are stopped by the expiry of the lease. Guarded by the controller's lock.
  */
 public final class HeartbeatProcessor {
   private static final Answered WITHOUT_COMMANDS = new Answered(List.of());
@@ -47,7 +44,7 @@
   /**
    * Creates a processor.
    *
-   * @param statusUpdater applies the status that a heartbeat carries
+   * @param statusUpdater applies the status report in a heartbeat
    */
   public HeartbeatProcessor(
       LeadershipContext context,
@@ -67,7 +64,7 @@
   /**
    * Processes a heartbeat.
    *
-   * @param mayCommand whether commands may be given; otherwise an answer only renews the lease
+   * @param mayCommand whether commands may be sent; otherwise, a response only renews the lease
    */
   public HeartbeatResult process(Heartbeat heartbeat, boolean mayCommand) {
     SteadyTime now = clock.now();
@@ -82,14 +79,14 @@
       return NotAnswered.MACHINE_TERMINATED;
     }
     if (isEpochEnded(machine, heartbeat)) {
-      // The heartbeat was delayed by a network cut, as a rule, so the worker may be about to come
-      // back: its machine is not given up for a lease more.
+      // Usually the heartbeat was delayed by a network partition, and the worker may be about to
+      // reconnect, so its machine is not considered lost for another lease.
       leases.renewFrom(machine, now);
       return NotAnswered.EPOCH_ENDED;
     }
     return switch (statusUpdater.apply(machine, heartbeat, MessageOrigin.HEARTBEAT, now)) {
-      case OUTDATED -> answerOutdated(machine, mayCommand);
-      case APPLIED -> answerCurrent(machine, heartbeat, mayCommand, now);
+      case OUTDATED -> respondToOutdated(machine, mayCommand);
+      case APPLIED -> respondToCurrent(machine, heartbeat, mayCommand, now);
     };
   }
 
@@ -99,33 +96,31 @@
   }
 
   /**
-   * Answers a heartbeat that is a copy, or was overtaken by the response to a command and so was
-   * sent before that response was received. The tasks that it shows are outdated, but a worker that
-   * receives the answer must not miss a stop.
+   * Responds to a heartbeat that is a duplicate or was overtaken by a command response. It was sent before the latest status report was received, so the lease is renewed as of that time. The reported tasks are outdated and ignored, but the response must still contain the stops that are due.
    */
-  private HeartbeatResult answerOutdated(Machine machine, boolean mayCommand) {
+  private HeartbeatResult respondToOutdated(Machine machine, boolean mayCommand) {
     leases.renewFrom(machine, machine.agent().lastHeartbeat());
-    return mayCommand ? answered(commands.stops(machine)) : WITHOUT_COMMANDS;
+    return mayCommand ? accepted(commands.stops(machine)) : WITHOUT_COMMANDS;
   }
 
-  private HeartbeatResult answerCurrent(
+  private HeartbeatResult respondToCurrent(
       Machine machine, Heartbeat heartbeat, boolean mayCommand, SteadyTime now) {
-    if (hasMissedAnswer(machine, heartbeat)) {
+    if (hasMissedResponse(machine, heartbeat)) {
       reachability.answerMissed(machine, now);
     }
     machine.agent().answeredIn(authority.term());
-    // The worker sent it before now, so a lease counted from now ends no sooner than the worker's.
+    // The worker counts its lease from when it sent the heartbeat, so this one ends no earlier.
     leases.renewFrom(machine, now);
-    return mayCommand ? answered(commands.commands(machine, heartbeat)) : WITHOUT_COMMANDS;
+    return mayCommand ? accepted(commands.commands(machine, heartbeat)) : WITHOUT_COMMANDS;
   }
 
-  /** Whether the worker was answered in this term and does not show it. */
-  private boolean hasMissedAnswer(Machine machine, Heartbeat heartbeat) {
+  /** Whether the worker was sent a response in this term but does not report the term. */
+  private boolean hasMissedResponse(Machine machine, Heartbeat heartbeat) {
     return heartbeat.fencingToken().compareTo(authority.term()) < 0
         && machine.agent().wasAnsweredIn(authority.term());
   }
 
-  private static HeartbeatResult answered(List<Command> commands) {
+  private static HeartbeatResult accepted(List<Command> commands) {
     return commands.isEmpty() ? WITHOUT_COMMANDS : new Answered(commands);
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
@@ -3,25 +3,25 @@
 import java.util.List;
 import org.ternhinge.wire.Command;
 
-/** Whether a heartbeat is to be answered, and with what. */
+/** The result of processing a heartbeat. */
 public sealed interface HeartbeatResult {
 
   /**
-   * The heartbeat is to be answered, which renews the worker's lease.
+   * A response is to be sent, which renews the worker's lease.
    *
-   * @param commands for the worker, the most urgent first
+   * @param commands the commands for the worker, most urgent first
    */
   record Answered(List<Command> commands) implements HeartbeatResult {}
 
-  /** The heartbeat must not be answered, for an answer would renew the worker's lease. */
+  /** No response may be sent, because it would renew the worker's lease. */
   enum NotAnswered implements HeartbeatResult {
-    /** The worker has seen a higher term, so this leadership is over. */
+    /** The worker has seen a higher term, so this leadership has ended. */
     HIGHER_TERM,
-    /** The machine is gone: the heartbeat is a late copy. */
+    /** The machine no longer exists; the heartbeat is a delayed duplicate. */
     MACHINE_REMOVED,
-    /** The machine is held to be terminated. */
+    /** The machine is considered terminated. */
     MACHINE_TERMINATED,
-    /** The worker's epoch is held to have ended. */
+    /** The worker's epoch is considered ended. */
     EPOCH_ENDED
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -23,9 +23,7 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Checks what expires: workers' leases, reservations of machines, and the grace of stopped
- * attempts. A worker whose lease has expired has killed its tasks, which is the only proof that its
- * attempts are over while it can't be reached. Guarded by the controller's lock.
+ * Checks the expiry of worker leases, machine reservations and the grace periods of stopping attempts. A worker whose lease has expired has killed its tasks; for an unreachable worker, this is the only evidence that its attempts have ended. Guarded by the controller's lock.
  */
 public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
@@ -40,9 +38,9 @@
   private final RoundTrigger rounds;
 
   /**
-   * Creates a monitor of these machines.
+   * Creates a monitor for a set of machines.
    *
-   * @param dispatcher probes workers that commands seem not to reach
+   * @param dispatcher probes workers that may be unreachable for commands
    */
   public LeaseMonitor(
       LeadershipContext context,
@@ -62,12 +60,10 @@
   }
 
   /**
-   * Whether a worker's lease may be renewed while no commands may be given. Not while something on
-   * it has to be stopped, for the expiry of the lease is then what stops it: an open attempt that
-   * is stopped or cancelled, or a task that the ledger does not hold there.
+   * Whether a worker's lease may be renewed while no commands may be sent. It must not be renewed if the worker has an open attempt that is stopping or whose job is cancelled, or reports a task without an attempt: without commands, only the expiry of the lease stops these tasks.
    */
   public boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
-    return !hasAttemptToStop(heartbeat) && !showsTaskWithoutAttempt(heartbeat);
+    return !hasAttemptToStop(heartbeat) && !reportsTaskWithoutAttempt(heartbeat);
   }
 
   private boolean hasAttemptToStop(Heartbeat heartbeat) {
@@ -79,7 +75,7 @@
     return false;
   }
 
-  private boolean showsTaskWithoutAttempt(Heartbeat heartbeat) {
+  private boolean reportsTaskWithoutAttempt(Heartbeat heartbeat) {
     for (TaskStatus task : heartbeat.tasks()) {
       if (!task.ended() && !ledger.holds(task, heartbeat.machine())) {
         return true;
@@ -88,7 +84,7 @@
     return false;
   }
 
-  /** Checks all machines; called periodically while the leadership certainly holds. */
+  /** Checks all machines. Called periodically while the leadership is valid. */
   public void check(SteadyTime now) {
     boolean fenceNeeded = false;
     for (Machine machine : List.copyOf(machines.all())) {
@@ -99,8 +95,8 @@
         continue;
       }
       if (machine.agent().isLeaseExpired(now)) {
-        // Also without attempts: a delayed heartbeat may show tasks that have none, and while they
-        // are shown they may start nowhere else.
+        // Also without attempts: a delayed heartbeat may report tasks that have none, and tasks
+        // are not started elsewhere while they are reported.
         expireLease(machine, List.copyOf(open));
       } else {
         List<Attempt> stopping = stoppingAttempts(open);
@@ -119,7 +115,7 @@
     }
   }
 
-  /** Probes a worker that commands seem not to reach: a response shows that they do. */
+  /** Probes a worker that may be unreachable for commands; a response proves that it is not. */
   private void probeIfUnreachable(Machine machine, SteadyTime now) {
     if (machine.agent().hasEndpoint()
         && !machine.outbox().isInFlight()
@@ -129,7 +125,7 @@
     }
   }
 
-  /** The worker has killed its tasks: nothing that it has shown runs any more. */
+  /** Closes the attempts of a worker that has killed its tasks because its lease expired. */
   private void expireLease(Machine machine, List<Attempt> open) {
     LOG.info("machine {}: worker lease expired", machine.id());
     AgentEpoch lastEpoch = machine.agent().epoch();
@@ -142,16 +138,16 @@
     machine.agent().endEpochs(lastEpoch);
     machine.outstandingStarts().clear();
     machine.outbox().clear();
-    // Otherwise its tasks would count as still shown, and could not start elsewhere.
+    // Otherwise, its tasks would still count as reported and could not be started elsewhere.
     reportedTasks.show(machine, List.of());
   }
 
-  /** The attempts being stopped, as a copy, since a stop may change the ledger's own collection. */
+  /** Returns a copy, since stopping an attempt may modify the ledger's own collection. */
   private static List<Attempt> stoppingAttempts(Collection<Attempt> open) {
     List<Attempt> stopping = List.of();
     for (Attempt attempt : open) {
       if (attempt.stopping()) {
-        // Most machines have none, and this runs for all of them.
+        // Allocated on demand: this runs for all machines, and most have none.
         stopping = stopping.isEmpty() ? new ArrayList<>() : stopping;
         stopping.add(attempt);
       }
@@ -168,8 +164,7 @@
   }
 
   /**
-   * Whether a stop with grace was not carried out in time. Until a gang's tasks learn that their
-   * peers are saving, and a heartbeat shows it, more time than the grace may pass.
+   * Whether an attempt has not stopped in time. The grace period is extended by the time until the tasks of a gang learn that their peers are checkpointing and until the next heartbeat reports it.
    */
   private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
     double allowedS =
--- a/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
@@ -5,8 +5,7 @@
 import org.ternhinge.term.ControllerServices;
 
 /**
- * Extends the leases of workers as this controller counts them: by the drift of clocks and a margin
- * longer than the workers do, so that a lease that has expired here has expired at the worker too.
+ * Extends the controller's view of worker leases. The controller adds clock drift and a safety margin to the lease, so that a lease that has expired here has also expired at the worker.
  * Used under the controller's lock.
  */
 final class LeaseRenewal {
@@ -16,7 +15,7 @@
     this.leaseS = services.tuning().workerLeaseS(services.settings().workers());
   }
 
-  /** The worker may count its lease from this time; an earlier one changes nothing. */
+  /** Extends the lease as of the given time; has no effect if that is earlier than before. */
   void renewFrom(Machine machine, SteadyTime time) {
     machine.agent().extendLease(time.plusSeconds(leaseS));
   }
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -6,13 +6,12 @@
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Detects workers whose heartbeats arrive while the answers to them are lost. Guarded by the
+ * Detects workers whose heartbeats arrive although the responses to them are lost. Guarded by the
  * controller's lock.
  */
 public final class ReachabilityMonitor {
   /**
-   * From so many unreachable workers on, or a tenth of a large fleet, the fault is taken to be this
-   * node's own.
+   * If at least this many workers, or a tenth of a large fleet, are unreachable, the fault is assumed to be on this node.
    */
   private static final int MIN_UNREACHABLE_LIMIT = 3;
 
@@ -21,13 +20,13 @@
   private final MachineRegistry machines;
   private final RoundTrigger rounds;
 
-  /** Creates a monitor of these machines. */
+  /** Creates a monitor for a set of machines. */
   public ReachabilityMonitor(MachineRegistry machines, RoundTrigger rounds) {
     this.machines = machines;
     this.rounds = rounds;
   }
 
-  /** A heartbeat shows no effect of the answer before it. */
+  /** Records that a heartbeat does not reflect the previous response. */
   void answerMissed(Machine machine, SteadyTime now) {
     machine.health().reachability().answerMissed(now, this::areOthersReachable);
     if (machine.health().reachability().unreachable()) {
@@ -35,7 +34,7 @@
     }
   }
 
-  /** The worker's epoch has ended although its lease was renewed by answers. */
+  /** Records that the worker's epoch ended although responses had renewed its lease. */
   void leaseLapsed(Machine machine, SteadyTime now) {
     machine.health().reachability().leaseLapsed(now, this::areOthersReachable);
   }
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -12,13 +12,12 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Evicts the tasks of a spot machine that the cloud is about to reclaim: replicas of services are
- * started elsewhere, and tasks that can save a checkpoint do so. Guarded by the controller's lock.
+ * Evicts the tasks of a spot machine that the cloud is about to reclaim: service replicas are stopped so that they can be started elsewhere, and tasks with checkpoints save one and stop. Guarded by the controller's lock.
  */
 final class ReclaimNoticeHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReclaimNoticeHandler.class);
 
-  /** Seconds that a task may take to stop beyond the time in which it saves its checkpoint. */
+  /** Time in seconds for a task to stop, in addition to the time for saving its checkpoint. */
   private static final double CHECKPOINT_SLACK_S = 1;
 
   private final Ledger ledger;
@@ -29,14 +28,14 @@
     this.attempts = attempts;
   }
 
-  /** Handles the notice that a status carries, if it carries the first one. */
+  /** Handles a reclaim notice in a status report, unless the machine has already had one. */
   void handle(Machine machine, Heartbeat status, SteadyTime now) {
     if (status.reclaimNoticeS().isEmpty() || machine.cloud().isReclaimed()) {
       return;
     }
     double noticeS = status.reclaimNoticeS().getAsDouble();
     machine.cloud().reclaimAt(now.plusSeconds(noticeS));
-    LOG.info("machine {}: spot reclaim notice, {} s left", machine.id(), noticeS);
+    LOG.info("machine {}: spot reclaim notice, {} s remaining", machine.id(), noticeS);
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       evict(attempt);
     }
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -14,18 +14,14 @@
 import org.ternhinge.term.LeadershipExecutor;
 
 /**
- * Reads the ends of dependencies that the ledger does not hold: they ended before this leadership,
- * or too long ago to be remembered. Each is read once however many jobs depend on it, and only a
- * few at a time, so that a failover with many dependent jobs leaves the key-value store's rate to
- * urgent writes. Guarded by the controller's lock.
+ * Reads the final states of dependencies that are not in the ledger because they ended before this leadership, or so long ago that the ledger has dropped them. Each is read once, regardless of how many jobs depend on it. Concurrent reads are limited, so that after a failover with many dependent jobs the key-value store's request rate remains available for urgent writes. Guarded by the controller's lock.
  */
 final class DependencyResolver {
-  /** Reads that may run at once. */
+  /** Maximum number of concurrent reads. */
   private static final int MAX_READS = 8;
 
   /**
-   * Seconds until a job without an end is tried again: it has just been accepted by another node,
-   * and the watch will bring it.
+   * Seconds until the final state of a job is read again if none is stored: the job has just been accepted by another node, and the watch will report it.
    */
   private static final double RETRY_S = 0.5;
 
@@ -37,9 +33,9 @@
   private int runningReads;
 
   /**
-   * Creates a resolver that has read nothing yet.
+   * Creates a resolver with no reads in progress.
    *
-   * @param onResolved runs after the end of a job has become known
+   * @param onResolved runs after each resolved dependency
    */
   DependencyResolver(LeadershipContext context, Runnable onResolved) {
     this.store = context.services().store();
@@ -49,7 +45,7 @@
     this.onResolved = onResolved;
   }
 
-  /** Begins to read what is not known; called whenever jobs may have been added. */
+  /** Starts reads for unresolved dependencies. Called whenever jobs may have been added. */
   void pump() {
     while (runningReads < MAX_READS) {
       Optional<JobId> unresolved = dependencies.pollUnresolved();
@@ -59,11 +55,11 @@
       JobId id = unresolved.get();
       runningReads++;
       executor.whenAnswered(
-          store.get(Keys.end(id), RequestPriority.ENDING), outcome -> answered(id, outcome));
+          store.get(Keys.end(id), RequestPriority.ENDING), outcome -> handleReadResult(id, outcome));
     }
   }
 
-  private void answered(JobId id, Outcome<KeyValueStore.ReadResult> outcome) {
+  private void handleReadResult(JobId id, Outcome<KeyValueStore.ReadResult> outcome) {
     Optional<Entry> end =
         outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read
             ? read.value().entry()
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -13,8 +13,7 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Admits newly accepted jobs to the ledger, whether this node or another one has accepted them. A
- * job is admitted once, however often its record is seen. Guarded by the controller's lock.
+ * Adds newly accepted jobs to the ledger, whether they were accepted by this node or by another. A job is added only once, even if its record is seen repeatedly. Guarded by the controller's lock.
  */
 final class JobAdmission {
   private static final Logger LOG = LoggerFactory.getLogger(JobAdmission.class);
@@ -25,7 +24,7 @@
   private final ArrivalRates arrivalRates;
   private final DependencyResolver dependencyResolver;
 
-  /** The revision that the ledger was recovered at. */
+  /** The revision at which the ledger was recovered. */
   private Revision recoveredAt;
 
   JobAdmission(
@@ -40,20 +39,18 @@
     this.dependencyResolver = dependencyResolver;
   }
 
-  /** The ledger holds every job as of this revision; from here on jobs may be admitted. */
+  /** The ledger contains all jobs as of this revision; later jobs may now be admitted. */
   void recovered(Revision revision) {
     recoveredAt = revision;
   }
 
-  /** Whether the ledger holds this job or remembers its end. */
+  /** Whether the ledger contains the job or its final state. */
   boolean isKnown(JobId id) {
     return ledger.job(id) != null || ledger.findEnd(id).isPresent();
   }
 
   /**
-   * Admits a job whose record was just created, here or by another node. A record from before the
-   * recovery was part of it, or the job had ended by then: the answer to the write of its record
-   * may come late, and must not bring an ended job back.
+   * Admits a job whose record was created by this node or another. Records created before the recovery are ignored: the job was either recovered or had already ended. The response to the write of a record may be delayed, and an ended job must not be added again.
    */
   void admit(Job job, Revision created) {
     JobId id = job.spec().id();
@@ -62,7 +59,7 @@
     }
     SteadyTime now = context.services().clock().now();
     ledger.add(job);
-    LOG.debug("accepted {} of {}", id, job.spec().jobClass());
+    LOG.debug("admitted job {} of class {}", id, job.spec().jobClass());
     arrivalRates.recordArrival(job.spec(), now);
     refreshRaisedPriorities(now);
     dependencyResolver.pump();
@@ -70,7 +67,7 @@
     context.rounds().requestRound();
   }
 
-  /** Dependencies of the new job may have inherited its priority. */
+  /** Refreshes the machines of dependencies that have inherited the priority of the new job. */
   private void refreshRaisedPriorities(SteadyTime now) {
     for (Job raised : ledger.dependencies().drainRaised()) {
       for (Attempt attempt : raised.openAttempts()) {
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -19,16 +19,15 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Watches the key-value store for the records of jobs that other nodes accept, and has them
- * admitted. Guarded by the controller's lock.
+ * Watches the key-value store for records of jobs accepted by other nodes, and admits these jobs. Guarded by the controller's lock.
  */
 final class JobWatch {
   private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
 
-  /** Seconds that the key-value store may delay the answer to a watch while nothing changes. */
+  /** Long-poll timeout in seconds: how long the key-value store waits for changes. */
   private static final double WATCH_S = 20;
 
-  /** Seconds until a watch request that failed is made again. */
+  /** Delay in seconds before a failed watch request is retried. */
   private static final double RETRY_S = 0.3;
 
   private final KeyValueStore store;
@@ -48,22 +47,22 @@
     this.admission = admission;
   }
 
-  /** Watches all changes after a revision, until the leadership ends. */
+  /** Watches for changes after a revision until the leadership ends. */
   void start(Revision after) {
     watchedTo = after;
     watch();
   }
 
   private void watch() {
-    executor.whenAnswered(store.watch(Keys.JOBS, watchedTo, WATCH_S), this::answered);
+    executor.whenAnswered(store.watch(Keys.JOBS, watchedTo, WATCH_S), this::handleWatchResult);
   }
 
-  private void answered(Outcome<KeyValueStore.WatchResult> outcome) {
+  private void handleWatchResult(Outcome<KeyValueStore.WatchResult> outcome) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.WatchResult> applied) {
       process(applied.value());
       watch();
     } else if (outcome.isBecause(Reason.TOO_OLD) || outcome.isBecause(Reason.TOO_LARGE)) {
-      // The next leadership's recovery reads all that was missed, page by page.
+      // The recovery of the next leadership reads the missed changes page by page.
       authority.lost(new LeadershipLoss.WatchFellBehind());
     } else {
       executor.later(RETRY_S, this::watch);
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -26,10 +26,7 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * One leadership, from election to its end: creates the components that schedule, starts them once
- * the ledger has been recovered, and stops them. All its state ends with it, and the next
- * leadership starts from the key-value store, so nothing is kept that another leader may have
- * changed in between. All methods run under the controller's lock.
+ * One term of leadership, from the election to its end: creates the scheduling components, starts them after the ledger has been recovered, and stops them. No state outlives the leadership: the next one recovers from the key-value store, since another leader may have changed anything in between. All methods must be called under the controller's lock.
  */
 public final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -43,17 +40,17 @@
   private final PlanningComponents planning;
   private final PeriodicChecks periodicChecks;
   private final DependencyResolver dependencyResolver;
-  private final Cancellations cancellations;
+  private final Cancellations jobCanceller;
   private final JobAdmission admission;
   private final JobWatch jobWatch;
   private final LeadershipRecovery recovery;
   private final RecoveryGate recoveryGate = new RecoveryGate();
 
   /**
-   * Creates a leadership that has not recovered anything yet.
+   * Creates a leadership; {@link #start} begins the recovery.
    *
-   * @param authority the term that this leadership acts under
-   * @param knownTypes the machine types that the node has loaded already
+   * @param authority the authority for the term of this leadership
+   * @param knownTypes the machine types that the node has already loaded
    */
   public Leadership(
       ControllerServices services, Authority authority, Collection<MachineType> knownTypes) {
@@ -66,7 +63,7 @@
     planning = new PlanningComponents(context, fleet, workers, scaling);
     periodicChecks = new PeriodicChecks(context, fleet, workers, scaling, planning);
     dependencyResolver = new DependencyResolver(context, this::dependencyResolved);
-    cancellations = new Cancellations(ledger, workers.attempts, writer);
+    jobCanceller = new Cancellations(ledger, workers.attempts, writer);
     admission =
         new JobAdmission(context, fleet.machines, planning.arrivalRates, dependencyResolver);
     jobWatch = new JobWatch(context, admission);
@@ -97,9 +94,9 @@
         clock.now());
   }
 
-  // ---- life cycle -----------------------------------------------------------------------------
+  // ---- lifecycle ------------------------------------------------------------------------------
 
-  /** Recovers what earlier leaderships recorded, and then schedules until it is stopped. */
+  /** Recovers the recorded state of earlier leaderships, then schedules until it is stopped. */
   public void start() {
     recovery.start(this::recovered);
   }
@@ -110,7 +107,7 @@
     Clock clock = context.services().clock();
     context.services().metrics().failover(clock.now().secondsSince(context.electedAt()));
     LOG.info(
-        "term {}: {} jobs, {} machines in use",
+        "leadership recovered in term {}: {} jobs, {} machines in use",
         context.authority().term(),
         ledger.jobs().size(),
         fleet.machines.all().size());
@@ -124,42 +121,42 @@
     periodicChecks.start();
   }
 
-  /** The leadership is over: none of its components acts any more. */
+  /** Ends the leadership and stops all of its components. */
   public void stop() {
     context.executor().stop();
     writer.stop();
     recoveryGate.abandon();
   }
 
-  /** Whether the ledger has been recovered, without which nothing may be answered. */
+  /** Whether the ledger has been recovered; no request may be answered before that. */
   public boolean ready() {
     return recoveryGate.isOpen();
   }
 
-  /** Runs an action once the ledger is recovered, or when this leadership has ended before. */
+  /** Runs an action when the ledger has been recovered or the leadership ends before that. */
   public void whenReady(Runnable action) {
     recoveryGate.runLater(action);
   }
 
-  /** The term that this leadership acts under. */
+  /** Returns the authority for the term of this leadership. */
   public Authority authority() {
     return context.authority();
   }
 
-  // ---- events of components -------------------------------------------------------------------
+  // ---- component events -----------------------------------------------------------------------
 
   private void requestRound() {
     planning.rounds.requestRound();
   }
 
-  /** A compare-and-swap has been applied: continues what had to be durable before. */
+  /** Called after each applied compare-and-swap; continues actions that required durability. */
   private void ledgerWritten(List<Attempt> opened) {
-    cancellations.answerDurable();
+    jobCanceller.answerDurable();
     requestRoundForReadyJobs();
     workers.attempts.startDurable(opened);
   }
 
-  /** The end of a job that others depend on has become known. */
+  /** Called when the final state of a dependency has been read. */
   private void dependencyResolved() {
     requestRoundForReadyJobs();
     writer.pump();
@@ -171,16 +168,16 @@
     }
   }
 
-  // ---- requests of the node -------------------------------------------------------------------
+  // ---- node requests --------------------------------------------------------------------------
 
-  /** Adds machine types that the node has loaded. */
+  /** Adds machine types that the node has loaded since the election. */
   public void addMachineTypes(List<MachineType> types) {
     fleet.machineTypes.learn(types);
     requestRound();
   }
 
   /**
-   * Admits a job that this node has accepted.
+   * Admits a job accepted by this node.
    *
    * @param created the revision at which the job's record was created
    */
@@ -188,14 +185,13 @@
     admission.admit(job, created);
   }
 
-  /** The job of this id, if the ledger holds it. */
+  /** Returns the job with this id if the ledger contains it. */
   public Optional<Job> job(JobId id) {
     return Optional.ofNullable(ledger.job(id));
   }
 
   /**
-   * The state of a job, or nothing where only the key-value store has it: a write whose answer is
-   * outstanding may be applied already, and another node may have answered a user accordingly.
+   * Returns the state of a job, or empty if only the key-value store has the current state: a write without a response so far may have been applied already, and another node may have reported its result to a user.
    */
   public Optional<JobState> stateOf(JobId id) {
     Job job = ledger.job(id);
@@ -203,24 +199,23 @@
   }
 
   /**
-   * Cancels a job that this ledger holds.
+   * Cancels a job of this ledger.
    *
-   * @param listener gets the state once the cancellation is durable in the key-value store
+   * @param listener receives the state once the cancellation is durable in the key-value store
    */
   public void cancel(Job job, Consumer<JobState> listener) {
-    cancellations.cancel(job, listener);
+    jobCanceller.cancel(job, listener);
   }
 
-  /** Whether a worker's lease may be renewed while no commands may be given. */
+  /** Whether a worker's lease may be renewed while no commands may be sent. */
   public boolean mayKeepAlive(Heartbeat heartbeat) {
     return workers.leaseMonitor.mayRenewWithoutCommands(heartbeat);
   }
 
   /**
-   * Processes a heartbeat and returns the commands for the worker; empty where the heartbeat must
-   * not be answered.
+   * Processes a heartbeat and returns the commands for the worker, or empty if no response may be sent.
    *
-   * @param mayCommand whether commands may be given, which needs a leadership that certainly holds
+   * @param mayCommand whether commands may be sent, which requires a valid leadership
    */
   public Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
     return workers.heartbeats.process(heartbeat, mayCommand)
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -15,9 +15,7 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Restores what earlier leaderships recorded: their jobs with all open attempts, the provision
- * requests and releases whose outcome is not known, and the stops that cancelled jobs still need.
- * Nothing may be decided before, for a double start or a lost stop would follow. Guarded by the
+ * Restores the recorded state of earlier leaderships: jobs with their open attempts, provision requests and releases with unknown outcome, and pending stops of cancelled jobs. No scheduling decision may be made before that, since tasks could be started twice or stops be lost. Guarded by the
  * controller's lock.
  */
 final class LeadershipRecovery {
@@ -34,10 +32,9 @@
   }
 
   /**
-   * Reads the records, and retries until it has them all.
+   * Loads all records, with retries.
    *
-   * @param onRecovered gets, under the lock, the revision that the ledger was loaded at; not called
-   *     once the leadership is over
+   * @param onRecovered receives the revision at which the ledger was loaded; called under the lock, and not after the leadership has ended
    */
   void start(Consumer<Revision> onRecovered) {
     ControllerServices services = context.services();
@@ -69,7 +66,7 @@
     fleet.failures.jobBackoff().recover(loaded.jobs(), now);
   }
 
-  /** An earlier leader may have ended before it had stopped all tasks of a cancelled job. */
+  /** Stops the attempts of cancelled jobs that an earlier leader may not have stopped. */
   private void stopCancelledJobs(SteadyTime now) {
     for (Job job : ledger.jobs()) {
       if (job.cancelled()) {
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -4,8 +4,7 @@
 import org.ternhinge.election.Election;
 
 /**
- * Which node leads, as far as this node knows, and this node's own leadership while it has one. All
- * methods run under the controller's lock.
+ * The current leader as known to this node, and this node's own leadership if it has one. All methods must be called under the controller's lock.
  */
 public final class LeadershipRole {
   private final String node;
@@ -13,7 +12,7 @@
   private Optional<Leadership> leadership = Optional.empty();
 
   /**
-   * Creates the role of a node that does not lead.
+   * Creates the role of a node that is not the leader.
    *
    * @param node the name of this node
    */
@@ -22,54 +21,52 @@
     this.election = election;
   }
 
-  /** This node has been elected and leads with this leadership. */
+  /** Called when this node has been elected. */
   public void begin(Leadership elected) {
     leadership = Optional.of(elected);
   }
 
-  /** This node no longer leads; its leadership is stopped. */
+  /** Called when this node is no longer the leader. Stops its leadership. */
   public void end() {
     Optional<Leadership> ended = leadership;
     leadership = Optional.empty();
     ended.ifPresent(Leadership::stop);
   }
 
-  /** This node's leadership, also while it still recovers the ledger or is no longer valid. */
+  /** Returns this node's leadership, even if it is still recovering or no longer valid. */
   public Optional<Leadership> held() {
     return leadership;
   }
 
-  /** This node's leadership once it has recovered the ledger, valid or not. */
+  /** Returns this node's leadership if it has recovered the ledger, even if no longer valid. */
   public Optional<Leadership> ready() {
     return held().filter(Leadership::ready);
   }
 
-  /** This node's leadership while it certainly holds, so that it may answer from memory. */
+  /** Returns this node's leadership if it is recovered and valid and may answer from memory. */
   public Optional<Leadership> valid() {
     return ready().filter(any -> election.valid());
   }
 
   /**
-   * Whether heartbeats may be answered: the leadership is valid, or has been so recently that no
-   * other leader acts yet.
+   * Whether heartbeats may be answered: the leadership is valid, or was valid so recently that no other leader can be active yet.
    */
   public boolean mayAnswerWorkers() {
     return election.mayAnswer();
   }
 
-  /** Whether this node's leadership certainly holds. */
+  /** Whether this node is the leader and its leadership is valid. */
   public boolean isValid() {
     return election.valid();
   }
 
-  /** The leader, where it is another node. */
+  /** Returns the name of the leader if it is another node. */
   public Optional<String> otherLeader() {
     return election.leaderNode().filter(leader -> !leader.equals(node));
   }
 
   /**
-   * Another node that leads and supports jobs with dependencies; a version that does not would
-   * accept a job without them.
+   * Returns the name of the leader if it is another node that supports jobs with dependencies. An older version would accept such a job but ignore its dependencies.
    */
   public Optional<String> otherLeaderWithDependencies() {
     return otherLeader().filter(leader -> election.leaderKnowsDependencies());
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -17,8 +17,7 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * What a leadership knows of machines: those that exist, those that are being provisioned, their
- * types, the health of machines and zones. Depends on no other group of components.
+ * The components that track machines: existing machines, provisioning requests, machine types, and the health of machines and zones. Depends on no other group of components.
  */
 final class MachineComponents {
   final MachineRegistry machines;
@@ -31,9 +30,9 @@
   final ScaleOutOptions scaleOutOptions;
 
   /**
-   * Creates the components without any machine.
+   * Creates the components with no machines.
    *
-   * @param knownTypes the machine types that the node has loaded before the election
+   * @param knownTypes the machine types that the node loaded before the election
    */
   MachineComponents(LeadershipContext context, Collection<MachineType> knownTypes) {
     Settings settings = context.services().settings();
@@ -53,8 +52,7 @@
   }
 
   /**
-   * When the lease of a machine has expired at the latest from which this leadership has received
-   * no heartbeat. An earlier leader may have answered heartbeats for the grace that it was allowed.
+   * Returns the latest possible lease expiry of a machine that has sent no heartbeat to this leader. An earlier leader may have renewed leases until the end of its grace period.
    */
   private static SteadyTime initialLeaseEnd(
       Settings settings, Tuning tuning, SteadyTime electedAt) {
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -5,11 +5,10 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * The timers of a leadership: checks of leases, machines and zones, and scheduling rounds that no
- * event has requested. They end with the leadership. Guarded by the controller's lock.
+ * Runs the timers of a leadership: checks of leases, machines and zones, and periodic scheduling rounds. The timers end with the leadership. Guarded by the controller's lock.
  */
 final class PeriodicChecks {
-  /** Seconds between two checks of leases and reservations; short against a worker's lease. */
+  /** Interval in seconds between lease and reservation checks; short relative to a worker lease. */
   private static final double LEASE_CHECK_S = 0.5;
 
   private final LeadershipContext context;
@@ -33,7 +32,7 @@
     this.planning = planning;
   }
 
-  /** Runs each check once, and then at its interval. */
+  /** Runs each check now and then at its interval. */
   void start() {
     checkLeases();
     checkRound();
@@ -49,7 +48,7 @@
     context.executor().later(LEASE_CHECK_S, this::checkLeases);
   }
 
-  /** Reservations and waiting times change without an event, so rounds also run by a timer. */
+  /** Requests a periodic round, since reservations and waiting times change without events. */
   private void checkRound() {
     planning.rounds.requestRound();
     planning.fleetLog.logIfDue();
--- a/src/main/java/org/ternhinge/leadership/PlanningComponents.java
+++ b/src/main/java/org/ternhinge/leadership/PlanningComponents.java
@@ -8,7 +8,7 @@
 import org.ternhinge.round.SnapshotBuilder;
 import org.ternhinge.term.LeadershipContext;
 
-/** The components that decide which task starts on which machine. */
+/** The components that decide which tasks to start on which machines. */
 final class PlanningComponents {
   final ArrivalRates arrivalRates;
   final SchedulingRounds rounds;
--- a/src/main/java/org/ternhinge/leadership/RecoveryGate.java
+++ b/src/main/java/org/ternhinge/leadership/RecoveryGate.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Delays requests until the ledger has been recovered. Guarded by the controller's lock. */
+/** Defers actions until the ledger has been recovered. Guarded by the controller's lock. */
 final class RecoveryGate {
-  private final List<Runnable> delayed = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
   private boolean open;
 
   /** Whether the ledger has been recovered. */
@@ -13,25 +13,25 @@
     return open;
   }
 
-  /** Runs an action when the gate opens, or when the leadership ends before that. */
+  /** Runs an action when the gate opens or the leadership ends, whichever is first. */
   void runLater(Runnable action) {
-    delayed.add(action);
+    deferred.add(action);
   }
 
-  /** The ledger has been recovered: runs the delayed actions. */
+  /** Opens the gate after the recovery and runs the deferred actions. */
   void open() {
     open = true;
-    runDelayed();
+    runDeferred();
   }
 
-  /** The leadership is over: runs the delayed actions, which find it ended. */
+  /** Runs the deferred actions after the end of the leadership; the gate stays closed. */
   void abandon() {
-    runDelayed();
+    runDeferred();
   }
 
-  private void runDelayed() {
-    List<Runnable> actions = List.copyOf(delayed);
-    delayed.clear();
+  private void runDeferred() {
+    List<Runnable> actions = List.copyOf(deferred);
+    deferred.clear();
     actions.forEach(Runnable::run);
   }
 }
--- a/src/main/java/org/ternhinge/leadership/ScalingComponents.java
+++ b/src/main/java/org/ternhinge/leadership/ScalingComponents.java
@@ -8,7 +8,7 @@
 import org.ternhinge.scaling.UnusableMachineCheck;
 import org.ternhinge.term.LeadershipContext;
 
-/** The components that list the cloud's machines and release those that are not needed. */
+/** The components that list the cloud's machines and release unneeded and unusable ones. */
 final class ScalingComponents {
   final MachineReleaser releaser;
   final MachineInventory inventory;
--- a/src/main/java/org/ternhinge/leadership/WorkerComponents.java
+++ b/src/main/java/org/ternhinge/leadership/WorkerComponents.java
@@ -17,8 +17,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * The components that talk with workers: commands to them, their heartbeats and leases, and the
- * attempts that follow from both.
+ * The components that communicate with workers: commands, heartbeats, leases, and the task attempts that depend on them.
  */
 final class WorkerComponents {
   final CommandDispatcher dispatcher;
@@ -48,7 +47,7 @@
       MachineComponents fleet,
       AttemptLifecycle attempts,
       ReachabilityMonitor reachability) {
-    AttemptObserver observer =
+    AttemptObserver attemptUpdater =
         new AttemptObserver(
             attempts,
             context.ledger(),
@@ -59,14 +58,13 @@
         context,
         reachability,
         fleet.reportedTaskCounts,
-        observer,
+        attemptUpdater,
         attempts,
         new FirstHeartbeatHandler(context, fleet.provisioner, fleet.bootTimes));
   }
 
   /**
-   * Applies the status in a worker's response to commands. The dispatcher needs this receiver
-   * before the updater of agent states can be created, which depends on the dispatcher.
+   * Applies the status report in a command response. The dispatcher needs a sink when it is created, but the status updater depends on the dispatcher and is created later.
    */
   private AgentStatusSink.Result applyStatus(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
 
-/** Which open attempts a status closes by not showing them. */
+/** Tests which open attempts are closed when a status report does not contain them. */
 class AbsentAttemptReconcilerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final AbsentAttemptReconciler reconciler = reconciler(fixture);
@@ -30,22 +30,22 @@
     return new AbsentAttemptReconciler(fixture.attempts, fixture.authority, fixture.ledger);
   }
 
-  /** The start was carried by the answer to heartbeat 3, or by none where that is -1. */
+  /** The start was in the response to heartbeat {@code startAnswered}, or in none if -1. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "shown before,                      RUNNING,  false, false, -1, HEARTBEAT,        9, true,  NONE",
-    "shown before in a response,        RUNNING,  false, true,  -1, COMMAND_RESPONSE, 9, true,  NONE",
+    "reported before,                   RUNNING,  false, false, -1, HEARTBEAT,        9, true,  NONE",
+    "reported before in a response,     RUNNING,  false, true,  -1, COMMAND_RESPONSE, 9, true,  NONE",
     "start outstanding,                 STARTING, false, true,  -1, HEARTBEAT,        9, false, NONE",
-    "start neither sent nor answered,   STARTING, false, false, -1, HEARTBEAT,        9, false, NONE",
-    "answer with start not settled,     STARTING, false, false,  3, HEARTBEAT,        3, false, NONE",
-    "answer with start missed,          STARTING, false, false,  3, HEARTBEAT,        4, false, ANSWER_MISSED",
-    "response after answer with start,  STARTING, false, false,  3, COMMAND_RESPONSE, 4, false, NONE",
+    "start not sent,                    STARTING, false, false, -1, HEARTBEAT,        9, false, NONE",
+    "response with start not settled,   STARTING, false, false,  3, HEARTBEAT,        3, false, NONE",
+    "response with start missed,        STARTING, false, false,  3, HEARTBEAT,        4, false, ANSWER_MISSED",
+    "later command response,            STARTING, false, false,  3, COMMAND_RESPONSE, 4, false, NONE",
     "stopped; start outstanding,        STARTING, true,  true,  -1, HEARTBEAT,        9, false, NONE",
     "stopped; no start outstanding,     STARTING, true,  false, -1, HEARTBEAT,        9, true,  NONE",
-    "stopped; answer not settled,       STARTING, true,  false,  3, HEARTBEAT,        3, false, NONE",
-    "stopped; answer settled,           STARTING, true,  false,  3, HEARTBEAT,        4, true,  NONE",
-    "stopped; response after answer,    STARTING, true,  false,  3, COMMAND_RESPONSE, 4, false, NONE",
-    "stopped; both,                     STARTING, true,  true,   3, HEARTBEAT,        4, false, NONE"
+    "stopped; response not settled,     STARTING, true,  false,  3, HEARTBEAT,        3, false, NONE",
+    "stopped; response settled,         STARTING, true,  false,  3, HEARTBEAT,        4, true,  NONE",
+    "stopped; later command response,   STARTING, true,  false,  3, COMMAND_RESPONSE, 4, false, NONE",
+    "stopped; settled but outstanding,  STARTING, true,  true,   3, HEARTBEAT,        4, false, NONE"
   })
   void anAttemptIsClosedOnceNoStartCanArrive(
       String name,
@@ -75,7 +75,7 @@
     assertEquals(closed ? null : attempt, job.open(0));
   }
 
-  /** Its start is sent only after this, so no status proves that it is over. */
+  /** The start of such an attempt has yet to be sent, so no report proves that it has ended. */
   @Test
   void anAttemptThatIsNotDurableStaysOpen() {
     fixture.store.pauseWrites();
@@ -106,8 +106,8 @@
     assertEquals(attempt, job.open(0));
   }
 
-  /** Starts of an earlier leader are refused only by a worker that has seen this term. */
-  @ParameterizedTest(name = "worker shows term {0}")
+  /** Only a worker that has seen this term rejects start commands of an earlier leader. */
+  @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"0, false", "1, true"})
   void anEarlierLeadersAttemptIsClosedOnceTheWorkerHasSeenThisTerm(long token, boolean closed)
       throws WireException {
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -13,13 +13,13 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
 
-/** Opening, stopping and closing of attempts. */
+/** Tests starting, stopping and closing of attempts. */
 class AttemptLifecycleTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Machine machine = fixture.machine("n-1");
   private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
 
-  /** A start that went out before its record could run without any leader knowing of it. */
+  /** If a start was sent before the write, the next leader might not know of the running task. */
   @Test
   void aStartGoesOutOnceTheStoreHoldsTheAttempt() {
     fixture.store.pauseWrites();
@@ -33,7 +33,7 @@
     assertEquals(attempt.number(), fixture.sent.get(0).attempt());
   }
 
-  /** An attempt that was stopped while its record was being written is never started. */
+  /** An attempt that was stopped while its record was being written must not be started. */
   @Test
   void anAttemptUnwantedByThenIsClosedInstead() {
     fixture.store.pauseWrites();
@@ -45,7 +45,7 @@
     assertNull(job.open(0));
   }
 
-  /** A later stop may only shorten the time that an earlier one left. */
+  /** A later stop may only shorten the grace period of an earlier one. */
   @ParameterizedTest(name = "{0} s, then {1} s")
   @CsvSource({"5, 9, 5", "5, 5, 5", "5, 2, 2", "5, 0, 0"})
   void theShortestGraceStands(double first, double second, double expected) {
@@ -55,7 +55,7 @@
     assertEquals(expected, attempt.stopGraceS());
   }
 
-  /** Closing twice must not close the attempt that came after. */
+  /** Closing an attempt twice must not close the next attempt of the same task. */
   @Test
   void aClosedAttemptIsNotClosedAgain() {
     Attempt first = fixture.open(job, 0, machine);
@@ -67,7 +67,7 @@
     assertEquals(1, fixture.roundsRequested);
   }
 
-  /** A machine counts as idle from the end of its last attempt. */
+  /** A machine is idle from the time when its last attempt was closed. */
   @Test
   void theLastAttemptsEndMakesAMachineIdle() {
     Attempt first = fixture.open(job, 0, machine);
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -17,25 +17,25 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobState;
 
-/** When a cancellation is answered, and what becomes of the attempts of its job. */
+/** Tests when a cancellation is confirmed and how the attempts of the job are stopped. */
 class CancellationsTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final Cancellations cancellations =
+  private final Cancellations jobCanceller =
       new Cancellations(fixture.ledger, fixture.attempts, fixture.writer);
   private final Machine machine = fixture.machine("n-1");
   private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
   private final List<JobState.Phase> answers = new ArrayList<>();
 
   CancellationsTest() {
-    fixture.onWritten = cancellations::answerDurable;
+    fixture.onWritten = jobCanceller::answerDurable;
   }
 
-  /** An answer before the write could be contradicted by the next leader. */
+  /** If a cancellation was confirmed before the write, the next leader might run the job. */
   @Test
   void requestsAreAnsweredOnceTheCancellationIsDurable() {
     fixture.store.pauseWrites();
-    cancellations.cancel(job, state -> answers.add(state.phase()));
-    cancellations.cancel(job, state -> answers.add(state.phase()));
+    jobCanceller.cancel(job, state -> answers.add(state.phase()));
+    jobCanceller.cancel(job, state -> answers.add(state.phase()));
     fixture.clock.runFor(5);
     assertEquals(List.of(), answers);
     fixture.store.resume();
@@ -44,10 +44,9 @@
   }
 
   /**
-   * An attempt whose start was never sent is closed at once; one whose start may be in flight stays
-   * open until there is proof that it is over; one that runs is stopped.
+   * An attempt whose start was never sent is closed immediately. One whose start may be in flight stays open until there is evidence that it has ended. A running one is stopped.
    */
-  @ParameterizedTest(name = "written {0}, seen {1}")
+  @ParameterizedTest(name = "durable {0}, reported {1}")
   @CsvSource({"false, STARTING, false, 0", "true, STARTING, true, 0", "true, RUNNING, true, 1"})
   void itsAttemptsAreStopped(boolean written, AttemptState seen, boolean open, int stops) {
     if (!written) {
@@ -59,7 +58,7 @@
     }
     machine.outbox().markLanded();
     fixture.sent.clear();
-    cancellations.cancel(job, state -> {});
+    jobCanceller.cancel(job, state -> {});
     assertTrue(attempt.stopping());
     assertEquals(open, job.open(0) == attempt);
     long sentStops = fixture.sent.stream().filter(c -> c.op() == Command.Op.STOP).count();
--- a/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.wire.EndReason;
 
-/** The evidence that closes an attempt, and its words in the log. */
+/** Tests the evidence that closes an attempt and its log texts. */
 class ClosingEvidenceTest {
   @ParameterizedTest
   @EnumSource(EndReason.class)
@@ -26,14 +26,14 @@
   @ParameterizedTest
   @CsvSource({
     "MACHINE_FAILED, machine failed",
-    "MACHINE_NOT_LISTED, machine taken",
-    "MACHINE_GONE, machine gone",
-    "LEASE_EXPIRED, lease over",
-    "EPOCH_ENDED, agent epoch over",
-    "ABSENT_AFTER_FAILOVER, never arrived or is gone",
-    "VANISHED, vanished",
-    "STOPPED_BEFORE_START, stopped before it started",
-    "NEVER_SENT, never sent"
+    "MACHINE_NOT_LISTED, machine not listed",
+    "MACHINE_GONE, machine removed",
+    "LEASE_EXPIRED, lease expired",
+    "EPOCH_ENDED, agent epoch ended",
+    "ABSENT_AFTER_FAILOVER, not reported after failover",
+    "VANISHED, no longer reported",
+    "STOPPED_BEFORE_START, stopped before start",
+    "NEVER_SENT, start never sent"
   })
   void otherEvidenceIsLoggedInWords(ClosingEvidence evidence, String text) {
     assertEquals(text, evidence.text());
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -23,7 +23,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
 
-/** Direct commands to workers: when they are sent, which ones, and what their outcomes mean. */
+/** Tests when direct commands are sent, which ones, and how their outcomes are handled. */
 class CommandDispatcherTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Machine machine = fixture.machine("n-1");
@@ -41,7 +41,7 @@
     return machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
   }
 
-  /** How many messages are in flight. */
+  /** Limits on messages in flight. */
   @Nested
   class MessagesInFlight {
     @Test
@@ -90,7 +90,7 @@
       assertFalse(isOutstanding(stopped));
     }
 
-    /** The answer to its next heartbeat carries them; a message would occupy a slot in vain. */
+    /** The next heartbeat response contains the commands; a message would only occupy a slot. */
     @Test
     void aSilentWorkerGetsNoDirectCommands() {
       fixture.clock.runFor(5.1);
@@ -107,7 +107,7 @@
     }
   }
 
-  /** What the outcome of a message means. */
+  /** Handling of the outcome of a message. */
   @Nested
   class Outcomes {
     @Test
@@ -120,7 +120,7 @@
       assertEquals(List.of(status), fixture.statuses);
     }
 
-    /** A failed connection is not taken as proof that the message does not arrive. */
+    /** A connection failure does not prove that the message was not delivered. */
     @ParameterizedTest
     @EnumSource(Outcome.Reason.class)
     void aMessageThatCertainlyDidNotArriveSettlesItsStarts(Outcome.Reason reason) {
--- a/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.ListedMachine;
 
-/** Announcements of the term to workers that have not sent a heartbeat. */
+/** Tests announcements of the term to workers that have not sent a heartbeat. */
 class TermAnnouncerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final List<Heartbeat> statuses = new ArrayList<>();
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
 
-/** When a leader raises its own term. */
+/** Tests when a leader raises its own term to fence outstanding starts. */
 class TermFenceTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final TermFence fence =
@@ -23,14 +23,14 @@
   private final Attempt attempt =
       fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
 
-  /** Only a stopped attempt that stays open for an outstanding start alone is worth a raise. */
+  /** Only a stopped attempt that stays open because of an outstanding start requires a raise. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "all conditions,           true,  STARTING,  5,   1, 0, true",
     "not stopping,             false, STARTING,  5,   1, 0, false",
     "stopped just now,        true,  STARTING,  3.9, 1, 0, false",
-    "the worker has shown it, true,  RUNNING, 5,   1, 0, false",
-    "no outstanding start,      true,  STARTING,  5,   0, 0, false",
+    "reported by the worker,   true,  RUNNING,   5,   1, 0, false",
+    "no outstanding start,     true,  STARTING,  5,   0, 0, false",
     "fenced already,          true,  STARTING,  5,   1, 1, false"
   })
   void isNeeded(
@@ -47,7 +47,7 @@
     if (seen.isReported()) {
       attempt.observe(seen, fixture.now());
     }
-    // The fixture has sent the start of the attempt; the case says how many are outstanding.
+    // The fixture has already sent a start; replace it by the number of starts of the test case.
     machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
       machine.outstandingStarts().sent(attempt.task(), attempt.number());
@@ -61,8 +61,8 @@
     assertFalse(fence.isNeededForAny(machine, List.of(), fixture.now()));
   }
 
-  /** Every raise outdates the fencing tokens of all workers, so there are few. */
-  @ParameterizedTest(name = "again after {0} s: term {1}")
+  /** Each raise makes the fencing tokens of all workers outdated, so raises are rate-limited. */
+  @ParameterizedTest(name = "second raise after {0} s: term {1}")
   @CsvSource({"0, 2", "9.9, 2", "10.1, 3"})
   void raisesAreAMinimumIntervalApart(double againAfterS, long term) {
     fence.raise(fixture.now());
@@ -83,8 +83,8 @@
     assertEquals(new Term(2), fixture.authority.term());
   }
 
-  /** A start counts as harmless only once the worker shows the term that was raised for it. */
-  @ParameterizedTest(name = "worker shows term {0}")
+  /** An outstanding start is fenced only once the worker reports the raised term. */
+  @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"1, true", "2, false"})
   void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, boolean outstanding) {
     machine.outstandingStarts().sent(attempt.task(), attempt.number());
--- a/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.Command;
 
-/** The order of the commands in one answer, and how many it carries. */
+/** Tests the order and the maximum number of the commands in one heartbeat response. */
 class CommandListTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Attempt attempt =
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.TaskState;
 
-/** Which commands the answer to a heartbeat carries. */
+/** Tests which commands a heartbeat response contains. */
 class HeartbeatCommandsTest {
   private static final AttemptNumber FIRST = new AttemptNumber(1);
 
@@ -42,7 +42,7 @@
             fixture.heartbeat(machine).showing(unknown, FIRST, TaskState.RUNNING).build()));
   }
 
-  /** Once it is forgotten, a start that arrives late would run it again. */
+  /** After the worker has forgotten the task, a start that arrives late would run it again. */
   @ParameterizedTest(name = "start outstanding: {0}")
   @CsvSource({"false", "true"})
   void anEndedTaskIsForgottenUnlessAStartOfItMayArrive(boolean startOutstanding) {
@@ -81,10 +81,10 @@
     "starting,                        STARTING,      ,   1, START",
     "starting in another epoch,       STARTING,      ,   2, ",
     "running,                         RUNNING,       ,   1, ",
-    "stopped before it was shown,     STARTING,      0,  1, ",
-    "stopped while it runs,           RUNNING,       5,  1, STOP",
-    "stopped while it saves,          CHECKPOINTING, 5,  1, ",
-    "stopped at once while it saves,  CHECKPOINTING, 0,  1, STOP"
+    "stopped before it was reported,  STARTING,      0,  1, ",
+    "stopped while running,           RUNNING,       5,  1, STOP",
+    "stopped while checkpointing,     CHECKPOINTING, 5,  1, ",
+    "checkpointing without grace,     CHECKPOINTING, 0,  1, STOP"
   })
   void anOpenAttemptIsStartedOrStopped(
       String name, AttemptState state, Double stopGraceS, long epoch, Command.Op expected) {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -39,7 +39,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 
-/** The steps of a heartbeat, from the fence check to the commands of its answer. */
+/** Tests heartbeat processing, from the fence check to the commands in the response. */
 class HeartbeatProcessorTest {
   private static final double LEASE_S =
       LeadershipFixture.WORKER_SETTINGS.leaseS() * (1 + Settings.DRIFT) + Tuning.DEFAULT.marginS();
@@ -57,13 +57,13 @@
             fixture.context,
             reachability,
             fixture.reportedTasks(),
-            observer(),
+            attemptUpdater(),
             fixture.attempts,
             firstHeartbeats());
     return new HeartbeatProcessor(fixture.context, fixture.machines, updater, reachability);
   }
 
-  private AttemptObserver observer() {
+  private AttemptObserver attemptUpdater() {
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
     return new AttemptObserver(
         fixture.attempts, fixture.ledger, machineTypes(), failures, new Metrics());
@@ -93,7 +93,7 @@
     return fixture.now().plusSeconds(LEASE_S);
   }
 
-  /** Heartbeats that must not be answered. */
+  /** Heartbeats that get no response, and unknown machines. */
   @Nested
   class FenceCheckAndAdmission {
     @Test
@@ -121,7 +121,7 @@
       assertFalse(machine.agent().wasAnswered());
     }
 
-    /** The worker may be about to come back, so its machine is kept for a lease more. */
+    /** The worker may be about to reconnect, so its machine is kept for another lease. */
     @ParameterizedTest(name = "epoch {0}, ended up to {1}")
     @CsvSource({"0, 0", "1, 1", "1, 2"})
     void anEndedEpochGetsNoAnswerButKeepsTheMachine(long epoch, long lastEnded) {
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Heartbeats that were overtaken. */
+  /** Heartbeats that arrive out of order. */
   @Nested
   class OrderOfMessages {
     @Test
@@ -176,7 +176,7 @@
     }
   }
 
-  /** What a heartbeat tells of its machine. */
+  /** Machine attributes in a heartbeat. */
   @Nested
   class Attributes {
     @Test
@@ -242,7 +242,7 @@
     }
   }
 
-  /** What a heartbeat proves of attempts. */
+  /** Closing of attempts by a heartbeat. */
   @Nested
   class Reconciliation {
     @Test
@@ -268,11 +268,11 @@
     }
   }
 
-  /** Workers that answers do not reach. */
+  /** Detection of workers that do not receive responses. */
   @Nested
   class MissedAnswers {
-    /** An answer carries the term, which the next heartbeat has to show. */
-    @ParameterizedTest(name = "{0} heartbeats that show term {1}")
+    /** A response contains the term, which the next heartbeat must report. */
+    @ParameterizedTest(name = "{0} heartbeats that report term {1}")
     @CsvSource({"3, 0, false", "4, 0, true", "9, 1, false"})
     void threeAnswersInARowWithoutEffectMakeAWorkerUnreachable(
         int heartbeats, long token, boolean unreachable) {
@@ -283,7 +283,7 @@
     }
   }
 
-  /** What an answer does. */
+  /** Effects of a response. */
   @Nested
   class LeaseRenewalAndCommands {
     @Test
@@ -294,7 +294,7 @@
       assertTrue(machine.agent().wasAnsweredIn(fixture.authority.term()));
     }
 
-    @ParameterizedTest(name = "commands permitted: {0}")
+    @ParameterizedTest(name = "may command: {0}")
     @CsvSource({"true, 1", "false, 0"})
     void commandsAreGivenOnlyWherePermitted(boolean mayCommand, int expected) {
       fixture.open(job, 0, machine);
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Expiry of leases, reservations and graces, and leases that may be renewed without commands. */
+/** Tests the expiry of leases, reservations and grace periods, and renewal without commands. */
 class LeaseMonitorTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final ReportedTasks reportedTasks = fixture.reportedTasks();
@@ -44,8 +44,8 @@
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
   }
 
-  /** Room reserved for a job that was placed elsewhere must become available again. */
-  @ParameterizedTest(name = "a reservation for 12 s after {0} s")
+  /** Resources reserved for a job that was placed elsewhere must become available again. */
+  @ParameterizedTest(name = "12 s reservation after {0} s")
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
@@ -57,8 +57,8 @@
     assertEquals(rounds, fixture.roundsRequested);
   }
 
-  /** A worker past its lease has killed its tasks: only then may they start elsewhere. */
-  @ParameterizedTest(name = "{0} s after its last answer")
+  /** A worker with an expired lease has killed its tasks; only then may they start elsewhere. */
+  @ParameterizedTest(name = "{0} s after the last response")
   @CsvSource({"9.9, true", "10.1, false"})
   void attemptsAreClosedWithTheLease(double silentForS, boolean open) {
     Attempt attempt = fixture.open(job, 0, machine);
@@ -70,7 +70,7 @@
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
 
-  /** A delayed heartbeat may show tasks without an attempt; they must not block starts for ever. */
+  /** Tasks without attempt, from a delayed heartbeat, must not block starts indefinitely. */
   @Test
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
@@ -80,7 +80,7 @@
     assertFalse(reportedTasks.isShown(unknown));
   }
 
-  /** Time to save, to learn of the peers' saving, and to report: 3 + 5 + 2 seconds. */
+  /** Time limit: 3 s grace, 5 s until gang peers notice, and 2 s heartbeat interval. */
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
   void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
@@ -93,13 +93,13 @@
     assertEquals(graceS, attempt.stopGraceS());
   }
 
-  /** Where no stop may be sent, the expiry of the lease is what stops a task. */
+  /** While no stop may be sent, a task is stopped only by the expiry of the lease. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "a task that may run,       none,      false, true",
-    "a task that is stopped,    stop,      false, false",
-    "a task that is cancelled,  cancel,    false, false",
-    "a task unknown here,       none,      true,  false"
+    "task may run,              none,      false, true",
+    "task is stopping,          stop,      false, false",
+    "job is cancelled,          cancel,    false, false",
+    "task is unknown,           none,      true,  false"
   })
   void leasesThatMayBeRenewedWithoutCommands(
       String name, String unwanted, boolean unknownTask, boolean mayRenew) {
@@ -115,7 +115,7 @@
     assertEquals(mayRenew, monitor.mayRenewWithoutCommands(heartbeat));
   }
 
-  /** A machine without attempts and tasks is not affected by the expiry of its lease. */
+  /** The lease expiry has no effect on a machine without attempts or reported tasks. */
   @Test
   void anIdleMachineKeepsItsEpoch() {
     fixture.clock.runFor(60);
--- a/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
+++ b/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
@@ -15,7 +15,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Builds the heartbeats of one machine: of its present epoch and without tasks, unless set. */
+/** Builds heartbeats of one machine, by default for its current epoch and without tasks. */
 public final class HeartbeatBuilder {
   private final MachineId machine;
   private AgentEpoch epoch;
@@ -36,13 +36,13 @@
     return this;
   }
 
-  /** Sets the number of the heartbeat in its epoch; 1 unless set. */
+  /** Sets the sequence number of the heartbeat in its epoch; 1 by default. */
   public HeartbeatBuilder sequence(long value) {
     sequence = value;
     return this;
   }
 
-  /** Sets the term that the worker has seen; 1 unless set. */
+  /** Sets the term that the worker has seen; 1 by default. */
   public HeartbeatBuilder fencingToken(long term) {
     fencingToken = new Term(term);
     return this;
@@ -54,30 +54,30 @@
     return this;
   }
 
-  /** Adds a notice that the cloud takes the machine. */
+  /** Adds a notice that the cloud will reclaim the machine in this many seconds. */
   public HeartbeatBuilder reclaimNotice(double seconds) {
     reclaimNoticeS = OptionalDouble.of(seconds);
     return this;
   }
 
-  /** Shows an attempt in a state other than ended. */
+  /** Adds an attempt in a state other than ended. */
   public HeartbeatBuilder showing(Attempt attempt, TaskState state) {
     return showing(attempt.task(), attempt.number(), state);
   }
 
-  /** Shows an attempt, whether or not the ledger holds it, in a state other than ended. */
+  /** Adds a task attempt, known to the ledger or not, in a state other than ended. */
   public HeartbeatBuilder showing(TaskId task, AttemptNumber attempt, TaskState state) {
     tasks.add(new TaskStatus(task, attempt, state, null, false));
     return this;
   }
 
-  /** Shows the end of an attempt, whether or not the ledger holds it. */
+  /** Adds an ended task attempt, known to the ledger or not. */
   public HeartbeatBuilder showingEnd(TaskId task, AttemptNumber attempt, EndReason reason) {
     tasks.add(new TaskStatus(task, attempt, TaskState.ENDED, reason, false));
     return this;
   }
 
-  /** The heartbeat as it is set. */
+  /** Builds the heartbeat. */
   public Heartbeat build() {
     return new Heartbeat(
         machine,
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -49,8 +49,7 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The collaborators of the class under test in one leadership: a real ledger and writer over a
- * {@link PausableStore}, {@link RecordingWorkers}, and a count of the rounds requested.
+ * Collaborators for tests of leadership components: a real ledger and writer on a {@link PausableStore}, {@link RecordingWorkers}, and a counter of requested rounds.
  */
 public final class LeadershipFixture {
   public static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
@@ -73,15 +72,15 @@
   public final CommandDispatcher dispatcher;
   public final AttemptLifecycle attempts;
 
-  /** The statuses in responses to direct commands, the earliest first. */
+  /** The status reports in responses to direct commands, earliest first. */
   public final List<Heartbeat> statuses = new ArrayList<>();
 
   public int roundsRequested;
 
-  /** Runs after each write, before the starts are sent. */
+  /** Runs after each ledger write, before the starts are sent. */
   public Runnable onWritten = () -> {};
 
-  /** Creates the collaborators of a leadership of term 1. */
+  /** Creates the collaborators for a leadership in term 1. */
   public LeadershipFixture() {
     core.compareAndSwap(
         new CompareAndSwap(
@@ -110,7 +109,7 @@
     return AgentStatusSink.Result.APPLIED;
   }
 
-  /** The services of the process, with a cloud. */
+  /** Creates controller services with the given cloud. */
   public ControllerServices services(Cloud cloud) {
     return new ControllerServices(
         settings(teams),
@@ -124,7 +123,7 @@
         new Metrics());
   }
 
-  /** Records under a prefix that hold many small entries each. */
+  /** Creates bucketed records under a key prefix. */
   public BucketedRecords bucketedRecords(String prefix) {
     return new BucketedRecords(writer, prefix, VALUE_BYTES);
   }
@@ -154,7 +153,7 @@
     attempts.startDurable(opened);
   }
 
-  /** A machine that has sent a heartbeat and accepts direct commands. */
+  /** Adds a machine that has sent a heartbeat and accepts direct commands. */
   public Machine machine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
     machine.agent().beginEpoch(new AgentEpoch(1));
@@ -163,7 +162,7 @@
     return machine;
   }
 
-  /** A job that the key-value store and the ledger hold. */
+  /** Adds a job to the key-value store and the ledger. */
   public Job job(ObjectNode json) {
     ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
@@ -178,7 +177,7 @@
     }
   }
 
-  /** Opens an attempt of a job's task on a machine, and hands it to the writer. */
+  /** Opens an attempt of a job's task on a machine and starts writing it. */
   public Attempt open(Job job, int index, Machine machine) {
     MachineAttributes site =
         new MachineAttributes(
@@ -194,17 +193,17 @@
     return job.open(index);
   }
 
-  /** Builds a heartbeat of a machine. */
+  /** Returns a builder for a heartbeat of a machine. */
   public HeartbeatBuilder heartbeat(Machine machine) {
     return new HeartbeatBuilder(machine);
   }
 
-  /** The tasks that machines show. */
+  /** Creates an empty record of reported tasks. */
   public ReportedTasks reportedTasks() {
     return new ReportedTaskCounts();
   }
 
-  /** The time of the simulated clock. */
+  /** Returns the time of the simulated clock. */
   public SteadyTime now() {
     return clock.now();
   }
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -11,7 +11,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.KeyValueStore;
 
-/** A key-value store whose writes and reads of single keys can be paused. */
+/** A key-value store in which writes and single-key reads can be paused. */
 public final class PausableStore extends ForwardingKeyValueStore {
   private final List<Runnable> paused = new ArrayList<>();
   private boolean writesPaused;
@@ -21,17 +21,17 @@
     super(store);
   }
 
-  /** Writes are carried out only once the store is {@linkplain #resume resumed}. */
+  /** Defers writes until the store is {@linkplain #resume resumed}. */
   public void pauseWrites() {
     writesPaused = true;
   }
 
-  /** Reads of single keys are answered only once the store is {@linkplain #resume resumed}. */
+  /** Defers single-key reads until the store is {@linkplain #resume resumed}. */
   public void pauseReads() {
     readsPaused = true;
   }
 
-  /** Carries out what was paused, and pauses nothing from now on. */
+  /** Executes the deferred operations and stops deferring further ones. */
   public void resume() {
     writesPaused = false;
     readsPaused = false;
--- a/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
+++ b/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
@@ -12,9 +12,9 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.worker.Workers;
 
-/** Workers that record the messages sent to them, and respond when the test says so. */
+/** Workers that record the messages sent to them; the test completes the responses. */
 public final class RecordingWorkers implements Workers {
-  /** A message to a worker, which waits for its outcome. */
+  /** A message to a worker, with its outcome, which the test completes. */
   public record Message(
       Endpoint worker,
       Term term,
@@ -22,12 +22,12 @@
       List<Command> commands,
       CompletableFuture<Outcome<Answer>> outcome) {
 
-    /** The worker has carried the commands out. */
+    /** Completes the message with a response that the commands were executed. */
     public void execute(Heartbeat status) {
       outcome.complete(Outcome.applied(new Answer.Executed(status)));
     }
 
-    /** The worker has refused the commands. */
+    /** Completes the message with a response that the commands were refused. */
     public void refuse(Heartbeat status) {
       outcome.complete(Outcome.applied(new Answer.Refused(status)));
     }
@@ -37,9 +37,9 @@
   private final List<Command> commands;
 
   /**
-   * Creates workers that were sent nothing.
+   * Creates workers with no messages.
    *
-   * @param commands receives all commands that are sent, in their order
+   * @param commands list to which all sent commands are appended
    */
   RecordingWorkers(List<Command> commands) {
     this.commands = commands;
@@ -57,12 +57,12 @@
   @Override
   public void forget(Endpoint worker) {}
 
-  /** All messages so far, the earliest first. */
+  /** Returns all messages so far, earliest first. */
   public List<Message> messages() {
     return messages;
   }
 
-  /** The newest message. */
+  /** Returns the latest message. */
   public Message lastMessage() {
     return messages.get(messages.size() - 1);
   }
--- a/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
+++ b/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When requests run that arrive before the recovery of the ledger. */
+/** Tests when actions run that were deferred until the recovery of the ledger. */
 class RecoveryGateTest {
   private final RecoveryGate gate = new RecoveryGate();
   private final List<String> ran = new ArrayList<>();
--- a/src/test/java/org/ternhinge/leadership/TestAuthority.java
+++ b/src/test/java/org/ternhinge/leadership/TestAuthority.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-/** The authority of a leadership that holds. Its loss fails the test unless it is expected. */
+/** A valid authority. Losing the leadership fails the test unless it is expected. */
 public final class TestAuthority implements Authority {
   private Term term = new Term(1);
   private Revision revision;
@@ -46,12 +46,12 @@
     lossReason = loss;
   }
 
-  /** From now on the loss of the leadership is recorded and does not fail the test. */
+  /** Records the loss of the leadership from now on instead of failing the test. */
   public void expectLoss() {
     lossExpected = true;
   }
 
-  /** Why the leadership was lost; empty while it holds. */
+  /** Returns the reason for the loss of the leadership; empty while it is valid. */
   public Optional<LeadershipLoss> lossReason() {
     return Optional.ofNullable(lossReason);
   }
