--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -56,7 +56,7 @@
       MessageOrigin origin,
       long sequence,
       boolean closed,
-      Finding finding) {
+      Finding expectedFinding) {
     Attempt attempt = fixture.open(job, 0, machine);
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
@@ -68,10 +68,10 @@
     if (!startOutstanding) {
       machine.outstandingStarts().settled(attempt.task(), attempt.number());
     }
-    Finding found =
+    Finding finding =
         reconciler.reconcile(
             machine, fixture.heartbeat(machine).sequence(sequence).build(), origin);
-    assertEquals(finding, found);
+    assertEquals(expectedFinding, finding);
     assertEquals(closed ? null : attempt, job.open(0));
   }
 
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -48,13 +48,13 @@
    */
   @ParameterizedTest(name = "durable {0}, reported {1}")
   @CsvSource({"false, STARTING, false, 0", "true, STARTING, true, 0", "true, RUNNING, true, 1"})
-  void itsAttemptsAreStopped(boolean written, AttemptState seen, boolean open, int stops) {
-    if (!written) {
+  void itsAttemptsAreStopped(boolean durable, AttemptState reported, boolean open, int stops) {
+    if (!durable) {
       fixture.store.pauseWrites();
     }
     Attempt attempt = fixture.open(job, 0, machine);
-    if (seen.isReported()) {
-      attempt.observe(seen, fixture.now());
+    if (reported.isReported()) {
+      attempt.observe(reported, fixture.now());
     }
     machine.outbox().markLanded();
     fixture.sent.clear();
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -36,7 +36,7 @@
   void isNeeded(
       String name,
       boolean stopping,
-      AttemptState seen,
+      AttemptState reportedState,
       double stoppedForS,
       int outstanding,
       int fenced,
@@ -44,8 +44,8 @@
     if (stopping) {
       attempt.stop(0, fixture.now());
     }
-    if (seen.isReported()) {
-      attempt.observe(seen, fixture.now());
+    if (reportedState.isReported()) {
+      attempt.observe(reportedState, fixture.now());
     }
     // The fixture has already sent a start; replace it by the number of starts of the test case.
     machine.outstandingStarts().clear();
@@ -86,11 +86,11 @@
   /** An outstanding start is fenced only once the worker reports the raised term. */
   @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"1, true", "2, false"})
-  void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, boolean outstanding) {
+  void aWorkerThatShowsTheTermRefusesEarlierStarts(long reportedTerm, boolean outstanding) {
     machine.outstandingStarts().sent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
-    machine.outstandingStarts().observeFencingToken(new Term(shown));
+    machine.outstandingStarts().observeFencingToken(new Term(reportedTerm));
     assertEquals(
         outstanding, machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
   }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -108,9 +108,9 @@
 
     @Test
     void aRemovedMachineGetsNoAnswerAndIsNotAddedAgain() {
-      Heartbeat late = fixture.heartbeat(machine).build();
+      Heartbeat delayed = fixture.heartbeat(machine).build();
       fixture.machines.remove(machine.id());
-      assertEquals(NotAnswered.MACHINE_REMOVED, process(late));
+      assertEquals(NotAnswered.MACHINE_REMOVED, process(delayed));
       assertEquals(Optional.empty(), fixture.machines.find(machine.id()));
     }
 
@@ -135,8 +135,8 @@
     @Test
     void anUnknownMachineIsAdded() {
       MachineId id = new MachineId("n-2");
-      Machine ofAnotherLeader = new LeadershipFixture().machine("n-2");
-      assertEquals(List.of(), commands(fixture.heartbeat(ofAnotherLeader).build()));
+      Machine sameMachineElsewhere = new LeadershipFixture().machine("n-2");
+      assertEquals(List.of(), commands(fixture.heartbeat(sameMachineElsewhere).build()));
       assertEquals("small", fixture.machines.find(id).orElseThrow().description().typeName());
       assertEquals("east", fixture.machines.find(id).orElseThrow().description().zoneName());
     }
@@ -205,7 +205,7 @@
       return attempt;
     }
 
-    private void notice(Attempt attempt, long sequence, double seconds) {
+    private void sendNotice(Attempt attempt, long sequence, double seconds) {
       process(
           fixture
               .heartbeat(machine)
@@ -219,7 +219,7 @@
     void aTaskThatSavesCheckpointsIsStoppedWithTimeToSave() {
       Attempt attempt =
           attempt(Specs.json("wk-2", "batch", 1).put("vista_bil_s", 60.0).put("vistun_s", 4.0));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       assertEquals(5, attempt.stopGraceS());
       assertEquals(fixture.now().plusSeconds(30), machine.cloud().reclaimAt().orElseThrow());
     }
@@ -227,17 +227,17 @@
     @Test
     void aTaskThatCanNotSaveRunsOn() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       assertFalse(attempt.stopping());
     }
 
     @Test
     void onlyTheFirstNoticeCounts() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
       fixture.clock.runFor(1);
-      notice(attempt, 2, 28);
+      sendNotice(attempt, 2, 28);
       assertEquals(reclaimAt, machine.cloud().reclaimAt().orElseThrow());
     }
   }
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -49,8 +49,8 @@
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
-    Resources room = Resources.offer(1, 0, 1);
-    machine.reserve(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
+    Resources resources = Resources.offer(1, 0, 1);
+    machine.reserve(new Machine.Reservation(forJob, resources, fixture.now().plusSeconds(12)));
     fixture.clock.runFor(ageS);
     monitor.check(fixture.now());
     assertEquals(left, machine.reservations().size());
@@ -102,11 +102,11 @@
     "task is unknown,           none,      true,  false"
   })
   void leasesThatMayBeRenewedWithoutCommands(
-      String name, String unwanted, boolean unknownTask, boolean mayRenew) {
+      String name, String stopCause, boolean unknownTask, boolean mayRenew) {
     Attempt attempt = fixture.open(job, 0, machine);
-    if (unwanted.equals("stop")) {
+    if (stopCause.equals("stop")) {
       attempt.stop(0, fixture.now());
-    } else if (unwanted.equals("cancel")) {
+    } else if (stopCause.equals("cancel")) {
       fixture.ledger.cancel(job);
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -129,15 +129,15 @@
   }
 
   private static Settings settings(Map<String, Team> teams) {
-    Endpoint any = new Endpoint("10.0.0.9", 1);
+    Endpoint unusedEndpoint = new Endpoint("10.0.0.9", 1);
     return new Settings(
         "node-0",
         "east",
-        any,
-        any,
+        unusedEndpoint,
+        unusedEndpoint,
         Map.of(),
-        any,
-        any,
+        unusedEndpoint,
+        unusedEndpoint,
         List.of("east"),
         teams,
         List.of(),
@@ -179,7 +179,7 @@
 
   /** Opens an attempt of a job's task on a machine and starts writing it. */
   public Attempt open(Job job, int index, Machine machine) {
-    MachineAttributes site =
+    MachineAttributes attributes =
         new MachineAttributes(
             machine.id(),
             machine.agent().epoch(),
@@ -188,7 +188,7 @@
             "east",
             false,
             Resources.offer(8, 0, 64));
-    ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
+    ledger.open(job, List.of(new Ledger.Placement(index, attributes)), task -> false, clock.now());
     writer.pump();
     return job.open(index);
   }
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -13,7 +13,7 @@
 
 /** A key-value store in which writes and single-key reads can be paused. */
 public final class PausableStore extends ForwardingKeyValueStore {
-  private final List<Runnable> paused = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
   private boolean writesPaused;
   private boolean readsPaused;
 
@@ -35,9 +35,9 @@
   public void resume() {
     writesPaused = false;
     readsPaused = false;
-    List<Runnable> now = List.copyOf(paused);
-    paused.clear();
-    now.forEach(Runnable::run);
+    List<Runnable> operations = List.copyOf(deferred);
+    deferred.clear();
+    operations.forEach(Runnable::run);
   }
 
   @Override
@@ -46,12 +46,12 @@
     if (!writesPaused) {
       return super.compareAndSwap(compareAndSwap, priority);
     }
-    CompletableFuture<Outcome<Revision>> answer = new CompletableFuture<>();
-    paused.add(
+    CompletableFuture<Outcome<Revision>> outcome = new CompletableFuture<>();
+    deferred.add(
         () ->
             AsyncCalls.whenAnswered(
-                super.compareAndSwap(compareAndSwap, priority), answer::complete));
-    return answer;
+                super.compareAndSwap(compareAndSwap, priority), outcome::complete));
+    return outcome;
   }
 
   @Override
@@ -59,8 +59,8 @@
     if (!readsPaused) {
       return super.get(key, priority);
     }
-    CompletableFuture<Outcome<ReadResult>> answer = new CompletableFuture<>();
-    paused.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), answer::complete));
-    return answer;
+    CompletableFuture<Outcome<ReadResult>> outcome = new CompletableFuture<>();
+    deferred.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), outcome::complete));
+    return outcome;
   }
 }
--- a/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
+++ b/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
@@ -11,33 +11,33 @@
 /** Tests when actions run that were deferred until the recovery of the ledger. */
 class RecoveryGateTest {
   private final RecoveryGate gate = new RecoveryGate();
-  private final List<String> ran = new ArrayList<>();
+  private final List<String> executed = new ArrayList<>();
 
   @Test
   void delayedRequestsRunInOrderWhenTheGateOpens() {
-    gate.runLater(() -> ran.add("first " + gate.isOpen()));
-    gate.runLater(() -> ran.add("second"));
+    gate.runLater(() -> executed.add("first " + gate.isOpen()));
+    gate.runLater(() -> executed.add("second"));
     assertFalse(gate.isOpen());
-    assertEquals(List.of(), ran);
+    assertEquals(List.of(), executed);
     gate.open();
     assertTrue(gate.isOpen());
-    assertEquals(List.of("first true", "second"), ran);
+    assertEquals(List.of("first true", "second"), executed);
   }
 
   @Test
   void delayedRequestsRunOnceWhenTheLeadershipEndsBefore() {
-    gate.runLater(() -> ran.add("request " + gate.isOpen()));
+    gate.runLater(() -> executed.add("request " + gate.isOpen()));
     gate.abandon();
     gate.abandon();
-    assertEquals(List.of("request false"), ran);
+    assertEquals(List.of("request false"), executed);
   }
 
   @Test
   void aRequestThatDelaysItselfAgainWaitsForTheNextCall() {
-    gate.runLater(() -> gate.runLater(() -> ran.add("again")));
+    gate.runLater(() -> gate.runLater(() -> executed.add("again")));
     gate.abandon();
-    assertEquals(List.of(), ran);
+    assertEquals(List.of(), executed);
     gate.open();
-    assertEquals(List.of("again"), ran);
+    assertEquals(List.of("again"), executed);
   }
 }
