--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -10,20 +10,23 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Reconciles the open attempts that are absent from a worker's latest status report. An attempt is closed only if none of its start commands can still arrive; otherwise its task could run twice.
+ * Reconciles the open attempts that are absent from a worker's latest status report. An attempt is
+ * closed only if none of its start commands can still arrive; otherwise its task could run twice.
  *
  * <pre>
  * absent attempt                  closed if                              evidence
  * ------------------------------  -------------------------------------  ---------------------
  * not durable yet                 never: its start is not sent yet       -
  * opened by an earlier leader     the worker has seen this term          ABSENT_AFTER_FAILOVER
- * reported before                 always                                 VANISHED
+ * reported before                 always                                 NO_LONGER_REPORTED
  * never reported, to be started   never: its start may still arrive      -
  * never reported, to be stopped   no direct start is outstanding, and    STOPPED_BEFORE_START
  *                                 no heartbeat response with a start is
  * </pre>
  *
- * <p>A heartbeat response with a start is settled by a later heartbeat: the worker sends the next heartbeat only after it has received the response or stopped waiting for it. Guarded by the controller's lock.
+ * <p>A heartbeat response with a start is settled by a later heartbeat: the worker sends the next
+ * heartbeat only after it has received the response or stopped waiting for it. Guarded by the
+ * controller's lock.
  */
 public final class AbsentAttemptReconciler {
   /** What absent attempts show about the delivery of heartbeat responses. */
@@ -31,7 +34,7 @@
     /** No response is known to be lost. */
     NONE,
     /** The worker has not received a start that an earlier response contained. */
-    ANSWER_MISSED
+    RESPONSE_MISSED
   }
 
   private final AttemptLifecycle attempts;
@@ -50,12 +53,12 @@
     Finding finding = Finding.NONE;
     for (Attempt attempt : absentAttempts(machine, status)) {
       if (hasMissedResponse(attempt, status, origin)) {
-        finding = Finding.ANSWER_MISSED;
+        finding = Finding.RESPONSE_MISSED;
       }
       if (isAbsentAfterFailover(attempt, status)) {
         attempts.close(attempt, ClosingEvidence.ABSENT_AFTER_FAILOVER);
       } else if (isNoLongerReported(attempt)) {
-        attempts.close(attempt, ClosingEvidence.VANISHED);
+        attempts.close(attempt, ClosingEvidence.NO_LONGER_REPORTED);
       } else if (isStoppedBeforeStart(machine, attempt, status, origin)) {
         attempts.close(attempt, ClosingEvidence.STOPPED_BEFORE_START);
       }
@@ -90,11 +93,13 @@
       Machine machine, Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverReported(attempt)
         && attempt.stopping()
-        && (!wasStartInHeartbeatResponse(attempt) || isHeartbeatResponseSettled(attempt, status, origin))
+        && (!wasStartInHeartbeatResponse(attempt)
+            || isHeartbeatResponseSettled(attempt, status, origin))
         && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
   }
 
-  private static boolean hasMissedResponse(Attempt attempt, Heartbeat status, MessageOrigin origin) {
+  private static boolean hasMissedResponse(
+      Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverReported(attempt)
         && !attempt.stopping()
         && wasStartInHeartbeatResponse(attempt)
@@ -110,7 +115,8 @@
   }
 
   /** Whether this heartbeat is later than the one whose response contained the start. */
-  private static boolean isHeartbeatResponseSettled(Attempt attempt, Heartbeat status, MessageOrigin origin) {
+  private static boolean isHeartbeatResponseSettled(
+      Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return origin == MessageOrigin.HEARTBEAT && status.sequence() > attempt.startAnswered();
   }
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -17,7 +17,10 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Manages attempts from the time their record is durable: sends start commands, stops attempts, and closes them once there is evidence that they have ended. A start is sent only after the attempt is stored in the key-value store, so that the next leader knows of every attempt that may be running. Guarded by the controller's lock.
+ * Manages attempts from the time their record is durable: sends start commands, stops attempts, and
+ * closes them once there is evidence that they have ended. A start is sent only after the attempt
+ * is stored in the key-value store, so that the next leader knows of every attempt that may be
+ * running. Guarded by the controller's lock.
  */
 public final class AttemptLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
@@ -50,9 +53,10 @@
   }
 
   /**
-   * Sends start commands for attempts that have just become durable. Attempts that were stopped, or whose job was cancelled, while the write was in progress are closed instead.
+   * Sends start commands for attempts that have just become durable. Attempts that were stopped, or
+   * whose job was cancelled, while the write was in progress are closed instead.
    */
-  public void startDurable(List<Attempt> attempts) {
+  public void sendDurableStarts(List<Attempt> attempts) {
     Set<Machine> recipients = new LinkedHashSet<>();
     for (Attempt attempt : attempts) {
       Machine machine = machines.find(attempt.machine()).orElse(null);
@@ -76,7 +80,9 @@
   }
 
   /**
-   * Closes an attempt that has ended. If the task belongs to a gang and is not done, the rest of the gang is stopped, since it cannot continue without the task. Does nothing if the attempt is already closed.
+   * Closes an attempt that has ended. If the task belongs to a gang and is not done, the rest of
+   * the gang is stopped, since it cannot continue without the task. Does nothing if the attempt is
+   * already closed.
    */
   public void close(Attempt attempt, ClosingEvidence evidence) {
     Job job = attempt.job();
@@ -112,7 +118,8 @@
   }
 
   /**
-   * Stops the other tasks of a gang without grace, except those that are already stopping and may be saving a checkpoint.
+   * Stops the other tasks of a gang without grace, except those that are already stopping and may
+   * be saving a checkpoint.
    */
   private void stopRestOfGang(Job job) {
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
@@ -167,7 +174,10 @@
   }
 
   /**
-   * Closes a stopping attempt whose start was never sent, neither as a direct command nor in a heartbeat response. No start of it can arrive, so no status report of the worker is needed. Attempts of an earlier leader are excluded, since this leader does not know which of their starts are in flight.
+   * Closes a stopping attempt whose start was never sent, neither as a direct command nor in a
+   * heartbeat response. No start of it can arrive, so no status report of the worker is needed.
+   * Attempts of an earlier leader are excluded, since this leader does not know which of their
+   * starts are in flight.
    */
   public void closeIfNeverSent(Attempt attempt) {
     if (!attempt.recovered()
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptStatusUpdater.java
@@ -19,10 +19,11 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Updates the open attempts from the tasks in a worker's latest status report: their states and their reported ends. Guarded by the controller's lock.
+ * Updates the open attempts from the tasks in a worker's latest status report: their states and
+ * their reported ends. Guarded by the controller's lock.
  */
-public final class AttemptObserver {
-  private static final Logger LOG = LoggerFactory.getLogger(AttemptObserver.class);
+public final class AttemptStatusUpdater {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptStatusUpdater.class);
 
   private final AttemptLifecycle attempts;
   private final Ledger ledger;
@@ -31,7 +32,7 @@
   private final Metrics metrics;
 
   /** Creates an updater for the attempts of one leadership term. */
-  public AttemptObserver(
+  public AttemptStatusUpdater(
       AttemptLifecycle attempts,
       Ledger ledger,
       MachineTypeCatalog machineTypes,
@@ -45,7 +46,7 @@
   }
 
   /** Applies the reported tasks that match an open attempt on the machine. */
-  public void observeAll(Machine machine, Heartbeat status, SteadyTime now) {
+  public void applyReportedTasks(Machine machine, Heartbeat status, SteadyTime now) {
     for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
@@ -107,7 +108,11 @@
   private void applyEnd(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
     Job job = attempt.job();
     LOG.debug(
-        "task {} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id(), endReason);
+        "task {} attempt {} on {} ended: {}",
+        attempt.task(),
+        attempt.number(),
+        machine.id(),
+        endReason);
     recordOutcome(machine, job, endReason, now);
     if (attempt.state() == AttemptState.RUNNING && endReason != EndReason.ERROR) {
       useImage(machine, job.spec());
--- a/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
+++ b/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
@@ -9,17 +9,18 @@
   /** The cloud no longer lists the machine. */
   MACHINE_NOT_LISTED("machine not listed"),
   /** The machine was released or no longer exists for another reason. */
-  MACHINE_GONE("machine removed"),
+  MACHINE_REMOVED("machine removed"),
   /** The worker's lease has expired, so the worker has killed its tasks. */
   LEASE_EXPIRED("lease expired"),
   /** The worker has begun a newer epoch, in which no tasks of earlier epochs run. */
   EPOCH_ENDED("agent epoch ended"),
   /**
-   * An earlier leader opened the attempt, and a worker that rejects that leader's commands does not report it.
+   * An earlier leader opened the attempt, and a worker that rejects that leader's commands does not
+   * report it.
    */
   ABSENT_AFTER_FAILOVER("not reported after failover"),
   /** The worker has reported the attempt before and no longer does. */
-  VANISHED("no longer reported"),
+  NO_LONGER_REPORTED("no longer reported"),
   /** The attempt was stopped, and none of its start commands can still arrive. */
   STOPPED_BEFORE_START("stopped before start"),
   /** No start command for the attempt was ever sent. */
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -21,8 +21,10 @@
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends commands directly to workers. At most one message per machine is in flight, so that commands arrive in order, and machines are queued while the limit on messages in flight is reached. A start whose response is lost stays outstanding until the start can no longer arrive. Guarded by the controller's
- * lock.
+ * Sends commands directly to workers. At most one message per machine is in flight, so that
+ * commands arrive in order, and machines are queued while the limit on messages in flight is
+ * reached. A start whose response is lost stays outstanding until the start can no longer arrive.
+ * Guarded by the controller's lock.
  */
 public final class CommandDispatcher {
   /** Maximum number of commands per message. */
@@ -70,7 +72,8 @@
   }
 
   /**
-   * Sends the commands in a machine's outbox, unless a message to the machine is in flight. The commands are dropped if the machine does not accept direct commands.
+   * Sends the commands in a machine's outbox, unless a message to the machine is in flight. The
+   * commands are dropped if the machine does not accept direct commands.
    */
   void dispatch(Machine machine) {
     SteadyTime now = clock.now();
@@ -92,7 +95,9 @@
   }
 
   /**
-   * Whether direct commands may be sent to a machine. Excludes machines that have been silent: they get the commands in the response to their next heartbeat, and messages to a partitioned zone would occupy all slots until they time out.
+   * Whether direct commands may be sent to a machine. Excludes machines that have been silent: they
+   * get the commands in the response to their next heartbeat, and messages to a partitioned zone
+   * would occupy all slots until they time out.
    */
   private boolean acceptsDirectCommands(Machine machine, SteadyTime now) {
     if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
@@ -117,7 +122,8 @@
   }
 
   /**
-   * Announces the term to a worker by sending a message without commands, regardless of the state of the machine.
+   * Announces the term to a worker by sending a message without commands, regardless of the state
+   * of the machine.
    *
    * @param handler receives the outcome
    */
@@ -175,7 +181,8 @@
     if (isKnownUndelivered(outcome)) {
       message.settleStarts();
     }
-    // Otherwise, the message may still arrive, and its starts stay outstanding until the epoch ends.
+    // Otherwise, the message may still arrive, and its starts stay outstanding until the epoch
+    // ends.
     message
         .machine()
         .outbox()
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -16,7 +16,8 @@
     Machine machine, AgentEpoch epoch, List<Command> commands, SteadyTime sentAt) {
 
   /**
-   * Marks the starts in this message as settled: each was executed or never will be. Does nothing if the worker has begun another epoch, in which these starts are not accepted.
+   * Marks the starts in this message as settled: each was executed or never will be. Does nothing
+   * if the worker has begun another epoch, in which these starts are not accepted.
    */
   void settleStarts() {
     if (!epoch.equals(machine.agent().epoch())) {
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -9,7 +9,8 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Selects the commands for the next message to a worker. Drops starts that became obsolete while queued. Guarded by the controller's lock.
+ * Selects the commands for the next message to a worker. Drops starts that became obsolete while
+ * queued. Guarded by the controller's lock.
  */
 final class CommandSelector {
   private final Ledger ledger;
@@ -19,7 +20,8 @@
   }
 
   /**
-   * Removes the commands for one message from a machine's outbox and marks the starts among them as outstanding.
+   * Removes the commands for one message from a machine's outbox and marks the starts among them as
+   * outstanding.
    */
   List<Command> takeNext(Machine machine) {
     List<Command> commands = new ArrayList<>();
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -16,8 +16,8 @@
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends messages to workers and limits the number in flight, since each occupies a socket. Guarded by
- * the controller's lock.
+ * Sends messages to workers and limits the number in flight, since each occupies a socket. Guarded
+ * by the controller's lock.
  */
 final class CommandSender {
   private final LeadershipExecutor executor;
@@ -66,7 +66,9 @@
   }
 
   /**
-   * Checks the authority again immediately before a command is sent. The process may have been paused, or connecting may have taken long, and another leader may have been elected in the meantime. Called on any thread.
+   * Checks the authority again immediately before a command is sent. The process may have been
+   * paused, or connecting may have taken long, and another leader may have been elected in the
+   * meantime. Called on any thread.
    */
   private boolean maySend() {
     lock.lock();
--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -5,7 +5,8 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Ends the leadership when a worker reports a fencing token above the current term, which means that another leader has been elected. Guarded by the controller's lock.
+ * Ends the leadership when a worker reports a fencing token above the current term, which means
+ * that another leader has been elected. Guarded by the controller's lock.
  */
 public final class HigherTermCheck {
   private final Authority authority;
--- a/src/main/java/org/ternhinge/attempt/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/JobCanceller.java
@@ -12,9 +12,11 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Cancels jobs at the request of users. A request is completed only when the cancellation is durable in the key-value store. Otherwise, the next leader might not know of a confirmed cancellation and would run the job. Guarded by the controller's lock.
+ * Cancels jobs at the request of users. A request is completed only when the cancellation is
+ * durable in the key-value store. Otherwise, the next leader might not know of a confirmed
+ * cancellation and would run the job. Guarded by the controller's lock.
  */
-public final class Cancellations {
+public final class JobCanceller {
   private final Ledger ledger;
   private final AttemptLifecycle attempts;
   private final LedgerWriter writer;
@@ -23,7 +25,7 @@
   private final Map<Job, List<Consumer<JobState>>> pending = new LinkedHashMap<>();
 
   /** Creates a canceller for the jobs of one leadership term. */
-  public Cancellations(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
+  public JobCanceller(Ledger ledger, AttemptLifecycle attempts, LedgerWriter writer) {
     this.ledger = ledger;
     this.attempts = attempts;
     this.writer = writer;
@@ -39,11 +41,11 @@
     ledger.cancel(job);
     attempts.stopAll(job);
     writer.pump();
-    answerDurable();
+    completeDurable();
   }
 
   /** Completes the requests whose cancellation has become durable. Called after each write. */
-  public void answerDurable() {
+  public void completeDurable() {
     Iterator<Map.Entry<Job, List<Consumer<JobState>>>> entries = pending.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<Job, List<Consumer<JobState>>> entry = entries.next();
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -14,7 +14,10 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * Announces the current term to workers that have not sent a heartbeat to this leader. Such a worker may still be sending heartbeats to an earlier leader that is otherwise partitioned. Once it has seen the new term, it rejects commands of the earlier leader. Guarded by the controller's lock.
+ * Announces the current term to workers that have not sent a heartbeat to this leader. Such a
+ * worker may still be sending heartbeats to an earlier leader that is otherwise partitioned. Once
+ * it has seen the new term, it rejects commands of the earlier leader. Guarded by the controller's
+ * lock.
  */
 public final class TermAnnouncer {
   private static final Logger LOG = LoggerFactory.getLogger(TermAnnouncer.class);
@@ -41,7 +44,8 @@
   }
 
   /**
-   * Announces the term to the worker on a machine if the cloud lists the machine as running and the worker has not sent a heartbeat.
+   * Announces the term to the worker on a machine if the cloud lists the machine as running and the
+   * worker has not sent a heartbeat.
    *
    * @return whether an announcement was sent
    */
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -12,7 +12,10 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Raises the leader's own term to fence outstanding starts: direct starts without a response, which may arrive after their attempt was stopped. A worker that has seen the higher term rejects them, so the attempt can be closed as soon as the worker reports that term. Without fencing, the attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
+ * Raises the leader's own term to fence outstanding starts: direct starts without a response, which
+ * may arrive after their attempt was stopped. A worker that has seen the higher term rejects them,
+ * so the attempt can be closed as soon as the worker reports that term. Without fencing, the
+ * attempt would stay open until the worker's epoch ends. Guarded by the controller's lock.
  */
 public final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -76,7 +76,7 @@
             services.cloud(),
             clock,
             lock,
-            types -> role.held().ifPresent(leadership -> leadership.addMachineTypes(types)));
+            types -> role.current().ifPresent(leadership -> leadership.addMachineTypes(types)));
     RouteTable routes =
         new RouteTable(services, role, peers, otherNodes, connectivity, machineTypes);
     clientRouter = new RequestRouter(routes.forClients());
--- a/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
@@ -10,11 +10,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Handles the beginning of a new worker agent epoch. The agent's lease has expired or the agent was restarted, so no task of an earlier epoch is still running. Guarded by the controller's lock.
+ * Handles the beginning of a new worker agent epoch. The agent's lease has expired or the agent was
+ * restarted, so no task of an earlier epoch is still running. Guarded by the controller's lock.
  */
 final class AgentEpochChange {
   /**
-   * If an epoch ends more than this many seconds before the controller's lease expiry, the worker did not receive the responses that renewed the lease.
+   * If an epoch ends more than this many seconds before the controller's lease expiry, the worker
+   * did not receive the responses that renewed the lease.
    */
   private static final double MIN_REMAINING_LEASE_S = 2;
 
@@ -41,7 +43,7 @@
     machine.outbox().clear();
     machine.agent().beginEpoch(epoch);
     if (hasLeaseLapsed(machine, now)) {
-      reachability.leaseLapsed(machine, now);
+      reachability.recordLapsedLease(machine, now);
     }
     // The epoch may have just begun, and lasts for a full lease even without a response.
     leases.renewFrom(machine, now);
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -7,7 +7,7 @@
 import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
 import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.AttemptStatusUpdater;
 import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.machine.AgentState;
 import org.ternhinge.machine.Machine;
@@ -18,7 +18,10 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Applies the status reports of worker agents to machines and attempts, in the order in which each worker sent them. A report that is no newer than the last one is ignored. If the reported tasks are unchanged, the only cost is one comparison of the task lists. Guarded by the controller's lock.
+ * Applies the status reports of worker agents to machines and attempts, in the order in which each
+ * worker sent them. A report that is no newer than the last one is ignored. If the reported tasks
+ * are unchanged, the only cost is one comparison of the task lists. Guarded by the controller's
+ * lock.
  */
 public final class AgentStatusUpdater implements AgentStatusSink {
   private static final Logger LOG = LoggerFactory.getLogger(AgentStatusUpdater.class);
@@ -26,7 +29,7 @@
   private final List<String> zones;
   private final ReachabilityMonitor reachability;
   private final ReportedTasks reportedTasks;
-  private final AttemptObserver attemptUpdater;
+  private final AttemptStatusUpdater attemptUpdater;
   private final AbsentAttemptReconciler absentAttempts;
   private final AgentEpochChange epochChange;
   private final FirstHeartbeatHandler firstHeartbeats;
@@ -42,7 +45,7 @@
       LeadershipContext context,
       ReachabilityMonitor reachability,
       ReportedTasks reportedTasks,
-      AttemptObserver attemptUpdater,
+      AttemptStatusUpdater attemptUpdater,
       AttemptLifecycle attempts,
       FirstHeartbeatHandler firstHeartbeats) {
     this.zones = context.services().settings().zones();
@@ -112,14 +115,14 @@
   private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
     if (!machine.tasks().equals(status.tasks())) {
       reportedTasks.show(machine, status.tasks());
-      attemptUpdater.observeAll(machine, status, now);
+      attemptUpdater.applyReportedTasks(machine, status, now);
     }
   }
 
   private void reconcileAbsentAttempts(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
-    if (absentAttempts.reconcile(machine, status, origin) == Finding.ANSWER_MISSED) {
-      reachability.answerMissed(machine, now);
+    if (absentAttempts.reconcile(machine, status, origin) == Finding.RESPONSE_MISSED) {
+      reachability.recordMissedResponse(machine, now);
     }
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/CommandList.java
+++ b/src/main/java/org/ternhinge/heartbeat/CommandList.java
@@ -9,7 +9,9 @@
 import org.ternhinge.wire.Command;
 
 /**
- * The commands in one heartbeat response: stops, then forgets, then starts, each in insertion order. Stops come first so that they are not truncated when there are more commands than one message may contain.
+ * The commands in one heartbeat response: stops, then forgets, then starts, each in insertion
+ * order. Stops come first so that they are not truncated when there are more commands than one
+ * message may contain.
  */
 final class CommandList {
   private final List<Command> commands = new ArrayList<>();
--- a/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
@@ -9,8 +9,8 @@
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Makes a machine available to the planner when its first heartbeat in a leadership term arrives. Guarded by the
- * controller's lock.
+ * Makes a machine available to the planner when its first heartbeat in a leadership term arrives.
+ * Guarded by the controller's lock.
  */
 public final class FirstHeartbeatHandler {
   private final Ledger ledger;
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -28,8 +28,8 @@
  * other                                 none
  * </pre>
  *
- * <p>A worker that has forgotten a task would run it again if a late start of it arrived. Guarded by the
- * controller's lock.
+ * <p>A worker that has forgotten a task would run it again if a late start of it arrived. Guarded
+ * by the controller's lock.
  */
 final class HeartbeatCommands {
   private final Ledger ledger;
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -4,8 +4,8 @@
 import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.HigherTermCheck;
 import org.ternhinge.attempt.MessageOrigin;
-import org.ternhinge.heartbeat.HeartbeatResult.Answered;
-import org.ternhinge.heartbeat.HeartbeatResult.NotAnswered;
+import org.ternhinge.heartbeat.HeartbeatResult.Accepted;
+import org.ternhinge.heartbeat.HeartbeatResult.Rejected;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
@@ -16,21 +16,26 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Processes worker heartbeats in these steps:
+ * Processes worker heartbeats. The steps are:
  *
  * <ol>
  *   <li>fence check: a higher fencing token ends the leadership;
- *   <li>admission: heartbeats from removed or terminated machines and from ended epochs get no response;
- *   <li>update of the machine and its attempts by {@link AgentStatusUpdater}, unless a newer status report has been applied already;
+ *   <li>admission: heartbeats from removed or terminated machines and from ended epochs get no
+ *       response;
+ *   <li>update of the machine and its attempts by {@link AgentStatusUpdater}, unless a newer status
+ *       report has been applied already;
  *   <li>check whether the worker has received the previous response;
  *   <li>lease renewal;
  *   <li>selection of the commands for the response by {@link HeartbeatCommands}.
  * </ol>
  *
- * <p>A response renews the lease of the worker that receives it. A heartbeat without a response is either a delayed duplicate, for which no worker is waiting, or it proves that the machine or epoch was wrongly considered ended. In the latter case the tasks are stopped by the expiry of the lease. Guarded by the controller's lock.
+ * <p>A response renews the lease of the worker that receives it. A heartbeat without a response is
+ * either a delayed duplicate, for which no worker is waiting, or it proves that the machine or
+ * epoch was wrongly considered ended. In the latter case the tasks are stopped by the expiry of the
+ * lease. Guarded by the controller's lock.
  */
 public final class HeartbeatProcessor {
-  private static final Answered WITHOUT_COMMANDS = new Answered(List.of());
+  private static final Accepted WITHOUT_COMMANDS = new Accepted(List.of());
 
   private final Clock clock;
   private final Authority authority;
@@ -69,20 +74,20 @@
   public HeartbeatResult process(Heartbeat heartbeat, boolean mayCommand) {
     SteadyTime now = clock.now();
     if (higherTermCheck.endsLeadership(heartbeat)) {
-      return NotAnswered.HIGHER_TERM;
+      return Rejected.HIGHER_TERM;
     }
     if (machines.wasRemoved(heartbeat.machine())) {
-      return NotAnswered.MACHINE_REMOVED;
+      return Rejected.MACHINE_REMOVED;
     }
     Machine machine = machines.findOrAdd(heartbeat.machine(), now);
     if (machine.cloud().isTerminated()) {
-      return NotAnswered.MACHINE_TERMINATED;
+      return Rejected.MACHINE_TERMINATED;
     }
     if (isEpochEnded(machine, heartbeat)) {
       // Usually the heartbeat was delayed by a network partition, and the worker may be about to
       // reconnect, so its machine is not considered lost for another lease.
       leases.renewFrom(machine, now);
-      return NotAnswered.EPOCH_ENDED;
+      return Rejected.EPOCH_ENDED;
     }
     return switch (statusUpdater.apply(machine, heartbeat, MessageOrigin.HEARTBEAT, now)) {
       case OUTDATED -> respondToOutdated(machine, mayCommand);
@@ -96,7 +101,10 @@
   }
 
   /**
-   * Responds to a heartbeat that is a duplicate or was overtaken by a command response. It was sent before the latest status report was received, so the lease is renewed as of that time. The reported tasks are outdated and ignored, but the response must still contain the stops that are due.
+   * Responds to a heartbeat that is a duplicate or was overtaken by a command response. It was sent
+   * before the latest status report was received, so the lease is renewed as of that time. The
+   * reported tasks are outdated and ignored, but the response must still contain the stops that are
+   * due.
    */
   private HeartbeatResult respondToOutdated(Machine machine, boolean mayCommand) {
     leases.renewFrom(machine, machine.agent().lastHeartbeat());
@@ -106,7 +114,7 @@
   private HeartbeatResult respondToCurrent(
       Machine machine, Heartbeat heartbeat, boolean mayCommand, SteadyTime now) {
     if (hasMissedResponse(machine, heartbeat)) {
-      reachability.answerMissed(machine, now);
+      reachability.recordMissedResponse(machine, now);
     }
     machine.agent().answeredIn(authority.term());
     // The worker counts its lease from when it sent the heartbeat, so this one ends no earlier.
@@ -121,6 +129,6 @@
   }
 
   private static HeartbeatResult accepted(List<Command> commands) {
-    return commands.isEmpty() ? WITHOUT_COMMANDS : new Answered(commands);
+    return commands.isEmpty() ? WITHOUT_COMMANDS : new Accepted(commands);
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatResult.java
@@ -11,10 +11,10 @@
    *
    * @param commands the commands for the worker, most urgent first
    */
-  record Answered(List<Command> commands) implements HeartbeatResult {}
+  record Accepted(List<Command> commands) implements HeartbeatResult {}
 
   /** No response may be sent, because it would renew the worker's lease. */
-  enum NotAnswered implements HeartbeatResult {
+  enum Rejected implements HeartbeatResult {
     /** The worker has seen a higher term, so this leadership has ended. */
     HIGHER_TERM,
     /** The machine no longer exists; the heartbeat is a delayed duplicate. */
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -23,7 +23,9 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Checks the expiry of worker leases, machine reservations and the grace periods of stopping attempts. A worker whose lease has expired has killed its tasks; for an unreachable worker, this is the only evidence that its attempts have ended. Guarded by the controller's lock.
+ * Checks the expiry of worker leases, machine reservations and the grace periods of stopping
+ * attempts. A worker whose lease has expired has killed its tasks; for an unreachable worker, this
+ * is the only evidence that its attempts have ended. Guarded by the controller's lock.
  */
 public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
@@ -60,7 +62,9 @@
   }
 
   /**
-   * Whether a worker's lease may be renewed while no commands may be sent. It must not be renewed if the worker has an open attempt that is stopping or whose job is cancelled, or reports a task without an attempt: without commands, only the expiry of the lease stops these tasks.
+   * Whether a worker's lease may be renewed while no commands may be sent. It must not be renewed
+   * if the worker has an open attempt that is stopping or whose job is cancelled, or reports a task
+   * without an attempt: without commands, only the expiry of the lease stops these tasks.
    */
   public boolean mayRenewWithoutCommands(Heartbeat heartbeat) {
     return !hasAttemptToStop(heartbeat) && !reportsTaskWithoutAttempt(heartbeat);
@@ -164,7 +168,9 @@
   }
 
   /**
-   * Whether an attempt has not stopped in time. The grace period is extended by the time until the tasks of a gang learn that their peers are checkpointing and until the next heartbeat reports it.
+   * Whether an attempt has not stopped in time. The grace period is extended by the time until the
+   * tasks of a gang learn that their peers are checkpointing and until the next heartbeat reports
+   * it.
    */
   private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
     double allowedS =
--- a/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
@@ -5,8 +5,9 @@
 import org.ternhinge.term.ControllerServices;
 
 /**
- * Extends the controller's view of worker leases. The controller adds clock drift and a safety margin to the lease, so that a lease that has expired here has also expired at the worker.
- * Used under the controller's lock.
+ * Extends the controller's view of worker leases. The controller adds clock drift and a safety
+ * margin to the lease, so that a lease that has expired here has also expired at the worker. Used
+ * under the controller's lock.
  */
 final class LeaseRenewal {
   private final double leaseS;
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -11,7 +11,8 @@
  */
 public final class ReachabilityMonitor {
   /**
-   * If at least this many workers, or a tenth of a large fleet, are unreachable, the fault is assumed to be on this node.
+   * If at least this many workers, or a tenth of a large fleet, are unreachable, the fault is
+   * assumed to be on this node.
    */
   private static final int MIN_UNREACHABLE_LIMIT = 3;
 
@@ -27,7 +28,7 @@
   }
 
   /** Records that a heartbeat does not reflect the previous response. */
-  void answerMissed(Machine machine, SteadyTime now) {
+  void recordMissedResponse(Machine machine, SteadyTime now) {
     machine.health().reachability().answerMissed(now, this::areOthersReachable);
     if (machine.health().reachability().unreachable()) {
       rounds.requestRound();
@@ -35,7 +36,7 @@
   }
 
   /** Records that the worker's epoch ended although responses had renewed its lease. */
-  void leaseLapsed(Machine machine, SteadyTime now) {
+  void recordLapsedLease(Machine machine, SteadyTime now) {
     machine.health().reachability().leaseLapsed(now, this::areOthersReachable);
   }
 
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -12,7 +12,9 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Evicts the tasks of a spot machine that the cloud is about to reclaim: service replicas are stopped so that they can be started elsewhere, and tasks with checkpoints save one and stop. Guarded by the controller's lock.
+ * Evicts the tasks of a spot machine that the cloud is about to reclaim: service replicas are
+ * stopped so that they can be started elsewhere, and tasks with checkpoints save one and stop.
+ * Guarded by the controller's lock.
  */
 final class ReclaimNoticeHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReclaimNoticeHandler.class);
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -14,14 +14,19 @@
 import org.ternhinge.term.LeadershipExecutor;
 
 /**
- * Reads the final states of dependencies that are not in the ledger because they ended before this leadership, or so long ago that the ledger has dropped them. Each is read once, regardless of how many jobs depend on it. Concurrent reads are limited, so that after a failover with many dependent jobs the key-value store's request rate remains available for urgent writes. Guarded by the controller's lock.
+ * Reads the final states of dependencies that are not in the ledger because they ended before this
+ * leadership, or so long ago that the ledger has dropped them. Each is read once, regardless of how
+ * many jobs depend on it. Concurrent reads are limited, so that after a failover with many
+ * dependent jobs the key-value store's request rate remains available for urgent writes. Guarded by
+ * the controller's lock.
  */
 final class DependencyResolver {
   /** Maximum number of concurrent reads. */
   private static final int MAX_READS = 8;
 
   /**
-   * Seconds until the final state of a job is read again if none is stored: the job has just been accepted by another node, and the watch will report it.
+   * Seconds until the final state of a job is read again if none is stored: the job has just been
+   * accepted by another node, and the watch will report it.
    */
   private static final double RETRY_S = 0.5;
 
@@ -46,7 +51,7 @@
   }
 
   /** Starts reads for unresolved dependencies. Called whenever jobs may have been added. */
-  void pump() {
+  void resolvePending() {
     while (runningReads < MAX_READS) {
       Optional<JobId> unresolved = dependencies.pollUnresolved();
       if (unresolved.isEmpty()) {
@@ -55,7 +60,8 @@
       JobId id = unresolved.get();
       runningReads++;
       executor.whenAnswered(
-          store.get(Keys.end(id), RequestPriority.ENDING), outcome -> handleReadResult(id, outcome));
+          store.get(Keys.end(id), RequestPriority.ENDING),
+          outcome -> handleReadResult(id, outcome));
     }
   }
 
@@ -68,7 +74,7 @@
       runningReads--;
       ledger.resolveEnd(RecordCodec.decodeEnd(id, end.get().value()));
       onResolved.run();
-      pump();
+      resolvePending();
     } else {
       executor.later(RETRY_S, () -> retry(id));
     }
@@ -77,6 +83,6 @@
   private void retry(JobId id) {
     runningReads--;
     dependencies.retryUnresolved(id);
-    pump();
+    resolvePending();
   }
 }
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -13,7 +13,8 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Adds newly accepted jobs to the ledger, whether they were accepted by this node or by another. A job is added only once, even if its record is seen repeatedly. Guarded by the controller's lock.
+ * Adds newly accepted jobs to the ledger, whether they were accepted by this node or by another. A
+ * job is added only once, even if its record is seen repeatedly. Guarded by the controller's lock.
  */
 final class JobAdmission {
   private static final Logger LOG = LoggerFactory.getLogger(JobAdmission.class);
@@ -40,7 +41,7 @@
   }
 
   /** The ledger contains all jobs as of this revision; later jobs may now be admitted. */
-  void recovered(Revision revision) {
+  void onRecovered(Revision revision) {
     recoveredAt = revision;
   }
 
@@ -50,7 +51,9 @@
   }
 
   /**
-   * Admits a job whose record was created by this node or another. Records created before the recovery are ignored: the job was either recovered or had already ended. The response to the write of a record may be delayed, and an ended job must not be added again.
+   * Admits a job whose record was created by this node or another. Records created before the
+   * recovery are ignored: the job was either recovered or had already ended. The response to the
+   * write of a record may be delayed, and an ended job must not be added again.
    */
   void admit(Job job, Revision created) {
     JobId id = job.spec().id();
@@ -62,7 +65,7 @@
     LOG.debug("admitted job {} of class {}", id, job.spec().jobClass());
     arrivalRates.recordArrival(job.spec(), now);
     refreshRaisedPriorities(now);
-    dependencyResolver.pump();
+    dependencyResolver.resolvePending();
     context.writer().pump();
     context.rounds().requestRound();
   }
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -19,7 +19,8 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Watches the key-value store for records of jobs accepted by other nodes, and admits these jobs. Guarded by the controller's lock.
+ * Watches the key-value store for records of jobs accepted by other nodes, and admits these jobs.
+ * Guarded by the controller's lock.
  */
 final class JobWatch {
   private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.ternhinge.attempt.Cancellations;
+import org.ternhinge.attempt.JobCanceller;
 import org.ternhinge.config.Settings;
 import org.ternhinge.heartbeat.HeartbeatResult;
 import org.ternhinge.ledger.Attempt;
@@ -26,7 +26,10 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * One term of leadership, from the election to its end: creates the scheduling components, starts them after the ledger has been recovered, and stops them. No state outlives the leadership: the next one recovers from the key-value store, since another leader may have changed anything in between. All methods must be called under the controller's lock.
+ * One term of leadership, from the election to its end: creates the scheduling components, starts
+ * them after the ledger has been recovered, and stops them. No state outlives the leadership: the
+ * next one recovers from the key-value store, since another leader may have changed anything in
+ * between. All methods must be called under the controller's lock.
  */
 public final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -40,7 +43,7 @@
   private final PlanningComponents planning;
   private final PeriodicChecks periodicChecks;
   private final DependencyResolver dependencyResolver;
-  private final Cancellations jobCanceller;
+  private final JobCanceller jobCanceller;
   private final JobAdmission admission;
   private final JobWatch jobWatch;
   private final LeadershipRecovery recovery;
@@ -63,7 +66,7 @@
     planning = new PlanningComponents(context, fleet, workers, scaling);
     periodicChecks = new PeriodicChecks(context, fleet, workers, scaling, planning);
     dependencyResolver = new DependencyResolver(context, this::dependencyResolved);
-    jobCanceller = new Cancellations(ledger, workers.attempts, writer);
+    jobCanceller = new JobCanceller(ledger, workers.attempts, writer);
     admission =
         new JobAdmission(context, fleet.machines, planning.arrivalRates, dependencyResolver);
     jobWatch = new JobWatch(context, admission);
@@ -102,7 +105,7 @@
   }
 
   private void recovered(Revision revision) {
-    admission.recovered(revision);
+    admission.onRecovered(revision);
     planning.rounds.enable();
     Clock clock = context.services().clock();
     context.services().metrics().failover(clock.now().secondsSince(context.electedAt()));
@@ -116,7 +119,7 @@
     jobWatch.start(revision);
     scaling.inventory.list();
     fleet.machineTypes.refresh();
-    dependencyResolver.pump();
+    dependencyResolver.resolvePending();
     writer.pump();
     periodicChecks.start();
   }
@@ -125,7 +128,7 @@
   public void stop() {
     context.executor().stop();
     writer.stop();
-    recoveryGate.abandon();
+    recoveryGate.onLeadershipEnded();
   }
 
   /** Whether the ledger has been recovered; no request may be answered before that. */
@@ -135,7 +138,7 @@
 
   /** Runs an action when the ledger has been recovered or the leadership ends before that. */
   public void whenReady(Runnable action) {
-    recoveryGate.runLater(action);
+    recoveryGate.defer(action);
   }
 
   /** Returns the authority for the term of this leadership. */
@@ -151,9 +154,9 @@
 
   /** Called after each applied compare-and-swap; continues actions that required durability. */
   private void ledgerWritten(List<Attempt> opened) {
-    jobCanceller.answerDurable();
+    jobCanceller.completeDurable();
     requestRoundForReadyJobs();
-    workers.attempts.startDurable(opened);
+    workers.attempts.sendDurableStarts(opened);
   }
 
   /** Called when the final state of a dependency has been read. */
@@ -181,19 +184,21 @@
    *
    * @param created the revision at which the job's record was created
    */
-  public void jobAccepted(Job job, Revision created) {
+  public void admitJob(Job job, Revision created) {
     admission.admit(job, created);
   }
 
   /** Returns the job with this id if the ledger contains it. */
-  public Optional<Job> job(JobId id) {
+  public Optional<Job> findJob(JobId id) {
     return Optional.ofNullable(ledger.job(id));
   }
 
   /**
-   * Returns the state of a job, or empty if only the key-value store has the current state: a write without a response so far may have been applied already, and another node may have reported its result to a user.
+   * Returns the state of a job, or empty if only the key-value store has the current state: a write
+   * without a response so far may have been applied already, and another node may have reported its
+   * result to a user.
    */
-  public Optional<JobState> stateOf(JobId id) {
+  public Optional<JobState> findState(JobId id) {
     Job job = ledger.job(id);
     return job == null ? ledger.findEnd(id) : ledger.findState(job);
   }
@@ -208,18 +213,19 @@
   }
 
   /** Whether a worker's lease may be renewed while no commands may be sent. */
-  public boolean mayKeepAlive(Heartbeat heartbeat) {
+  public boolean mayRenewLease(Heartbeat heartbeat) {
     return workers.leaseMonitor.mayRenewWithoutCommands(heartbeat);
   }
 
   /**
-   * Processes a heartbeat and returns the commands for the worker, or empty if no response may be sent.
+   * Processes a heartbeat and returns the commands for the worker, or empty if no response may be
+   * sent.
    *
    * @param mayCommand whether commands may be sent, which requires a valid leadership
    */
-  public Optional<List<Command>> heartbeat(Heartbeat heartbeat, boolean mayCommand) {
+  public Optional<List<Command>> processHeartbeat(Heartbeat heartbeat, boolean mayCommand) {
     return workers.heartbeats.process(heartbeat, mayCommand)
-            instanceof HeartbeatResult.Answered answered
+            instanceof HeartbeatResult.Accepted answered
         ? Optional.of(answered.commands())
         : Optional.empty();
   }
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -15,8 +15,10 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Restores the recorded state of earlier leaderships: jobs with their open attempts, provision requests and releases with unknown outcome, and pending stops of cancelled jobs. No scheduling decision may be made before that, since tasks could be started twice or stops be lost. Guarded by the
- * controller's lock.
+ * Restores the recorded state of earlier leaderships: jobs with their open attempts, provision
+ * requests and releases with unknown outcome, and pending stops of cancelled jobs. No scheduling
+ * decision may be made before that, since tasks could be started twice or stops be lost. Guarded by
+ * the controller's lock.
  */
 final class LeadershipRecovery {
   private final LeadershipContext context;
@@ -34,7 +36,8 @@
   /**
    * Loads all records, with retries.
    *
-   * @param onRecovered receives the revision at which the ledger was loaded; called under the lock, and not after the leadership has ended
+   * @param onRecovered receives the revision at which the ledger was loaded; called under the lock,
+   *     and not after the leadership has ended
    */
   void start(Consumer<Revision> onRecovered) {
     ControllerServices services = context.services();
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -4,7 +4,8 @@
 import org.ternhinge.election.Election;
 
 /**
- * The current leader as known to this node, and this node's own leadership if it has one. All methods must be called under the controller's lock.
+ * The current leader as known to this node, and this node's own leadership if it has one. All
+ * methods must be called under the controller's lock.
  */
 public final class LeadershipRole {
   private final String node;
@@ -34,13 +35,13 @@
   }
 
   /** Returns this node's leadership, even if it is still recovering or no longer valid. */
-  public Optional<Leadership> held() {
+  public Optional<Leadership> current() {
     return leadership;
   }
 
   /** Returns this node's leadership if it has recovered the ledger, even if no longer valid. */
   public Optional<Leadership> ready() {
-    return held().filter(Leadership::ready);
+    return current().filter(Leadership::ready);
   }
 
   /** Returns this node's leadership if it is recovered and valid and may answer from memory. */
@@ -49,9 +50,10 @@
   }
 
   /**
-   * Whether heartbeats may be answered: the leadership is valid, or was valid so recently that no other leader can be active yet.
+   * Whether heartbeats may be answered: the leadership is valid, or was valid so recently that no
+   * other leader can be active yet.
    */
-  public boolean mayAnswerWorkers() {
+  public boolean mayAnswerHeartbeats() {
     return election.mayAnswer();
   }
 
@@ -66,7 +68,8 @@
   }
 
   /**
-   * Returns the name of the leader if it is another node that supports jobs with dependencies. An older version would accept such a job but ignore its dependencies.
+   * Returns the name of the leader if it is another node that supports jobs with dependencies. An
+   * older version would accept such a job but ignore its dependencies.
    */
   public Optional<String> otherLeaderWithDependencies() {
     return otherLeader().filter(leader -> election.leaderKnowsDependencies());
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -17,7 +17,8 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * The components that track machines: existing machines, provisioning requests, machine types, and the health of machines and zones. Depends on no other group of components.
+ * The components that track machines: existing machines, provisioning requests, machine types, and
+ * the health of machines and zones. Depends on no other group of components.
  */
 final class MachineComponents {
   final MachineRegistry machines;
@@ -52,7 +53,8 @@
   }
 
   /**
-   * Returns the latest possible lease expiry of a machine that has sent no heartbeat to this leader. An earlier leader may have renewed leases until the end of its grace period.
+   * Returns the latest possible lease expiry of a machine that has sent no heartbeat to this
+   * leader. An earlier leader may have renewed leases until the end of its grace period.
    */
   private static SteadyTime initialLeaseEnd(
       Settings settings, Tuning tuning, SteadyTime electedAt) {
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -5,7 +5,8 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Runs the timers of a leadership: checks of leases, machines and zones, and periodic scheduling rounds. The timers end with the leadership. Guarded by the controller's lock.
+ * Runs the timers of a leadership: checks of leases, machines and zones, and periodic scheduling
+ * rounds. The timers end with the leadership. Guarded by the controller's lock.
  */
 final class PeriodicChecks {
   /** Interval in seconds between lease and reservation checks; short relative to a worker lease. */
--- a/src/main/java/org/ternhinge/leadership/RecoveryGate.java
+++ b/src/main/java/org/ternhinge/leadership/RecoveryGate.java
@@ -14,7 +14,7 @@
   }
 
   /** Runs an action when the gate opens or the leadership ends, whichever is first. */
-  void runLater(Runnable action) {
+  void defer(Runnable action) {
     deferred.add(action);
   }
 
@@ -25,7 +25,7 @@
   }
 
   /** Runs the deferred actions after the end of the leadership; the gate stays closed. */
-  void abandon() {
+  void onLeadershipEnded() {
     runDeferred();
   }
 
--- a/src/main/java/org/ternhinge/leadership/WorkerComponents.java
+++ b/src/main/java/org/ternhinge/leadership/WorkerComponents.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.AttemptStatusUpdater;
 import org.ternhinge.attempt.CommandDispatcher;
 import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.attempt.TermFence;
@@ -17,7 +17,8 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * The components that communicate with workers: commands, heartbeats, leases, and the task attempts that depend on them.
+ * The components that communicate with workers: commands, heartbeats, leases, and the task attempts
+ * that depend on them.
  */
 final class WorkerComponents {
   final CommandDispatcher dispatcher;
@@ -47,8 +48,8 @@
       MachineComponents fleet,
       AttemptLifecycle attempts,
       ReachabilityMonitor reachability) {
-    AttemptObserver attemptUpdater =
-        new AttemptObserver(
+    AttemptStatusUpdater attemptUpdater =
+        new AttemptStatusUpdater(
             attempts,
             context.ledger(),
             fleet.machineTypes,
@@ -64,7 +65,8 @@
   }
 
   /**
-   * Applies the status report in a command response. The dispatcher needs a sink when it is created, but the status updater depends on the dispatcher and is created later.
+   * Applies the status report in a command response. The dispatcher needs a sink when it is
+   * created, but the status updater depends on the dispatcher and is created later.
    */
   private AgentStatusSink.Result applyStatus(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -96,8 +96,8 @@
   }
 
   private static Optional<JobLookup.Result> findInMemory(Leadership leadership, JobId id) {
-    Optional<Job> job = leadership.job(id);
+    Optional<Job> job = leadership.findJob(id);
     boolean service = job.isPresent() && job.get().spec().isService();
-    return leadership.stateOf(id).map(state -> new JobLookup.Found(state, service));
+    return leadership.findState(id).map(state -> new JobLookup.Found(state, service));
   }
 }
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -45,7 +45,7 @@
 
   private void handle(
       Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
-    Optional<Leadership> leadership = role.held();
+    Optional<Leadership> leadership = role.current();
     if (leadership.isPresent() && !leadership.get().ready()) {
       // Without the ledger a lease must not be renewed: a cancelled task might live on by it.
       leadership.get().whenReady(() -> handle(heartbeat, request, origin, answer));
@@ -60,11 +60,11 @@
   private boolean answerAsLeader(
       Leadership leadership, Heartbeat heartbeat, Consumer<Response> answer) {
     boolean valid = role.isValid();
-    if (!role.mayAnswerWorkers() || !(valid || leadership.mayKeepAlive(heartbeat))) {
+    if (!role.mayAnswerHeartbeats() || !(valid || leadership.mayRenewLease(heartbeat))) {
       return false;
     }
-    Optional<List<Command>> commands = leadership.heartbeat(heartbeat, valid);
-    if (role.held().isEmpty()) {
+    Optional<List<Command>> commands = leadership.processHeartbeat(heartbeat, valid);
+    if (role.current().isEmpty()) {
       // The heartbeat carried a higher term, which has ended the leadership.
       return false;
     }
--- a/src/main/java/org/ternhinge/request/JobCancellations.java
+++ b/src/main/java/org/ternhinge/request/JobCancellations.java
@@ -37,7 +37,7 @@
 
   @Override
   public void answerAsLeader(JobId id, Leadership leadership, Consumer<Response> answer) {
-    Optional<Job> job = leadership.job(id);
+    Optional<Job> job = leadership.findJob(id);
     if (job.isEmpty()) {
       answerFromStore(id, answer);
       return;
--- a/src/main/java/org/ternhinge/request/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueries.java
@@ -27,7 +27,7 @@
 
   @Override
   public void answerAsLeader(JobId id, Leadership leadership, Consumer<Response> answer) {
-    Optional<JobState> state = leadership.stateOf(id);
+    Optional<JobState> state = leadership.findState(id);
     if (state.isPresent()) {
       answer.accept(fullState(state.get()));
     } else {
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -79,7 +79,7 @@
       answer.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
       return Optional.empty();
     }
-    Optional<JobState> known = role.valid().flatMap(leadership -> leadership.stateOf(id));
+    Optional<JobState> known = role.valid().flatMap(leadership -> leadership.findState(id));
     if (known.isPresent()) {
       answer.accept(Responses.known(known.get()));
       return Optional.empty();
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -179,7 +179,7 @@
     }
 
     private void notifyLeadership(Revision revision) {
-      role.ready().ifPresent(leadership -> leadership.jobAccepted(readBack(revision), revision));
+      role.ready().ifPresent(leadership -> leadership.admitJob(readBack(revision), revision));
     }
 
     private Job readBack(Revision revision) {
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -51,7 +51,7 @@
 
   /** Removes a machine that is certainly gone; its name is never reused. */
   void remove(Machine machine) {
-    lost(machine, ClosingEvidence.MACHINE_GONE);
+    lost(machine, ClosingEvidence.MACHINE_REMOVED);
     machines.remove(machine.id());
     machine.agent().endpoint().ifPresent(workers::forget);
   }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -23,8 +23,8 @@
 class AbsentAttemptReconcilerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final AbsentAttemptReconciler reconciler = reconciler(fixture);
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 1));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 1));
 
   private static AbsentAttemptReconciler reconciler(LeadershipFixture fixture) {
     return new AbsentAttemptReconciler(fixture.attempts, fixture.authority, fixture.ledger);
@@ -38,7 +38,7 @@
     "start outstanding,                 STARTING, false, true,  -1, HEARTBEAT,        9, false, NONE",
     "start not sent,                    STARTING, false, false, -1, HEARTBEAT,        9, false, NONE",
     "response with start not settled,   STARTING, false, false,  3, HEARTBEAT,        3, false, NONE",
-    "response with start missed,        STARTING, false, false,  3, HEARTBEAT,        4, false, ANSWER_MISSED",
+    "response with start missed,        STARTING, false, false,  3, HEARTBEAT,        4, false, RESPONSE_MISSED",
     "later command response,            STARTING, false, false,  3, COMMAND_RESPONSE, 4, false, NONE",
     "stopped; start outstanding,        STARTING, true,  true,  -1, HEARTBEAT,        9, false, NONE",
     "stopped; no start outstanding,     STARTING, true,  false, -1, HEARTBEAT,        9, true,  NONE",
@@ -47,7 +47,7 @@
     "stopped; later command response,   STARTING, true,  false,  3, COMMAND_RESPONSE, 4, false, NONE",
     "stopped; settled but outstanding,  STARTING, true,  true,   3, HEARTBEAT,        4, false, NONE"
   })
-  void anAttemptIsClosedOnceNoStartCanArrive(
+  void attemptIsClosedOnlyWhenNoStartCanArrive(
       String name,
       AttemptState state,
       boolean stopping,
@@ -57,7 +57,7 @@
       long sequence,
       boolean closed,
       Finding expectedFinding) {
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
     }
@@ -77,17 +77,17 @@
 
   /** The start of such an attempt has yet to be sent, so no report proves that it has ended. */
   @Test
-  void anAttemptThatIsNotDurableStaysOpen() {
+  void attemptWithoutDurableRecordStaysOpen() {
     fixture.store.pauseWrites();
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.stop(0, fixture.now());
     reconciler.reconcile(machine, fixture.heartbeat(machine).build(), MessageOrigin.HEARTBEAT);
     assertEquals(attempt, job.open(0));
   }
 
   @Test
-  void anAttemptOfAnotherEpochStaysOpen() {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void attemptOfAnotherEpochStaysOpen() {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     reconciler.reconcile(
         machine, fixture.heartbeat(machine).epoch(2).build(), MessageOrigin.HEARTBEAT);
@@ -95,13 +95,13 @@
   }
 
   @Test
-  void anAttemptThatIsShownStaysOpen() {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void reportedAttemptStaysOpen() {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     attempt.shownIn(machine.tasksRevision());
     reconciler.reconcile(
         machine,
-        fixture.heartbeat(machine).showing(attempt, TaskState.RUNNING).build(),
+        fixture.heartbeat(machine).withTask(attempt, TaskState.RUNNING).build(),
         MessageOrigin.HEARTBEAT);
     assertEquals(attempt, job.open(0));
   }
@@ -109,17 +109,17 @@
   /** Only a worker that has seen this term rejects start commands of an earlier leader. */
   @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"0, false", "1, true"})
-  void anEarlierLeadersAttemptIsClosedOnceTheWorkerHasSeenThisTerm(long token, boolean closed)
+  void attemptOfEarlierLeaderIsClosedOnceWorkerHasSeenTerm(long token, boolean closed)
       throws WireException {
-    fixture.open(job, 0, machine);
-    Entry record = fixture.core.get(Keys.JOBS + "wk-1").entry().orElseThrow();
+    fixture.openAttempt(job, 0, machine);
+    Entry record = fixture.storeCore.get(Keys.JOBS + "wk-1").entry().orElseThrow();
     LeadershipFixture next = new LeadershipFixture();
     next.store.pauseWrites();
     Job recovered = LedgerLoader.read(record.value(), record.revision(), next.now());
     next.ledger.add(recovered);
     List<Attempt> open = List.copyOf(recovered.openAttempts());
     assertEquals(1, open.size());
-    Machine sameMachine = next.machine("n-1");
+    Machine sameMachine = next.addMachine("n-1");
     reconciler(next)
         .reconcile(
             sameMachine,
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -16,40 +16,40 @@
 /** Tests starting, stopping and closing of attempts. */
 class AttemptLifecycleTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
 
   /** If a start was sent before the write, the next leader might not know of the running task. */
   @Test
-  void aStartGoesOutOnceTheStoreHoldsTheAttempt() {
+  void startIsSentOnlyAfterAttemptIsDurable() {
     fixture.store.pauseWrites();
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     fixture.clock.runFor(1);
-    assertEquals(0, fixture.sent.size());
+    assertEquals(0, fixture.sentCommands.size());
     fixture.store.resume();
     fixture.clock.runFor(1);
-    assertEquals(1, fixture.sent.size());
-    assertEquals(Command.Op.START, fixture.sent.get(0).op());
-    assertEquals(attempt.number(), fixture.sent.get(0).attempt());
+    assertEquals(1, fixture.sentCommands.size());
+    assertEquals(Command.Op.START, fixture.sentCommands.get(0).op());
+    assertEquals(attempt.number(), fixture.sentCommands.get(0).attempt());
   }
 
   /** An attempt that was stopped while its record was being written must not be started. */
   @Test
-  void anAttemptUnwantedByThenIsClosedInstead() {
+  void attemptStoppedDuringWriteIsClosedWithoutStart() {
     fixture.store.pauseWrites();
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.stop(5, fixture.now());
     fixture.store.resume();
     fixture.clock.runFor(1);
-    assertEquals(0, fixture.sent.size());
+    assertEquals(0, fixture.sentCommands.size());
     assertNull(job.open(0));
   }
 
   /** A later stop may only shorten the grace period of an earlier one. */
   @ParameterizedTest(name = "{0} s, then {1} s")
   @CsvSource({"5, 9, 5", "5, 5, 5", "5, 2, 2", "5, 0, 0"})
-  void theShortestGraceStands(double first, double second, double expected) {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void repeatedStopKeepsShortestGrace(double first, double second, double expected) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     fixture.attempts.stop(attempt, first);
     fixture.attempts.stop(attempt, second);
     assertEquals(expected, attempt.stopGraceS());
@@ -57,21 +57,21 @@
 
   /** Closing an attempt twice must not close the next attempt of the same task. */
   @Test
-  void aClosedAttemptIsNotClosedAgain() {
-    Attempt first = fixture.open(job, 0, machine);
-    fixture.attempts.close(first, ClosingEvidence.VANISHED);
-    Attempt second = fixture.open(job, 0, machine);
+  void closingTwiceKeepsNextAttemptOpen() {
+    Attempt first = fixture.openAttempt(job, 0, machine);
+    fixture.attempts.close(first, ClosingEvidence.NO_LONGER_REPORTED);
+    Attempt second = fixture.openAttempt(job, 0, machine);
     assertEquals(1, fixture.roundsRequested);
-    fixture.attempts.close(first, ClosingEvidence.VANISHED);
+    fixture.attempts.close(first, ClosingEvidence.NO_LONGER_REPORTED);
     assertEquals(second, job.open(0));
     assertEquals(1, fixture.roundsRequested);
   }
 
   /** A machine is idle from the time when its last attempt was closed. */
   @Test
-  void theLastAttemptsEndMakesAMachineIdle() {
-    Attempt first = fixture.open(job, 0, machine);
-    Attempt second = fixture.open(job, 1, machine);
+  void machineIsIdleSinceItsLastAttemptClosed() {
+    Attempt first = fixture.openAttempt(job, 0, machine);
+    Attempt second = fixture.openAttempt(job, 1, machine);
     fixture.clock.runFor(3);
     fixture.attempts.close(first, ClosingEvidence.REPORTED_DONE);
     assertEquals(3, fixture.now().secondsSince(machine.idleSince()), 1e-6);
--- a/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
@@ -11,7 +11,7 @@
 class ClosingEvidenceTest {
   @ParameterizedTest
   @EnumSource(EndReason.class)
-  void aReportedEndIsLoggedInTheWordOfTheMessage(EndReason reason) {
+  void reportedEndIsLoggedAsInMessage(EndReason reason) {
     ClosingEvidence evidence = ClosingEvidence.reported(reason);
     assertEquals(reason.word(), evidence.text());
     assertEquals("REPORTED_" + reason.name(), evidence.name());
@@ -19,7 +19,7 @@
 
   @ParameterizedTest
   @EnumSource(ClosingEvidence.class)
-  void onlyAReportOfTheWorkersCompletesATask(ClosingEvidence evidence) {
+  void onlyReportedDoneCompletesTask(ClosingEvidence evidence) {
     assertEquals(evidence == ClosingEvidence.REPORTED_DONE, evidence.isTaskDone());
   }
 
@@ -27,15 +27,15 @@
   @CsvSource({
     "MACHINE_FAILED, machine failed",
     "MACHINE_NOT_LISTED, machine not listed",
-    "MACHINE_GONE, machine removed",
+    "MACHINE_REMOVED, machine removed",
     "LEASE_EXPIRED, lease expired",
     "EPOCH_ENDED, agent epoch ended",
     "ABSENT_AFTER_FAILOVER, not reported after failover",
-    "VANISHED, no longer reported",
+    "NO_LONGER_REPORTED, no longer reported",
     "STOPPED_BEFORE_START, stopped before start",
     "NEVER_SENT, start never sent"
   })
-  void otherEvidenceIsLoggedInWords(ClosingEvidence evidence, String text) {
+  void otherEvidenceHasLogText(ClosingEvidence evidence, String text) {
     assertEquals(text, evidence.text());
   }
 }
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -26,8 +26,8 @@
 /** Tests when direct commands are sent, which ones, and how their outcomes are handled. */
 class CommandDispatcherTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 3));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 3));
 
   private List<Message> messages() {
     return fixture.workers.messages();
@@ -45,9 +45,9 @@
   @Nested
   class MessagesInFlight {
     @Test
-    void aMachineGetsOneMessageAtATime() {
-      fixture.open(job, 0, machine);
-      Attempt second = fixture.open(job, 1, machine);
+    void machineHasOneMessageInFlight() {
+      fixture.openAttempt(job, 0, machine);
+      Attempt second = fixture.openAttempt(job, 1, machine);
       assertEquals(1, messages().size());
       messages().get(0).execute(status());
       assertEquals(2, messages().size());
@@ -55,21 +55,21 @@
     }
 
     @Test
-    void eachMessageTakesASlotUntilItsOutcomeIsThere() {
+    void messageOccupiesSlotUntilItsOutcome() {
       int free = fixture.dispatcher.freeSlots();
-      fixture.open(job, 0, machine);
+      fixture.openAttempt(job, 0, machine);
       assertEquals(free - 1, fixture.dispatcher.freeSlots());
       messages().get(0).execute(status());
       assertEquals(free, fixture.dispatcher.freeSlots());
     }
 
     @Test
-    void commandsWaitForAFreeSlot() {
+    void commandsWaitForFreeSlot() {
       for (int i = 0; fixture.dispatcher.hasFreeSlot(); i++) {
-        fixture.dispatcher.probe(fixture.machine("other-" + i), fixture.now());
+        fixture.dispatcher.probe(fixture.addMachine("other-" + i), fixture.now());
       }
       int probes = messages().size();
-      fixture.open(job, 0, machine);
+      fixture.openAttempt(job, 0, machine);
       assertEquals(probes, messages().size());
       messages().get(0).execute(status());
       assertEquals(probes + 1, messages().size());
@@ -81,9 +81,9 @@
   @Nested
   class Selection {
     @Test
-    void startsThatBecameObsoleteWhileTheyWaitedAreDropped() {
-      fixture.open(job, 0, machine);
-      Attempt stopped = fixture.open(job, 1, machine);
+    void queuedObsoleteStartsAreDropped() {
+      fixture.openAttempt(job, 0, machine);
+      Attempt stopped = fixture.openAttempt(job, 1, machine);
       stopped.stop(0, fixture.now());
       messages().get(0).execute(status());
       assertEquals(1, messages().size());
@@ -92,16 +92,16 @@
 
     /** The next heartbeat response contains the commands; a message would only occupy a slot. */
     @Test
-    void aSilentWorkerGetsNoDirectCommands() {
+    void silentWorkerGetsNoDirectCommands() {
       fixture.clock.runFor(5.1);
-      Attempt attempt = fixture.open(job, 0, machine);
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       assertEquals(0, messages().size());
       assertTrue(machine.outbox().isEmpty());
       assertFalse(isOutstanding(attempt));
     }
 
     @Test
-    void aProbeCarriesNoCommands() {
+    void probeContainsNoCommands() {
       fixture.dispatcher.probe(machine, fixture.now());
       assertEquals(List.of(), fixture.workers.lastMessage().commands());
     }
@@ -111,43 +111,43 @@
   @Nested
   class Outcomes {
     @Test
-    void aResponseSettlesTheStartsAndBringsTheStatus() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void responseSettlesStartsAndDeliversStatus() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       assertTrue(isOutstanding(attempt));
       Heartbeat status = status();
       messages().get(0).execute(status);
       assertFalse(isOutstanding(attempt));
-      assertEquals(List.of(status), fixture.statuses);
+      assertEquals(List.of(status), fixture.reportedStatuses);
     }
 
     /** A connection failure does not prove that the message was not delivered. */
     @ParameterizedTest
     @EnumSource(Outcome.Reason.class)
-    void aMessageThatCertainlyDidNotArriveSettlesItsStarts(Outcome.Reason reason) {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void undeliveredMessageSettlesItsStarts(Outcome.Reason reason) {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       messages().get(0).outcome().complete(Outcome.notApplied(reason, ""));
       assertEquals(reason == Outcome.Reason.NO_CONNECTION, isOutstanding(attempt));
     }
 
     @Test
-    void aMessageWithoutAResponseLeavesItsStartsOutstanding() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void messageWithoutResponseLeavesStartsOutstanding() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       messages().get(0).outcome().complete(Outcome.unknown("timed out"));
       assertTrue(isOutstanding(attempt));
-      assertEquals(List.of(), fixture.statuses);
+      assertEquals(List.of(), fixture.reportedStatuses);
     }
 
     @Test
-    void aResponseFromAnEarlierEpochSettlesNothing() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void responseFromEarlierEpochSettlesNothing() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       machine.agent().beginEpoch(new AgentEpoch(2));
       messages().get(0).execute(status());
       assertTrue(isOutstanding(attempt));
     }
 
     @Test
-    void afterAFailureDirectCommandsPauseForOneHeartbeat() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void failurePausesDirectCommandsForOneHeartbeat() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       attempt.observe(AttemptState.RUNNING, fixture.now());
       messages().get(0).outcome().complete(Outcome.unknown("timed out"));
       fixture.attempts.stop(attempt, 5);
@@ -158,14 +158,14 @@
     }
 
     @Test
-    void aWorkerThatHasSeenAHigherTermEndsTheLeadership() {
+    void higherTermInResponseEndsLeadership() {
       fixture.authority.expectLoss();
-      fixture.open(job, 0, machine);
+      fixture.openAttempt(job, 0, machine);
       messages().get(0).refuse(fixture.heartbeat(machine).fencingToken(2).build());
       assertEquals(
           new LeadershipLoss.HigherTermSeen(new Term(2)),
           fixture.authority.lossReason().orElseThrow());
-      assertEquals(List.of(), fixture.statuses);
+      assertEquals(List.of(), fixture.reportedStatuses);
     }
   }
 }
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/JobCancellerTest.java
@@ -18,21 +18,21 @@
 import org.ternhinge.wire.JobState;
 
 /** Tests when a cancellation is confirmed and how the attempts of the job are stopped. */
-class CancellationsTest {
+class JobCancellerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final Cancellations jobCanceller =
-      new Cancellations(fixture.ledger, fixture.attempts, fixture.writer);
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final JobCanceller jobCanceller =
+      new JobCanceller(fixture.ledger, fixture.attempts, fixture.writer);
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
   private final List<JobState.Phase> answers = new ArrayList<>();
 
-  CancellationsTest() {
-    fixture.onWritten = jobCanceller::answerDurable;
+  JobCancellerTest() {
+    fixture.afterWrite = jobCanceller::completeDurable;
   }
 
   /** If a cancellation was confirmed before the write, the next leader might run the job. */
   @Test
-  void requestsAreAnsweredOnceTheCancellationIsDurable() {
+  void requestsAreCompletedOnceCancellationIsDurable() {
     fixture.store.pauseWrites();
     jobCanceller.cancel(job, state -> answers.add(state.phase()));
     jobCanceller.cancel(job, state -> answers.add(state.phase()));
@@ -44,24 +44,26 @@
   }
 
   /**
-   * An attempt whose start was never sent is closed immediately. One whose start may be in flight stays open until there is evidence that it has ended. A running one is stopped.
+   * An attempt whose start was never sent is closed immediately. One whose start may be in flight
+   * stays open until there is evidence that it has ended. A running one is stopped.
    */
   @ParameterizedTest(name = "durable {0}, reported {1}")
   @CsvSource({"false, STARTING, false, 0", "true, STARTING, true, 0", "true, RUNNING, true, 1"})
-  void itsAttemptsAreStopped(boolean durable, AttemptState reported, boolean open, int stops) {
+  void cancelledJobsAttemptsAreClosedOrStopped(
+      boolean durable, AttemptState reported, boolean open, int stops) {
     if (!durable) {
       fixture.store.pauseWrites();
     }
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     if (reported.isReported()) {
       attempt.observe(reported, fixture.now());
     }
     machine.outbox().markLanded();
-    fixture.sent.clear();
+    fixture.sentCommands.clear();
     jobCanceller.cancel(job, state -> {});
     assertTrue(attempt.stopping());
     assertEquals(open, job.open(0) == attempt);
-    long sentStops = fixture.sent.stream().filter(c -> c.op() == Command.Op.STOP).count();
+    long sentStops = fixture.sentCommands.stream().filter(c -> c.op() == Command.Op.STOP).count();
     assertEquals(stops, sentStops);
   }
 }
--- a/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermAnnouncerTest.java
@@ -45,21 +45,21 @@
     "no endpoint,   RUNNING, false",
     ",              RUNNING, false"
   })
-  void onlyARunningMachineWithAnEndpointIsAddressed(
+  void onlyRunningMachineWithEndpointGetsAnnouncement(
       String endpoint, ListedMachine.State state, boolean announced) {
     assertEquals(announced, announcer.announce(unheard, listed(endpoint, state)));
     assertEquals(announced ? 1 : 0, fixture.workers.messages().size());
   }
 
   @Test
-  void aWorkerThatHasSentAHeartbeatIsNotAddressed() {
-    Machine heard = fixture.machine("n-2");
+  void workerThatSentHeartbeatGetsNoAnnouncement() {
+    Machine heard = fixture.addMachine("n-2");
     assertFalse(announcer.announce(heard, listed("10.0.1.1:9000", ListedMachine.State.RUNNING)));
     assertEquals(List.of(), fixture.workers.messages());
   }
 
   @Test
-  void aWorkerThatRefusesTheEpochIsAskedOnceMoreInItsOwn() {
+  void refusedEpochIsRetriedOnceWithWorkersEpoch() {
     assertTrue(announcer.announce(unheard, listed("10.0.1.1:9000", ListedMachine.State.RUNNING)));
     Heartbeat refusal = fixture.heartbeat(unheard).epoch(7).build();
     fixture.workers.lastMessage().refuse(refusal);
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -19,9 +19,9 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final TermFence fence =
       new TermFence(fixture.authority, fixture.writer, fixture.machines);
-  private final Machine machine = fixture.machine("n-1");
+  private final Machine machine = fixture.addMachine("n-1");
   private final Attempt attempt =
-      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+      fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
 
   /** Only a stopped attempt that stays open because of an outstanding start requires a raise. */
   @ParameterizedTest(name = "{0}")
@@ -33,7 +33,7 @@
     "no outstanding start,     true,  STARTING,  5,   0, 0, false",
     "fenced already,          true,  STARTING,  5,   1, 1, false"
   })
-  void isNeeded(
+  void raiseIsNeededOnlyForUnfencedOutstandingStart(
       String name,
       boolean stopping,
       AttemptState reportedState,
@@ -64,7 +64,7 @@
   /** Each raise makes the fencing tokens of all workers outdated, so raises are rate-limited. */
   @ParameterizedTest(name = "second raise after {0} s: term {1}")
   @CsvSource({"0, 2", "9.9, 2", "10.1, 3"})
-  void raisesAreAMinimumIntervalApart(double againAfterS, long term) {
+  void raisesAreRateLimited(double againAfterS, long term) {
     fence.raise(fixture.now());
     fixture.clock.runFor(againAfterS);
     fence.raise(fixture.now());
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aSecondRaiseWaitsForTheFirst() {
+  void raiseInProgressSuppressesSecondRaise() {
     fixture.store.pauseWrites();
     fence.raise(fixture.now());
     fixture.clock.runFor(20);
@@ -86,7 +86,7 @@
   /** An outstanding start is fenced only once the worker reports the raised term. */
   @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"1, true", "2, false"})
-  void aWorkerThatShowsTheTermRefusesEarlierStarts(long reportedTerm, boolean outstanding) {
+  void startIsFencedOnceWorkerReportsTerm(long reportedTerm, boolean outstanding) {
     machine.outstandingStarts().sent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -66,7 +66,7 @@
       int unheard) {
     MachineId id = new MachineId("n-1");
     Machine machine =
-        heard ? fixture.machine("n-1") : fixture.machines.findOrAdd(id, fixture.now());
+        heard ? fixture.addMachine("n-1") : fixture.machines.findOrAdd(id, fixture.now());
     inEast(machine);
     if (listed) {
       machine.cloud().listed(fixture.now(), true);
@@ -80,16 +80,16 @@
 
   @Test
   void aMachineOfUnknownZoneCountsInThatOfItsAttempts() {
-    Machine machine = fixture.machine("n-1");
+    Machine machine = fixture.addMachine("n-1");
     assertEquals(new ZoneObservation(0, 0, 0), east());
-    fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+    fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
     assertEquals(new ZoneObservation(1, 0, 0), east());
   }
 
   @Test
   void openTiersAreThoseOfAttemptsOnImpairedMachines() {
-    Machine machine = inEast(fixture.machine("n-1"));
-    fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+    Machine machine = inEast(fixture.addMachine("n-1"));
+    fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
     assertEquals(Set.of(), observations().openTiers("east"));
     fixture.clock.runFor(60);
     assertEquals(Set.of(TIER), observations().openTiers("east"));
@@ -97,11 +97,11 @@
 
   @Test
   void aDisplacedTaskWaitsUntilItIsPlacedOrOver() {
-    Job job = fixture.job(Specs.json("wk-1", "batch", 1));
+    Job job = fixture.addJob(Specs.json("wk-1", "batch", 1));
     JobId id = job.spec().id();
     assertEquals(TaskState.PENDING, observations().state(id, 0));
     assertTrue(observations().isPlaceable(id));
-    Attempt attempt = fixture.open(job, 0, fixture.machine("n-1"));
+    Attempt attempt = fixture.openAttempt(job, 0, fixture.addMachine("n-1"));
     assertEquals(TaskState.PLACED, observations().state(id, 0));
     fixture.ledger.close(attempt, true);
     assertEquals(TaskState.ENDED, observations().state(id, 0));
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -40,12 +40,12 @@
 
   private void record(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
-    fixture.core.compareAndSwap(
+    fixture.storeCore.compareAndSwap(
         new CompareAndSwap(List.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
   private Entry recorded() {
-    return fixture.core.get(ZoneRecord.KEY).entry().orElseThrow();
+    return fixture.storeCore.get(ZoneRecord.KEY).entry().orElseThrow();
   }
 
   /** What an earlier leader held back is not known before, and would be started out of order. */
@@ -75,7 +75,7 @@
     record("available");
     long before = recorded().revision().value();
     for (int i = 0; i < 4; i++) {
-      Machine machine = fixture.machine("n-00000" + i);
+      Machine machine = fixture.addMachine("n-00000" + i);
       machine.describe(new MachineDescription("small", 0, "east", false));
     }
     fixture.store.pauseReads();
--- a/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
@@ -19,7 +19,8 @@
 class CommandListTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Attempt attempt =
-      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, fixture.machine("n-1"));
+      fixture.openAttempt(
+          fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, fixture.addMachine("n-1"));
   private final CommandList commands = new CommandList();
 
   private static TaskId task(int index) {
@@ -31,7 +32,7 @@
   }
 
   @Test
-  void stopsComeBeforeForgetsAndForgetsBeforeStarts() {
+  void commandsAreOrderedStopsForgetsStarts() {
     commands.addStart(attempt);
     commands.addForget(task(0), number(1));
     commands.addStop(task(1), number(2), 3);
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void whatOneMessageDoesNotCarryIsCutOffFromTheEnd() {
+  void excessCommandsAreTruncatedAtEnd() {
     commands.addStart(attempt);
     for (int i = 1; i < CommandDispatcher.MAX_COMMANDS_PER_MESSAGE; i++) {
       assertFalse(commands.isFull());
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -25,8 +25,8 @@
 
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatCommands commands = new HeartbeatCommands(fixture.ledger);
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
   private final TaskId unknown = new TaskId(new JobId("wk-9"), 0);
 
   private static List<Command> command(Command.Op op, TaskId task, AttemptNumber number) {
@@ -34,18 +34,18 @@
   }
 
   @Test
-  void aRunningTaskWithoutAnAttemptIsStopped() {
+  void runningTaskWithoutAttemptIsStopped() {
     assertEquals(
         command(Command.Op.STOP, unknown, FIRST),
         commands.commands(
             machine,
-            fixture.heartbeat(machine).showing(unknown, FIRST, TaskState.RUNNING).build()));
+            fixture.heartbeat(machine).withTask(unknown, FIRST, TaskState.RUNNING).build()));
   }
 
   /** After the worker has forgotten the task, a start that arrives late would run it again. */
   @ParameterizedTest(name = "start outstanding: {0}")
   @CsvSource({"false", "true"})
-  void anEndedTaskIsForgottenUnlessAStartOfItMayArrive(boolean startOutstanding) {
+  void endedTaskIsForgottenUnlessStartMayArrive(boolean startOutstanding) {
     if (startOutstanding) {
       machine.outstandingStarts().sent(unknown, FIRST);
     }
@@ -53,19 +53,19 @@
         startOutstanding ? List.of() : command(Command.Op.FORGET, unknown, FIRST),
         commands.commands(
             machine,
-            fixture.heartbeat(machine).showingEnd(unknown, FIRST, EndReason.DONE).build()));
+            fixture.heartbeat(machine).withEndedTask(unknown, FIRST, EndReason.DONE).build()));
   }
 
   @Test
-  void anEndedTaskIsNotForgottenBeforeItsEndIsRecorded() {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void endedTaskIsNotForgottenBeforeItsEndIsDurable() {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     machine.outstandingStarts().clear();
     fixture.store.pauseWrites();
     fixture.ledger.close(attempt, true);
     var heartbeat =
         fixture
             .heartbeat(machine)
-            .showingEnd(attempt.task(), attempt.number(), EndReason.DONE)
+            .withEndedTask(attempt.task(), attempt.number(), EndReason.DONE)
             .build();
     assertEquals(List.of(), commands.commands(machine, heartbeat));
     fixture.store.resume();
@@ -86,9 +86,9 @@
     "stopped while checkpointing,     CHECKPOINTING, 5,  1, ",
     "checkpointing without grace,     CHECKPOINTING, 0,  1, STOP"
   })
-  void anOpenAttemptIsStartedOrStopped(
+  void openAttemptIsStartedOrStopped(
       String name, AttemptState state, Double stopGraceS, long epoch, Command.Op expected) {
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
     }
@@ -105,11 +105,11 @@
   }
 
   @Test
-  void theStopsOfAMachineDoNotDependOnAHeartbeat() {
-    Attempt stopped = fixture.open(job, 0, machine);
+  void stopsOfMachineAreIndependentOfHeartbeat() {
+    Attempt stopped = fixture.openAttempt(job, 0, machine);
     stopped.observe(AttemptState.RUNNING, fixture.now());
     stopped.stop(0, fixture.now());
-    Attempt starting = fixture.open(job, 1, machine);
+    Attempt starting = fixture.openAttempt(job, 1, machine);
     assertEquals(
         command(Command.Op.STOP, stopped.task(), stopped.number()), commands.stops(machine));
     assertEquals(-1, starting.startAnswered());
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.AttemptStatusUpdater;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
-import org.ternhinge.heartbeat.HeartbeatResult.Answered;
-import org.ternhinge.heartbeat.HeartbeatResult.NotAnswered;
+import org.ternhinge.heartbeat.HeartbeatResult.Accepted;
+import org.ternhinge.heartbeat.HeartbeatResult.Rejected;
 import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
@@ -46,8 +46,8 @@
 
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatProcessor processor = processor();
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
 
   private HeartbeatProcessor processor() {
     ReachabilityMonitor reachability =
@@ -63,9 +63,9 @@
     return new HeartbeatProcessor(fixture.context, fixture.machines, updater, reachability);
   }
 
-  private AttemptObserver attemptUpdater() {
+  private AttemptStatusUpdater attemptUpdater() {
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
-    return new AttemptObserver(
+    return new AttemptStatusUpdater(
         fixture.attempts, fixture.ledger, machineTypes(), failures, new Metrics());
   }
 
@@ -86,7 +86,7 @@
   }
 
   private List<Command> commands(Heartbeat heartbeat) {
-    return assertInstanceOf(Answered.class, process(heartbeat)).commands();
+    return assertInstanceOf(Accepted.class, process(heartbeat)).commands();
   }
 
   private SteadyTime leaseFromNow() {
@@ -97,45 +97,44 @@
   @Nested
   class FenceCheckAndAdmission {
     @Test
-    void aHigherFencingTokenEndsTheLeadership() {
+    void higherFencingTokenEndsLeadership() {
       fixture.authority.expectLoss();
       assertEquals(
-          NotAnswered.HIGHER_TERM, process(fixture.heartbeat(machine).fencingToken(2).build()));
+          Rejected.HIGHER_TERM, process(fixture.heartbeat(machine).fencingToken(2).build()));
       assertEquals(
           new LeadershipLoss.HigherTermSeen(new Term(2)),
           fixture.authority.lossReason().orElseThrow());
     }
 
     @Test
-    void aRemovedMachineGetsNoAnswerAndIsNotAddedAgain() {
+    void removedMachineIsRejectedAndNotAddedAgain() {
       Heartbeat delayed = fixture.heartbeat(machine).build();
       fixture.machines.remove(machine.id());
-      assertEquals(NotAnswered.MACHINE_REMOVED, process(delayed));
+      assertEquals(Rejected.MACHINE_REMOVED, process(delayed));
       assertEquals(Optional.empty(), fixture.machines.find(machine.id()));
     }
 
     @Test
-    void aTerminatedMachineGetsNoAnswer() {
+    void terminatedMachineIsRejected() {
       machine.cloud().markTerminated();
-      assertEquals(NotAnswered.MACHINE_TERMINATED, process(fixture.heartbeat(machine).build()));
+      assertEquals(Rejected.MACHINE_TERMINATED, process(fixture.heartbeat(machine).build()));
       assertFalse(machine.agent().wasAnswered());
     }
 
     /** The worker may be about to reconnect, so its machine is kept for another lease. */
     @ParameterizedTest(name = "epoch {0}, ended up to {1}")
     @CsvSource({"0, 0", "1, 1", "1, 2"})
-    void anEndedEpochGetsNoAnswerButKeepsTheMachine(long epoch, long lastEnded) {
+    void endedEpochIsRejectedButMachineIsKept(long epoch, long lastEnded) {
       machine.agent().endEpochs(new AgentEpoch(lastEnded));
-      assertEquals(
-          NotAnswered.EPOCH_ENDED, process(fixture.heartbeat(machine).epoch(epoch).build()));
+      assertEquals(Rejected.EPOCH_ENDED, process(fixture.heartbeat(machine).epoch(epoch).build()));
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
       assertFalse(machine.agent().wasAnswered());
     }
 
     @Test
-    void anUnknownMachineIsAdded() {
+    void unknownMachineIsAdded() {
       MachineId id = new MachineId("n-2");
-      Machine sameMachineElsewhere = new LeadershipFixture().machine("n-2");
+      Machine sameMachineElsewhere = new LeadershipFixture().addMachine("n-2");
       assertEquals(List.of(), commands(fixture.heartbeat(sameMachineElsewhere).build()));
       assertEquals("small", fixture.machines.find(id).orElseThrow().description().typeName());
       assertEquals("east", fixture.machines.find(id).orElseThrow().description().zoneName());
@@ -144,11 +143,11 @@
 
   /** Heartbeats that arrive out of order. */
   @Nested
-  class OrderOfMessages {
+  class MessageOrder {
     @Test
-    void anOutdatedHeartbeatChangesNothingButIsAnsweredWithStops() {
-      Attempt attempt = fixture.open(job, 0, machine);
-      process(fixture.heartbeat(machine).sequence(5).showing(attempt, TaskState.RUNNING).build());
+    void outdatedHeartbeatIsIgnoredButGetsStops() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
+      process(fixture.heartbeat(machine).sequence(5).withTask(attempt, TaskState.RUNNING).build());
       SteadyTime received = fixture.now();
       attempt.stop(0, received);
       fixture.clock.runFor(1);
@@ -166,8 +165,8 @@
   @Nested
   class EpochChange {
     @Test
-    void aNewerEpochClosesTheAttemptsOfEarlierOnes() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void newerEpochClosesAttemptsOfEarlierEpochs() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       assertTrue(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
       process(fixture.heartbeat(machine).epoch(2).build());
       assertNull(job.open(0));
@@ -178,16 +177,16 @@
 
   /** Machine attributes in a heartbeat. */
   @Nested
-  class Attributes {
+  class MachineAttributesInHeartbeat {
     @Test
-    void anUnusableEndpointLeavesTheOneBefore() {
+    void invalidEndpointKeepsPreviousEndpoint() {
       var before = machine.agent().endpoint();
       process(fixture.heartbeat(machine).endpoint("no endpoint").build());
       assertEquals(before, machine.agent().endpoint());
     }
 
     @Test
-    void theFirstHeartbeatRequestsARound() {
+    void onlyFirstHeartbeatRequestsRound() {
       Machine unheard = fixture.machines.findOrAdd(new MachineId("n-2"), fixture.now());
       process(fixture.heartbeat(unheard).epoch(1).sequence(1).build());
       assertEquals(1, fixture.roundsRequested);
@@ -200,7 +199,7 @@
   @Nested
   class ReclaimNotice {
     private Attempt attempt(ObjectNode json) {
-      Attempt attempt = fixture.open(fixture.job(json), 0, machine);
+      Attempt attempt = fixture.openAttempt(fixture.addJob(json), 0, machine);
       attempt.observe(AttemptState.RUNNING, fixture.now());
       return attempt;
     }
@@ -210,13 +209,13 @@
           fixture
               .heartbeat(machine)
               .sequence(sequence)
-              .showing(attempt, TaskState.RUNNING)
+              .withTask(attempt, TaskState.RUNNING)
               .reclaimNotice(seconds)
               .build());
     }
 
     @Test
-    void aTaskThatSavesCheckpointsIsStoppedWithTimeToSave() {
+    void taskWithCheckpointsIsStoppedWithGrace() {
       Attempt attempt =
           attempt(Specs.json("wk-2", "batch", 1).put("vista_bil_s", 60.0).put("vistun_s", 4.0));
       sendNotice(attempt, 1, 30);
@@ -225,14 +224,14 @@
     }
 
     @Test
-    void aTaskThatCanNotSaveRunsOn() {
+    void taskWithoutCheckpointsKeepsRunning() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
       sendNotice(attempt, 1, 30);
       assertFalse(attempt.stopping());
     }
 
     @Test
-    void onlyTheFirstNoticeCounts() {
+    void onlyFirstNoticeHasEffect() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
       sendNotice(attempt, 1, 30);
       SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
@@ -246,21 +245,21 @@
   @Nested
   class Reconciliation {
     @Test
-    void aReportedEndClosesTheAttempt() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void reportedEndClosesAttempt() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       process(
           fixture
               .heartbeat(machine)
-              .showingEnd(attempt.task(), attempt.number(), EndReason.DONE)
+              .withEndedTask(attempt.task(), attempt.number(), EndReason.DONE)
               .build());
       assertNull(job.open(0));
       assertTrue(job.isDone(0));
     }
 
     @Test
-    void anAttemptThatIsNoLongerShownIsClosed() {
-      Attempt attempt = fixture.open(job, 0, machine);
-      process(fixture.heartbeat(machine).sequence(1).showing(attempt, TaskState.RUNNING).build());
+    void attemptNoLongerReportedIsClosed() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
+      process(fixture.heartbeat(machine).sequence(1).withTask(attempt, TaskState.RUNNING).build());
       assertEquals(attempt, job.open(0));
       process(fixture.heartbeat(machine).sequence(2).build());
       assertNull(job.open(0));
@@ -270,11 +269,11 @@
 
   /** Detection of workers that do not receive responses. */
   @Nested
-  class MissedAnswers {
+  class MissedResponses {
     /** A response contains the term, which the next heartbeat must report. */
     @ParameterizedTest(name = "{0} heartbeats that report term {1}")
     @CsvSource({"3, 0, false", "4, 0, true", "9, 1, false"})
-    void threeAnswersInARowWithoutEffectMakeAWorkerUnreachable(
+    void workerIsUnreachableAfterThreeMissedResponses(
         int heartbeats, long token, boolean unreachable) {
       for (int i = 1; i <= heartbeats; i++) {
         process(fixture.heartbeat(machine).sequence(i).fencingToken(token).build());
@@ -287,7 +286,7 @@
   @Nested
   class LeaseRenewalAndCommands {
     @Test
-    void anAnswerRenewsTheLease() {
+    void responseRenewsLease() {
       fixture.clock.runFor(3);
       process(fixture.heartbeat(machine).build());
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
@@ -296,10 +295,10 @@
 
     @ParameterizedTest(name = "may command: {0}")
     @CsvSource({"true, 1", "false, 0"})
-    void commandsAreGivenOnlyWherePermitted(boolean mayCommand, int expected) {
-      fixture.open(job, 0, machine);
+    void commandsAreSentOnlyIfPermitted(boolean mayCommand, int expected) {
+      fixture.openAttempt(job, 0, machine);
       HeartbeatResult result = processor.process(fixture.heartbeat(machine).build(), mayCommand);
-      assertEquals(expected, assertInstanceOf(Answered.class, result).commands().size());
+      assertEquals(expected, assertInstanceOf(Accepted.class, result).commands().size());
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
     }
   }
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -37,8 +37,8 @@
           reportedTasks,
           fixture.dispatcher,
           new TermFence(fixture.authority, fixture.writer, fixture.machines));
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
 
   private TaskStatus running(TaskId task, AttemptNumber number) {
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
@@ -60,8 +60,8 @@
   /** A worker with an expired lease has killed its tasks; only then may they start elsewhere. */
   @ParameterizedTest(name = "{0} s after the last response")
   @CsvSource({"9.9, true", "10.1, false"})
-  void attemptsAreClosedWithTheLease(double silentForS, boolean open) {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void attemptsAreClosedWhenLeaseExpires(double silentForS, boolean open) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     reportedTasks.show(machine, List.of(running(attempt.task(), attempt.number())));
     fixture.clock.runFor(silentForS);
     monitor.check(fixture.now());
@@ -72,7 +72,7 @@
 
   /** Tasks without attempt, from a delayed heartbeat, must not block starts indefinitely. */
   @Test
-  void tasksWithoutAnAttemptAreForgottenWithTheLease() {
+  void tasksWithoutAttemptAreDroppedWhenLeaseExpires() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
     reportedTasks.show(machine, List.of(running(unknown, new AttemptNumber(1))));
     fixture.clock.runFor(10.1);
@@ -83,8 +83,8 @@
   /** Time limit: 3 s grace, 5 s until gang peers notice, and 2 s heartbeat interval. */
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
-  void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void overdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     fixture.attempts.stop(attempt, 3);
     fixture.clock.runFor(afterS);
@@ -101,9 +101,9 @@
     "job is cancelled,          cancel,    false, false",
     "task is unknown,           none,      true,  false"
   })
-  void leasesThatMayBeRenewedWithoutCommands(
+  void leaseIsRenewableWithoutCommandsOnlyIfNothingMustStop(
       String name, String stopCause, boolean unknownTask, boolean mayRenew) {
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     if (stopCause.equals("stop")) {
       attempt.stop(0, fixture.now());
     } else if (stopCause.equals("cancel")) {
@@ -111,13 +111,13 @@
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
     Heartbeat heartbeat =
-        fixture.heartbeat(machine).showing(task, attempt.number(), TaskState.RUNNING).build();
+        fixture.heartbeat(machine).withTask(task, attempt.number(), TaskState.RUNNING).build();
     assertEquals(mayRenew, monitor.mayRenewWithoutCommands(heartbeat));
   }
 
   /** The lease expiry has no effect on a machine without attempts or reported tasks. */
   @Test
-  void anIdleMachineKeepsItsEpoch() {
+  void idleMachineKeepsItsEpoch() {
     fixture.clock.runFor(60);
     monitor.check(fixture.now());
     assertEquals(AgentEpoch.NONE, machine.agent().lastEndedEpoch());
--- a/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
+++ b/src/test/java/org/ternhinge/leadership/HeartbeatBuilder.java
@@ -61,18 +61,18 @@
   }
 
   /** Adds an attempt in a state other than ended. */
-  public HeartbeatBuilder showing(Attempt attempt, TaskState state) {
-    return showing(attempt.task(), attempt.number(), state);
+  public HeartbeatBuilder withTask(Attempt attempt, TaskState state) {
+    return withTask(attempt.task(), attempt.number(), state);
   }
 
   /** Adds a task attempt, known to the ledger or not, in a state other than ended. */
-  public HeartbeatBuilder showing(TaskId task, AttemptNumber attempt, TaskState state) {
+  public HeartbeatBuilder withTask(TaskId task, AttemptNumber attempt, TaskState state) {
     tasks.add(new TaskStatus(task, attempt, state, null, false));
     return this;
   }
 
   /** Adds an ended task attempt, known to the ledger or not. */
-  public HeartbeatBuilder showingEnd(TaskId task, AttemptNumber attempt, EndReason reason) {
+  public HeartbeatBuilder withEndedTask(TaskId task, AttemptNumber attempt, EndReason reason) {
     tasks.add(new TaskStatus(task, attempt, TaskState.ENDED, reason, false));
     return this;
   }
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -49,7 +49,8 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Collaborators for tests of leadership components: a real ledger and writer on a {@link PausableStore}, {@link RecordingWorkers}, and a counter of requested rounds.
+ * Collaborators for tests of leadership components: a real ledger and writer on a {@link
+ * PausableStore}, {@link RecordingWorkers}, and a counter of requested rounds.
  */
 public final class LeadershipFixture {
   public static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
@@ -57,10 +58,10 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   public final SimClock clock = new SimClock();
-  public final StoreCore core = new StoreCore(clock);
-  public final PausableStore store = new PausableStore(new DirectStore(core));
-  public final List<Command> sent = new ArrayList<>();
-  public final RecordingWorkers workers = new RecordingWorkers(sent);
+  public final StoreCore storeCore = new StoreCore(clock);
+  public final PausableStore store = new PausableStore(new DirectStore(storeCore));
+  public final List<Command> sentCommands = new ArrayList<>();
+  public final RecordingWorkers workers = new RecordingWorkers(sentCommands);
   public final TestAuthority authority;
   private final ReentrantLock lock = new ReentrantLock();
   private final Map<String, Team> teams = Map.of("red", new Team("red", 0, 0, 0, 0));
@@ -73,19 +74,19 @@
   public final AttemptLifecycle attempts;
 
   /** The status reports in responses to direct commands, earliest first. */
-  public final List<Heartbeat> statuses = new ArrayList<>();
+  public final List<Heartbeat> reportedStatuses = new ArrayList<>();
 
   public int roundsRequested;
 
   /** Runs after each ledger write, before the starts are sent. */
-  public Runnable onWritten = () -> {};
+  public Runnable afterWrite = () -> {};
 
   /** Creates the collaborators for a leadership in term 1. */
   public LeadershipFixture() {
-    core.compareAndSwap(
+    storeCore.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
-    authority = new TestAuthority(core.get(Keys.TERM).entry().orElseThrow().revision());
+    authority = new TestAuthority(storeCore.get(Keys.TERM).entry().orElseThrow().revision());
     executor = new LeadershipExecutor(clock, lock);
     ledger = new Ledger(teams, VALUE_BYTES, clock);
     writer = new LedgerWriter(ledger, store, authority, clock, lock, 16, this::written);
@@ -105,7 +106,7 @@
 
   private AgentStatusSink.Result recordStatus(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
-    statuses.add(status);
+    reportedStatuses.add(status);
     return AgentStatusSink.Result.APPLIED;
   }
 
@@ -149,12 +150,12 @@
   }
 
   private void written(List<Attempt> opened) {
-    onWritten.run();
-    attempts.startDurable(opened);
+    afterWrite.run();
+    attempts.sendDurableStarts(opened);
   }
 
   /** Adds a machine that has sent a heartbeat and accepts direct commands. */
-  public Machine machine(String name) {
+  public Machine addMachine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
     machine.agent().beginEpoch(new AgentEpoch(1));
     machine.agent().endpoint(WORKER_ENDPOINT);
@@ -163,11 +164,12 @@
   }
 
   /** Adds a job to the key-value store and the ledger. */
-  public Job job(ObjectNode json) {
+  public Job addJob(ObjectNode json) {
     ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
-    core.compareAndSwap(new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
-    Revision revision = core.get(key).entry().orElseThrow().revision();
+    storeCore.compareAndSwap(
+        new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
+    Revision revision = storeCore.get(key).entry().orElseThrow().revision();
     try {
       Job job = LedgerLoader.read(record, revision, clock.now());
       ledger.add(job);
@@ -178,7 +180,7 @@
   }
 
   /** Opens an attempt of a job's task on a machine and starts writing it. */
-  public Attempt open(Job job, int index, Machine machine) {
+  public Attempt openAttempt(Job job, int index, Machine machine) {
     MachineAttributes attributes =
         new MachineAttributes(
             machine.id(),
--- a/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
+++ b/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
@@ -14,9 +14,9 @@
   private final List<String> executed = new ArrayList<>();
 
   @Test
-  void delayedRequestsRunInOrderWhenTheGateOpens() {
-    gate.runLater(() -> executed.add("first " + gate.isOpen()));
-    gate.runLater(() -> executed.add("second"));
+  void deferredActionsRunInOrderWhenGateOpens() {
+    gate.defer(() -> executed.add("first " + gate.isOpen()));
+    gate.defer(() -> executed.add("second"));
     assertFalse(gate.isOpen());
     assertEquals(List.of(), executed);
     gate.open();
@@ -25,17 +25,17 @@
   }
 
   @Test
-  void delayedRequestsRunOnceWhenTheLeadershipEndsBefore() {
-    gate.runLater(() -> executed.add("request " + gate.isOpen()));
-    gate.abandon();
-    gate.abandon();
+  void deferredActionsRunOnceWhenLeadershipEnds() {
+    gate.defer(() -> executed.add("request " + gate.isOpen()));
+    gate.onLeadershipEnded();
+    gate.onLeadershipEnded();
     assertEquals(List.of("request false"), executed);
   }
 
   @Test
-  void aRequestThatDelaysItselfAgainWaitsForTheNextCall() {
-    gate.runLater(() -> gate.runLater(() -> executed.add("again")));
-    gate.abandon();
+  void actionDeferredAgainWaitsForNextCall() {
+    gate.defer(() -> gate.defer(() -> executed.add("again")));
+    gate.onLeadershipEnded();
     assertEquals(List.of(), executed);
     gate.open();
     assertEquals(List.of("again"), executed);
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -80,7 +80,7 @@
   @Test
   void theTypeOfAMachineIsUnknownUntilTheMachineIsDescribed() {
     MachineTypeCatalog catalog = catalog(SMALL);
-    Machine machine = fixture.machine("n-1");
+    Machine machine = fixture.addMachine("n-1");
     assertEquals(Optional.empty(), catalog.typeOf(machine));
     machine.describe(MachineDescription.of("small", "east", false, List.of("east")));
     assertEquals(Optional.of(SMALL), catalog.typeOf(machine));
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -29,19 +29,19 @@
   private final TaskFailures failures =
       new TaskFailures(fixture.ledger, fixture.machines, CHANGES_PER_S, start);
   private final JobBackoff backoff = failures.jobBackoff();
-  private final Machine first = fixture.machine("n-1");
-  private final Machine second = fixture.machine("n-2");
-  private final Machine third = fixture.machine("n-3");
+  private final Machine first = fixture.addMachine("n-1");
+  private final Machine second = fixture.addMachine("n-2");
+  private final Machine third = fixture.addMachine("n-3");
   private final Job job = job("wk-1");
 
   private Job job(String id) {
-    return fixture.job(Specs.json(id, "batch", 4));
+    return fixture.addJob(Specs.json(id, "batch", 4));
   }
 
   /** A job with a task that has run for long enough on a machine. */
   private Job healthyJob(String id) {
     Job healthy = job(id);
-    Attempt attempt = fixture.open(healthy, 0, third);
+    Attempt attempt = fixture.openAttempt(healthy, 0, third);
     attempt.observe(AttemptState.RUNNING, start.plusSeconds(-21));
     return healthy;
   }
@@ -177,7 +177,7 @@
       failOnThreeMachines(start);
       SteadyTime later = start.plusSeconds(10);
       assertFalse(backoff.isBlocked(job, later));
-      fixture.open(job, 0, first);
+      fixture.openAttempt(job, 0, first);
       assertTrue(backoff.isBlocked(job, later));
     }
   }
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -107,8 +107,8 @@
     @Test
     void aMachineThatIsListedAsFailedIsReleasedAndItsAttemptsAreClosed() {
       Machine machine = fixture.runningMachine(ScriptedCloud.FIRST.value());
-      Job job = fixture.leadership.job(Specs.json("wk-1", "batch", 1));
-      Attempt attempt = fixture.leadership.open(job, 0, machine);
+      Job job = fixture.leadership.addJob(Specs.json("wk-1", "batch", 1));
+      Attempt attempt = fixture.leadership.openAttempt(job, 0, machine);
       fixture.cloud.listedState = ListedMachine.State.FAILED;
       inventory.list();
       assertTrue(machine.cloud().isTerminated());
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -55,7 +55,7 @@
     fixture.runFor(0.1);
     return fixture
         .leadership
-        .core
+        .storeCore
         .get(Keys.PROVISIONS + "0")
         .entry()
         .map(Entry::value)
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -61,7 +61,7 @@
     TaskFailures failures =
         new TaskFailures(fixture.leadership.ledger, fixture.leadership.machines, 20, start);
     for (int i = 1; i <= 3; i++) {
-      Job job = fixture.leadership.job(Specs.json("wk-" + i, "batch", 1));
+      Job job = fixture.leadership.addJob(Specs.json("wk-" + i, "batch", 1));
       failures.failed(machine, job, start.plusSeconds(100));
     }
   }
@@ -79,7 +79,8 @@
   void aMachineWithAnAttemptIsKeptInSpiteOf(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
-    fixture.leadership.open(fixture.leadership.job(Specs.json("wk-9", "batch", 1)), 0, machine);
+    fixture.leadership.openAttempt(
+        fixture.leadership.addJob(Specs.json("wk-9", "batch", 1)), 0, machine);
     assertFalse(isReleased(machine, 100));
   }
 
