--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -181,8 +181,7 @@
     if (isKnownUndelivered(outcome)) {
       message.settleStarts();
     }
-    // Otherwise, the message may still arrive, and its starts stay outstanding until the epoch
-    // ends.
+    // Otherwise, the message may still arrive; its starts stay outstanding until the epoch ends.
     message
         .machine()
         .outbox()
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -29,7 +29,7 @@
         && commands.size() < CommandDispatcher.MAX_COMMANDS_PER_MESSAGE) {
       Command command = machine.outbox().take();
       if (command.op() == Command.Op.START) {
-        if (!isStartWanted(command, machine)) {
+        if (!isStartCurrent(command, machine)) {
           continue;
         }
         machine.outstandingStarts().sent(command.task(), command.attempt());
@@ -39,7 +39,7 @@
     return commands;
   }
 
-  private boolean isStartWanted(Command start, Machine machine) {
+  private boolean isStartCurrent(Command start, Machine machine) {
     Job job = ledger.job(start.task().job());
     Attempt attempt = job == null ? null : job.open(start.task().index());
     return attempt != null
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -16,8 +16,8 @@
 import org.ternhinge.worker.Workers.Answer;
 
 /**
- * Sends messages to workers and limits the number in flight, since each occupies a socket. Guarded
- * by the controller's lock.
+ * Sends messages to workers and counts those in flight, since each occupies a socket. Guarded by
+ * the controller's lock.
  */
 final class CommandSender {
   private final LeadershipExecutor executor;
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -20,10 +20,10 @@
 public final class TermFence {
   private static final Logger LOG = LoggerFactory.getLogger(TermFence.class);
 
-  /** Delay in seconds after a stop; most late starts arrive earlier and need no write. */
+  /** Seconds to wait after a stop; most late starts arrive earlier and need no term write. */
   static final double FENCE_AFTER_S = 4;
 
-  /** Minimum interval in seconds; each raise makes the fencing tokens of all workers outdated. */
+  /** Seconds between two raises; each raise makes the fencing tokens of all workers outdated. */
   static final double MIN_INTERVAL_S = 10;
 
   private final Authority authority;
