--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -9,8 +9,8 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Chooses the commands of the next message to a worker. Starts that became obsolete while they
- * waited are dropped. Guarded by the controller's lock.
+ * Selects the commands for the next message to a worker. Drops starts that became obsolete while
+ * queued. Guarded by the controller's lock.
  */
 final class CommandSelector {
   private final Ledger ledger;
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Removes the commands of one message from a machine's outbox. Their starts are outstanding from
-   * here on.
+   * Removes the commands for one message from a machine's outbox and marks the starts among them as
+   * outstanding.
    */
   List<Command> takeNext(Machine machine) {
     List<Command> commands = new ArrayList<>();
@@ -29,7 +29,7 @@
         && commands.size() < CommandDispatcher.MAX_COMMANDS_PER_MESSAGE) {
       Command command = machine.outbox().take();
       if (command.op() == Command.Op.START) {
-        if (!isStartWanted(command, machine)) {
+        if (!isStartCurrent(command, machine)) {
           continue;
         }
         machine.outstandingStarts().sent(command.task(), command.attempt());
@@ -39,7 +39,7 @@
     return commands;
   }
 
-  private boolean isStartWanted(Command start, Machine machine) {
+  private boolean isStartCurrent(Command start, Machine machine) {
     Job job = ledger.job(start.task().job());
     Attempt attempt = job == null ? null : job.open(start.task().index());
     return attempt != null
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -7,7 +7,7 @@
 import org.ternhinge.attempt.AbsentAttemptReconciler.Finding;
 import org.ternhinge.attempt.AgentStatusSink;
 import org.ternhinge.attempt.AttemptLifecycle;
-import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.AttemptStatusUpdater;
 import org.ternhinge.attempt.MessageOrigin;
 import org.ternhinge.machine.AgentState;
 import org.ternhinge.machine.Machine;
@@ -18,9 +18,10 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * Applies the status of worker agents to machines and attempts, in the order in which each worker
- * sent it. A status that is no newer than the last changes nothing, and one that shows the same
- * tasks as the last costs one comparison of them. Guarded by the controller's lock.
+ * Applies the status reports of worker agents to machines and attempts, in the order in which each
+ * worker sent them. A report that is no newer than the last one is ignored. If the reported tasks
+ * are unchanged, the only cost is one comparison of the task lists. Guarded by the controller's
+ * lock.
  */
 public final class AgentStatusUpdater implements AgentStatusSink {
   private static final Logger LOG = LoggerFactory.getLogger(AgentStatusUpdater.class);
@@ -28,7 +29,7 @@
   private final List<String> zones;
   private final ReachabilityMonitor reachability;
   private final ReportedTasks reportedTasks;
-  private final AttemptObserver observer;
+  private final AttemptStatusUpdater attemptUpdater;
   private final AbsentAttemptReconciler absentAttempts;
   private final AgentEpochChange epochChange;
   private final FirstHeartbeatHandler firstHeartbeats;
@@ -37,20 +38,20 @@
   /**
    * Creates an updater.
    *
-   * @param observer applies the tasks that a status shows to the open attempts
+   * @param attemptUpdater updates the open attempts from the reported tasks
    * @param attempts stops and closes attempts
    */
   public AgentStatusUpdater(
       LeadershipContext context,
       ReachabilityMonitor reachability,
       ReportedTasks reportedTasks,
-      AttemptObserver observer,
+      AttemptStatusUpdater attemptUpdater,
       AttemptLifecycle attempts,
       FirstHeartbeatHandler firstHeartbeats) {
     this.zones = context.services().settings().zones();
     this.reachability = reachability;
     this.reportedTasks = reportedTasks;
-    this.observer = observer;
+    this.attemptUpdater = attemptUpdater;
     this.absentAttempts =
         new AbsentAttemptReconciler(attempts, context.authority(), context.ledger());
     this.epochChange =
@@ -107,21 +108,21 @@
     try {
       machine.agent().endpoint(status.endpoint());
     } catch (IllegalArgumentException e) {
-      LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id());
+      LOG.warn("machine {}: invalid endpoint in status report", machine.id());
     }
   }
 
   private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
     if (!machine.tasks().equals(status.tasks())) {
       reportedTasks.show(machine, status.tasks());
-      observer.observeAll(machine, status, now);
+      attemptUpdater.applyReportedTasks(machine, status, now);
     }
   }
 
   private void reconcileAbsentAttempts(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
-    if (absentAttempts.reconcile(machine, status, origin) == Finding.ANSWER_MISSED) {
-      reachability.answerMissed(machine, now);
+    if (absentAttempts.reconcile(machine, status, origin) == Finding.RESPONSE_MISSED) {
+      reachability.recordMissedResponse(machine, now);
     }
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -19,35 +19,35 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
 
-/** Which open attempts a status closes by not showing them. */
+/** Tests which open attempts are closed when a status report does not contain them. */
 class AbsentAttemptReconcilerTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final AbsentAttemptReconciler reconciler = reconciler(fixture);
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 1));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 1));
 
   private static AbsentAttemptReconciler reconciler(LeadershipFixture fixture) {
     return new AbsentAttemptReconciler(fixture.attempts, fixture.authority, fixture.ledger);
   }
 
-  /** The start was carried by the answer to heartbeat 3, or by none where that is -1. */
+  /** The start was in the response to heartbeat {@code startAnswered}, or in none if -1. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "shown before,                      RUNNING,  false, false, -1, HEARTBEAT,        9, true,  NONE",
-    "shown before in a response,        RUNNING,  false, true,  -1, COMMAND_RESPONSE, 9, true,  NONE",
+    "reported before,                   RUNNING,  false, false, -1, HEARTBEAT,        9, true,  NONE",
+    "reported before in a response,     RUNNING,  false, true,  -1, COMMAND_RESPONSE, 9, true,  NONE",
     "start outstanding,                 STARTING, false, true,  -1, HEARTBEAT,        9, false, NONE",
-    "start neither sent nor answered,   STARTING, false, false, -1, HEARTBEAT,        9, false, NONE",
-    "answer with start not settled,     STARTING, false, false,  3, HEARTBEAT,        3, false, NONE",
-    "answer with start missed,          STARTING, false, false,  3, HEARTBEAT,        4, false, ANSWER_MISSED",
-    "response after answer with start,  STARTING, false, false,  3, COMMAND_RESPONSE, 4, false, NONE",
+    "start not sent,                    STARTING, false, false, -1, HEARTBEAT,        9, false, NONE",
+    "response with start not settled,   STARTING, false, false,  3, HEARTBEAT,        3, false, NONE",
+    "response with start missed,        STARTING, false, false,  3, HEARTBEAT,        4, false, RESPONSE_MISSED",
+    "later command response,            STARTING, false, false,  3, COMMAND_RESPONSE, 4, false, NONE",
     "stopped; start outstanding,        STARTING, true,  true,  -1, HEARTBEAT,        9, false, NONE",
     "stopped; no start outstanding,     STARTING, true,  false, -1, HEARTBEAT,        9, true,  NONE",
-    "stopped; answer not settled,       STARTING, true,  false,  3, HEARTBEAT,        3, false, NONE",
-    "stopped; answer settled,           STARTING, true,  false,  3, HEARTBEAT,        4, true,  NONE",
-    "stopped; response after answer,    STARTING, true,  false,  3, COMMAND_RESPONSE, 4, false, NONE",
-    "stopped; both,                     STARTING, true,  true,   3, HEARTBEAT,        4, false, NONE"
+    "stopped; response not settled,     STARTING, true,  false,  3, HEARTBEAT,        3, false, NONE",
+    "stopped; response settled,         STARTING, true,  false,  3, HEARTBEAT,        4, true,  NONE",
+    "stopped; later command response,   STARTING, true,  false,  3, COMMAND_RESPONSE, 4, false, NONE",
+    "stopped; settled but outstanding,  STARTING, true,  true,   3, HEARTBEAT,        4, false, NONE"
   })
-  void anAttemptIsClosedOnceNoStartCanArrive(
+  void attemptIsClosedOnlyWhenNoStartCanArrive(
       String name,
       AttemptState state,
       boolean stopping,
@@ -56,8 +56,8 @@
       MessageOrigin origin,
       long sequence,
       boolean closed,
-      Finding finding) {
-    Attempt attempt = fixture.open(job, 0, machine);
+      Finding expectedFinding) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
     }
@@ -68,26 +68,26 @@
     if (!startOutstanding) {
       machine.outstandingStarts().settled(attempt.task(), attempt.number());
     }
-    Finding found =
+    Finding finding =
         reconciler.reconcile(
             machine, fixture.heartbeat(machine).sequence(sequence).build(), origin);
-    assertEquals(finding, found);
+    assertEquals(expectedFinding, finding);
     assertEquals(closed ? null : attempt, job.open(0));
   }
 
-  /** Its start is sent only after this, so no status proves that it is over. */
+  /** The start of such an attempt has yet to be sent, so no report proves that it has ended. */
   @Test
-  void anAttemptThatIsNotDurableStaysOpen() {
+  void attemptWithoutDurableRecordStaysOpen() {
     fixture.store.pauseWrites();
-    Attempt attempt = fixture.open(job, 0, machine);
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.stop(0, fixture.now());
     reconciler.reconcile(machine, fixture.heartbeat(machine).build(), MessageOrigin.HEARTBEAT);
     assertEquals(attempt, job.open(0));
   }
 
   @Test
-  void anAttemptOfAnotherEpochStaysOpen() {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void attemptOfAnotherEpochStaysOpen() {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     reconciler.reconcile(
         machine, fixture.heartbeat(machine).epoch(2).build(), MessageOrigin.HEARTBEAT);
@@ -95,31 +95,31 @@
   }
 
   @Test
-  void anAttemptThatIsShownStaysOpen() {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void reportedAttemptStaysOpen() {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     attempt.shownIn(machine.tasksRevision());
     reconciler.reconcile(
         machine,
-        fixture.heartbeat(machine).showing(attempt, TaskState.RUNNING).build(),
+        fixture.heartbeat(machine).withTask(attempt, TaskState.RUNNING).build(),
         MessageOrigin.HEARTBEAT);
     assertEquals(attempt, job.open(0));
   }
 
-  /** Starts of an earlier leader are refused only by a worker that has seen this term. */
-  @ParameterizedTest(name = "worker shows term {0}")
+  /** Only a worker that has seen this term rejects start commands of an earlier leader. */
+  @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"0, false", "1, true"})
-  void anEarlierLeadersAttemptIsClosedOnceTheWorkerHasSeenThisTerm(long token, boolean closed)
+  void attemptOfEarlierLeaderIsClosedOnceWorkerHasSeenTerm(long token, boolean closed)
       throws WireException {
-    fixture.open(job, 0, machine);
-    Entry record = fixture.core.get(Keys.JOBS + "wk-1").entry().orElseThrow();
+    fixture.openAttempt(job, 0, machine);
+    Entry record = fixture.storeCore.get(Keys.JOBS + "wk-1").entry().orElseThrow();
     LeadershipFixture next = new LeadershipFixture();
     next.store.pauseWrites();
     Job recovered = LedgerLoader.read(record.value(), record.revision(), next.now());
     next.ledger.add(recovered);
     List<Attempt> open = List.copyOf(recovered.openAttempts());
     assertEquals(1, open.size());
-    Machine sameMachine = next.machine("n-1");
+    Machine sameMachine = next.addMachine("n-1");
     reconciler(next)
         .reconcile(
             sameMachine,
--- a/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.wire.EndReason;
 
-/** The evidence that closes an attempt, and its words in the log. */
+/** Tests the evidence that closes an attempt and its log texts. */
 class ClosingEvidenceTest {
   @ParameterizedTest
   @EnumSource(EndReason.class)
-  void aReportedEndIsLoggedInTheWordOfTheMessage(EndReason reason) {
+  void reportedEndIsLoggedAsInMessage(EndReason reason) {
     ClosingEvidence evidence = ClosingEvidence.reported(reason);
     assertEquals(reason.word(), evidence.text());
     assertEquals("REPORTED_" + reason.name(), evidence.name());
@@ -19,23 +19,23 @@
 
   @ParameterizedTest
   @EnumSource(ClosingEvidence.class)
-  void onlyAReportOfTheWorkersCompletesATask(ClosingEvidence evidence) {
+  void onlyReportedDoneCompletesTask(ClosingEvidence evidence) {
     assertEquals(evidence == ClosingEvidence.REPORTED_DONE, evidence.isTaskDone());
   }
 
   @ParameterizedTest
   @CsvSource({
     "MACHINE_FAILED, machine failed",
-    "MACHINE_NOT_LISTED, machine taken",
-    "MACHINE_GONE, machine gone",
-    "LEASE_EXPIRED, lease over",
-    "EPOCH_ENDED, agent epoch over",
-    "ABSENT_AFTER_FAILOVER, never arrived or is gone",
-    "VANISHED, vanished",
-    "STOPPED_BEFORE_START, stopped before it started",
-    "NEVER_SENT, never sent"
+    "MACHINE_NOT_LISTED, machine not listed",
+    "MACHINE_REMOVED, machine removed",
+    "LEASE_EXPIRED, lease expired",
+    "EPOCH_ENDED, agent epoch ended",
+    "ABSENT_AFTER_FAILOVER, not reported after failover",
+    "NO_LONGER_REPORTED, no longer reported",
+    "STOPPED_BEFORE_START, stopped before start",
+    "NEVER_SENT, start never sent"
   })
-  void otherEvidenceIsLoggedInWords(ClosingEvidence evidence, String text) {
+  void otherEvidenceHasLogText(ClosingEvidence evidence, String text) {
     assertEquals(text, evidence.text());
   }
 }
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -14,29 +14,29 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.Specs;
 
-/** When a leader raises its own term. */
+/** Tests when a leader raises its own term to fence outstanding starts. */
 class TermFenceTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final TermFence fence =
       new TermFence(fixture.authority, fixture.writer, fixture.machines);
-  private final Machine machine = fixture.machine("n-1");
+  private final Machine machine = fixture.addMachine("n-1");
   private final Attempt attempt =
-      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+      fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
 
-  /** Only a stopped attempt that stays open for an outstanding start alone is worth a raise. */
+  /** Only a stopped attempt that stays open because of an outstanding start requires a raise. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "all conditions,           true,  STARTING,  5,   1, 0, true",
     "not stopping,             false, STARTING,  5,   1, 0, false",
     "stopped just now,        true,  STARTING,  3.9, 1, 0, false",
-    "the worker has shown it, true,  RUNNING, 5,   1, 0, false",
-    "no outstanding start,      true,  STARTING,  5,   0, 0, false",
+    "reported by the worker,   true,  RUNNING,   5,   1, 0, false",
+    "no outstanding start,     true,  STARTING,  5,   0, 0, false",
     "fenced already,          true,  STARTING,  5,   1, 1, false"
   })
-  void isNeeded(
+  void raiseIsNeededOnlyForUnfencedOutstandingStart(
       String name,
       boolean stopping,
-      AttemptState seen,
+      AttemptState reportedState,
       double stoppedForS,
       int outstanding,
       int fenced,
@@ -44,10 +44,10 @@
     if (stopping) {
       attempt.stop(0, fixture.now());
     }
-    if (seen.isReported()) {
-      attempt.observe(seen, fixture.now());
+    if (reportedState.isReported()) {
+      attempt.observe(reportedState, fixture.now());
     }
-    // The fixture has sent the start of the attempt; the case says how many are outstanding.
+    // The fixture has already sent a start; replace it by the number of starts of the test case.
     machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
       machine.outstandingStarts().sent(attempt.task(), attempt.number());
@@ -61,10 +61,10 @@
     assertFalse(fence.isNeededForAny(machine, List.of(), fixture.now()));
   }
 
-  /** Every raise outdates the fencing tokens of all workers, so there are few. */
-  @ParameterizedTest(name = "again after {0} s: term {1}")
+  /** Each raise makes the fencing tokens of all workers outdated, so raises are rate-limited. */
+  @ParameterizedTest(name = "second raise after {0} s: term {1}")
   @CsvSource({"0, 2", "9.9, 2", "10.1, 3"})
-  void raisesAreAMinimumIntervalApart(double againAfterS, long term) {
+  void raisesAreRateLimited(double againAfterS, long term) {
     fence.raise(fixture.now());
     fixture.clock.runFor(againAfterS);
     fence.raise(fixture.now());
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aSecondRaiseWaitsForTheFirst() {
+  void raiseInProgressSuppressesSecondRaise() {
     fixture.store.pauseWrites();
     fence.raise(fixture.now());
     fixture.clock.runFor(20);
@@ -83,14 +83,14 @@
     assertEquals(new Term(2), fixture.authority.term());
   }
 
-  /** A start counts as harmless only once the worker shows the term that was raised for it. */
-  @ParameterizedTest(name = "worker shows term {0}")
+  /** An outstanding start is fenced only once the worker reports the raised term. */
+  @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"1, true", "2, false"})
-  void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, boolean outstanding) {
+  void startIsFencedOnceWorkerReportsTerm(long reportedTerm, boolean outstanding) {
     machine.outstandingStarts().sent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
-    machine.outstandingStarts().observeFencingToken(new Term(shown));
+    machine.outstandingStarts().observeFencingToken(new Term(reportedTerm));
     assertEquals(
         outstanding, machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
   }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.attempt.AttemptObserver;
+import org.ternhinge.attempt.AttemptStatusUpdater;
 import org.ternhinge.config.Settings;
 import org.ternhinge.config.Tuning;
-import org.ternhinge.heartbeat.HeartbeatResult.Answered;
-import org.ternhinge.heartbeat.HeartbeatResult.NotAnswered;
+import org.ternhinge.heartbeat.HeartbeatResult.Accepted;
+import org.ternhinge.heartbeat.HeartbeatResult.Rejected;
 import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
@@ -39,15 +39,15 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 
-/** The steps of a heartbeat, from the fence check to the commands of its answer. */
+/** Tests heartbeat processing, from the fence check to the commands in the response. */
 class HeartbeatProcessorTest {
   private static final double LEASE_S =
       LeadershipFixture.WORKER_SETTINGS.leaseS() * (1 + Settings.DRIFT) + Tuning.DEFAULT.marginS();
 
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatProcessor processor = processor();
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
 
   private HeartbeatProcessor processor() {
     ReachabilityMonitor reachability =
@@ -57,15 +57,15 @@
             fixture.context,
             reachability,
             fixture.reportedTasks(),
-            observer(),
+            attemptUpdater(),
             fixture.attempts,
             firstHeartbeats());
     return new HeartbeatProcessor(fixture.context, fixture.machines, updater, reachability);
   }
 
-  private AttemptObserver observer() {
+  private AttemptStatusUpdater attemptUpdater() {
     TaskFailures failures = new TaskFailures(fixture.ledger, fixture.machines, 20, fixture.now());
-    return new AttemptObserver(
+    return new AttemptStatusUpdater(
         fixture.attempts, fixture.ledger, machineTypes(), failures, new Metrics());
   }
 
@@ -86,69 +86,68 @@
   }
 
   private List<Command> commands(Heartbeat heartbeat) {
-    return assertInstanceOf(Answered.class, process(heartbeat)).commands();
+    return assertInstanceOf(Accepted.class, process(heartbeat)).commands();
   }
 
   private SteadyTime leaseFromNow() {
     return fixture.now().plusSeconds(LEASE_S);
   }
 
-  /** Heartbeats that must not be answered. */
+  /** Heartbeats that get no response, and unknown machines. */
   @Nested
   class FenceCheckAndAdmission {
     @Test
-    void aHigherFencingTokenEndsTheLeadership() {
+    void higherFencingTokenEndsLeadership() {
       fixture.authority.expectLoss();
       assertEquals(
-          NotAnswered.HIGHER_TERM, process(fixture.heartbeat(machine).fencingToken(2).build()));
+          Rejected.HIGHER_TERM, process(fixture.heartbeat(machine).fencingToken(2).build()));
       assertEquals(
           new LeadershipLoss.HigherTermSeen(new Term(2)),
           fixture.authority.lossReason().orElseThrow());
     }
 
     @Test
-    void aRemovedMachineGetsNoAnswerAndIsNotAddedAgain() {
-      Heartbeat late = fixture.heartbeat(machine).build();
+    void removedMachineIsRejectedAndNotAddedAgain() {
+      Heartbeat delayed = fixture.heartbeat(machine).build();
       fixture.machines.remove(machine.id());
-      assertEquals(NotAnswered.MACHINE_REMOVED, process(late));
+      assertEquals(Rejected.MACHINE_REMOVED, process(delayed));
       assertEquals(Optional.empty(), fixture.machines.find(machine.id()));
     }
 
     @Test
-    void aTerminatedMachineGetsNoAnswer() {
+    void terminatedMachineIsRejected() {
       machine.cloud().markTerminated();
-      assertEquals(NotAnswered.MACHINE_TERMINATED, process(fixture.heartbeat(machine).build()));
+      assertEquals(Rejected.MACHINE_TERMINATED, process(fixture.heartbeat(machine).build()));
       assertFalse(machine.agent().wasAnswered());
     }
 
-    /** The worker may be about to come back, so its machine is kept for a lease more. */
+    /** The worker may be about to reconnect, so its machine is kept for another lease. */
     @ParameterizedTest(name = "epoch {0}, ended up to {1}")
     @CsvSource({"0, 0", "1, 1", "1, 2"})
-    void anEndedEpochGetsNoAnswerButKeepsTheMachine(long epoch, long lastEnded) {
+    void endedEpochIsRejectedButMachineIsKept(long epoch, long lastEnded) {
       machine.agent().endEpochs(new AgentEpoch(lastEnded));
-      assertEquals(
-          NotAnswered.EPOCH_ENDED, process(fixture.heartbeat(machine).epoch(epoch).build()));
+      assertEquals(Rejected.EPOCH_ENDED, process(fixture.heartbeat(machine).epoch(epoch).build()));
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
       assertFalse(machine.agent().wasAnswered());
     }
 
     @Test
-    void anUnknownMachineIsAdded() {
+    void unknownMachineIsAdded() {
       MachineId id = new MachineId("n-2");
-      Machine ofAnotherLeader = new LeadershipFixture().machine("n-2");
-      assertEquals(List.of(), commands(fixture.heartbeat(ofAnotherLeader).build()));
+      Machine sameMachineElsewhere = new LeadershipFixture().addMachine("n-2");
+      assertEquals(List.of(), commands(fixture.heartbeat(sameMachineElsewhere).build()));
       assertEquals("small", fixture.machines.find(id).orElseThrow().description().typeName());
       assertEquals("east", fixture.machines.find(id).orElseThrow().description().zoneName());
     }
   }
 
-  /** Heartbeats that were overtaken. */
+  /** Heartbeats that arrive out of order. */
   @Nested
-  class OrderOfMessages {
+  class MessageOrder {
     @Test
-    void anOutdatedHeartbeatChangesNothingButIsAnsweredWithStops() {
-      Attempt attempt = fixture.open(job, 0, machine);
-      process(fixture.heartbeat(machine).sequence(5).showing(attempt, TaskState.RUNNING).build());
+    void outdatedHeartbeatIsIgnoredButGetsStops() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
+      process(fixture.heartbeat(machine).sequence(5).withTask(attempt, TaskState.RUNNING).build());
       SteadyTime received = fixture.now();
       attempt.stop(0, received);
       fixture.clock.runFor(1);
@@ -166,8 +165,8 @@
   @Nested
   class EpochChange {
     @Test
-    void aNewerEpochClosesTheAttemptsOfEarlierOnes() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void newerEpochClosesAttemptsOfEarlierEpochs() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       assertTrue(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
       process(fixture.heartbeat(machine).epoch(2).build());
       assertNull(job.open(0));
@@ -176,18 +175,18 @@
     }
   }
 
-  /** What a heartbeat tells of its machine. */
+  /** Machine attributes in a heartbeat. */
   @Nested
-  class Attributes {
+  class MachineAttributesInHeartbeat {
     @Test
-    void anUnusableEndpointLeavesTheOneBefore() {
+    void invalidEndpointKeepsPreviousEndpoint() {
       var before = machine.agent().endpoint();
       process(fixture.heartbeat(machine).endpoint("no endpoint").build());
       assertEquals(before, machine.agent().endpoint());
     }
 
     @Test
-    void theFirstHeartbeatRequestsARound() {
+    void onlyFirstHeartbeatRequestsRound() {
       Machine unheard = fixture.machines.findOrAdd(new MachineId("n-2"), fixture.now());
       process(fixture.heartbeat(unheard).epoch(1).sequence(1).build());
       assertEquals(1, fixture.roundsRequested);
@@ -200,67 +199,67 @@
   @Nested
   class ReclaimNotice {
     private Attempt attempt(ObjectNode json) {
-      Attempt attempt = fixture.open(fixture.job(json), 0, machine);
+      Attempt attempt = fixture.openAttempt(fixture.addJob(json), 0, machine);
       attempt.observe(AttemptState.RUNNING, fixture.now());
       return attempt;
     }
 
-    private void notice(Attempt attempt, long sequence, double seconds) {
+    private void sendNotice(Attempt attempt, long sequence, double seconds) {
       process(
           fixture
               .heartbeat(machine)
               .sequence(sequence)
-              .showing(attempt, TaskState.RUNNING)
+              .withTask(attempt, TaskState.RUNNING)
               .reclaimNotice(seconds)
               .build());
     }
 
     @Test
-    void aTaskThatSavesCheckpointsIsStoppedWithTimeToSave() {
+    void taskWithCheckpointsIsStoppedWithGrace() {
       Attempt attempt =
           attempt(Specs.json("wk-2", "batch", 1).put("vista_bil_s", 60.0).put("vistun_s", 4.0));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       assertEquals(5, attempt.stopGraceS());
       assertEquals(fixture.now().plusSeconds(30), machine.cloud().reclaimAt().orElseThrow());
     }
 
     @Test
-    void aTaskThatCanNotSaveRunsOn() {
+    void taskWithoutCheckpointsKeepsRunning() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       assertFalse(attempt.stopping());
     }
 
     @Test
-    void onlyTheFirstNoticeCounts() {
+    void onlyFirstNoticeHasEffect() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
-      notice(attempt, 1, 30);
+      sendNotice(attempt, 1, 30);
       SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
       fixture.clock.runFor(1);
-      notice(attempt, 2, 28);
+      sendNotice(attempt, 2, 28);
       assertEquals(reclaimAt, machine.cloud().reclaimAt().orElseThrow());
     }
   }
 
-  /** What a heartbeat proves of attempts. */
+  /** Closing of attempts by a heartbeat. */
   @Nested
   class Reconciliation {
     @Test
-    void aReportedEndClosesTheAttempt() {
-      Attempt attempt = fixture.open(job, 0, machine);
+    void reportedEndClosesAttempt() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
       process(
           fixture
               .heartbeat(machine)
-              .showingEnd(attempt.task(), attempt.number(), EndReason.DONE)
+              .withEndedTask(attempt.task(), attempt.number(), EndReason.DONE)
               .build());
       assertNull(job.open(0));
       assertTrue(job.isDone(0));
     }
 
     @Test
-    void anAttemptThatIsNoLongerShownIsClosed() {
-      Attempt attempt = fixture.open(job, 0, machine);
-      process(fixture.heartbeat(machine).sequence(1).showing(attempt, TaskState.RUNNING).build());
+    void attemptNoLongerReportedIsClosed() {
+      Attempt attempt = fixture.openAttempt(job, 0, machine);
+      process(fixture.heartbeat(machine).sequence(1).withTask(attempt, TaskState.RUNNING).build());
       assertEquals(attempt, job.open(0));
       process(fixture.heartbeat(machine).sequence(2).build());
       assertNull(job.open(0));
@@ -268,13 +267,13 @@
     }
   }
 
-  /** Workers that answers do not reach. */
+  /** Detection of workers that do not receive responses. */
   @Nested
-  class MissedAnswers {
-    /** An answer carries the term, which the next heartbeat has to show. */
-    @ParameterizedTest(name = "{0} heartbeats that show term {1}")
+  class MissedResponses {
+    /** A response contains the term, which the next heartbeat must report. */
+    @ParameterizedTest(name = "{0} heartbeats that report term {1}")
     @CsvSource({"3, 0, false", "4, 0, true", "9, 1, false"})
-    void threeAnswersInARowWithoutEffectMakeAWorkerUnreachable(
+    void workerIsUnreachableAfterThreeMissedResponses(
         int heartbeats, long token, boolean unreachable) {
       for (int i = 1; i <= heartbeats; i++) {
         process(fixture.heartbeat(machine).sequence(i).fencingToken(token).build());
@@ -283,23 +282,23 @@
     }
   }
 
-  /** What an answer does. */
+  /** Effects of a response. */
   @Nested
   class LeaseRenewalAndCommands {
     @Test
-    void anAnswerRenewsTheLease() {
+    void responseRenewsLease() {
       fixture.clock.runFor(3);
       process(fixture.heartbeat(machine).build());
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
       assertTrue(machine.agent().wasAnsweredIn(fixture.authority.term()));
     }
 
-    @ParameterizedTest(name = "commands permitted: {0}")
+    @ParameterizedTest(name = "may command: {0}")
     @CsvSource({"true, 1", "false, 0"})
-    void commandsAreGivenOnlyWherePermitted(boolean mayCommand, int expected) {
-      fixture.open(job, 0, machine);
+    void commandsAreSentOnlyIfPermitted(boolean mayCommand, int expected) {
+      fixture.openAttempt(job, 0, machine);
       HeartbeatResult result = processor.process(fixture.heartbeat(machine).build(), mayCommand);
-      assertEquals(expected, assertInstanceOf(Answered.class, result).commands().size());
+      assertEquals(expected, assertInstanceOf(Accepted.class, result).commands().size());
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
     }
   }
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Expiry of leases, reservations and graces, and leases that may be renewed without commands. */
+/** Tests the expiry of leases, reservations and grace periods, and renewal without commands. */
 class LeaseMonitorTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final ReportedTasks reportedTasks = fixture.reportedTasks();
@@ -37,31 +37,31 @@
           reportedTasks,
           fixture.dispatcher,
           new TermFence(fixture.authority, fixture.writer, fixture.machines));
-  private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Machine machine = fixture.addMachine("n-1");
+  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
 
   private TaskStatus running(TaskId task, AttemptNumber number) {
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
   }
 
-  /** Room reserved for a job that was placed elsewhere must become available again. */
-  @ParameterizedTest(name = "a reservation for 12 s after {0} s")
+  /** Resources reserved for a job that was placed elsewhere must become available again. */
+  @ParameterizedTest(name = "12 s reservation after {0} s")
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
-    Resources room = Resources.offer(1, 0, 1);
-    machine.reserve(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
+    Resources resources = Resources.offer(1, 0, 1);
+    machine.reserve(new Machine.Reservation(forJob, resources, fixture.now().plusSeconds(12)));
     fixture.clock.runFor(ageS);
     monitor.check(fixture.now());
     assertEquals(left, machine.reservations().size());
     assertEquals(rounds, fixture.roundsRequested);
   }
 
-  /** A worker past its lease has killed its tasks: only then may they start elsewhere. */
-  @ParameterizedTest(name = "{0} s after its last answer")
+  /** A worker with an expired lease has killed its tasks; only then may they start elsewhere. */
+  @ParameterizedTest(name = "{0} s after the last response")
   @CsvSource({"9.9, true", "10.1, false"})
-  void attemptsAreClosedWithTheLease(double silentForS, boolean open) {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void attemptsAreClosedWhenLeaseExpires(double silentForS, boolean open) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     reportedTasks.show(machine, List.of(running(attempt.task(), attempt.number())));
     fixture.clock.runFor(silentForS);
     monitor.check(fixture.now());
@@ -70,9 +70,9 @@
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
 
-  /** A delayed heartbeat may show tasks without an attempt; they must not block starts for ever. */
+  /** Tasks without attempt, from a delayed heartbeat, must not block starts indefinitely. */
   @Test
-  void tasksWithoutAnAttemptAreForgottenWithTheLease() {
+  void tasksWithoutAttemptAreDroppedWhenLeaseExpires() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
     reportedTasks.show(machine, List.of(running(unknown, new AttemptNumber(1))));
     fixture.clock.runFor(10.1);
@@ -80,11 +80,11 @@
     assertFalse(reportedTasks.isShown(unknown));
   }
 
-  /** Time to save, to learn of the peers' saving, and to report: 3 + 5 + 2 seconds. */
+  /** Time limit: 3 s grace, 5 s until gang peers notice, and 2 s heartbeat interval. */
   @ParameterizedTest(name = "after {0} s")
   @CsvSource({"9.9, 3", "10.1, 0"})
-  void anOverdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
-    Attempt attempt = fixture.open(job, 0, machine);
+  void overdueStopIsRepeatedWithoutGrace(double afterS, double graceS) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
     fixture.attempts.stop(attempt, 3);
     fixture.clock.runFor(afterS);
@@ -93,31 +93,31 @@
     assertEquals(graceS, attempt.stopGraceS());
   }
 
-  /** Where no stop may be sent, the expiry of the lease is what stops a task. */
+  /** While no stop may be sent, a task is stopped only by the expiry of the lease. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "a task that may run,       none,      false, true",
-    "a task that is stopped,    stop,      false, false",
-    "a task that is cancelled,  cancel,    false, false",
-    "a task unknown here,       none,      true,  false"
+    "task may run,              none,      false, true",
+    "task is stopping,          stop,      false, false",
+    "job is cancelled,          cancel,    false, false",
+    "task is unknown,           none,      true,  false"
   })
-  void leasesThatMayBeRenewedWithoutCommands(
-      String name, String unwanted, boolean unknownTask, boolean mayRenew) {
-    Attempt attempt = fixture.open(job, 0, machine);
-    if (unwanted.equals("stop")) {
+  void leaseIsRenewableWithoutCommandsOnlyIfNothingMustStop(
+      String name, String stopCause, boolean unknownTask, boolean mayRenew) {
+    Attempt attempt = fixture.openAttempt(job, 0, machine);
+    if (stopCause.equals("stop")) {
       attempt.stop(0, fixture.now());
-    } else if (unwanted.equals("cancel")) {
+    } else if (stopCause.equals("cancel")) {
       fixture.ledger.cancel(job);
     }
     TaskId task = unknownTask ? new TaskId(new JobId("wk-9"), 0) : attempt.task();
     Heartbeat heartbeat =
-        fixture.heartbeat(machine).showing(task, attempt.number(), TaskState.RUNNING).build();
+        fixture.heartbeat(machine).withTask(task, attempt.number(), TaskState.RUNNING).build();
     assertEquals(mayRenew, monitor.mayRenewWithoutCommands(heartbeat));
   }
 
-  /** A machine without attempts and tasks is not affected by the expiry of its lease. */
+  /** The lease expiry has no effect on a machine without attempts or reported tasks. */
   @Test
-  void anIdleMachineKeepsItsEpoch() {
+  void idleMachineKeepsItsEpoch() {
     fixture.clock.runFor(60);
     monitor.check(fixture.now());
     assertEquals(AgentEpoch.NONE, machine.agent().lastEndedEpoch());
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -49,8 +49,8 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The collaborators of the class under test in one leadership: a real ledger and writer over a
- * {@link PausableStore}, {@link RecordingWorkers}, and a count of the rounds requested.
+ * Collaborators for tests of leadership components: a real ledger and writer on a {@link
+ * PausableStore}, {@link RecordingWorkers}, and a counter of requested rounds.
  */
 public final class LeadershipFixture {
   public static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
@@ -58,10 +58,10 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   public final SimClock clock = new SimClock();
-  public final StoreCore core = new StoreCore(clock);
-  public final PausableStore store = new PausableStore(new DirectStore(core));
-  public final List<Command> sent = new ArrayList<>();
-  public final RecordingWorkers workers = new RecordingWorkers(sent);
+  public final StoreCore storeCore = new StoreCore(clock);
+  public final PausableStore store = new PausableStore(new DirectStore(storeCore));
+  public final List<Command> sentCommands = new ArrayList<>();
+  public final RecordingWorkers workers = new RecordingWorkers(sentCommands);
   public final TestAuthority authority;
   private final ReentrantLock lock = new ReentrantLock();
   private final Map<String, Team> teams = Map.of("red", new Team("red", 0, 0, 0, 0));
@@ -73,20 +73,20 @@
   public final CommandDispatcher dispatcher;
   public final AttemptLifecycle attempts;
 
-  /** The statuses in responses to direct commands, the earliest first. */
-  public final List<Heartbeat> statuses = new ArrayList<>();
+  /** The status reports in responses to direct commands, earliest first. */
+  public final List<Heartbeat> reportedStatuses = new ArrayList<>();
 
   public int roundsRequested;
 
-  /** Runs after each write, before the starts are sent. */
-  public Runnable onWritten = () -> {};
+  /** Runs after each ledger write, before the starts are sent. */
+  public Runnable afterWrite = () -> {};
 
-  /** Creates the collaborators of a leadership of term 1. */
+  /** Creates the collaborators for a leadership in term 1. */
   public LeadershipFixture() {
-    core.compareAndSwap(
+    storeCore.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
-    authority = new TestAuthority(core.get(Keys.TERM).entry().orElseThrow().revision());
+    authority = new TestAuthority(storeCore.get(Keys.TERM).entry().orElseThrow().revision());
     executor = new LeadershipExecutor(clock, lock);
     ledger = new Ledger(teams, VALUE_BYTES, clock);
     writer = new LedgerWriter(ledger, store, authority, clock, lock, 16, this::written);
@@ -106,11 +106,11 @@
 
   private AgentStatusSink.Result recordStatus(
       Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
-    statuses.add(status);
+    reportedStatuses.add(status);
     return AgentStatusSink.Result.APPLIED;
   }
 
-  /** The services of the process, with a cloud. */
+  /** Creates controller services with the given cloud. */
   public ControllerServices services(Cloud cloud) {
     return new ControllerServices(
         settings(teams),
@@ -124,21 +124,21 @@
         new Metrics());
   }
 
-  /** Records under a prefix that hold many small entries each. */
+  /** Creates bucketed records under a key prefix. */
   public BucketedRecords bucketedRecords(String prefix) {
     return new BucketedRecords(writer, prefix, VALUE_BYTES);
   }
 
   private static Settings settings(Map<String, Team> teams) {
-    Endpoint any = new Endpoint("10.0.0.9", 1);
+    Endpoint unusedEndpoint = new Endpoint("10.0.0.9", 1);
     return new Settings(
         "node-0",
         "east",
-        any,
-        any,
+        unusedEndpoint,
+        unusedEndpoint,
         Map.of(),
-        any,
-        any,
+        unusedEndpoint,
+        unusedEndpoint,
         List.of("east"),
         teams,
         List.of(),
@@ -150,12 +150,12 @@
   }
 
   private void written(List<Attempt> opened) {
-    onWritten.run();
-    attempts.startDurable(opened);
+    afterWrite.run();
+    attempts.sendDurableStarts(opened);
   }
 
-  /** A machine that has sent a heartbeat and accepts direct commands. */
-  public Machine machine(String name) {
+  /** Adds a machine that has sent a heartbeat and accepts direct commands. */
+  public Machine addMachine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
     machine.agent().beginEpoch(new AgentEpoch(1));
     machine.agent().endpoint(WORKER_ENDPOINT);
@@ -163,12 +163,13 @@
     return machine;
   }
 
-  /** A job that the key-value store and the ledger hold. */
-  public Job job(ObjectNode json) {
+  /** Adds a job to the key-value store and the ledger. */
+  public Job addJob(ObjectNode json) {
     ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
-    core.compareAndSwap(new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
-    Revision revision = core.get(key).entry().orElseThrow().revision();
+    storeCore.compareAndSwap(
+        new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
+    Revision revision = storeCore.get(key).entry().orElseThrow().revision();
     try {
       Job job = LedgerLoader.read(record, revision, clock.now());
       ledger.add(job);
@@ -178,9 +179,9 @@
     }
   }
 
-  /** Opens an attempt of a job's task on a machine, and hands it to the writer. */
-  public Attempt open(Job job, int index, Machine machine) {
-    MachineAttributes site =
+  /** Opens an attempt of a job's task on a machine and starts writing it. */
+  public Attempt openAttempt(Job job, int index, Machine machine) {
+    MachineAttributes attributes =
         new MachineAttributes(
             machine.id(),
             machine.agent().epoch(),
@@ -189,22 +190,22 @@
             "east",
             false,
             Resources.offer(8, 0, 64));
-    ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
+    ledger.open(job, List.of(new Ledger.Placement(index, attributes)), task -> false, clock.now());
     writer.pump();
     return job.open(index);
   }
 
-  /** Builds a heartbeat of a machine. */
+  /** Returns a builder for a heartbeat of a machine. */
   public HeartbeatBuilder heartbeat(Machine machine) {
     return new HeartbeatBuilder(machine);
   }
 
-  /** The tasks that machines show. */
+  /** Creates an empty record of reported tasks. */
   public ReportedTasks reportedTasks() {
     return new ReportedTaskCounts();
   }
 
-  /** The time of the simulated clock. */
+  /** Returns the time of the simulated clock. */
   public SteadyTime now() {
     return clock.now();
   }
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -11,9 +11,9 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.KeyValueStore;
 
-/** A key-value store whose writes and reads of single keys can be paused. */
+/** A key-value store in which writes and single-key reads can be paused. */
 public final class PausableStore extends ForwardingKeyValueStore {
-  private final List<Runnable> paused = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
   private boolean writesPaused;
   private boolean readsPaused;
 
@@ -21,23 +21,23 @@
     super(store);
   }
 
-  /** Writes are carried out only once the store is {@linkplain #resume resumed}. */
+  /** Defers writes until the store is {@linkplain #resume resumed}. */
   public void pauseWrites() {
     writesPaused = true;
   }
 
-  /** Reads of single keys are answered only once the store is {@linkplain #resume resumed}. */
+  /** Defers single-key reads until the store is {@linkplain #resume resumed}. */
   public void pauseReads() {
     readsPaused = true;
   }
 
-  /** Carries out what was paused, and pauses nothing from now on. */
+  /** Executes the deferred operations and stops deferring further ones. */
   public void resume() {
     writesPaused = false;
     readsPaused = false;
-    List<Runnable> now = List.copyOf(paused);
-    paused.clear();
-    now.forEach(Runnable::run);
+    List<Runnable> operations = List.copyOf(deferred);
+    deferred.clear();
+    operations.forEach(Runnable::run);
   }
 
   @Override
@@ -46,12 +46,12 @@
     if (!writesPaused) {
       return super.compareAndSwap(compareAndSwap, priority);
     }
-    CompletableFuture<Outcome<Revision>> answer = new CompletableFuture<>();
-    paused.add(
+    CompletableFuture<Outcome<Revision>> outcome = new CompletableFuture<>();
+    deferred.add(
         () ->
             AsyncCalls.whenAnswered(
-                super.compareAndSwap(compareAndSwap, priority), answer::complete));
-    return answer;
+                super.compareAndSwap(compareAndSwap, priority), outcome::complete));
+    return outcome;
   }
 
   @Override
@@ -59,8 +59,8 @@
     if (!readsPaused) {
       return super.get(key, priority);
     }
-    CompletableFuture<Outcome<ReadResult>> answer = new CompletableFuture<>();
-    paused.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), answer::complete));
-    return answer;
+    CompletableFuture<Outcome<ReadResult>> outcome = new CompletableFuture<>();
+    deferred.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), outcome::complete));
+    return outcome;
   }
 }
--- a/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
+++ b/src/test/java/org/ternhinge/leadership/RecoveryGateTest.java
@@ -8,36 +8,36 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When requests run that arrive before the recovery of the ledger. */
+/** Tests when actions run that were deferred until the recovery of the ledger. */
 class RecoveryGateTest {
   private final RecoveryGate gate = new RecoveryGate();
-  private final List<String> ran = new ArrayList<>();
+  private final List<String> executed = new ArrayList<>();
 
   @Test
-  void delayedRequestsRunInOrderWhenTheGateOpens() {
-    gate.runLater(() -> ran.add("first " + gate.isOpen()));
-    gate.runLater(() -> ran.add("second"));
+  void deferredActionsRunInOrderWhenGateOpens() {
+    gate.defer(() -> executed.add("first " + gate.isOpen()));
+    gate.defer(() -> executed.add("second"));
     assertFalse(gate.isOpen());
-    assertEquals(List.of(), ran);
+    assertEquals(List.of(), executed);
     gate.open();
     assertTrue(gate.isOpen());
-    assertEquals(List.of("first true", "second"), ran);
+    assertEquals(List.of("first true", "second"), executed);
   }
 
   @Test
-  void delayedRequestsRunOnceWhenTheLeadershipEndsBefore() {
-    gate.runLater(() -> ran.add("request " + gate.isOpen()));
-    gate.abandon();
-    gate.abandon();
-    assertEquals(List.of("request false"), ran);
+  void deferredActionsRunOnceWhenLeadershipEnds() {
+    gate.defer(() -> executed.add("request " + gate.isOpen()));
+    gate.onLeadershipEnded();
+    gate.onLeadershipEnded();
+    assertEquals(List.of("request false"), executed);
   }
 
   @Test
-  void aRequestThatDelaysItselfAgainWaitsForTheNextCall() {
-    gate.runLater(() -> gate.runLater(() -> ran.add("again")));
-    gate.abandon();
-    assertEquals(List.of(), ran);
+  void actionDeferredAgainWaitsForNextCall() {
+    gate.defer(() -> gate.defer(() -> executed.add("again")));
+    gate.onLeadershipEnded();
+    assertEquals(List.of(), executed);
     gate.open();
-    assertEquals(List.of("again"), ran);
+    assertEquals(List.of("again"), executed);
   }
 }
