--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -9,7 +9,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /**
- * The state of the worker agent of one machine as its messages show it: epoch, lease and fencing
+ * The state of one machine's worker agent as reported by its messages: epoch, lease and fencing
  * token. Guarded by the controller's lock.
  */
 public final class AgentState {
@@ -22,7 +22,7 @@
   private SteadyTime leaseExpiry;
   private Endpoint endpoint;
 
-  /** The endpoint as in the agent's messages, so that an unchanged one is not parsed again. */
+  /** The endpoint as received; it is parsed only when this text changes. */
   private String endpointText = "";
 
   private boolean termAnnounced;
@@ -33,144 +33,158 @@
 
   // ---- epochs and the order of messages ---------------------------------------------------------
 
-  /** The epoch of the newest message. */
+  /** Returns the epoch of the newest message. */
   public AgentEpoch epoch() {
     return epoch;
   }
 
-  /** The last epoch that has certainly ended, with all earlier ones and all that ran in them. */
+  /**
+   * Returns the last epoch that has certainly ended. All earlier epochs, and all tasks that ran in
+   * any of them, have ended too.
+   */
   public AgentEpoch lastEndedEpoch() {
     return lastEndedEpoch;
   }
 
-  /** Whether an epoch has certainly ended. */
+  /** Returns whether an epoch has certainly ended. */
   public boolean hasEnded(AgentEpoch other) {
     return other.compareTo(lastEndedEpoch) <= 0;
   }
 
-  /** Whether the current epoch is not known to have ended. */
+  /** Returns whether the current epoch may still be active. */
   public boolean isEpochOpen() {
     return !hasEnded(epoch);
   }
 
-  /** A newer epoch has begun. */
+  /** Records the start of a newer epoch. */
   public void beginEpoch(AgentEpoch newer) {
     epoch = newer;
   }
 
-  /** The lease has expired: this epoch and all before it have ended. */
+  /** Records that an epoch and all earlier ones have ended because the lease expired. */
   public void endEpochs(AgentEpoch last) {
     lastEndedEpoch = last;
   }
 
-  /** Whether a message is not newer than the newest one, or is of an epoch that has ended. */
+  /**
+   * Returns whether a message is not newer than the newest one, or belongs to an epoch that has
+   * ended.
+   */
   public boolean isOutdated(Heartbeat message) {
     int newer = message.epoch().compareTo(epoch);
     return newer < 0 || (newer == 0 && message.sequence() <= sequence) || hasEnded(message.epoch());
   }
 
-  /** Sets the sequence number of the newest message in the current epoch. */
+  /** Sets the sequence number of the current epoch's newest message. */
   public void sequence(long newest) {
     sequence = newest;
   }
 
   // ---- heartbeats and the lease -----------------------------------------------------------------
 
-  /** A message that is newer than all earlier ones has arrived. */
+  /** Records the arrival of a message that is newer than all earlier ones. */
   public void heard(SteadyTime now) {
     lastHeartbeat = now;
   }
 
-  /** Whether any message has arrived in this leadership. */
+  /** Returns whether any message has arrived in this leadership. */
   public boolean isHeard() {
     return lastHeartbeat != null;
   }
 
-  /** When the newest message arrived; null unless the agent {@linkplain #isHeard was heard}. */
+  /**
+   * Returns when the newest message arrived; null unless the agent {@linkplain #isHeard has
+   * reported}.
+   */
   public SteadyTime lastHeartbeat() {
     return lastHeartbeat;
   }
 
-  /** Seconds since the newest message; infinite where none has arrived. */
+  /** Returns the seconds since the newest message; infinite if none has arrived. */
   public double silentForS(SteadyTime now) {
     return isHeard() ? now.secondsSince(lastHeartbeat) : Double.POSITIVE_INFINITY;
   }
 
-  /** Whether the agent has missed heartbeats, or was never heard. */
+  /** Returns whether the agent has missed heartbeats or has never reported. */
   public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
     return silentForS(now) >= workers.overdueS();
   }
 
-  /** After this time the agent has killed its tasks, unless a later answer extends the lease. */
+  /**
+   * Returns the time after which the agent has killed its tasks, unless a later answer extends the
+   * lease.
+   */
   public SteadyTime leaseExpiry() {
     return leaseExpiry;
   }
 
-  /** Whether the lease has certainly expired. */
+  /** Returns whether the lease has certainly expired. */
   public boolean isLeaseExpired(SteadyTime now) {
     return leaseExpiry.isBefore(now);
   }
 
-  /** Extends the lease; an earlier expiry than the present one has no effect. */
+  /** Extends the lease. An expiry before the current one has no effect. */
   public void extendLease(SteadyTime until) {
     leaseExpiry = until.max(leaseExpiry);
   }
 
   // ---- terms ------------------------------------------------------------------------------------
 
-  /** The highest fencing token in the agent's messages. */
+  /** Returns the highest fencing token in the messages of the agent. */
   public Term fencingToken() {
     return fencingToken;
   }
 
-  /** Records the fencing token of a message; only a higher one has an effect. */
+  /** Records the fencing token of a message. Only a higher one has an effect. */
   public void observeFencingToken(Term shown) {
     if (shown.compareTo(fencingToken) > 0) {
       fencingToken = shown;
     }
   }
 
-  /** A heartbeat was answered in this term. */
+  /** Records the term in which a heartbeat was answered. */
   public void answeredIn(Term term) {
     answeredTerm = term;
   }
 
-  /** Whether the last answered heartbeat was answered in this term. */
+  /** Returns whether the last answered heartbeat was answered in a term. */
   public boolean wasAnsweredIn(Term term) {
     return answeredTerm.equals(term);
   }
 
-  /** Whether any heartbeat was answered in this leadership. */
+  /** Returns whether any heartbeat was answered in this leadership. */
   public boolean wasAnswered() {
     return !answeredTerm.equals(Term.NONE);
   }
 
-  /** The term was announced to the agent before its first heartbeat in this leadership. */
+  /**
+   * Records that the term was announced to the agent before its first heartbeat in this leadership.
+   */
   public void markTermAnnounced() {
     termAnnounced = true;
   }
 
-  /** Whether the term was announced to the agent before its first heartbeat. */
+  /** Returns whether the term was announced to the agent before its first heartbeat. */
   public boolean isTermAnnounced() {
     return termAnnounced;
   }
 
   // ---- address ----------------------------------------------------------------------------------
 
-  /** The address for direct commands; empty until a message has named it. */
+  /** Returns the address for direct commands; empty until a message contains one. */
   public Optional<Endpoint> endpoint() {
     return Optional.ofNullable(endpoint);
   }
 
-  /** Whether the agent's address is known. */
+  /** Returns whether the address for direct commands is known. */
   public boolean hasEndpoint() {
     return endpoint != null;
   }
 
   /**
-   * Sets the address for direct commands; an unchanged one is not parsed again.
+   * Sets the address for direct commands. An unchanged address is not parsed again.
    *
-   * @throws IllegalArgumentException where the text is not an address; the former address is kept
+   * @throws IllegalArgumentException if the text is not an address; the previous one is kept
    */
   public void endpoint(String text) {
     if (endpoint == null || !endpointText.equals(text)) {
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -15,63 +15,67 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * Recent boot times of machines, and the provisioned machines that are late by these. Guarded by
- * the controller's lock.
+ * Tracks recent boot times and determines which booting machines are late. Guarded by the
+ * controller's lock.
  *
- * <p>Boot times are kept by machine type and zone, as ratios to the type's nominal boot time. A
- * machine that is still booting counts with its boot time so far. If few machines are late while
- * many have come up, the late ones no longer count as expected capacity; if most machines are late,
- * the type is slow in that zone, and provisioning all of them again would only cost twice.
+ * <p>Boot times are kept per machine type and zone, as ratios to the nominal boot time of the type.
+ * Machines that are still booting are included with the time elapsed so far. If a few machines are
+ * late while many have come up, the late ones no longer count as expected capacity. If most
+ * machines are late, the type is slow in that zone, and provisioning replacements for all of them
+ * would only double the cost.
  */
 public final class BootTimes {
-  /** Machines usually come up within this multiple of the expected boot time. */
+  /** Multiple of the expected boot time within which machines usually come up. */
   private static final double USUAL_SPREAD = 1.5;
 
-  /** Seconds until a machine that is up has sent a heartbeat. */
+  /** Seconds within which a machine that is up sends its first heartbeat. */
   private static final double HEARTBEAT_MARGIN_S = 3;
 
-  /** Seconds for which a boot time counts as recent. */
+  /** Age in seconds up to which an observed boot time is used. */
   private static final double RECENT_S = 300;
 
-  /** Ratio of a machine that comes up in the nominal time; counts as one observed boot. */
+  /** Ratio of a boot in the nominal time; always included as one observation. */
   private static final double NOMINAL_RATIO = 1;
 
   /**
-   * Share of the machines that have to come up in time for the others to count as late. At least so
-   * many do where some machines never come up, hardly any where all of them are slow.
+   * Quantile of the boot ratios that is taken as the expected one. At least this share of machines
+   * comes up in time if only some never do, and hardly any if all are slow.
    */
   private static final double IN_TIME_SHARE = 0.25;
 
-  /** Where most machines are slow, the share of the overdue ones that count as late anyway. */
+  /** Share of the overdue machines that are late even if most machines are slow. */
   private static final double LATE_SHARE_WHERE_SLOW = 0.25;
 
-  /** Multiple of the nominal boot time after which a machine is given up. */
+  /** Boot time-out as a multiple of the nominal boot time. */
   private static final double GIVE_UP_FACTOR = 3;
 
-  /** The same where most machines of the type are slow in the zone. */
+  /** Like {@link #GIVE_UP_FACTOR}, if most machines of the type are slow in the zone. */
   private static final double GIVE_UP_FACTOR_WHERE_SLOW = 8;
 
-  /** No machine is given up before this many seconds beyond its nominal boot time. */
+  /** Minimum boot time-out in seconds, in addition to the nominal boot time. */
   private static final double GIVE_UP_MARGIN_S = 45;
 
   private static final Comparator<Machine> BY_PROVISION_TIME =
       Comparator.comparing(machine -> machine.cloud().provisionedAt());
 
-  /** A machine that has come up, with its boot time as a ratio to the nominal one. */
+  /** A completed boot, with its duration as a ratio to the nominal boot time. */
   private record Boot(SteadyTime provisionedAt, SteadyTime upAt, double ratio) {}
 
   /** The machines of one type in one zone. */
   private record Pool(String typeName, String zoneName) {}
 
-  /** The boots in one pool. */
+  /** Boot statistics of one pool. */
   private static final class BootStatistics {
-    /** Recent boots, the latest one last. */
+    /** Recent boots, oldest first. */
     private final Deque<Boot> boots = new ArrayDeque<>();
 
-    /** Machines that are still booting beyond the usual spread. */
+    /**
+     * Machines that are still booting after more than {@link #USUAL_SPREAD} times the nominal boot
+     * time.
+     */
     private List<Machine> overdue = new ArrayList<>();
 
-    /** The ratio within which the {@link #IN_TIME_SHARE} of machines comes up. */
+    /** Boot ratio at the quantile {@link #IN_TIME_SHARE}. */
     private double expectedRatio = NOMINAL_RATIO;
 
     void forgetBefore(SteadyTime time) {
@@ -99,14 +103,14 @@
     MachineType machineType = machineType(machine);
     SteadyTime provisionedAt = machine.cloud().provisionedAt();
     if (machineType == null || provisionedAt.isBefore(electedAt)) {
-      // It may have come up under an earlier leader.
+      // It may have sent its first heartbeat to an earlier leader.
       return;
     }
     double ratio = now.secondsSince(provisionedAt) / machineType.bootS();
     statistics(machine).boots.addLast(new Boot(provisionedAt, now, ratio));
   }
 
-  /** The machines that should be up but are not; they do not count as expected capacity. */
+  /** Returns the machines that are late; they do not count as expected capacity. */
   public Set<MachineId> late(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
@@ -139,7 +143,10 @@
         && !machine.cloud().isListedRunning();
   }
 
-  /** Adds the machines that are late for their pool, and the oldest of those that are overdue. */
+  /**
+   * Adds the machines that are late by the expected ratio of their pool and, of the other overdue
+   * ones, a share with the earliest provision times.
+   */
   private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
     List<Machine> others = new ArrayList<>();
     for (Machine machine : statistics.overdue) {
@@ -158,9 +165,9 @@
   }
 
   /**
-   * The ratio within which a share of the machines comes up, at least the nominal one. Overdue
-   * machines count with their ratio so far. Boots of machines that were provisioned long before the
-   * overdue ones are left out, since conditions may have changed since.
+   * Computes the boot ratio at the quantile {@link #IN_TIME_SHARE}, at least the nominal one.
+   * Overdue machines are included with their current ratio. Boots of machines that were provisioned
+   * long before the overdue ones are excluded, since conditions may have changed.
    */
   private double expectedRatio(BootStatistics statistics, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
@@ -183,13 +190,16 @@
     return Math.max(NOMINAL_RATIO, ratio);
   }
 
-  /** The boot time of a machine so far, as a ratio to the nominal one. */
+  /** Returns the elapsed boot time of a machine as a ratio to the nominal boot time. */
   private static double ratioSoFar(Machine machine, MachineType machineType, SteadyTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
 
-  /** Whether a machine that has not come up is to be released since it probably never will. */
+  /**
+   * Returns whether a booting machine has exceeded its boot time-out and should be released, since
+   * it will probably never come up.
+   */
   public boolean isGivenUp(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
@@ -202,7 +212,7 @@
     return now.secondsSince(machine.cloud().provisionedAt()) > allowedS;
   }
 
-  /** Seconds that a machine of a type is expected to take to come up in a zone. */
+  /** Returns the expected boot time in seconds of a machine type in a zone. */
   public double expectedS(MachineType machineType, String zoneName) {
     BootStatistics statistics = statisticsByPool.get(new Pool(machineType.name(), zoneName));
     return machineType.bootS() * (statistics == null ? NOMINAL_RATIO : statistics.expectedRatio);
@@ -214,7 +224,7 @@
         new Pool(description.typeName(), description.zoneName()), pool -> new BootStatistics());
   }
 
-  /** The type of a machine; null while it is not known. */
+  /** Returns the type of a machine; null if it is unknown. */
   private MachineType machineType(Machine machine) {
     return machineTypes.typeOf(machine).orElse(null);
   }
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -4,8 +4,8 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The state of one machine as the cloud sees it: when it was provisioned, what listings show of it,
- * and whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
+ * The state of one machine as reported by the cloud: its provision time, its last listing, and
+ * whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
  */
 public final class CloudStatus {
   private final SteadyTime knownSince;
@@ -21,12 +21,12 @@
     this.provisionedAt = now;
   }
 
-  /** When the machine became known in this leadership; it was provisioned before. */
+  /** Returns when the machine was discovered in this leadership; it was provisioned earlier. */
   public SteadyTime knownSince() {
     return knownSince;
   }
 
-  /** The latest time at which the machine can have been provisioned. */
+  /** Returns an upper bound of the provision time. */
   public SteadyTime provisionedAt() {
     return provisionedAt;
   }
@@ -35,65 +35,67 @@
     provisionedAt = at;
   }
 
-  /** A listing of the cloud shows the machine. */
+  /** Records that a listing contains the machine. */
   public void listed(SteadyTime at, boolean running) {
     listedAt = at;
     listedRunning = running;
   }
 
-  /** Whether any listing has shown the machine. */
+  /** Returns whether any listing has contained the machine. */
   public boolean isListed() {
     return listedAt != null;
   }
 
-  /** Whether the last listing that showed the machine showed it as running. */
+  /** Returns whether the last listing that contained the machine showed it as running. */
   public boolean isListedRunning() {
     return listedRunning;
   }
 
-  /** When the machine was last known to exist for the cloud. */
+  /** Returns the last time at which the machine was confirmed to exist. */
   public SteadyTime lastKnownAt() {
     return listedAt == null ? knownSince : listedAt;
   }
 
-  /** The cloud has given notice that it reclaims the spot machine; the first notice stands. */
+  /**
+   * Records a notice of the cloud that it will reclaim the spot machine. Only the first notice has
+   * an effect.
+   */
   public void reclaimAt(SteadyTime at) {
     if (reclaimAt == null) {
       reclaimAt = at;
     }
   }
 
-  /** When the cloud reclaims the machine, if it has given notice. */
+  /** Returns when the cloud will reclaim the machine; empty without a notice. */
   public Optional<SteadyTime> reclaimAt() {
     return Optional.ofNullable(reclaimAt);
   }
 
-  /** Whether the cloud has given notice that it reclaims the machine. */
+  /** Returns whether the cloud has given notice that it will reclaim the machine. */
   public boolean isReclaimed() {
     return reclaimAt != null;
   }
 
-  /** The machine is to be released; nothing more is placed on it. */
+  /** Marks the machine as being released, which excludes it from placements. */
   public void markReleasing() {
     releasing = true;
   }
 
-  /** Whether the machine is to be released. */
   public boolean isReleasing() {
     return releasing;
   }
 
-  /** The machine is certainly gone; its name is never reused. */
+  /** Marks the machine as certainly gone. Its name is never reused. */
   public void markTerminated() {
     terminated = true;
   }
 
-  /** Whether the machine is certainly gone. */
+  /** Returns whether the machine is certainly gone. */
   public boolean isTerminated() {
     return terminated;
   }
 
-  /** Whether the machine is neither terminated nor about to be released or reclaimed. */
+  /** Returns whether the machine is neither terminated nor about to be released or reclaimed. */
   public boolean isStaying() {
     return !terminated && !releasing && reclaimAt == null;
   }
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -6,55 +6,53 @@
 import org.ternhinge.wire.Command;
 
 /**
- * The commands that wait to be sent directly to one worker, first in, first out. At most one
- * message is in flight at a time. Guarded by the controller's lock.
+ * FIFO queue of the commands to be sent directly to one worker. At most one message is in flight at
+ * a time. Guarded by the controller's lock.
  */
 public final class CommandOutbox {
   private final Deque<Command> waiting = new ArrayDeque<>();
   private boolean inFlight;
   private SteadyTime pausedUntil;
 
-  /** Appends a command. */
+  /** Appends a command to the queue. */
   public void add(Command command) {
     waiting.add(command);
   }
 
-  /** Whether no command is waiting. */
   public boolean isEmpty() {
     return waiting.isEmpty();
   }
 
-  /** Removes and returns the oldest command; the outbox must not be empty. */
+  /** Removes and returns the oldest command. The outbox must not be empty. */
   public Command take() {
     return waiting.remove();
   }
 
-  /** Drops all waiting commands. */
+  /** Discards all queued commands; a message in flight is not affected. */
   public void clear() {
     waiting.clear();
   }
 
-  /** A message is sent; no other one may be sent until it has landed. */
+  /** Records that a message was sent. No other one may be sent until it is completed. */
   public void markInFlight() {
     inFlight = true;
   }
 
-  /** The message in flight was answered, or its answer is no longer awaited. */
+  /** Records that the message in flight was answered or that its answer is no longer awaited. */
   public void markLanded() {
     inFlight = false;
   }
 
-  /** Whether a message is in flight. */
   public boolean isInFlight() {
     return inFlight;
   }
 
-  /** A message has failed: nothing is sent directly before this time. */
+  /** Pauses direct messages until the given time after one has failed. */
   public void pauseUntil(SteadyTime time) {
     pausedUntil = time;
   }
 
-  /** Whether direct messages are paused since one has failed lately. */
+  /** Returns whether direct messages are paused after a recent failure. */
   public boolean isPaused(SteadyTime now) {
     return pausedUntil != null && now.isBefore(pausedUntil);
   }
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -4,18 +4,19 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Whether answers and commands reach the worker of one machine. Its heartbeats may arrive while
- * these are lost: then the leader would extend its lease by answers that never arrived, place tasks
- * there and wait for starts that have no effect. Guarded by the controller's lock.
+ * Tracks whether answers and commands reach the worker of one machine. If they are lost while its
+ * heartbeats still arrive, the leader would extend the worker's lease by answers that it never
+ * received, place tasks on the machine and wait for starts that have no effect. Guarded by the
+ * controller's lock.
  */
 public final class CommandReachability {
   /**
-   * Consecutive answers without effect from which a worker counts as unreachable; a single answer
-   * may be lost on a healthy connection.
+   * Consecutive answers without effect after which a worker is considered unreachable. A single
+   * answer may be lost on a healthy connection.
    */
   private static final int UNREACHABLE_AFTER = 3;
 
-  /** Seconds between two probes of an unreachable worker. */
+  /** Seconds between probes of an unreachable worker. */
   private static final double PROBE_INTERVAL_S = 5;
 
   private int missedAnswers;
@@ -24,10 +25,10 @@
   private SteadyTime probedAt;
 
   /**
-   * A later heartbeat shows no effect of the last answer.
+   * Records that a later heartbeat shows no effect of the last answer.
    *
-   * @param othersReachable whether enough other workers are reachable, so that the fault is not
-   *     this node's own; evaluated only where it decides, since it visits every machine
+   * @param othersReachable whether enough other workers are reachable to rule out a fault of this
+   *     node; evaluated only if it affects the result, since it iterates over all machines
    */
   public void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
@@ -37,37 +38,37 @@
     }
   }
 
-  /** The worker's epoch has ended although its heartbeats were answered. */
+  /** Records that the worker's epoch has ended although its heartbeats were answered. */
   public void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     answerMissed(now, othersReachable);
   }
 
   /**
-   * The worker shows the effect of a command. This does not prove that an unreachable worker is
-   * reachable again: the command may have been delayed for long.
+   * Records that the worker shows the effect of a command. This does not prove that an unreachable
+   * worker is reachable again, since the command may have been delayed for a long time.
    */
   public void effectSeen() {
     missedAnswers = 0;
   }
 
-  /** The worker has answered a direct command. */
+  /** Records that the worker answered a direct command. */
   public void probeAnswered() {
     missedAnswers = 0;
     unreachable = false;
   }
 
-  /** Whether commands to the worker are presumed lost. */
+  /** Returns whether commands to the worker are presumed lost. */
   public boolean unreachable() {
     return unreachable;
   }
 
-  /** Seconds for which the worker has been unreachable; 0 where it is reachable. */
+  /** Returns the seconds for which the worker has been unreachable; 0 if it is reachable. */
   public double unreachableFor(SteadyTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
-  /** Whether a probe is due; the next one is due an interval after a call that returns true. */
+  /** Returns whether a probe is due. Returning true starts a new probe interval. */
   public boolean isProbeDue(SteadyTime now) {
     if (!unreachable || (probedAt != null && now.secondsSince(probedAt) < PROBE_INTERVAL_S)) {
       return false;
--- a/src/main/java/org/ternhinge/machine/ImageCache.java
+++ b/src/main/java/org/ternhinge/machine/ImageCache.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * The leader's model of the image cache of one machine: images that it holds or fetches. The least
- * recently used images are evicted first. Guarded by the controller's lock.
+ * The leader's model of one machine's image cache: the images that are present or being pulled,
+ * with least-recently-used eviction. Guarded by the controller's lock.
  */
 final class ImageCache {
   private static final int INITIAL_CAPACITY = 8;
   private static final float LOAD_FACTOR = 0.75f;
 
-  /** Sizes in GB by name, the least recently used image first. */
+  /** Image sizes in GB by name, least recently used first. */
   private final Map<String, Double> sizes =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
@@ -21,14 +21,14 @@
     return sizes.containsKey(image);
   }
 
-  /** The names of all images, as an unmodifiable copy. */
+  /** Returns the names of all images as an unmodifiable copy. */
   Set<String> names() {
     return Set.copyOf(sizes.keySet());
   }
 
   /**
-   * Records the use of an image, and evicts the least recently used ones while a new image exceeds
-   * the capacity. The new image itself is never evicted.
+   * Records the use of an image. A new image evicts the least recently used ones until the capacity
+   * suffices; the new image itself is never evicted.
    *
    * @return whether the image is new
    */
--- a/src/main/java/org/ternhinge/machine/JobBackoff.java
+++ b/src/main/java/org/ternhinge/machine/JobBackoff.java
@@ -14,42 +14,51 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Back-off of jobs whose tasks fail on every machine. Guarded by the controller's lock.
+ * Exponential back-off of jobs whose tasks fail on every machine. Guarded by the controller's lock.
  *
- * <p>A job that has failed on several machines without a success backs off exponentially, and only
- * one of its tasks is tried at a time. The level of the back-off is kept in the job's record, so
- * that the next leader continues from it. The first success ends the back-off.
+ * <p>A job that has failed on several machines without a success backs off exponentially, with at
+ * most one task tried at a time. The back-off level is stored in the job's record, so that the next
+ * leader continues from it. The first success ends the back-off.
  */
 public final class JobBackoff {
   private static final Logger LOG = LoggerFactory.getLogger(JobBackoff.class);
 
-  /** Seconds for which a job is blocked after a task ended for a reason unknown to the worker. */
+  /**
+   * Seconds for which a job is blocked after a worker refused a start because it did not know the
+   * job.
+   */
   private static final double UNKNOWN_END_S = 3;
 
-  /** Failures of a job on this many machines, without a success, are not held against machines. */
+  /**
+   * Number of machines on which a job has to fail, without a success, for its failures to no longer
+   * count against machines.
+   */
   private static final int SUSPECT_MACHINES = 2;
 
-  /** A job that fails on this many machines without a success backs off. */
+  /** Number of machines on which a job has to fail, without a success, to back off. */
   private static final int BACKOFF_MACHINES = 3;
 
-  /** Seconds of the first back-off, which doubles with each further try. */
+  /** Length of the first back-off in seconds; it doubles with each further try. */
   private static final double FIRST_BACKOFF_S = 2;
 
   private static final double MAX_BACKOFF_S = 60;
 
   /**
-   * A task that has run for this many seconds shows that its job is healthy: a job that was
-   * submitted with a mistake fails as soon as it is started.
+   * Run time in seconds of a task that proves its job healthy: a job that was submitted with a
+   * mistake fails as soon as it is started.
    */
   private static final double HEALTHY_RUN_S = 20;
 
-  /** Changes of the key-value store that one retry costs: its attempt opens and closes. */
+  /** Changes of the key-value store per retry: one to open the attempt and one to close it. */
   private static final double CHANGES_PER_RETRY = 2;
 
-  /** Share of the key-value store's changes that the retries of all failing jobs may use. */
+  /**
+   * Share of the key-value store's change rate that is available to the retries of all failing
+   * jobs.
+   */
   private static final double RETRY_SHARE = 0.1;
 
-  /** Number of entries from which those of finished jobs are first removed. */
+  /** Number of entries at which those of finished jobs are first pruned. */
   private static final int FIRST_PRUNE_SIZE = 64;
 
   private final Ledger ledger;
@@ -60,16 +69,16 @@
   /**
    * Creates a back-off without failures.
    *
-   * @param changesPerS changes per second that the key-value store accepts
+   * @param changesPerS change rate that the key-value store accepts, per second
    */
   JobBackoff(Ledger ledger, double changesPerS, SteadyTime now) {
     this.ledger = ledger;
     this.slots = new RetrySlots(CHANGES_PER_RETRY / (changesPerS * RETRY_SHARE), now);
   }
 
-  // ---- what has happened to tasks ---------------------------------------------------------------
+  // ---- outcomes of tasks ------------------------------------------------------------------------
 
-  /** Jobs that backed off under an earlier leader continue at the level that they had reached. */
+  /** Restores the back-off of jobs at the levels that they reached under earlier leaders. */
   public void recover(Collection<Job> jobs, SteadyTime now) {
     for (Job job : jobs) {
       if (job.backoffLevel() > 0) {
@@ -79,9 +88,9 @@
   }
 
   /**
-   * Ends the back-off of a job of which a task has succeeded.
+   * Ends the back-off of a job after one of its tasks has succeeded.
    *
-   * @return the machines on which its tasks had failed since the last success
+   * @return the machines on which its tasks have failed since the last success
    */
   Set<MachineId> succeeded(Job job) {
     ledger.setBackoffLevel(job, 0);
@@ -89,23 +98,26 @@
     return failures == null ? Set.of() : failures.machines();
   }
 
-  /** Records a failed task, and returns all failures of its job since the last success. */
+  /** Records the failure of a task and returns all failures of its job since the last success. */
   JobFailures failed(Machine machine, Job job, SteadyTime now) {
     JobFailures failures = failuresOf(job);
     failures.failedOn(machine.id(), now);
     return failures;
   }
 
-  /** Lets a job that is not known to be healthy back off if it has failed on enough machines. */
+  /**
+   * Starts or extends the back-off of a job that is not known to be healthy if it has failed on
+   * enough machines.
+   */
   void backOffIfAtFault(Job job, JobFailures failures, SteadyTime now) {
     boolean atFault = failures.triesSingleTasks() || failures.machineCount() >= BACKOFF_MACHINES;
-    // Tasks that ran at the same time fail at the same time, which counts as one try.
+    // Simultaneous failures of tasks that ran concurrently count as one try.
     if (atFault && !failures.isBlocked(now)) {
       backOff(job, failures.backoffLevel() + 1, now);
     }
   }
 
-  /** Blocks a job for a short time since a worker could not get its description yet. */
+  /** Blocks a job for a short time because a worker could not read its description yet. */
   void unknownJob(Job job, SteadyTime now) {
     JobFailures failures = failuresOf(job);
     if (!failures.isBlocked(now)) {
@@ -118,7 +130,7 @@
     failuresOf(job).backOff(level, until);
     ledger.setBackoffLevel(job, level);
     LOG.info(
-        "job {} fails on every machine and backs off for {} s",
+        "job {} failed on several machines without a success; backing off for {} s",
         job.spec().id(),
         Math.round(until.secondsSince(now)));
   }
@@ -127,9 +139,9 @@
     return Math.min(MAX_BACKOFF_S, FIRST_BACKOFF_S * Math.pow(2, level - 1));
   }
 
-  // ---- what follows for placements --------------------------------------------------------------
+  // ---- effect on placements ---------------------------------------------------------------------
 
-  /** Whether no task of a job may be started now. */
+  /** Returns whether no task of a job may be started now. */
   public boolean isBlocked(Job job, SteadyTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     if (failures == null) {
@@ -142,7 +154,7 @@
     return (failures.isBlocked(now) || triesNow) && !isHealthy(job, now);
   }
 
-  /** Whether only one task of a job may be started at a time, since the job backs off. */
+  /** Returns whether a job backs off, so that only one of its tasks may be started at a time. */
   public boolean triesSingleTask(Job job, SteadyTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures != null
@@ -151,15 +163,17 @@
         && !isHealthy(job, now);
   }
 
-  /** The machines on which no task of a job should be placed now. */
+  /** Returns the machines on which no task of a job should be placed now. */
   public Set<MachineId> avoidedBy(Job job, SteadyTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures == null ? Set.of() : failures.avoidedMachines(now);
   }
 
-  // ---- what follows for the health of machines --------------------------------------------------
+  // ---- effect on the health of machines ---------------------------------------------------------
 
-  /** Whether a task of a job has succeeded, or has been running for a while. */
+  /**
+   * Returns whether a job is healthy: a task of it has succeeded, or has been running for a while.
+   */
   static boolean isHealthy(Job job, SteadyTime now) {
     if (job.doneCount() > 0) {
       return true;
@@ -174,8 +188,8 @@
   }
 
   /**
-   * Whether the failures of a job without a success are not evidence against machines: it fails on
-   * several machines, or has ended.
+   * Returns whether failures of a job without a success do not count against machines, because it
+   * has failed on several machines or has ended.
    */
   boolean isSuspect(JobId id) {
     JobFailures failures = failuresByJob.get(id);
@@ -184,7 +198,10 @@
         || failures.machineCount() >= SUSPECT_MACHINES;
   }
 
-  /** Whether a job became suspect by its last failure, as far as the count of machines decides. */
+  /**
+   * Returns whether the last failure raised the number of machines to the limit from which a job is
+   * suspect.
+   */
   static boolean hasBecomeSuspect(JobFailures failures) {
     return failures.machineCount() == SUSPECT_MACHINES;
   }
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -8,37 +8,37 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The failures of one job's tasks since one of them last succeeded: the machines on which they
- * failed, and the job's back-off. Guarded by the controller's lock.
+ * Failures of one job's tasks since the last success: the machines on which they failed and the
+ * back-off of the job. Guarded by the controller's lock.
  */
 final class JobFailures {
   /**
-   * Seconds for which a job avoids a machine after a failure there. A faulty machine is quarantined
-   * for all jobs; if a job avoided its machines for ever, one that fits only few machines would
-   * wait although they are free.
+   * Seconds for which a job avoids a machine after a failure on it. Faulty machines are quarantined
+   * for all jobs; if a job avoided machines indefinitely, one that fits on few machines would wait
+   * although they are free.
    */
   static final double AVOID_S = 45;
 
-  /** Time of the last failure on each machine. */
+  /** Time of the last failure, by machine. */
   private final Map<MachineId, SteadyTime> lastFailures = new HashMap<>();
 
-  /** Number of times that the back-off has grown; 0 while the job does not back off. */
+  /** Number of back-offs since the last success; 0 if the job does not back off. */
   private int backoffLevel;
 
-  /** No task of the job is started before this time; null where there is no limit. */
+  /** No task of the job is started before this time; null if unlimited. */
   private SteadyTime startsAfter;
 
-  /** Records that a task has failed on a machine. */
+  /** Records the failure of a task on a machine. */
   void failedOn(MachineId machine, SteadyTime now) {
     lastFailures.put(machine, now);
   }
 
-  /** Number of machines on which tasks have failed. */
+  /** Returns the number of machines on which tasks have failed. */
   int machineCount() {
     return lastFailures.size();
   }
 
-  /** The machines on which tasks have failed, as a copy. */
+  /** Returns a copy of the machines on which tasks have failed. */
   Set<MachineId> machines() {
     return Set.copyOf(lastFailures.keySet());
   }
@@ -47,28 +47,31 @@
     return backoffLevel;
   }
 
-  /** Blocks the job until a time, which replaces an earlier limit. */
+  /** Blocks the job until the given time, which replaces an earlier limit. */
   void startAfter(SteadyTime time) {
     startsAfter = time;
   }
 
-  /** Blocks the job until a time and raises its back-off to a level. */
+  /** Sets the back-off level and blocks the job until the given time. */
   void backOff(int level, SteadyTime until) {
     backoffLevel = level;
     startsAfter = until;
   }
 
-  /** Whether no task of the job may be started now. */
+  /** Returns whether no task of the job may be started now. */
   boolean isBlocked(SteadyTime now) {
     return startsAfter != null && now.isBefore(startsAfter);
   }
 
-  /** Whether the job backs off, so that its tasks are tried one at a time until one succeeds. */
+  /**
+   * Returns whether the job backs off, so that its tasks are tried one at a time until one
+   * succeeds.
+   */
   boolean triesSingleTasks() {
     return backoffLevel > 0;
   }
 
-  /** The machines on which no task of the job should be placed now. */
+  /** Returns the machines on which no task of the job should be placed now. */
   Set<MachineId> avoidedMachines(SteadyTime now) {
     Set<MachineId> avoided = new HashSet<>();
     lastFailures.forEach(
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -16,17 +16,17 @@
  * The state of one machine, except for its attempts, which the ledger holds. Guarded by the
  * controller's lock.
  *
- * <p>The planner's view of the machine is cached. Every method that changes a property in the view
- * invalidates the cached view; whoever changes attempts on the machine has to call {@link
+ * <p>The planner's view of the machine is cached. Every method that changes a property used by the
+ * view invalidates it. Callers that change attempts on the machine have to call {@link
  * #invalidateView}.
  */
 public final class Machine {
 
   /**
-   * Room that is kept free for a job for which tasks of others were preempted.
+   * Resources that are reserved for a job for which tasks of other jobs were preempted.
    *
-   * @param job the job that may use the room
-   * @param room the size of the room for one task
+   * @param job the job that may use the resources
+   * @param room the resources of one task
    * @param until when the reservation expires
    */
   public record Reservation(JobId job, Resources room, SteadyTime until) {}
@@ -44,13 +44,13 @@
   private long tasksRevision;
   private SteadyTime idleSince;
 
-  /** The planner's cached view; null where it is out of date. */
+  /** Cached planner's view; null if it is invalid. */
   private Snapshot.MachineView view;
 
   /**
    * Creates a machine of which only the name is known.
    *
-   * @param leaseExpiry latest expiry of the lease of its worker
+   * @param leaseExpiry latest possible expiry of the lease of its worker
    */
   Machine(MachineId id, SteadyTime now, SteadyTime leaseExpiry) {
     this.id = id;
@@ -59,52 +59,52 @@
     this.idleSince = now;
   }
 
-  /** The name that the cloud has assigned. */
+  /** Returns the name assigned by the cloud. */
   public MachineId id() {
     return id;
   }
 
   // ---- components -------------------------------------------------------------------------------
 
-  /** Its status at the cloud. */
+  /** Returns the status of the machine as reported by the cloud. */
   public CloudStatus cloud() {
     return cloud;
   }
 
-  /** The state of its worker agent. */
+  /** Returns the state of the worker agent. */
   public AgentState agent() {
     return agent;
   }
 
-  /** Its fitness for tasks. */
+  /** Returns the health state that decides whether tasks may be placed on the machine. */
   public MachineHealth health() {
     return health;
   }
 
-  /** The commands that wait to be sent to its worker. */
+  /** Returns the queue of commands to the worker. */
   public CommandOutbox outbox() {
     return outbox;
   }
 
-  /** Direct starts that may still arrive at its worker. */
+  /** Returns the direct start commands that may still arrive at the worker. */
   public OutstandingStarts outstandingStarts() {
     return outstandingStarts;
   }
 
   // ---- description ------------------------------------------------------------------------------
 
-  /** Its type, its zone and whether it is a spot instance. */
+  /** Returns the type and zone of the machine and whether it is a spot machine. */
   public MachineDescription description() {
     return description;
   }
 
-  /** Replaces its description. */
+  /** Sets the description of the machine. */
   public void describe(MachineDescription known) {
     description = known;
     invalidateView();
   }
 
-  /** Sets the latest time at which it can have been provisioned. */
+  /** Sets the upper bound of the provision time. */
   public void provisionedAt(SteadyTime at) {
     cloud.provisionedAt(at);
     invalidateView();
@@ -112,29 +112,29 @@
 
   // ---- tasks and images -------------------------------------------------------------------------
 
-  /** Its tasks as the newest message of its worker lists them. */
+  /** Returns the tasks listed in the newest message of the worker. */
   public List<TaskStatus> tasks() {
     return tasks;
   }
 
-  /** Replaces its tasks. */
+  /** Replaces the tasks listed by the worker. */
   void tasks(List<TaskStatus> shown) {
     tasks = shown;
     tasksRevision++;
     invalidateView();
   }
 
-  /** Number of times that its tasks were replaced. */
+  /** Returns how many times the tasks were replaced. */
   public long tasksRevision() {
     return tasksRevision;
   }
 
-  /** The images that it is known to hold or to fetch, as an unmodifiable copy. */
+  /** Returns the images known to be present or being pulled, as an unmodifiable copy. */
   public Set<String> images() {
     return images.names();
   }
 
-  /** Whether it is known to hold or to fetch an image. */
+  /** Returns whether an image is known to be present or being pulled. */
   public boolean hasImage(String image) {
     return images.contains(image);
   }
@@ -143,7 +143,7 @@
    * Records the use of an image, which may evict the least recently used ones.
    *
    * @param sizeGb size of the image in GB
-   * @param cacheGb capacity of the image cache of its type in GB
+   * @param cacheGb image cache capacity of the machine type in GB
    */
   public void useImage(String image, double sizeGb, double cacheGb) {
     if (images.use(image, sizeGb, cacheGb)) {
@@ -151,12 +151,12 @@
     }
   }
 
-  /** Since when no attempt has been open on it. */
+  /** Returns the time since which the machine has had no open attempt. */
   public SteadyTime idleSince() {
     return idleSince;
   }
 
-  /** No attempt is open on it from now on. */
+  /** Records that the machine has no open attempt from now on. */
   public void markIdle(SteadyTime now) {
     idleSince = now;
     invalidateView();
@@ -164,7 +164,7 @@
 
   // ---- reservations -----------------------------------------------------------------------------
 
-  /** The reservations on it, as an unmodifiable live view. */
+  /** Returns the reservations on the machine as an unmodifiable live view. */
   public List<Reservation> reservations() {
     return Collections.unmodifiableList(reservations);
   }
@@ -175,7 +175,7 @@
     invalidateView();
   }
 
-  /** Removes the oldest reservation of a job, if there is any. */
+  /** Removes the oldest reservation of a job, if any. */
   public void dropReservation(JobId job) {
     for (int i = 0; i < reservations.size(); i++) {
       if (reservations.get(i).job().equals(job)) {
@@ -186,7 +186,7 @@
     }
   }
 
-  /** Removes the expired reservations, and returns whether there were any. */
+  /** Removes the expired reservations and returns whether there were any. */
   public boolean expireReservations(SteadyTime now) {
     boolean expired =
         !reservations.isEmpty()
@@ -199,15 +199,15 @@
 
   // ---- view -------------------------------------------------------------------------------------
 
-  /** Discards the cached view, since attempts on the machine or its state have changed. */
+  /** Discards the cached view after a change of the machine or of its attempts. */
   public void invalidateView() {
     view = null;
   }
 
   /**
-   * The planner's view of it, which is built again where the cached one is out of date.
+   * Returns the planner's view of the machine, which is rebuilt if the cached one is invalid.
    *
-   * @param ready whether tasks may be placed on it now
+   * @param ready whether tasks may be placed on the machine now
    * @param build builds the view
    */
   public Snapshot.MachineView view(boolean ready, Supplier<Snapshot.MachineView> build) {
--- a/src/main/java/org/ternhinge/machine/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -5,43 +5,44 @@
 import org.ternhinge.model.JobId;
 
 /**
- * The failures of tasks on one machine since a task last succeeded there. Guarded by the
- * controller's lock.
+ * Failures of tasks on one machine since the last success on it. Guarded by the controller's lock.
  */
 final class MachineFailures {
-  /** Failures of healthy jobs, which are attributed to the machine. */
+  /** Number of failures of healthy jobs, which are attributed to the machine. */
   private int ofHealthyJobs;
 
-  /** Failures by job, of jobs that are not known to be healthy. */
+  /** Number of failures by job, for jobs that are not known to be healthy. */
   private final Object2IntOpenHashMap<JobId> ofOtherJobs = new Object2IntOpenHashMap<>();
 
-  /** Records that a task of a healthy job has failed. */
+  /** Records the failure of a task of a healthy job. */
   void healthyJobFailed() {
     ofHealthyJobs++;
   }
 
-  /** Records that a task of a job that is not known to be healthy has failed. */
+  /** Records the failure of a task of a job that is not known to be healthy. */
   void otherJobFailed(JobId job) {
     ofOtherJobs.addTo(job, 1);
   }
 
-  /** A job has proved healthy: its failures here are attributed to the machine. */
+  /** Attributes the failures of a job to the machine, since the job has proved healthy. */
   void jobIsHealthy(JobId job) {
     ofHealthyJobs += ofOtherJobs.removeInt(job);
   }
 
-  /** A task has succeeded on the machine. */
+  /** Discards all failures after a task has succeeded on the machine. */
   void clear() {
     ofHealthyJobs = 0;
     ofOtherJobs.clear();
   }
 
-  /** Number of failed tasks of healthy jobs. */
   int countOfHealthyJobs() {
     return ofHealthyJobs;
   }
 
-  /** Number of other jobs with failures that satisfy a condition; each counts once. */
+  /**
+   * Returns the number of jobs that are not known to be healthy, have failed here and satisfy a
+   * condition; each counts once.
+   */
   int countOfOtherJobs(Predicate<JobId> condition) {
     int count = 0;
     for (JobId job : ofOtherJobs.keySet()) {
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -2,24 +2,27 @@
 
 import org.ternhinge.model.SteadyTime;
 
-/** Whether one machine is fit for tasks. Guarded by the controller's lock. */
+/**
+ * The health state of one machine, which decides whether tasks may be placed on it. Guarded by the
+ * controller's lock.
+ */
 public final class MachineHealth {
   private final MachineFailures failures = new MachineFailures();
   private final CommandReachability reachability = new CommandReachability();
   private SteadyTime quarantinedUntil;
   private SteadyTime noRoomUntil;
 
-  /** Failures of tasks since one last succeeded on the machine. */
+  /** Returns the failures of tasks since the last success on the machine. */
   MachineFailures failures() {
     return failures;
   }
 
-  /** Whether answers and commands reach the worker. */
+  /** Returns the tracker of whether answers and commands reach the worker. */
   public CommandReachability reachability() {
     return reachability;
   }
 
-  /** Whether the machine is quarantined since tasks fail on it. */
+  /** Returns whether the machine is quarantined because tasks fail on it. */
   public boolean isQuarantined(SteadyTime now) {
     return quarantinedUntil != null && now.isBefore(quarantinedUntil);
   }
@@ -32,12 +35,15 @@
     quarantinedUntil = null;
   }
 
-  /** The machine has refused a task for want of room: nothing is placed on it before this time. */
+  /**
+   * Blocks placements until the given time because the machine refused a task for lack of
+   * resources.
+   */
   void refusesTasksUntil(SteadyTime time) {
     noRoomUntil = time;
   }
 
-  /** Whether the machine has not lately refused a task for want of room. */
+  /** Returns whether the machine has not recently refused a task for lack of resources. */
   public boolean acceptsTasks(SteadyTime now) {
     return noRoomUntil == null || noRoomUntil.isBefore(now);
   }
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -11,12 +11,12 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The machines that are known in one leadership, and the names of those that are certainly gone. A
- * name is never reused, so a delayed heartbeat or listing of a removed machine is not mistaken for
- * a new machine. Guarded by the controller's lock.
+ * The machines known in the current leadership, and the names of removed ones. Names are never
+ * reused, so a delayed heartbeat or listing of a removed machine is not mistaken for a new machine.
+ * Guarded by the controller's lock.
  */
 public final class MachineRegistry {
-  /** In order of their names, so that equal inputs give equal plans. */
+  /** Sorted by name, so that equal inputs produce equal plans. */
   private final Map<MachineId, Machine> machines = new TreeMap<>();
 
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
@@ -24,40 +24,40 @@
   private final SteadyTime initialLeaseEnd;
 
   /**
-   * Creates a registry without machines.
+   * Creates an empty registry.
    *
-   * @param initialLeaseEnd latest expiry of the lease of a machine without a heartbeat in this
-   *     leadership, whichever earlier leader renewed it last
+   * @param initialLeaseEnd latest possible lease expiry of a machine that has sent no heartbeat in
+   *     this leadership, whichever earlier leader last renewed the lease
    */
   public MachineRegistry(SteadyTime initialLeaseEnd) {
     this.initialLeaseEnd = initialLeaseEnd;
   }
 
-  /** The machine of this name, which is added if it is not known. */
+  /** Returns the machine with a name, which is added if it is not registered. */
   public Machine findOrAdd(MachineId id, SteadyTime now) {
     return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseEnd));
   }
 
-  /** The machine of this name; empty where it is not known or was removed. */
+  /** Returns the machine with a name; empty if it is unknown or was removed. */
   public Optional<Machine> find(MachineId id) {
     return Optional.ofNullable(machines.get(id));
   }
 
   /**
-   * All machines in order of their names, as an unmodifiable live view: copy it where machines may
-   * be removed during an iteration.
+   * Returns all machines, sorted by name, as an unmodifiable live view. Iterate over a copy if
+   * machines may be removed meanwhile.
    */
   public Collection<Machine> all() {
     return all;
   }
 
-  /** Removes a machine that is certainly gone. */
+  /** Removes a machine that no longer exists. */
   public void remove(MachineId id) {
     machines.remove(id);
     removed.add(id);
   }
 
-  /** Whether a machine of this name was here and is certainly gone. */
+  /** Returns whether a machine was registered and removed. */
   public boolean wasRemoved(MachineId id) {
     return removed.contains(id);
   }
--- a/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -13,32 +13,29 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * The machine types that the cloud offers. They are refreshed periodically, since a site may add
- * types during a leadership. Guarded by the controller's lock.
+ * The machine types that the cloud offers. The catalog is refreshed periodically, since a site may
+ * add types during a leadership. Guarded by the controller's lock.
  */
 public final class MachineTypeCatalog {
-  /** Seconds between two refreshes; types are changed by hand, a few times a year. */
+  /** Seconds between refreshes. Types are changed manually, a few times a year. */
   private static final double REFRESH_S = 60;
 
-  /** Seconds until a refresh that failed is retried. */
+  /** Seconds before a failed refresh is retried. */
   private static final double RETRY_S = 3;
 
   private final Cloud cloud;
   private final LeadershipExecutor executor;
   private final Map<String, MachineType> byName = new LinkedHashMap<>();
 
-  /**
-   * The results of look-ups, each allocated once: a scheduling round looks up the type of every
-   * machine.
-   */
+  /** Preallocated look-up results: a scheduling round looks up the type of every machine. */
   private final Map<String, Optional<MachineType>> lookups = new HashMap<>();
 
   private final Collection<MachineType> all = Collections.unmodifiableCollection(byName.values());
 
   /**
-   * Creates a catalog that starts with the known types.
+   * Creates a catalog with initial types.
    *
-   * @param known the types that the node knew before this leadership
+   * @param known the types known to this node before the leadership
    */
   public MachineTypeCatalog(
       Cloud cloud, LeadershipExecutor executor, Collection<MachineType> known) {
@@ -47,7 +44,7 @@
     learn(known);
   }
 
-  /** Adds types, or replaces those of the same names. */
+  /** Adds types and replaces those with the same names. */
   public void learn(Collection<MachineType> known) {
     for (MachineType machineType : known) {
       byName.put(machineType.name(), machineType);
@@ -55,7 +52,7 @@
     }
   }
 
-  /** Reads the types from the cloud now and periodically from then on. */
+  /** Reads the types from the cloud now and periodically thereafter. */
   public void refresh() {
     executor.whenAnswered(cloud.machineTypes(), this::refreshed);
   }
@@ -69,22 +66,21 @@
     }
   }
 
-  /** Whether no type is known yet. */
   public boolean isEmpty() {
     return byName.isEmpty();
   }
 
-  /** The type of this name. Allocates nothing. */
+  /** Returns the type with a name, without an allocation. */
   public Optional<MachineType> find(String name) {
     return lookups.getOrDefault(name, Optional.empty());
   }
 
-  /** The type of a machine; empty while it is not known. Allocates nothing. */
+  /** Returns the type of a machine, without an allocation; empty if it is unknown. */
   public Optional<MachineType> typeOf(Machine machine) {
     return find(machine.description().typeName());
   }
 
-  /** All types in the order in which they became known, as an unmodifiable live view. */
+  /** Returns all types in the order in which they were added, as an unmodifiable live view. */
   public Collection<MachineType> all() {
     return all;
   }
--- a/src/main/java/org/ternhinge/machine/OutstandingStarts.java
+++ b/src/main/java/org/ternhinge/machine/OutstandingStarts.java
@@ -7,13 +7,14 @@
 import org.ternhinge.model.Term;
 
 /**
- * Start commands sent directly to one worker that are unanswered, or whose answers were lost. Such
- * a start may still arrive, so its attempt must not be presumed gone. Raising the term fences them:
- * a worker refuses them once it has seen the higher term. Guarded by the controller's lock.
+ * Direct start commands to one worker that are unanswered or whose answers were lost. Such a start
+ * may still arrive, so its attempt must not be presumed gone. Raising the term fences them: a
+ * worker rejects starts with a lower term once it has seen the higher one. Guarded by the
+ * controller's lock.
  */
 public final class OutstandingStarts {
   private record Start(TaskId task, AttemptNumber attempt) {
-    // Written out since look-ups by the generated methods are slower.
+    // Faster in look-ups than the methods that the compiler generates for records.
     @Override
     public boolean equals(Object other) {
       return other instanceof Start start
@@ -30,41 +31,45 @@
   /** Number of outstanding starts by attempt. */
   private final Object2IntOpenHashMap<Start> counts = new Object2IntOpenHashMap<>();
 
-  /** Number of outstanding starts by attempt, of those with a lower term than the fence. */
+  /** Number of outstanding starts by attempt, restricted to terms below the fence. */
   private final Object2IntOpenHashMap<Start> fenced = new Object2IntOpenHashMap<>();
 
   private Term fence = Term.NONE;
 
-  /** A start is sent. */
+  /** Records that a start was sent. */
   public void sent(TaskId task, AttemptNumber attempt) {
     counts.addTo(new Start(task, attempt), 1);
   }
 
-  /** A start that was sent has certainly been carried out, or never will be. */
+  /** Records that a start was applied or can no longer be applied. */
   public void settled(TaskId task, AttemptNumber attempt) {
     subtract(new Start(task, attempt), 1);
   }
 
-  /** Whether a start of this attempt may still arrive. */
+  /** Returns whether a start of an attempt may still arrive. */
   public boolean mayArrive(TaskId task, AttemptNumber attempt) {
     return counts.containsKey(new Start(task, attempt));
   }
 
   /**
-   * Whether an outstanding start of this attempt will be refused once the worker sees the fence.
+   * Returns whether an outstanding start of an attempt will be rejected once the worker has seen
+   * the fence.
    */
   public boolean isFenced(TaskId task, AttemptNumber attempt) {
     return fenced.containsKey(new Start(task, attempt));
   }
 
-  /** The term was raised: all starts sent before carry a lower one. */
+  /** Fences all outstanding starts after the term was raised above theirs. */
   public void fence(Term raised) {
     fenced.clear();
     fenced.putAll(counts);
     fence = raised;
   }
 
-  /** The worker has seen a fencing token, and refuses starts with a lower term from now on. */
+  /**
+   * Records a fencing token that the worker has seen; it rejects starts with lower terms from now
+   * on.
+   */
   public void observeFencingToken(Term shown) {
     if (fenced.isEmpty() || shown.compareTo(fence) < 0) {
       return;
@@ -81,7 +86,10 @@
     }
   }
 
-  /** The worker's epoch has ended: starts sent in it can no longer have an effect. */
+  /**
+   * Discards all starts after the end of the worker's epoch, since they can no longer have an
+   * effect.
+   */
   public void clear() {
     counts.clear();
     fenced.clear();
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -6,9 +6,9 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Counts the machines that list each task. The counts are updated by the difference between
- * consecutive messages of a machine, so that no update visits the whole fleet. Guarded by the
- * controller's lock.
+ * Counts for each task the machines that list it. An update applies the difference between
+ * consecutive messages of one machine, so that its cost does not depend on the size of the fleet.
+ * Guarded by the controller's lock.
  */
 public final class ReportedTaskCounts implements ReportedTasks {
   private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -4,9 +4,9 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value
- * store, so however many jobs fail, their retries together have a bounded rate. Time is cut into
- * slots of one length, and each slot is given to one retry.
+ * Limits the rate of retries across all failing jobs. Each retry costs changes of the key-value
+ * store, so the total retry rate has to be bounded regardless of the number of failing jobs. Time
+ * is divided into slots of equal length, and each slot is assigned to one retry.
  */
 final class RetrySlots {
   private final double slotS;
@@ -14,16 +14,16 @@
   private final TreeSet<Long> reserved = new TreeSet<>();
 
   /**
-   * Creates slots that are all free.
+   * Creates an instance without reserved slots.
    *
-   * @param slotS length of a slot, in seconds
+   * @param slotS length of a slot in seconds
    */
   RetrySlots(double slotS, SteadyTime origin) {
     this.slotS = slotS;
     this.origin = origin;
   }
 
-  /** Reserves the first free slot that begins at a time or later, and returns its beginning. */
+  /** Reserves the first free slot that starts at or after a time, and returns its start. */
   SteadyTime take(SteadyTime earliest, SteadyTime now) {
     reserved.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
     long slot = (long) Math.ceil(earliest.secondsSince(origin) / slotS);
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -10,25 +10,31 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Attributes the failures of tasks to machines or to jobs, and quarantines machines that are at
- * fault. Guarded by the controller's lock.
+ * Attributes failures of tasks to machines or to jobs, and quarantines faulty machines. Guarded by
+ * the controller's lock.
  *
- * <p>One failure is evidence against both the machine and the job. A job of which a task has
- * succeeded, or has been running for a while, is healthy, so its failures are attributed to the
- * machine. Failures of any other job are evidence against a machine only as long as the job has
- * failed on no other machine, and then several such jobs have to fail there. A job that has failed
- * on several machines without a success is at fault itself and {@linkplain JobBackoff backs off}.
+ * <p>A single failure is evidence against both the machine and the job. A job is healthy if one of
+ * its tasks has succeeded or has been running for a while; its failures are attributed to the
+ * machine. Failures of any other job count against a machine only if the job has failed on no other
+ * machine, and several such jobs have to fail there. A job that has failed on several machines
+ * without a success is considered faulty and {@linkplain JobBackoff backs off}.
  */
 public final class TaskFailures {
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
-  /** Seconds for which nothing is placed on a machine that refused a task for want of room. */
+  /** Seconds without placements on a machine that refused a task for lack of resources. */
   private static final double NO_ROOM_S = 5;
 
-  /** Failures of healthy jobs without a success between them that quarantine a machine. */
+  /**
+   * Number of failures of healthy jobs, without a success between them, after which a machine is
+   * quarantined.
+   */
   private static final int QUARANTINE_AFTER_FAILURES = 2;
 
-  /** The same where jobs are not known to be healthy; each of these counts once. */
+  /**
+   * Like {@link #QUARANTINE_AFTER_FAILURES}, if jobs that are not known to be healthy are included;
+   * each of these counts once.
+   */
   private static final int QUARANTINE_AFTER_JOBS = 3;
 
   private static final double QUARANTINE_S = 600;
@@ -39,19 +45,19 @@
   /**
    * Creates an instance without failures.
    *
-   * @param changesPerS changes per second that the key-value store accepts
+   * @param changesPerS change rate that the key-value store accepts, per second
    */
   public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
     this.machines = machines;
     this.jobBackoff = new JobBackoff(ledger, changesPerS, now);
   }
 
-  /** The back-off of jobs that fail on every machine. */
+  /** Returns the back-off of jobs that fail on every machine. */
   public JobBackoff jobBackoff() {
     return jobBackoff;
   }
 
-  /** A task has succeeded: neither its machine nor its job is at fault. */
+  /** Records the success of a task, which clears its machine and its job of suspicion. */
   public void succeeded(Machine machine, Job job, SteadyTime now) {
     if (!machine.health().isQuarantined(now)) {
       machine.health().failures().clear();
@@ -62,13 +68,13 @@
     }
   }
 
-  /** A job that had failed on a machine has proved healthy. */
+  /** Attributes earlier failures of a job to a machine after the job has proved healthy. */
   private void attributeToMachine(Machine machine, Job job, SteadyTime now) {
     machine.health().failures().jobIsHealthy(job.spec().id());
     updateQuarantine(machine, now);
   }
 
-  /** A task has failed by itself. */
+  /** Records the failure of a task that was not caused by the controller. */
   public void failed(Machine machine, Job job, SteadyTime now) {
     JobId id = job.spec().id();
     JobFailures jobFailures = jobBackoff.failed(machine, job, now);
@@ -80,17 +86,19 @@
     }
     updateQuarantine(machine, now);
     if (JobBackoff.hasBecomeSuspect(jobFailures)) {
-      // Its earlier failures are no longer evidence against machines.
+      // The earlier failures of the job no longer count against machines.
       updateQuarantines(jobFailures.machines(), now);
     }
   }
 
-  /** A machine has refused a task for want of room. */
+  /** Records that a machine refused a task for lack of resources. */
   public void noRoom(Machine machine, SteadyTime now) {
     machine.health().refusesTasksUntil(now.plusSeconds(NO_ROOM_S));
   }
 
-  /** A worker has refused a task since it could not get the job's description yet. */
+  /**
+   * Records that a worker refused a task because it could not read the description of the job yet.
+   */
   public void unknownJob(Job job, SteadyTime now) {
     jobBackoff.unknownJob(job, now);
   }
@@ -101,16 +109,16 @@
     }
   }
 
-  /** Starts or ends the quarantine of a machine as the failures attributed to it require. */
+  /** Starts or ends the quarantine of a machine according to the failures attributed to it. */
   private void updateQuarantine(Machine machine, SteadyTime now) {
     boolean quarantine = shouldQuarantine(machine);
     if (quarantine && !machine.health().isQuarantined(now)) {
       machine.health().quarantineUntil(now.plusSeconds(QUARANTINE_S));
-      LOG.info("machine {} quarantined: its tasks fail", machine.id());
+      LOG.info("machine {} quarantined: tasks repeatedly failed on it", machine.id());
     } else if (!quarantine && machine.health().isQuarantined(now)) {
       machine.health().endQuarantine();
       LOG.info(
-          "machine {} out of quarantine: the jobs that failed there fail elsewhere too",
+          "machine {} released from quarantine: the jobs that failed on it also fail elsewhere",
           machine.id());
     }
   }
--- a/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -6,10 +6,10 @@
 import java.util.function.Predicate;
 import java.util.function.ToIntFunction;
 
-/** Counts by zone the machines of a group, and how many of these satisfy a condition. */
+/** Counts the machines of a group by zone, and those of them that satisfy a condition. */
 public final class ZoneMachineCounts {
   /**
-   * The machines of one zone.
+   * Machine counts of one zone.
    *
    * @param counted number of machines in the group
    * @param marked number of these that satisfy the condition
@@ -19,13 +19,13 @@
   private ZoneMachineCounts() {}
 
   /**
-   * Counts machines; those of an unknown zone are left out.
+   * Counts machines by zone, without those of unknown zones.
    *
    * @param zones number of zones
-   * @param zoneOf index of a machine's zone; negative where the zone is not known
+   * @param zoneOf index of a machine's zone; negative if the zone is unknown
    * @param isCounted whether a machine belongs to the group
    * @param isMarked whether a machine of the group satisfies the condition
-   * @return the counts of each zone, by its index
+   * @return the counts by zone index
    */
   public static List<Count> of(
       Collection<Machine> machines,
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -11,20 +11,21 @@
 import org.ternhinge.wire.ListedMachine;
 
 /**
- * Decides to which listed machines the term is announced before they send a heartbeat. Guarded by
- * the controller's lock.
+ * Selects the listed machines to which the leader announces its term before their first heartbeat.
+ * Guarded by the controller's lock.
  *
- * <p>The term is announced to one worker of each zone as soon as it is listed: an earlier leader
- * that can't renew its lease continues to answer heartbeats for a while, and its workers stay with
- * it. That leader steps down at the first heartbeat with this term. Most other workers find the new
- * leader by themselves; the term is announced to the rest after a while, to few at a time, since a
- * new leader has more urgent work than calling hundreds of machines.
+ * <p>The term is announced to one worker per zone as soon as it is listed. A former leader that
+ * cannot renew its lease may still answer heartbeats for a while, which keeps its workers from
+ * looking for the new leader; it steps down at the first heartbeat that carries the higher term.
+ * Most other workers discover the new leader on their own. The remaining ones are contacted after a
+ * delay and at a limited rate, since a new leader has more urgent work than calling hundreds of
+ * machines.
  */
 public final class ListedTermAnnouncer {
-  /** One in this many free slots for commands may be used for announcements. */
+  /** Announcements may use one in this many free command slots. */
   private static final int SLOTS_PER_ANNOUNCEMENT = 2;
 
-  /** Heartbeat intervals in which workers can find a new leader by themselves. */
+  /** Heartbeat intervals during which workers may discover a new leader on their own. */
   private static final int HEARTBEATS_AWAITED = 2;
 
   private final CommandDispatcher dispatcher;
@@ -32,13 +33,13 @@
   private final SteadyTime electedAt;
   private final double awaitedS;
 
-  /** Zones, by index, in which the term was announced to a worker. */
+  /** Indexes of the zones in which the term was announced to a worker. */
   private final Set<Integer> announcedZones = new HashSet<>();
 
-  /** Announcements that may still be made for the current listing. */
+  /** Announcements still permitted for the current listing. */
   private int announcementsLeft;
 
-  /** Creates an announcer that has made no announcement. */
+  /** Creates an announcer without any announcements made. */
   public ListedTermAnnouncer(
       LeadershipContext context, CommandDispatcher dispatcher, TermAnnouncer termAnnouncer) {
     Settings.Workers workers = context.services().settings().workers();
@@ -48,7 +49,7 @@
     this.termAnnouncer = termAnnouncer;
   }
 
-  /** Determines how many announcements a new listing permits. */
+  /** Sets the number of announcements that a new listing permits. */
   void beginListing(SteadyTime now) {
     announcementsLeft =
         now.secondsSince(electedAt) < awaitedS
@@ -56,7 +57,7 @@
             : dispatcher.freeSlots() / SLOTS_PER_ANNOUNCEMENT;
   }
 
-  /** Announces the term to the worker of a listed machine, if that is due. */
+  /** Announces the term to the worker of a listed machine if an announcement is due. */
   void announceIfDue(Machine machine, ListedMachine listed) {
     int zone = machine.description().zone();
     boolean due = announcementsLeft > 0 || !announcedZones.contains(zone);
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -19,9 +19,9 @@
 import org.ternhinge.wire.ListedMachine;
 
 /**
- * Reconciles the registry of machines with the cloud's listings: unexpected machines are added,
- * failed ones are released, and those that are missing for longer than a listing may lag are
- * removed. Guarded by the controller's lock.
+ * Reconciles the machine registry with the cloud's listings: adds unexpected machines, releases
+ * failed ones, and removes machines that have been missing for longer than a listing may lag.
+ * Guarded by the controller's lock.
  */
 public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
@@ -37,7 +37,7 @@
   private final ListedTermAnnouncer termAnnouncer;
   private final MachineListReader reader;
 
-  /** Creates an inventory that has not started. */
+  /** Creates an inventory that does not list machines until it is started. */
   public MachineInventory(
       LeadershipContext context,
       MachineRegistry machines,
@@ -58,7 +58,7 @@
         new MachineListReader(context, settings.cloudLimits().listLagS() / 2, this::reconcile);
   }
 
-  /** Starts a listing now, and periodically from then on. */
+  /** Starts a listing now and repeats it periodically. */
   public void list() {
     reader.start();
   }
@@ -74,7 +74,7 @@
       }
     }
     removeMissing(listedIds, startedAt);
-    // Removed machines that the lagging list still shows complete their provision requests, too.
+    // A removed machine that a stale listing still shows also counts towards its request.
     listedIds.forEach(provisioner::seen);
     rounds.requestRound();
   }
@@ -97,7 +97,7 @@
     }
     SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
     if (provisionedAt.isBefore(machine.cloud().provisionedAt())) {
-      // The listing lags, so the machine is at least as old as listed.
+      // Listings lag, so the listed age is a lower bound.
       machine.provisionedAt(provisionedAt);
     }
   }
@@ -111,11 +111,12 @@
   }
 
   /**
-   * Removes machines that are gone. A machine is listed as long as it exists, and no listing is
-   * older than twice the lag. So a machine that existed earlier than that before the listing
-   * started, and is missing from it, is gone. A machine is known to have existed when a listing
-   * last showed it or, if none has, when it became known in this leadership: by a heartbeat, by the
-   * answer to a provision request or by a recovered attempt.
+   * Removes machines that no longer exist. The cloud lists a machine for as long as it exists, and
+   * the content of a listing is at most twice the lag old. A machine that is missing from a
+   * listing, but was known to exist longer ago than that before the listing started, is therefore
+   * gone. The last proof of existence is the last listing that contained the machine or, if there
+   * is none, the time at which it was discovered in this leadership: by a heartbeat, by the answer
+   * to a provision request or by a recovered attempt.
    */
   private void removeMissing(Set<MachineId> listedIds, SteadyTime startedAt) {
     double maxListingAgeS =
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -12,29 +12,27 @@
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.ListedMachine;
 
-/**
- * Reads the cloud's list of machines page by page, periodically. Guarded by the controller's lock.
- */
+/** Periodically reads the cloud's machine list, page by page. Guarded by the controller's lock. */
 final class MachineListReader {
 
-  /** Receives complete listings, under the controller's lock. */
+  /** Receives complete listings while the controller's lock is held. */
   @FunctionalInterface
   interface Listener {
     /**
-     * A listing is complete.
+     * Handles a complete listing.
      *
-     * @param startedAt when the request for its first page was made
+     * @param startedAt when the first page was requested
      */
     void listed(List<ListedMachine> listing, SteadyTime startedAt);
   }
 
-  /** Machines in one page. */
+  /** Maximum number of machines per page. */
   private static final int PAGE_SIZE = 500;
 
   /**
-   * Seconds of waiting for the rate limit after which a page gets the priority of provision
-   * requests. Only a listing shows machines that are gone or unexpected, so a long sequence of
-   * provision requests must not delay it further.
+   * Seconds of waiting for the rate limit after which a page request is raised to the priority of
+   * provision requests. Listings are the only source that reveals missing and unexpected machines,
+   * so a burst of provision requests must not delay them further.
    */
   private static final double PRIORITY_AFTER_S = 2;
 
@@ -44,16 +42,16 @@
   private final Listener listener;
   private final double intervalS;
 
-  /** The machines in the pages of the current listing so far. */
+  /** Machines read so far for the current listing. */
   private final List<ListedMachine> listing = new ArrayList<>();
 
   private SteadyTime startedAt;
 
-  /** When the current page was first requested. */
+  /** When the current page was first requested, retries excluded. */
   private SteadyTime pageDueSince;
 
   /**
-   * Creates a reader that has not started.
+   * Creates a reader that is not started.
    *
    * @param intervalS seconds from the end of one listing to the start of the next
    */
@@ -65,14 +63,14 @@
     this.listener = listener;
   }
 
-  /** Starts a listing now, and periodically from then on. */
+  /** Starts a listing now and repeats it periodically. */
   void start() {
     listing.clear();
     startedAt = clock.now();
     nextPage(null);
   }
 
-  /** Reads the page after a machine, or the first page where this is null. */
+  /** Requests the page that follows a machine, or the first page if {@code after} is null. */
   private void nextPage(MachineId after) {
     pageDueSince = clock.now();
     readPage(after);
@@ -86,9 +84,10 @@
   }
 
   /**
-   * A page that the rate limit held back is requested again soon. With few requests per second the
-   * second page is never permitted at once, so a listing that started anew each time would never be
-   * complete. After any other failure the next listing starts anew.
+   * Handles the answer to a page request. A rate-limited page is retried after a short delay: at a
+   * low request rate the second page is never permitted immediately, so a listing that restarted
+   * each time would never complete. Any other failure abandons the listing, and the next one starts
+   * over.
    */
   private void pageRead(MachineId after, Outcome<ListedMachine.Page> outcome) {
     if (RetryPolicy.isRateLimited(outcome)) {
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -32,9 +32,10 @@
 
 /**
  * Provisions machines. The name and content of a provision request are recorded before it is sent.
- * Where the answer is lost, the request is sent again under the same name, which the cloud treats
- * as the same request. The record is kept until each machine of the request has been seen, so that
- * no leader loses track of a machine that is charged. Guarded by the controller's lock.
+ * If the answer is lost, the request is resent under the same name, which makes it idempotent for
+ * the cloud. The record is kept until every machine of the request has been seen in a heartbeat or
+ * a listing, so that no leader loses track of a machine that is being charged. Guarded by the
+ * controller's lock.
  */
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
@@ -51,7 +52,7 @@
   private final RetryPolicy retryPolicy = RetryPolicy.RECORDED_REQUESTS;
   private final OfferBackoff offerBackoff = new OfferBackoff();
 
-  /** Requests that are not completed, by name, the oldest first. */
+  /** Incomplete requests by name, oldest first. */
   private final Map<String, OpenProvision> openProvisions = new LinkedHashMap<>();
 
   private long provisionCount;
@@ -71,7 +72,7 @@
 
   // ---- requests ---------------------------------------------------------------------------------
 
-  /** Provisions machines, unless a request for the same offer is unanswered. */
+  /** Provisions machines unless a request for the same offer is unanswered. */
   public void provision(Plan.ScaleOut wanted) {
     OfferKey offer = new OfferKey(wanted.type(), wanted.zone(), wanted.spot());
     if (hasUnansweredRequest(offer)) {
@@ -96,7 +97,7 @@
     return false;
   }
 
-  /** Sends the recorded requests of earlier leaders again, since their outcome is not known. */
+  /** Resends the recorded requests of earlier leaders, since their outcome is unknown. */
   public void resume(Entry entry) {
     records.restore(entry, this::resume);
   }
@@ -107,7 +108,7 @@
       openProvisions.put(provision.name(), provision);
       send(provision);
     } catch (WireException e) {
-      LOG.error("provision request {} is unreadable: {}", name, e.getMessage());
+      LOG.error("cannot parse record of provision request {}: {}", name, e.getMessage());
     }
   }
 
@@ -169,7 +170,7 @@
     return machine.agent().isHeard() || machine.cloud().isListed();
   }
 
-  /** The cloud did not carry out this try; an earlier one may have been carried out. */
+  /** Handles a request that the cloud did not apply; an earlier try of it may have been applied. */
   private void refused(OpenProvision provision, Outcome.NotApplied<List<MachineId>> refusal) {
     boolean isFinal = refusal.reason() == Reason.CONFLICT || refusal.reason() == Reason.INVALID;
     if (isFinal || !provision.isMaybeApplied()) {
@@ -182,7 +183,10 @@
 
   // ---- completion -------------------------------------------------------------------------------
 
-  /** A machine was seen in a heartbeat or a listing, so that it needs no record any more. */
+  /**
+   * Records that a machine appeared in a heartbeat or a listing, so that it no longer needs the
+   * record of its request.
+   */
   public void seen(MachineId id) {
     for (OpenProvision provision : List.copyOf(openProvisions.values())) {
       if (provision.seen(id)) {
@@ -204,12 +208,12 @@
 
   // ---- state for the planner --------------------------------------------------------------------
 
-  /** Whether an offer is not to be requested now, since the cloud lacked capacity for it. */
+  /** Returns whether an offer is paused because the cloud lacked capacity for it. */
   boolean isPaused(OfferKey offer, SteadyTime now) {
     return offerBackoff.isPaused(offer, now);
   }
 
-  /** The requests that are unanswered, the oldest first. */
+  /** Returns the unanswered requests, oldest first. */
   List<ProvisionRequest> unansweredRequests() {
     List<ProvisionRequest> unanswered = new ArrayList<>();
     for (OpenProvision provision : openProvisions.values()) {
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -21,12 +21,12 @@
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Releases machines. A release is recorded before it is sent and repeated until it is answered, so
- * that no leader places tasks on a machine that may disappear at any time. One request releases
- * many machines, since the cloud accepts few requests per second. Guarded by the controller's lock.
+ * Releases machines. A release is recorded before it is sent and retried until it is answered, so
+ * that no leader places tasks on a machine that may disappear at any time. Releases are batched
+ * because the cloud accepts few requests per second. Guarded by the controller's lock.
  */
 public final class MachineReleaser {
-  /** Machines that the cloud releases in one request. */
+  /** Maximum number of machines that the cloud releases per request. */
   private static final int MAX_MACHINES = 100;
 
   private final MachineRemoval removal;
@@ -40,10 +40,10 @@
   private final BucketedRecords records;
   private final RetryPolicy retryPolicy = RetryPolicy.RECORDED_REQUESTS;
 
-  /** Machines whose release is recorded and unanswered, the oldest first. */
+  /** Machines whose release is recorded but unanswered, oldest first. */
   private final Set<Machine> due = new LinkedHashSet<>();
 
-  /** Whether a request is in flight or waits for its retry. */
+  /** Whether a request is in flight or awaits its retry. */
   private boolean requestPending;
 
   /** Creates a releaser without open releases. */
@@ -60,7 +60,7 @@
     this.removal = removal;
   }
 
-  /** Continues the recorded releases of earlier leaders. */
+  /** Resumes the recorded releases of earlier leaders. */
   public void resume(Entry entry) {
     records.restore(entry, (name, value) -> resume(new MachineId(name)));
   }
@@ -71,7 +71,7 @@
     addDue(machine);
   }
 
-  /** Releases a machine; nothing more is placed on it from now on. */
+  /** Releases a machine and excludes it from further placements. */
   public void release(Machine machine) {
     machine.cloud().markReleasing();
     records.put(machine.id().value(), BooleanNode.TRUE, () -> addDue(machine));
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -11,9 +11,9 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * Closes the attempts on machines that are gone, and removes these machines. The cloud's listing is
- * proof: nothing runs on a machine that it lists as failed or no longer lists, so the attempts
- * there are closed without a heartbeat. Guarded by the controller's lock.
+ * Terminates and removes machines that no longer exist. The cloud's listing is sufficient proof:
+ * nothing runs on a machine that is listed as failed or no longer listed, so its attempts are
+ * closed without waiting for a heartbeat. Guarded by the controller's lock.
  */
 public final class MachineRemoval {
   private final MachineRegistry machines;
@@ -22,7 +22,7 @@
   private final AttemptLifecycle attempts;
   private final Workers workers;
 
-  /** Creates an instance; it has no state of its own. */
+  /** Creates an instance, which holds no state of its own. */
   public MachineRemoval(
       MachineRegistry machines,
       Ledger ledger,
@@ -37,9 +37,10 @@
   }
 
   /**
-   * Marks a machine as terminated and closes its attempts. It stays registered until it is removed.
+   * Marks a machine as terminated and closes its attempts. The machine stays registered until it is
+   * removed.
    *
-   * @param evidence what proves that its attempts are gone, for the log
+   * @param evidence the proof that its attempts have ended, for the log
    */
   void lost(Machine machine, ClosingEvidence evidence) {
     machine.cloud().markTerminated();
@@ -49,7 +50,7 @@
     }
   }
 
-  /** Removes a machine that is certainly gone; its name is never reused. */
+  /** Removes a machine that no longer exists. Machine names are never reused. */
   void remove(Machine machine) {
     lost(machine, ClosingEvidence.MACHINE_GONE);
     machines.remove(machine.id());
--- a/src/main/java/org/ternhinge/scaling/OfferBackoff.java
+++ b/src/main/java/org/ternhinge/scaling/OfferBackoff.java
@@ -9,7 +9,7 @@
  * lock.
  */
 final class OfferBackoff {
-  /** Seconds of the first pause of an offer, which doubles each time. */
+  /** Length of the first pause of an offer in seconds; it doubles with each further one. */
   private static final double FIRST_PAUSE_S = 5;
 
   private static final double MAX_PAUSE_S = 30;
@@ -25,12 +25,12 @@
     pauses.put(offer, new Pause(now.plusSeconds(lengthS), lengthS));
   }
 
-  /** Ends the back-off of an offer for which the cloud had capacity. */
+  /** Ends the back-off of an offer after the cloud had capacity for it. */
   void reset(OfferKey offer) {
     pauses.remove(offer);
   }
 
-  /** Whether an offer is not to be requested now. */
+  /** Returns whether an offer is paused. */
   boolean isPaused(OfferKey offer, SteadyTime now) {
     Pause pause = pauses.get(offer);
     return pause != null && !pause.until().isBefore(now);
--- a/src/main/java/org/ternhinge/scaling/OpenProvision.java
+++ b/src/main/java/org/ternhinge/scaling/OpenProvision.java
@@ -6,8 +6,8 @@
 import org.ternhinge.wire.ProvisionRequest;
 
 /**
- * A provision request that is recorded and not completed: it is unanswered, or some of its machines
- * have not been seen yet. Guarded by the controller's lock.
+ * A recorded provision request that is not complete: it is unanswered, or some of its machines have
+ * not been seen yet. Guarded by the controller's lock.
  */
 final class OpenProvision {
   private final ProvisionRequest request;
@@ -20,12 +20,12 @@
     this.maybeApplied = maybeApplied;
   }
 
-  /** A request that was never sent. */
+  /** Creates a request that has not been sent. */
   static OpenProvision unsent(ProvisionRequest request) {
     return new OpenProvision(request, false);
   }
 
-  /** A request of an earlier leader, which may have sent it. */
+  /** Restores a request of an earlier leader, which may have sent it. */
   static OpenProvision recovered(ProvisionRequest request) {
     return new OpenProvision(request, true);
   }
@@ -42,17 +42,17 @@
     return OfferKey.of(request);
   }
 
-  /** The outcome of a try is not known. */
+  /** Records that the outcome of a try is unknown. */
   void markMaybeApplied() {
     maybeApplied = true;
   }
 
-  /** Whether the cloud may have carried the request out although no answer shows it. */
+  /** Returns whether the cloud may have applied the request without an answer that confirms it. */
   boolean isMaybeApplied() {
     return maybeApplied;
   }
 
-  /** The cloud has answered with the machines; those given have not been seen yet. */
+  /** Records the answer of the cloud and the machines in it that have not been seen yet. */
   void markAnswered(Set<MachineId> notSeenYet) {
     answered = true;
     unseen.addAll(notSeenYet);
@@ -62,12 +62,12 @@
     return answered;
   }
 
-  /** Whether the request is answered and all of its machines have been seen. */
+  /** Returns whether the request is answered and all of its machines have been seen. */
   boolean isComplete() {
     return answered && unseen.isEmpty();
   }
 
-  /** Records that a machine was seen, and returns whether the request was waiting for it. */
+  /** Marks a machine as seen and returns whether the request was waiting for it. */
   boolean seen(MachineId id) {
     return unseen.remove(id);
   }
--- a/src/main/java/org/ternhinge/scaling/ReleaseReason.java
+++ b/src/main/java/org/ternhinge/scaling/ReleaseReason.java
@@ -1,14 +1,14 @@
 package org.ternhinge.scaling;
 
-/** Why an idle machine is released although the planner has not decided so. */
+/** Why an idle machine is released without a decision of the planner. */
 enum ReleaseReason {
-  /** It has not come up within the time allowed. */
-  NEVER_UP("never up"),
-  /** Its worker has been silent past its lease and the time allowed after it. */
-  SILENT("silent"),
-  /** Its worker sends heartbeats, but answers and commands do not reach it. */
+  /** No heartbeat arrived within the boot time-out. */
+  NEVER_UP("no heartbeat within the boot time-out"),
+  /** The lease of the worker has expired, and it stayed silent beyond the grace period. */
+  SILENT("no heartbeat since the lease expired"),
+  /** The worker sends heartbeats, but answers and commands do not reach it. */
   UNREACHABLE("unreachable by commands"),
-  /** Tasks fail on it. */
+  /** The machine is quarantined because tasks repeatedly fail on it. */
   QUARANTINED("quarantined");
 
   private final String description;
@@ -17,7 +17,7 @@
     this.description = description;
   }
 
-  /** The reason as in the log. */
+  /** Formats the reason for the log. */
   @Override
   public String toString() {
     return description;
--- a/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
+++ b/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
@@ -11,8 +11,8 @@
 import org.ternhinge.wire.ProvisionRequest;
 
 /**
- * The planner's view of scale out: what can be provisioned now, and what was requested and has no
- * answer yet. Guarded by the controller's lock.
+ * The planner's view of scale-out: the available offers and the unanswered provision requests.
+ * Guarded by the controller's lock.
  */
 public final class ScaleOutOptions {
   private final List<String> zones;
@@ -23,7 +23,7 @@
   /**
    * Creates a view.
    *
-   * @param zones the names of the site's zones, by index
+   * @param zones names of the site's zones, by index
    */
   public ScaleOutOptions(
       List<String> zones,
@@ -36,7 +36,10 @@
     this.provisioner = provisioner;
   }
 
-  /** What can be provisioned now: all offers but those that back off for want of capacity. */
+  /**
+   * Returns the offers that can be provisioned now, without those that are paused for lack of
+   * capacity.
+   */
   public List<Snapshot.Offer> offers(SteadyTime now) {
     List<Snapshot.Offer> offers = new ArrayList<>();
     for (MachineType type : machineTypes.all()) {
@@ -60,7 +63,7 @@
     }
   }
 
-  /** Machines that were requested and whose names are not known yet. */
+  /** Returns the machines that were requested and have no names yet. */
   public List<Snapshot.PendingProvision> pendingProvisions() {
     List<Snapshot.PendingProvision> pending = new ArrayList<>();
     for (ProvisionRequest request : provisioner.unansweredRequests()) {
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -16,40 +16,45 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * Releases idle machines that can't be used, for the reasons in {@link ReleaseReason}. Such
- * machines are charged until they are released. Guarded by the controller's lock.
+ * Releases idle machines that cannot be used, for the reasons in {@link ReleaseReason}; they are
+ * charged until they are released. Guarded by the controller's lock.
  */
 public final class UnusableMachineCheck {
   private static final Logger LOG = LoggerFactory.getLogger(UnusableMachineCheck.class);
 
-  /** Up to this many machines of a zone may be silent for reasons of their own. */
+  /** Up to this many silent machines per zone are attributed to independent faults. */
   private static final int MAX_UNRELATED_SILENT = 2;
 
-  /** The same as a share of the zone's machines; the larger of both limits counts. */
+  /**
+   * Like {@link #MAX_UNRELATED_SILENT}, as a share of the machines of the zone; the larger limit
+   * applies.
+   */
   private static final double MAX_UNRELATED_SILENT_SHARE = 0.2;
 
-  /** Leases that a machine may stay silent after its own lease has expired. */
+  /** Grace period of a silent machine after its lease has expired, in lease durations. */
   private static final int SILENT_LEASES = 1;
 
   /**
-   * The same where more machines of the zone are silent. The cause is the network then, and a
-   * release shortly before the network is back would cost each machine's boot and images.
+   * Like {@link #SILENT_LEASES}, in zones where more machines are silent. The likely cause is the
+   * network; releasing the machines shortly before it recovers would cost each of them another boot
+   * and image pull.
    */
   private static final int SILENT_LEASES_IN_SILENT_ZONE = 3;
 
   /**
-   * Multiple of its type's nominal boot time that a machine which is listed as running has for its
-   * first heartbeat in this leadership: the network between it and the leader may be cut.
+   * Time-out for the first heartbeat of a machine that is listed as running, as a multiple of the
+   * nominal boot time of its type. It is generous because the network between the machine and the
+   * leader may be partitioned.
    */
   private static final double FIRST_HEARTBEAT_FACTOR = 3;
 
-  /** The machine has at least this many seconds beyond the nominal boot time. */
+  /** Minimum of this time-out in seconds, in addition to the nominal boot time. */
   private static final double FIRST_HEARTBEAT_MARGIN_S = 45;
 
-  /** Heartbeat intervals in which workers can find a new leader. */
+  /** Heartbeat intervals during which workers may discover a new leader. */
   private static final int HEARTBEATS_AWAITED = 2;
 
-  /** Leases for which a machine may be unreachable by commands. */
+  /** Lease durations for which a machine may be unreachable by commands. */
   private static final double UNREACHABLE_LEASES = 2;
 
   private final Settings settings;
@@ -60,7 +65,7 @@
   private final MachineReleaser releaser;
   private final BootTimes bootTimes;
 
-  /** Creates a check of all machines in a registry. */
+  /** Creates a check of all machines in the registry. */
   public UnusableMachineCheck(
       LeadershipContext context,
       MachineRegistry machines,
@@ -76,7 +81,7 @@
     this.bootTimes = bootTimes;
   }
 
-  /** Releases the idle machines that can't be used now. */
+  /** Releases the idle machines that are currently unusable. */
   public void check(SteadyTime now) {
     boolean[] silentZones = silentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
@@ -91,14 +96,16 @@
     releaser.release(machine);
   }
 
-  /** Whether a machine has no attempts and is not about to go for another reason. */
+  /** Returns whether a machine has no attempts and is neither being released nor terminated. */
   private boolean isIdle(Machine machine) {
     return !machine.cloud().isReleasing()
         && !machine.cloud().isTerminated()
         && ledger.attemptsOn(machine.id()).isEmpty();
   }
 
-  /** For each zone, whether so many machines are silent that the cause must be the network. */
+  /**
+   * Returns, by zone index, whether so many machines are silent that the network must be the cause.
+   */
   private boolean[] silentZones(SteadyTime now) {
     List<ZoneMachineCounts.Count> machineCounts =
         ZoneMachineCounts.of(
@@ -117,7 +124,7 @@
     return silent;
   }
 
-  /** Why a machine can't be used; empty where it can, or where its type is not known. */
+  /** Returns why a machine is unusable; empty if it is usable or its type is unknown. */
   private Optional<ReleaseReason> reasonToRelease(
       Machine machine, boolean[] silentZones, SteadyTime now) {
     Optional<MachineType> type = machineTypes.typeOf(machine);
@@ -139,8 +146,9 @@
   }
 
   /**
-   * Whether a machine has not come up within the time allowed. The time counts from its provision
-   * request, whichever leader made it; but a machine that is up has to find a new leader first.
+   * Returns whether a machine has not sent a heartbeat within its boot time-out. The time-out
+   * starts with the provision request, whichever leader sent it, but a running machine also needs
+   * time to discover a new leader.
    */
   private boolean hasNeverComeUp(Machine machine, MachineType type, SteadyTime now) {
     if (machine.agent().isHeard()) {
--- a/src/main/java/org/ternhinge/scaling/package-info.java
+++ b/src/main/java/org/ternhinge/scaling/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Scale out and scale in: provisions machines, releases them, reconciles the registry of machines
- * with the cloud's listings, and finds machines that can't be used.
+ * Scale-out and scale-in: provisions and releases machines, reconciles the machine registry with
+ * the cloud's listings, and finds unusable machines.
  *
- * <p>Owns the provision requests and releases that are not completed. Each is recorded in the
- * key-value store before it is sent, so that the next leader continues it. Guarded by the
- * controller's lock. Called by scheduling rounds, by the handling of heartbeats and by timers.
+ * <p>This package owns the incomplete provision requests and releases. Each one is recorded in the
+ * key-value store before it is sent, so that the next leader can resume it. All state is guarded by
+ * the controller's lock. Callers are scheduling rounds, the heartbeat handlers and timers.
  */
 package org.ternhinge.scaling;
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Heartbeat;
 
-/** Epochs, the order of messages, the lease and the fencing token of a worker agent. */
+/** Epochs, message order, lease and fencing token of a worker agent. */
 class AgentStateTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final SteadyTime LEASE_EXPIRY = NOW.plusSeconds(30);
@@ -40,7 +40,7 @@
         List.of());
   }
 
-  /** Delayed copies must not replace newer state. */
+  /** Delayed messages must not replace newer state. */
   @Nested
   class OrderOfMessages {
     /** The newest message has sequence number 7 in epoch 3, and epochs up to 2 have ended. */
@@ -60,7 +60,9 @@
       assertEquals(outdated, agent.isOutdated(message(epoch, sequence)));
     }
 
-    /** The lease of an attempt's epoch may expire before any message of it has arrived. */
+    /**
+     * An epoch known from an attempt may end by lease expiry before any of its messages arrives.
+     */
     @Test
     void aMessageOfAnEndedEpochIsOutdatedAlthoughItIsNewer() {
       agent.beginEpoch(new AgentEpoch(3));
@@ -154,7 +156,7 @@
     }
   }
 
-  /** Where the agent accepts direct commands. */
+  /** The endpoint for direct commands. */
   @Nested
   class Address {
     @Test
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.MachineType;
 
-/** Which machines are late or given up, with a nominal boot time of 20 s. */
+/** Late machines and boot time-outs, with a nominal boot time of 20 s. */
 class BootTimesTest {
   private static final double BOOT_S = 20;
   private static final MachineType SMALL = TestMachineTypes.type("small", BOOT_S, "east", "west");
@@ -58,7 +58,7 @@
   /** Machines that do not count as expected capacity. */
   @Nested
   class Late {
-    /** Beside two machines that came up in the nominal time. */
+    /** Two other machines came up in the nominal time. */
     @ParameterizedTest
     @CsvSource({"30, false", "33, false", "33.1, true", "60, true"})
     void isAMachineBeyondTheUsualSpread(double afterS, boolean late) {
@@ -83,7 +83,7 @@
       assertEquals(Set.of(), lateAfter(600));
     }
 
-    /** Provisioning all of them again would only cost twice. */
+    /** If all of them counted as late, replacing them would only double the cost. */
     @Test
     void isOnlyAQuarterOfTheMachinesWhereMostAreSlow() {
       for (int i = 0; i < 8; i++) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** The boot time that the planner expects. */
+  /** The boot time expected by the planner. */
   @Nested
   class ExpectedTime {
     @Test
@@ -122,7 +122,10 @@
       assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"), 1e-6);
     }
 
-    /** Such a machine may have come up long before its first heartbeat to this leader. */
+    /**
+     * A machine of an earlier leadership may have come up long before its first heartbeat to this
+     * leader.
+     */
     @Test
     void ignoresMachinesOfAnEarlierLeadership() {
       for (int i = 0; i < 8; i++) {
@@ -135,10 +138,10 @@
     }
   }
 
-  /** Machines that are released. */
+  /** Machines that have exceeded their boot time-out. */
   @Nested
   class GivenUp {
-    /** The larger of three boot times and 45 s beyond one. */
+    /** The time-out is the larger of three boot times and 45 s in addition to one. */
     @ParameterizedTest
     @CsvSource({"60, false", "65, false", "65.1, true"})
     void isAMachineThatProbablyNeverComesUp(double afterS, boolean givenUp) {
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ternhinge.model.SteadyTime;
 
-/** A machine as the cloud sees it. */
+/** The state of a machine as reported by the cloud. */
 class CloudStatusTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final SteadyTime LATER = NOW.plusSeconds(9);
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.Command;
 
-/** The commands that wait for one worker. */
+/** Queueing of the commands to one worker. */
 class CommandOutboxTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private final CommandOutbox outbox = new CommandOutbox();
--- a/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
@@ -9,12 +9,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.SteadyTime;
 
-/** When a machine counts as unreachable by commands, and how often it is probed then. */
+/** Detection and probing of machines that commands do not reach. */
 class CommandReachabilityTest {
   private static final SteadyTime START = new SteadyTime(0);
   private final CommandReachability reachability = new CommandReachability();
 
-  /** N: no effect, E: took effect, A: answered, L: lease lapsed; small: others have it too. */
+  /**
+   * N: no effect of an answer, E: effect of a command, A: answered probe, L: epoch ended despite
+   * answers. A lower-case letter means that too few other workers are reachable.
+   */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "NN, false", "NNN, true", "NNEN, false", "NNAN, false", "L, true", "EL, true",
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -8,11 +8,11 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
 
-/** Back-off and avoided machines of a job that fails. */
+/** Machines that a failing job avoids. */
 class JobFailuresTest {
   /**
-   * No job may wait for 90 s although a machine is free for it; a job that fits only few machines
-   * would if it avoided them for ever.
+   * No job may wait for 90 s although a machine is free for it. A job that fits on few machines
+   * would do so if it avoided them indefinitely.
    */
   @Test
   void aMachineIsAvoidedForAWhileAndCountedForEver() {
--- a/src/test/java/org/ternhinge/machine/MachineDescriptionTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineDescriptionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Type, zone and kind of a machine. */
+/** Zone indexes and comparison of machine descriptions. */
 class MachineDescriptionTest {
   private static final List<String> ZONES = List.of("east", "west");
 
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
 
-/** Quarantine, refusals and the failures that are attributed to a machine. */
+/** Quarantine, refused tasks and attribution of failures. */
 class MachineHealthTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final JobId JOB = new JobId("wk-1");
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** Machines that come, go and must not come back. */
+/** Registration, look-up and removal of machines. */
 class MachineRegistryTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final MachineId FIRST = new MachineId("n-1");
@@ -29,7 +29,7 @@
     assertEquals(leaseEnd, first.agent().leaseExpiry());
   }
 
-  /** A late copy of a heartbeat must not bring a machine back that is certainly gone. */
+  /** A delayed heartbeat must not register a removed machine again. */
   @Test
   void aRemovedMachineIsRemembered() {
     registry.findOrAdd(FIRST, NOW);
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -22,7 +22,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
 
-/** The cached view of a machine, and the state that it is built of. */
+/** The cached planner view of a machine and the state it depends on. */
 class MachineTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final JobId JOB = new JobId("wk-1");
@@ -56,7 +56,7 @@
     return new Machine.Reservation(job, Resources.offer(1, 0, 1), NOW.plusSeconds(untilS));
   }
 
-  /** When the planner's view is built again. */
+  /** Invalidation of the cached view. */
   @Nested
   class CachedView {
     @BeforeEach
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Room that is kept free for jobs. */
+  /** Resources reserved for jobs. */
   @Nested
   class Reservations {
     @Test
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Look-ups of machine types, and their refreshes. */
+/** Look-up and refresh of machine types. */
 class MachineTypeCatalogTest {
   private static final MachineType SMALL = TestMachineTypes.type("small", 20, "east");
   private static final MachineType LARGE = TestMachineTypes.type("large", 30, "east");
@@ -34,7 +34,10 @@
     return new MachineTypeCatalog(new TypesOnlyCloud(), fixture.executor, List.of(known));
   }
 
-  /** Answers requests for types in the order given, and then never. */
+  /**
+   * A cloud that answers requests for machine types as scripted; further requests remain
+   * unanswered.
+   */
   private final class TypesOnlyCloud implements Cloud {
     @Override
     public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
@@ -70,7 +73,7 @@
     assertTrue(catalog().isEmpty());
   }
 
-  /** Each round looks up the type of each machine. */
+  /** Each scheduling round looks up the type of every machine. */
   @Test
   void aLookUpAllocatesNothing() {
     MachineTypeCatalog catalog = catalog(SMALL);
@@ -110,7 +113,7 @@
 
   @Test
   void aRefreshThatFailedIsRetriedSooner() {
-    answers.add(Outcome.notApplied(Reason.REFUSED, "trouble"));
+    answers.add(Outcome.notApplied(Reason.REFUSED, "unavailable"));
     answers.add(Outcome.unknown("no answer"));
     answers.add(Outcome.applied(List.of(SMALL)));
     MachineTypeCatalog catalog = catalog();
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-/** Direct starts that may still arrive at a worker. */
+/** Direct start commands that may still arrive at a worker. */
 class OutstandingStartsTest {
   private static final TaskId TASK = new TaskId(new JobId("wk-1"), 0);
   private static final AttemptNumber FIRST = new AttemptNumber(1);
@@ -50,7 +50,7 @@
     assertFalse(starts.isFenced(TASK, FIRST));
   }
 
-  /** A raised term makes earlier starts harmless. */
+  /** Fencing of earlier starts by a raised term. */
   @Nested
   class Fence {
     @ParameterizedTest(name = "token {0} against fence 5")
@@ -73,7 +73,7 @@
       assertTrue(starts.mayArrive(TASK, SECOND));
     }
 
-    /** The same attempt may be sent again after the fence; only the earlier copy is harmless. */
+    /** An attempt may be sent again after the fence; only the earlier copies are fenced. */
     @Test
     void settlesOnlyTheCopiesThatWereSentBefore() {
       starts.sent(TASK, FIRST);
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Which tasks the heartbeats of machines list. */
+/** Counting of the tasks listed in heartbeats. */
 class ReportedTaskCountsTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final TaskId TASK = new TaskId(new JobId("wk-1"), 0);
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.SteadyTime;
 
-/** Retries of all jobs at a bounded rate. */
+/** Rate limit of the retries of all jobs. */
 class RetrySlotsTest {
   private static final SteadyTime ORIGIN = new SteadyTime(0);
   private final RetrySlots slots = new RetrySlots(0.5, ORIGIN);
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -17,9 +17,9 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** Whether failures of tasks are attributed to machines or to jobs, and what follows. */
+/** Attribution of failures to machines or jobs, with quarantine and back-off as results. */
 class TaskFailuresTest {
-  /** With this rate of changes a slot for retries lasts 0.02 s. */
+  /** At this change rate a retry slot lasts 0.02 s. */
   private static final double CHANGES_PER_S = 1000;
 
   private static final double SLOT_S = 0.02;
@@ -38,7 +38,7 @@
     return fixture.job(Specs.json(id, "batch", 4));
   }
 
-  /** A job with a task that has run for long enough on a machine. */
+  /** Creates a job that is healthy because a task has run for long enough. */
   private Job healthyJob(String id) {
     Job healthy = job(id);
     Attempt attempt = fixture.open(healthy, 0, third);
@@ -85,7 +85,7 @@
     }
 
     /**
-     * The job fails on a second machine too, so its failure is no longer held against the first.
+     * The job also fails on a second machine, so its failure no longer counts against the first.
      */
     @Test
     void endsWhereAJobThatFailedThereFailsElsewhereToo() {
@@ -128,7 +128,7 @@
       assertEquals(1, job.backoffLevel());
     }
 
-    /** Tasks that ran at the same time fail at the same time. */
+    /** Tasks that ran concurrently may fail simultaneously. */
     @Test
     void countsFailuresWhileItLastsAsOneTry() {
       failOnThreeMachines(start);
--- a/src/test/java/org/ternhinge/machine/TestMachineTypes.java
+++ b/src/test/java/org/ternhinge/machine/TestMachineTypes.java
@@ -8,7 +8,7 @@
 public final class TestMachineTypes {
   private TestMachineTypes() {}
 
-  /** A type of 8 CPUs that is offered in some zones. */
+  /** Creates a type with 8 CPUs that is offered in the given zones. */
   public static MachineType type(String name, double bootS, String... zones) {
     return new MachineType(
         name, Resources.offer(8, 0, 64), 8, 0, 64, 100, 1, 1.0, 0.4, bootS, List.of(zones));
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** Machines of a group by zone. */
+/** Machine counts by zone. */
 class ZoneMachineCountsTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final List<String> ZONES = List.of("east", "west", "south");
--- a/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.ListedMachine;
 
-/** To which listed machines a new leader announces its term, and when. */
+/** Selection of the listed machines to which a new leader announces its term, and the timing. */
 class ListedTermAnnouncerTest {
   private static final List<String> ZONES = List.of("east", "west");
 
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Goes through a listing of all machines; returns how many were announced to since the start. */
+  /** Processes a listing of all machines; returns how many were announced to since the start. */
   private long list() {
     announcer.beginListing(fixture.leadership.now());
     for (Machine machine : machines) {
@@ -54,7 +54,7 @@
     add(3, "east");
     add(3, "west");
     assertEquals(2, list());
-    assertEquals(2, list(), "the next listing adds none");
+    assertEquals(2, list(), "announcements after the next listing");
   }
 
   @Test
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -17,9 +17,9 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.ListedMachine;
 
-/** Reconciliation with listings of several pages, some of which the cloud's rate limit delays. */
+/** Reconciliation with paged listings, some pages of which are rate-limited. */
 class MachineInventoryTest {
-  /** Twice the lag of the list, which is 10 s in the settings. */
+  /** Twice the listing lag, which is 10 s in the settings. */
   private static final double OLDEST_LIST_S = 20;
 
   private final ScalingFixture fixture = new ScalingFixture();
@@ -29,8 +29,8 @@
   @Nested
   class Reading {
     /**
-     * With two requests a second the second page is never permitted at once. When a listing was
-     * started anew for that, one of more than a page was never complete.
+     * At two requests per second the second page is never permitted immediately. If a rate-limited
+     * page restarted the listing, one of more than a page would never complete.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
@@ -46,8 +46,8 @@
       fixture.cloud.listScript.addAll(List.of(script.split(" ")));
       inventory.list();
       fixture.runFor(withinS);
-      assertTrue(fixture.isKnown(ScriptedCloud.FIRST), "the first page");
-      assertTrue(fixture.isKnown(ScriptedCloud.LAST), "the last page");
+      assertTrue(fixture.isKnown(ScriptedCloud.FIRST), "machine of the first page registered");
+      assertTrue(fixture.isKnown(ScriptedCloud.LAST), "machine of the last page registered");
     }
 
     @Test
@@ -62,12 +62,12 @@
     }
   }
 
-  /** What follows from a complete listing. */
+  /** Effects of a complete listing. */
   @Nested
   class Reconciliation {
     /**
-     * A machine that is known and that no listing has shown is gone once a listing was started late
-     * enough: otherwise the next leader counts on machines that the last one had requested.
+     * A known machine that no listing has contained is gone once a listing started late enough. If
+     * it stayed registered, a new leader would count on machines that its predecessor requested.
      */
     @ParameterizedTest(name = "known for {0} s, {1}")
     @CsvSource({"0, , true", "15, , true", "21, , false", "21, held, false", "21, refused, true"})
@@ -83,7 +83,7 @@
       fixture.runFor(1);
       assertEquals(stillThere, fixture.isKnown(other));
       fixture.runFor(OLDEST_LIST_S + 10);
-      assertFalse(fixture.isKnown(other), "gone in the end");
+      assertFalse(fixture.isKnown(other), "still registered after a later listing");
     }
 
     @Test
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Requests for machines, their records and retries, and what the planner is shown of them. */
+/** Provision requests, their records and retries, and the resulting input of the planner. */
 class MachineProvisionerTest {
   private static final Plan.ScaleOut WANTED = new Plan.ScaleOut("small", "east", true, 2);
   private static final MachineId FIRST = new MachineId("n-1");
@@ -34,7 +34,7 @@
       new ScaleOutOptions(
           List.of("east"), fixture.machineTypes, fixture.bootTimes, fixture.provisioner);
 
-  /** Scripts the answers to requests; every answer of machines names both. */
+  /** Scripts the answers to provision requests; every successful answer names both machines. */
   private void answer(String... words) {
     for (String word : words) {
       fixture.cloud.provisionAnswers.add(ScriptedCloud.outcome(word, () -> BOTH));
@@ -50,7 +50,7 @@
     return fixture.cloud.provisionRequests.size();
   }
 
-  /** The number of requests that the key-value store holds. */
+  /** Returns the number of requests recorded in the key-value store. */
   private int recorded() {
     fixture.runFor(0.1);
     return fixture
@@ -67,7 +67,7 @@
     return options.offers(fixture.leadership.now()).stream().anyMatch(Snapshot.Offer::spot);
   }
 
-  /** When a request is sent, and when it is sent again. */
+  /** First sending and retries. */
   @Nested
   class Sending {
     @Test
@@ -111,7 +111,7 @@
       assertEquals(fixture.cloud.provisionRequests.get(0), fixture.cloud.provisionRequests.get(1));
     }
 
-    /** After a lost answer only a final refusal shows that no machine was provisioned. */
+    /** After a lost answer only a final refusal proves that no machine was provisioned. */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
       "refused, 1, 0",
@@ -131,7 +131,7 @@
     }
   }
 
-  /** When the record of a request is removed. */
+  /** Removal of the record of a request. */
   @Nested
   class Completion {
     @Test
--- a/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 
-/** Releases, their records and retries. */
+/** Machine releases, their records and retries. */
 class MachineReleaserTest {
   private final ScalingFixture fixture = new ScalingFixture();
   private final MachineReleaser releaser = fixture.releaser;
@@ -64,7 +64,7 @@
     assertFalse(fixture.isKnown(machine.id()));
   }
 
-  /** The cloud accepts few requests per second. */
+  /** The cloud accepts few requests per second, so releases are batched. */
   @Test
   void releasesThatBecomeDueDuringARequestAreSentInOne() {
     answer("lost");
--- a/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
+++ b/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.SteadyTime;
 
-/** Pauses of offers for which the cloud lacks capacity. */
+/** Pauses of offers for which the cloud lacked capacity. */
 class OfferBackoffTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final OfferKey OFFER = new OfferKey("small", "east", true);
--- a/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
+++ b/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.Outcome;
 
-/** Delays of retries by the outcome. */
+/** Retry delays by outcome. */
 class RetryPolicyTest {
   @ParameterizedTest
   @CsvSource({"held, 0.3, true", "refused, 1.5, false", "lost, 1.5, false"})
--- a/src/test/java/org/ternhinge/scaling/ScalingFixture.java
+++ b/src/test/java/org/ternhinge/scaling/ScalingFixture.java
@@ -14,7 +14,7 @@
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
-/** The classes that scale the fleet, with a scripted cloud in place of the real one. */
+/** The classes that scale the fleet, connected to a scripted cloud. */
 final class ScalingFixture {
   static final MachineType SMALL = TestMachineTypes.type("small", 20, "east");
 
@@ -43,13 +43,13 @@
           context.services().workers());
   final MachineReleaser releaser = new MachineReleaser(context, leadership.machines, removal);
 
-  /** Reconciles the machines with the scripted listings. */
+  /** Creates an inventory that reads the scripted listings. */
   MachineInventory inventory() {
     return new MachineInventory(
         context, leadership.machines, provisioner, releaser, removal, listedTermAnnouncer());
   }
 
-  /** Announces the term to listed machines, through the fixture's dispatcher. */
+  /** Creates an announcer that uses the fixture's dispatcher. */
   ListedTermAnnouncer listedTermAnnouncer() {
     TermAnnouncer termAnnouncer =
         new TermAnnouncer(
@@ -60,14 +60,14 @@
     return new ListedTermAnnouncer(context, leadership.dispatcher, termAnnouncer);
   }
 
-  /** A machine that was provisioned and has not come up yet. */
+  /** Adds a machine that was provisioned and has not sent a heartbeat. */
   Machine bootingMachine(String name) {
     Machine machine = leadership.machines.findOrAdd(new MachineId(name), leadership.now());
     machine.describe(MachineDescription.of("small", "east", false, List.of("east")));
     return machine;
   }
 
-  /** A machine that has sent a heartbeat just now. */
+  /** Adds a machine that has just sent a heartbeat. */
   Machine runningMachine(String name) {
     Machine machine = bootingMachine(name);
     machine.agent().heard(leadership.now());
--- a/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
+++ b/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
@@ -17,9 +17,9 @@
 import org.ternhinge.wire.ProvisionRequest;
 
 /**
- * Answers requests by scripts and records them. The script of listings has a word for each page;
- * without one the whole list is in two pages. Requests beyond the script of their kind get no
- * answer.
+ * A cloud that answers requests as scripted and records them. The listing script has one word per
+ * page; without a script the listing has two pages. Other requests beyond the script of their kind
+ * remain unanswered.
  */
 final class ScriptedCloud implements Cloud {
   static final MachineId FIRST = new MachineId("n-000001");
@@ -32,7 +32,7 @@
   final List<ProvisionRequest> provisionRequests = new ArrayList<>();
   final List<List<MachineId>> releaseRequests = new ArrayList<>();
 
-  /** The state of the machines in the list. */
+  /** State of the listed machines. */
   ListedMachine.State listedState = ListedMachine.State.RUNNING;
 
   @Override
@@ -43,13 +43,13 @@
     return CompletableFuture.completedFuture(outcome(next, () -> page(after)));
   }
 
-  /** The outcome that a word of a script names. */
+  /** Returns the outcome for a word of a script. */
   static <T> Outcome<T> outcome(String word, Supplier<T> value) {
     return switch (word) {
-      case "held" -> Outcome.notApplied(Reason.RATE_LIMITED, "no tokens");
-      case "refused" -> Outcome.notApplied(Reason.REFUSED, "trouble");
+      case "held" -> Outcome.notApplied(Reason.RATE_LIMITED, "rate limit exceeded");
+      case "refused" -> Outcome.notApplied(Reason.REFUSED, "insufficient capacity");
       case "invalid" -> Outcome.notApplied(Reason.INVALID, "no such type");
-      case "conflict" -> Outcome.notApplied(Reason.CONFLICT, "other content");
+      case "conflict" -> Outcome.notApplied(Reason.CONFLICT, "name used with different content");
       case "lost" -> Outcome.unknown("no answer");
       default -> Outcome.applied(value.get());
     };
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** Which idle machines are released, with leases of 10 s and a nominal boot time of 20 s. */
+/** Release of unusable idle machines, with leases of 10 s and a nominal boot time of 20 s. */
 class UnusableMachineCheckTest {
   private static final double LEASE_S = 10;
 
@@ -34,7 +34,7 @@
     return machine.cloud().isReleasing();
   }
 
-  /** The lease of a machine that was heard once at the start. */
+  /** Returns the lease expiry of a machine, in seconds since the start. */
   private double leaseEndS(Machine machine) {
     return machine.agent().leaseExpiry().secondsSince(start);
   }
@@ -105,7 +105,7 @@
     assertFalse(isReleased(machine, 1));
   }
 
-  /** Three nominal boot times, or 45 s beyond one. */
+  /** The time-out is the larger of three nominal boot times and 45 s in addition to one. */
   @ParameterizedTest
   @CsvSource({"64, false", "66, true"})
   void aMachineThatIsListedAsRunningHasTimeForItsFirstHeartbeat(double afterS, boolean released) {
@@ -114,7 +114,10 @@
     assertEquals(released, isReleased(machine, afterS));
   }
 
-  /** A machine that an earlier leader provisioned long ago may be up and not know this one. */
+  /**
+   * A machine that an earlier leader provisioned long ago may be running without having discovered
+   * the current leader.
+   */
   @ParameterizedTest
   @CsvSource({"3, false", "5, true"})
   void noMachineIsGivenUpBeforeWorkersHadTimeToFindTheLeader(double afterS, boolean released) {
@@ -140,8 +143,8 @@
 
   @Test
   void reasonsAreLoggedInWords() {
-    assertEquals("never up", ReleaseReason.NEVER_UP.toString());
-    assertEquals("silent", ReleaseReason.SILENT.toString());
+    assertEquals("no heartbeat within the boot time-out", ReleaseReason.NEVER_UP.toString());
+    assertEquals("no heartbeat since the lease expired", ReleaseReason.SILENT.toString());
     assertEquals("unreachable by commands", ReleaseReason.UNREACHABLE.toString());
     assertEquals("quarantined", ReleaseReason.QUARANTINED.toString());
   }
