--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -35,12 +35,12 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource({
       "page, 0.1",
-      "page held page, 0.5",
-      "held page held held page, 1.5",
-      "page held held held held held held held held held held page, 4",
+      "page limit page, 0.5",
+      "limit page limit limit page, 1.5",
+      "page limit limit limit limit limit limit limit limit limit limit page, 4",
       "page refused page page, 6",
       "page lost page page, 6",
-      "refused refused page held page, 11"
+      "refused refused page limit page, 11"
     })
     void aListingIsCompleteInTheEnd(String script, double withinS) {
       fixture.cloud.listScript.addAll(List.of(script.split(" ")));
@@ -53,7 +53,7 @@
     @Test
     void aPageThatHasWaitedForLongGetsThePriorityOfProvisionRequests() {
       for (int i = 0; i < 20; i++) {
-        fixture.cloud.listScript.add("held");
+        fixture.cloud.listScript.add("limit");
       }
       inventory.list();
       fixture.runFor(5);
@@ -70,7 +70,7 @@
      * it stayed registered, a new leader would count on machines that its predecessor requested.
      */
     @ParameterizedTest(name = "known for {0} s, {1}")
-    @CsvSource({"0, , true", "15, , true", "21, , false", "21, held, false", "21, refused, true"})
+    @CsvSource({"0, , true", "15, , true", "21, , false", "21, limit, false", "21, refused, true"})
     void aMachineThatNoListingShowsIsRemoved(
         double knownForS, String secondPage, boolean stillThere) {
       MachineId other = new MachineId("n-000500");
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -100,7 +100,7 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource({"held, 0.3", "lost, 1.5"})
+    @CsvSource({"limit, 0.3", "lost, 1.5"})
     void theSameRequestIsSentAgainAfterADelay(String word, double delayS) {
       answer(word);
       provisioner.provision(WANTED);
--- a/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
@@ -51,7 +51,7 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @CsvSource({"held, 0.3", "refused, 1.5", "lost, 1.5"})
+  @CsvSource({"limit, 0.3", "refused, 1.5", "lost, 1.5"})
   void aReleaseIsRepeatedUntilItIsAnswered(String word, double delayS) {
     Machine machine = fixture.runningMachine("n-1");
     answer(word, "released");
--- a/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
+++ b/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
@@ -10,7 +10,7 @@
 /** Retry delays by outcome. */
 class RetryPolicyTest {
   @ParameterizedTest
-  @CsvSource({"held, 0.3, true", "refused, 1.5, false", "lost, 1.5, false"})
+  @CsvSource({"limit, 0.3, true", "refused, 1.5, false", "lost, 1.5, false"})
   void onlyTheRateLimitShortensTheDelay(String word, double delayS, boolean rateLimited) {
     Outcome<Integer> outcome = ScriptedCloud.outcome(word, () -> 1);
     assertEquals(delayS, RetryPolicy.RECORDED_REQUESTS.delayS(outcome));
--- a/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
+++ b/src/test/java/org/ternhinge/scaling/ScriptedCloud.java
@@ -46,7 +46,7 @@
   /** Returns the outcome for a word of a script. */
   static <T> Outcome<T> outcome(String word, Supplier<T> value) {
     return switch (word) {
-      case "held" -> Outcome.notApplied(Reason.RATE_LIMITED, "rate limit exceeded");
+      case "limit" -> Outcome.notApplied(Reason.RATE_LIMITED, "rate limit exceeded");
       case "refused" -> Outcome.notApplied(Reason.REFUSED, "insufficient capacity");
       case "invalid" -> Outcome.notApplied(Reason.INVALID, "no such type");
       case "conflict" -> Outcome.notApplied(Reason.CONFLICT, "name used with different content");
