--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -83,7 +83,7 @@
       return;
     }
     if (before == AttemptState.STARTING) {
-      machine.health().reachability().effectSeen();
+      machine.health().reachability().recordCommandEffect();
     }
     if (before != state && attempt.state() == AttemptState.RUNNING) {
       metrics.started(now.secondsSince(attempt.openedAt()));
@@ -102,7 +102,7 @@
   private void useImage(Machine machine, JobSpec spec) {
     Optional<MachineType> machineType = machineTypes.typeOf(machine);
     double cacheGb = machineType.isPresent() ? machineType.get().cacheGb() : Double.MAX_VALUE;
-    machine.useImage(spec.image(), spec.imageGb(), cacheGb);
+    machine.recordImageUse(spec.image(), spec.imageGb(), cacheGb);
   }
 
   private void ended(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
@@ -119,10 +119,10 @@
   /** Records what the end of a task tells about its machine and its job. */
   private void recordOutcome(Machine machine, Job job, EndReason endReason, SteadyTime now) {
     switch (endReason) {
-      case DONE -> failures.succeeded(machine, job, now);
-      case ERROR -> failures.failed(machine, job, now);
-      case NO_ROOM -> failures.noRoom(machine, now);
-      case UNKNOWN -> failures.unknownJob(job, now);
+      case DONE -> failures.recordSuccess(machine, job, now);
+      case ERROR -> failures.recordFailure(machine, job, now);
+      case NO_ROOM -> failures.recordRefusal(machine, now);
+      case UNKNOWN -> failures.recordUnknownJob(job, now);
       default -> {
         // The task was stopped or lost its peers, which tells nothing about machine or job.
       }
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -104,7 +104,7 @@
       return false;
     }
     double maxSilentS = MAX_MISSED_HEARTBEATS * workerSettings.heartbeatIntervalS();
-    return machine.agent().silentForS(now) <= maxSilentS && !machine.outbox().isPaused(now);
+    return machine.agent().silenceS(now) <= maxSilentS && !machine.outbox().isPaused(now);
   }
 
   private void dispatchQueued() {
@@ -155,7 +155,7 @@
   // ---- responses --------------------------------------------------------------------------------
 
   private void completed(CommandMessage message, Outcome<Answer> outcome) {
-    message.machine().outbox().markLanded();
+    message.machine().outbox().markCompleted();
     if (outcome instanceof Outcome.Applied<Answer> applied) {
       Heartbeat status = applied.value().heartbeat();
       if (higherTermCheck.endsLeadership(status)) {
@@ -171,7 +171,7 @@
   private void responded(CommandMessage message, Heartbeat status) {
     SteadyTime now = clock.now();
     message.settleStarts();
-    message.machine().health().reachability().probeAnswered();
+    message.machine().health().reachability().recordProbeAnswer();
     metrics.commandAnswered(now.secondsSince(message.sentAt()));
     statusSink.apply(message.machine(), status, MessageOrigin.COMMAND_RESPONSE, now);
   }
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -25,7 +25,7 @@
     }
     for (Command command : commands) {
       if (command.op() == Command.Op.START) {
-        machine.outstandingStarts().settled(command.task(), command.attempt());
+        machine.outstandingStarts().settle(command.task(), command.attempt());
       }
     }
   }
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -32,7 +32,7 @@
         if (!isStartWanted(command, machine)) {
           continue;
         }
-        machine.outstandingStarts().sent(command.task(), command.attempt());
+        machine.outstandingStarts().recordSent(command.task(), command.attempt());
       }
       commands.add(command);
     }
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -49,7 +49,7 @@
    * @return whether an announcement was made
    */
   public boolean announce(Machine machine, ListedMachine listed) {
-    if (machine.agent().isHeard()
+    if (machine.agent().hasReported()
         || listed.state() != ListedMachine.State.RUNNING
         || listed.endpoint().isEmpty()) {
       return false;
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -81,7 +81,7 @@
     List<ZoneObservation> zones = new ArrayList<>();
     for (int zone = 0; zone < expected.size(); zone++) {
       ZoneMachineCounts.Count count = expected.get(zone);
-      zones.add(new ZoneObservation(count.counted(), count.marked(), unheard.get(zone).counted()));
+      zones.add(new ZoneObservation(count.total(), count.matching(), unheard.get(zone).total()));
     }
     return zones;
   }
@@ -94,14 +94,14 @@
 
   /** Whether heartbeats should come from a machine. */
   private boolean isExpected(Machine machine) {
-    return machine.cloud().isStaying()
-        && (machine.agent().isHeard() || (firstHeartbeatsOverdue && isInUse(machine)));
+    return machine.cloud().isRetained()
+        && (machine.agent().hasReported() || (firstHeartbeatsOverdue && isInUse(machine)));
   }
 
   /** Whether a machine's worker seems to be up and has not found this leader yet. */
   private boolean isUnheard(Machine machine) {
-    return machine.cloud().isStaying()
-        && !machine.agent().isHeard()
+    return machine.cloud().isRetained()
+        && !machine.agent().hasReported()
         && !firstHeartbeatsOverdue
         && isInUse(machine);
   }
@@ -111,9 +111,9 @@
   }
 
   private boolean isImpaired(Machine machine) {
-    return !machine.agent().isHeard()
+    return !machine.agent().hasReported()
         || machine.agent().isOverdue(settings.workers(), now)
-        || machine.health().reachability().unreachable();
+        || machine.health().reachability().isUnreachable();
   }
 
   @Override
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -81,7 +81,7 @@
     if (status.epoch().compareTo(agent.epoch()) > 0) {
       epochChange.begin(machine, status.epoch(), now);
     }
-    agent.sequence(status.sequence());
+    agent.setSequence(status.sequence());
   }
 
   private static void updateFencingToken(Machine machine, Heartbeat status) {
@@ -91,13 +91,13 @@
 
   private void updateDescription(Machine machine, Heartbeat status) {
     if (!machine.description().matches(status.type(), status.zone(), status.spot())) {
-      machine.describe(MachineDescription.of(status.type(), status.zone(), status.spot(), zones));
+      machine.setDescription(MachineDescription.of(status.type(), status.zone(), status.spot(), zones));
     }
   }
 
   private void updateLastHeard(Machine machine, SteadyTime now) {
-    boolean first = !machine.agent().isHeard();
-    machine.agent().heard(now);
+    boolean first = !machine.agent().hasReported();
+    machine.agent().recordMessage(now);
     if (first) {
       firstHeartbeats.handle(machine, now);
     }
@@ -105,7 +105,7 @@
 
   private static void updateEndpoint(Machine machine, Heartbeat status) {
     try {
-      machine.agent().endpoint(status.endpoint());
+      machine.agent().setEndpoint(status.endpoint());
     } catch (IllegalArgumentException e) {
       LOG.warn("machine {}: no usable endpoint in its heartbeat", machine.id());
     }
@@ -113,7 +113,7 @@
 
   private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
     if (!machine.tasks().equals(status.tasks())) {
-      reportedTasks.show(machine, status.tasks());
+      reportedTasks.update(machine, status.tasks());
       observer.observeAll(machine, status, now);
     }
   }
--- a/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
@@ -33,8 +33,8 @@
     if (ledger.attemptsOn(machine.id()).isEmpty()) {
       machine.markIdle(now);
     }
-    bootTimes.cameUp(machine, now);
-    provisioner.seen(machine.id());
+    bootTimes.recordBoot(machine, now);
+    provisioner.markSeen(machine.id());
     rounds.requestRound();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -104,7 +104,7 @@
    * receives the answer must not miss a stop.
    */
   private HeartbeatResult answerOutdated(Machine machine, boolean mayCommand) {
-    leases.renewFrom(machine, machine.agent().lastHeartbeat());
+    leases.renewFrom(machine, machine.agent().lastMessageAt());
     return mayCommand ? answered(commands.stops(machine)) : WITHOUT_COMMANDS;
   }
 
@@ -113,7 +113,7 @@
     if (hasMissedAnswer(machine, heartbeat)) {
       reachability.answerMissed(machine, now);
     }
-    machine.agent().answeredIn(authority.term());
+    machine.agent().recordAnswer(authority.term());
     // The worker sent it before now, so a lease counted from now ends no sooner than the worker's.
     leases.renewFrom(machine, now);
     return mayCommand ? answered(commands.commands(machine, heartbeat)) : WITHOUT_COMMANDS;
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -114,7 +114,7 @@
   }
 
   private void expireReservations(Machine machine, SteadyTime now) {
-    if (machine.expireReservations(now)) {
+    if (machine.removeExpiredReservations(now)) {
       rounds.requestRound();
     }
   }
@@ -139,11 +139,11 @@
       }
       attempts.close(attempt, ClosingEvidence.LEASE_EXPIRED);
     }
-    machine.agent().endEpochs(lastEpoch);
+    machine.agent().endEpochsUpTo(lastEpoch);
     machine.outstandingStarts().clear();
     machine.outbox().clear();
     // Otherwise its tasks would count as still shown, and could not start elsewhere.
-    reportedTasks.show(machine, List.of());
+    reportedTasks.update(machine, List.of());
   }
 
   /** The attempts being stopped, as a copy, since a stop may change the ledger's own collection. */
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -29,21 +29,21 @@
 
   /** A heartbeat shows no effect of the answer before it. */
   void answerMissed(Machine machine, SteadyTime now) {
-    machine.health().reachability().answerMissed(now, this::areOthersReachable);
-    if (machine.health().reachability().unreachable()) {
+    machine.health().reachability().recordMissedAnswer(now, this::areOthersReachable);
+    if (machine.health().reachability().isUnreachable()) {
       rounds.requestRound();
     }
   }
 
   /** The worker's epoch has ended although its lease was renewed by answers. */
   void leaseLapsed(Machine machine, SteadyTime now) {
-    machine.health().reachability().leaseLapsed(now, this::areOthersReachable);
+    machine.health().reachability().recordLeaseExpiry(now, this::areOthersReachable);
   }
 
   private boolean areOthersReachable() {
     int unreachable = 0;
     for (Machine machine : machines.all()) {
-      unreachable += machine.health().reachability().unreachable() ? 1 : 0;
+      unreachable += machine.health().reachability().isUnreachable() ? 1 : 0;
     }
     return unreachable
         < Math.max(MIN_UNREACHABLE_LIMIT, machines.all().size() / UNREACHABLE_FLEET_DIVISOR);
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -31,11 +31,11 @@
 
   /** Handles the notice that a status carries, if it carries the first one. */
   void handle(Machine machine, Heartbeat status, SteadyTime now) {
-    if (status.reclaimNoticeS().isEmpty() || machine.cloud().isReclaimed()) {
+    if (status.reclaimNoticeS().isEmpty() || machine.cloud().hasReclaimNotice()) {
       return;
     }
     double noticeS = status.reclaimNoticeS().getAsDouble();
-    machine.cloud().reclaimAt(now.plusSeconds(noticeS));
+    machine.cloud().recordReclaimNotice(now.plusSeconds(noticeS));
     LOG.info("machine {}: spot reclaim notice, {} s left", machine.id(), noticeS);
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       evict(attempt);
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -117,7 +117,7 @@
     recoveryGate.open();
     fleet.zones.recover();
     jobWatch.start(revision);
-    scaling.inventory.list();
+    scaling.inventory.start();
     fleet.machineTypes.refresh();
     dependencyResolver.pump();
     writer.pump();
@@ -175,7 +175,7 @@
 
   /** Adds machine types that the node has loaded. */
   public void addMachineTypes(List<MachineType> types) {
-    fleet.machineTypes.learn(types);
+    fleet.machineTypes.putAll(types);
     requestRound();
   }
 
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -18,7 +18,7 @@
   private long sequence = -1;
   private Term fencingToken = Term.NONE;
   private Term answeredTerm = Term.NONE;
-  private SteadyTime lastHeartbeat;
+  private SteadyTime lastMessageAt;
   private SteadyTime leaseExpiry;
   private Endpoint endpoint;
 
@@ -62,7 +62,7 @@
   }
 
   /** Records that an epoch and all earlier ones have ended because the lease expired. */
-  public void endEpochs(AgentEpoch last) {
+  public void endEpochsUpTo(AgentEpoch last) {
     lastEndedEpoch = last;
   }
 
@@ -76,38 +76,38 @@
   }
 
   /** Sets the sequence number of the current epoch's newest message. */
-  public void sequence(long newest) {
+  public void setSequence(long newest) {
     sequence = newest;
   }
 
   // ---- heartbeats and the lease -----------------------------------------------------------------
 
   /** Records the arrival of a message that is newer than all earlier ones. */
-  public void heard(SteadyTime now) {
-    lastHeartbeat = now;
+  public void recordMessage(SteadyTime now) {
+    lastMessageAt = now;
   }
 
   /** Returns whether any message has arrived in this leadership. */
-  public boolean isHeard() {
-    return lastHeartbeat != null;
+  public boolean hasReported() {
+    return lastMessageAt != null;
   }
 
   /**
-   * Returns when the newest message arrived; null unless the agent {@linkplain #isHeard has
+   * Returns when the newest message arrived; null unless the agent {@linkplain #hasReported has
    * reported}.
    */
-  public SteadyTime lastHeartbeat() {
-    return lastHeartbeat;
+  public SteadyTime lastMessageAt() {
+    return lastMessageAt;
   }
 
   /** Returns the seconds since the newest message; infinite if none has arrived. */
-  public double silentForS(SteadyTime now) {
-    return isHeard() ? now.secondsSince(lastHeartbeat) : Double.POSITIVE_INFINITY;
+  public double silenceS(SteadyTime now) {
+    return hasReported() ? now.secondsSince(lastMessageAt) : Double.POSITIVE_INFINITY;
   }
 
   /** Returns whether the agent has missed heartbeats or has never reported. */
   public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
-    return silentForS(now) >= workers.overdueS();
+    return silenceS(now) >= workers.overdueS();
   }
 
   /**
@@ -136,14 +136,14 @@
   }
 
   /** Records the fencing token of a message. Only a higher one has an effect. */
-  public void observeFencingToken(Term shown) {
-    if (shown.compareTo(fencingToken) > 0) {
-      fencingToken = shown;
+  public void observeFencingToken(Term token) {
+    if (token.compareTo(fencingToken) > 0) {
+      fencingToken = token;
     }
   }
 
   /** Records the term in which a heartbeat was answered. */
-  public void answeredIn(Term term) {
+  public void recordAnswer(Term term) {
     answeredTerm = term;
   }
 
@@ -186,7 +186,7 @@
    *
    * @throws IllegalArgumentException if the text is not an address; the previous one is kept
    */
-  public void endpoint(String text) {
+  public void setEndpoint(String text) {
     if (endpoint == null || !endpointText.equals(text)) {
       endpoint = Endpoint.parse(text);
       endpointText = text;
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -26,13 +26,13 @@
  */
 public final class BootTimes {
   /** Multiple of the expected boot time within which machines usually come up. */
-  private static final double USUAL_SPREAD = 1.5;
+  private static final double OVERDUE_FACTOR = 1.5;
 
   /** Seconds within which a machine that is up sends its first heartbeat. */
   private static final double HEARTBEAT_MARGIN_S = 3;
 
   /** Age in seconds up to which an observed boot time is used. */
-  private static final double RECENT_S = 300;
+  private static final double OBSERVATION_WINDOW_S = 300;
 
   /** Ratio of a boot in the nominal time; always included as one observation. */
   private static final double NOMINAL_RATIO = 1;
@@ -41,19 +41,19 @@
    * Quantile of the boot ratios that is taken as the expected one. At least this share of machines
    * comes up in time if only some never do, and hardly any if all are slow.
    */
-  private static final double IN_TIME_SHARE = 0.25;
+  private static final double ON_TIME_QUANTILE = 0.25;
 
   /** Share of the overdue machines that are late even if most machines are slow. */
-  private static final double LATE_SHARE_WHERE_SLOW = 0.25;
+  private static final double SLOW_POOL_LATE_SHARE = 0.25;
 
   /** Boot time-out as a multiple of the nominal boot time. */
-  private static final double GIVE_UP_FACTOR = 3;
+  private static final double BOOT_TIMEOUT_FACTOR = 3;
 
-  /** Like {@link #GIVE_UP_FACTOR}, if most machines of the type are slow in the zone. */
-  private static final double GIVE_UP_FACTOR_WHERE_SLOW = 8;
+  /** Like {@link #BOOT_TIMEOUT_FACTOR}, if most machines of the type are slow in the zone. */
+  private static final double SLOW_BOOT_TIMEOUT_FACTOR = 8;
 
   /** Minimum boot time-out in seconds, in addition to the nominal boot time. */
-  private static final double GIVE_UP_MARGIN_S = 45;
+  private static final double BOOT_TIMEOUT_MARGIN_S = 45;
 
   private static final Comparator<Machine> BY_PROVISION_TIME =
       Comparator.comparing(machine -> machine.cloud().provisionedAt());
@@ -70,15 +70,15 @@
     private final Deque<Boot> boots = new ArrayDeque<>();
 
     /**
-     * Machines that are still booting after more than {@link #USUAL_SPREAD} times the nominal boot
+     * Machines that are still booting after more than {@link #OVERDUE_FACTOR} times the nominal boot
      * time.
      */
     private List<Machine> overdue = new ArrayList<>();
 
-    /** Boot ratio at the quantile {@link #IN_TIME_SHARE}. */
+    /** Boot ratio at the quantile {@link #ON_TIME_QUANTILE}. */
     private double expectedRatio = NOMINAL_RATIO;
 
-    void forgetBefore(SteadyTime time) {
+    void evictBefore(SteadyTime time) {
       while (!boots.isEmpty() && boots.peekFirst().upAt().isBefore(time)) {
         boots.removeFirst();
       }
@@ -99,7 +99,7 @@
   }
 
   /** Records the first heartbeat of a machine in this leadership. */
-  public void cameUp(Machine machine, SteadyTime now) {
+  public void recordBoot(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     SteadyTime provisionedAt = machine.cloud().provisionedAt();
     if (machineType == null || provisionedAt.isBefore(electedAt)) {
@@ -111,7 +111,7 @@
   }
 
   /** Returns the machines that are late; they do not count as expected capacity. */
-  public Set<MachineId> late(SteadyTime now) {
+  public Set<MachineId> lateMachines(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
     for (BootStatistics statistics : statisticsByPool.values()) {
@@ -124,20 +124,20 @@
   private void collectOverdue(SteadyTime now) {
     for (BootStatistics statistics : statisticsByPool.values()) {
       statistics.overdue = new ArrayList<>();
-      statistics.forgetBefore(now.plusSeconds(-RECENT_S));
+      statistics.evictBefore(now.plusSeconds(-OBSERVATION_WINDOW_S));
     }
     for (Machine machine : machines.all()) {
       MachineType machineType = machineType(machine);
       if (machineType != null
           && isBooting(machine)
-          && ratioSoFar(machine, machineType, now) > USUAL_SPREAD) {
+          && elapsedRatio(machine, machineType, now) > OVERDUE_FACTOR) {
         statistics(machine).overdue.add(machine);
       }
     }
   }
 
   private static boolean isBooting(Machine machine) {
-    return !machine.agent().isHeard()
+    return !machine.agent().hasReported()
         && !machine.cloud().isTerminated()
         && !machine.cloud().isReleasing()
         && !machine.cloud().isListedRunning();
@@ -148,50 +148,50 @@
    * ones, a share with the earliest provision times.
    */
   private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
-    List<Machine> others = new ArrayList<>();
+    List<Machine> otherOverdue = new ArrayList<>();
     for (Machine machine : statistics.overdue) {
-      double ratio = ratioSoFar(machine, machineType(machine), now);
-      if (ratio > USUAL_SPREAD * statistics.expectedRatio) {
+      double ratio = elapsedRatio(machine, machineType(machine), now);
+      if (ratio > OVERDUE_FACTOR * statistics.expectedRatio) {
         late.add(machine.id());
       } else {
-        others.add(machine);
+        otherOverdue.add(machine);
       }
     }
-    others.sort(BY_PROVISION_TIME);
-    int lateCount = (int) Math.ceil(others.size() * LATE_SHARE_WHERE_SLOW);
-    for (Machine machine : others.subList(0, lateCount)) {
+    otherOverdue.sort(BY_PROVISION_TIME);
+    int lateCount = (int) Math.ceil(otherOverdue.size() * SLOW_POOL_LATE_SHARE);
+    for (Machine machine : otherOverdue.subList(0, lateCount)) {
       late.add(machine.id());
     }
   }
 
   /**
-   * Computes the boot ratio at the quantile {@link #IN_TIME_SHARE}, at least the nominal one.
+   * Computes the boot ratio at the quantile {@link #ON_TIME_QUANTILE}, at least the nominal one.
    * Overdue machines are included with their current ratio. Boots of machines that were provisioned
    * long before the overdue ones are excluded, since conditions may have changed.
    */
   private double expectedRatio(BootStatistics statistics, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
     ratios.add(NOMINAL_RATIO);
-    SteadyTime comparedSince = null;
+    SteadyTime windowStart = null;
     for (Machine machine : statistics.overdue) {
       MachineType machineType = machineType(machine);
-      ratios.add(ratioSoFar(machine, machineType, now));
+      ratios.add(elapsedRatio(machine, machineType, now));
       SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
-      comparedSince =
-          comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
+      windowStart =
+          windowStart == null || since.isBefore(windowStart) ? since : windowStart;
     }
     for (Boot boot : statistics.boots) {
-      if (comparedSince == null || !boot.provisionedAt().isBefore(comparedSince)) {
+      if (windowStart == null || !boot.provisionedAt().isBefore(windowStart)) {
         ratios.add(boot.ratio());
       }
     }
     Collections.sort(ratios);
-    double ratio = ratios.get((int) ((ratios.size() - 1) * IN_TIME_SHARE));
+    double ratio = ratios.get((int) ((ratios.size() - 1) * ON_TIME_QUANTILE));
     return Math.max(NOMINAL_RATIO, ratio);
   }
 
   /** Returns the elapsed boot time of a machine as a ratio to the nominal boot time. */
-  private static double ratioSoFar(Machine machine, MachineType machineType, SteadyTime now) {
+  private static double elapsedRatio(Machine machine, MachineType machineType, SteadyTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
@@ -200,20 +200,20 @@
    * Returns whether a booting machine has exceeded its boot time-out and should be released, since
    * it will probably never come up.
    */
-  public boolean isGivenUp(Machine machine, SteadyTime now) {
+  public boolean hasBootTimedOut(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
     }
-    boolean slow = statistics(machine).expectedRatio > USUAL_SPREAD;
-    double factor = slow ? GIVE_UP_FACTOR_WHERE_SLOW : GIVE_UP_FACTOR;
+    boolean slow = statistics(machine).expectedRatio > OVERDUE_FACTOR;
+    double factor = slow ? SLOW_BOOT_TIMEOUT_FACTOR : BOOT_TIMEOUT_FACTOR;
     double allowedS =
-        Math.max(factor * machineType.bootS(), machineType.bootS() + GIVE_UP_MARGIN_S);
+        Math.max(factor * machineType.bootS(), machineType.bootS() + BOOT_TIMEOUT_MARGIN_S);
     return now.secondsSince(machine.cloud().provisionedAt()) > allowedS;
   }
 
   /** Returns the expected boot time in seconds of a machine type in a zone. */
-  public double expectedS(MachineType machineType, String zoneName) {
+  public double expectedBootS(MachineType machineType, String zoneName) {
     BootStatistics statistics = statisticsByPool.get(new Pool(machineType.name(), zoneName));
     return machineType.bootS() * (statistics == null ? NOMINAL_RATIO : statistics.expectedRatio);
   }
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -8,7 +8,7 @@
  * whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
  */
 public final class CloudStatus {
-  private final SteadyTime knownSince;
+  private final SteadyTime discoveredAt;
   private SteadyTime provisionedAt;
   private SteadyTime listedAt;
   private boolean listedRunning;
@@ -17,13 +17,13 @@
   private boolean terminated;
 
   CloudStatus(SteadyTime now) {
-    this.knownSince = now;
+    this.discoveredAt = now;
     this.provisionedAt = now;
   }
 
   /** Returns when the machine was discovered in this leadership; it was provisioned earlier. */
-  public SteadyTime knownSince() {
-    return knownSince;
+  public SteadyTime discoveredAt() {
+    return discoveredAt;
   }
 
   /** Returns an upper bound of the provision time. */
@@ -31,12 +31,12 @@
     return provisionedAt;
   }
 
-  void provisionedAt(SteadyTime at) {
+  void setProvisionedAt(SteadyTime at) {
     provisionedAt = at;
   }
 
   /** Records that a listing contains the machine. */
-  public void listed(SteadyTime at, boolean running) {
+  public void recordListing(SteadyTime at, boolean running) {
     listedAt = at;
     listedRunning = running;
   }
@@ -52,15 +52,15 @@
   }
 
   /** Returns the last time at which the machine was confirmed to exist. */
-  public SteadyTime lastKnownAt() {
-    return listedAt == null ? knownSince : listedAt;
+  public SteadyTime lastConfirmedAt() {
+    return listedAt == null ? discoveredAt : listedAt;
   }
 
   /**
    * Records a notice of the cloud that it will reclaim the spot machine. Only the first notice has
    * an effect.
    */
-  public void reclaimAt(SteadyTime at) {
+  public void recordReclaimNotice(SteadyTime at) {
     if (reclaimAt == null) {
       reclaimAt = at;
     }
@@ -72,7 +72,7 @@
   }
 
   /** Returns whether the cloud has given notice that it will reclaim the machine. */
-  public boolean isReclaimed() {
+  public boolean hasReclaimNotice() {
     return reclaimAt != null;
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Returns whether the machine is neither terminated nor about to be released or reclaimed. */
-  public boolean isStaying() {
+  public boolean isRetained() {
     return !terminated && !releasing && reclaimAt == null;
   }
 }
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -10,27 +10,27 @@
  * a time. Guarded by the controller's lock.
  */
 public final class CommandOutbox {
-  private final Deque<Command> waiting = new ArrayDeque<>();
+  private final Deque<Command> queue = new ArrayDeque<>();
   private boolean inFlight;
   private SteadyTime pausedUntil;
 
   /** Appends a command to the queue. */
   public void add(Command command) {
-    waiting.add(command);
+    queue.add(command);
   }
 
   public boolean isEmpty() {
-    return waiting.isEmpty();
+    return queue.isEmpty();
   }
 
   /** Removes and returns the oldest command. The outbox must not be empty. */
   public Command take() {
-    return waiting.remove();
+    return queue.remove();
   }
 
   /** Discards all queued commands; a message in flight is not affected. */
   public void clear() {
-    waiting.clear();
+    queue.clear();
   }
 
   /** Records that a message was sent. No other one may be sent until it is completed. */
@@ -39,7 +39,7 @@
   }
 
   /** Records that the message in flight was answered or that its answer is no longer awaited. */
-  public void markLanded() {
+  public void markCompleted() {
     inFlight = false;
   }
 
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -30,7 +30,7 @@
    * @param othersReachable whether enough other workers are reachable to rule out a fault of this
    *     node; evaluated only if it affects the result, since it iterates over all machines
    */
-  public void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void recordMissedAnswer(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
     if (missedAnswers >= UNREACHABLE_AFTER && !unreachable && othersReachable.getAsBoolean()) {
       unreachable = true;
@@ -39,32 +39,32 @@
   }
 
   /** Records that the worker's epoch has ended although its heartbeats were answered. */
-  public void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void recordLeaseExpiry(SteadyTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
-    answerMissed(now, othersReachable);
+    recordMissedAnswer(now, othersReachable);
   }
 
   /**
    * Records that the worker shows the effect of a command. This does not prove that an unreachable
    * worker is reachable again, since the command may have been delayed for a long time.
    */
-  public void effectSeen() {
+  public void recordCommandEffect() {
     missedAnswers = 0;
   }
 
   /** Records that the worker answered a direct command. */
-  public void probeAnswered() {
+  public void recordProbeAnswer() {
     missedAnswers = 0;
     unreachable = false;
   }
 
   /** Returns whether commands to the worker are presumed lost. */
-  public boolean unreachable() {
+  public boolean isUnreachable() {
     return unreachable;
   }
 
   /** Returns the seconds for which the worker has been unreachable; 0 if it is reachable. */
-  public double unreachableFor(SteadyTime now) {
+  public double unreachableForS(SteadyTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
--- a/src/main/java/org/ternhinge/machine/JobBackoff.java
+++ b/src/main/java/org/ternhinge/machine/JobBackoff.java
@@ -27,7 +27,7 @@
    * Seconds for which a job is blocked after a worker refused a start because it did not know the
    * job.
    */
-  private static final double UNKNOWN_END_S = 3;
+  private static final double UNKNOWN_JOB_BLOCK_S = 3;
 
   /**
    * Number of machines on which a job has to fail, without a success, for its failures to no longer
@@ -47,7 +47,7 @@
    * Run time in seconds of a task that proves its job healthy: a job that was submitted with a
    * mistake fails as soon as it is started.
    */
-  private static final double HEALTHY_RUN_S = 20;
+  private static final double HEALTHY_RUN_TIME_S = 20;
 
   /** Changes of the key-value store per retry: one to open the attempt and one to close it. */
   private static final double CHANGES_PER_RETRY = 2;
@@ -92,16 +92,16 @@
    *
    * @return the machines on which its tasks have failed since the last success
    */
-  Set<MachineId> succeeded(Job job) {
+  Set<MachineId> recordSuccess(Job job) {
     ledger.setBackoffLevel(job, 0);
     JobFailures failures = failuresByJob.remove(job.spec().id());
     return failures == null ? Set.of() : failures.machines();
   }
 
   /** Records the failure of a task and returns all failures of its job since the last success. */
-  JobFailures failed(Machine machine, Job job, SteadyTime now) {
+  JobFailures recordFailure(Machine machine, Job job, SteadyTime now) {
     JobFailures failures = failuresOf(job);
-    failures.failedOn(machine.id(), now);
+    failures.recordFailure(machine.id(), now);
     return failures;
   }
 
@@ -109,24 +109,24 @@
    * Starts or extends the back-off of a job that is not known to be healthy if it has failed on
    * enough machines.
    */
-  void backOffIfAtFault(Job job, JobFailures failures, SteadyTime now) {
-    boolean atFault = failures.triesSingleTasks() || failures.machineCount() >= BACKOFF_MACHINES;
+  void backOffIfFaulty(Job job, JobFailures failures, SteadyTime now) {
+    boolean faulty = failures.isBackingOff() || failures.machineCount() >= BACKOFF_MACHINES;
     // Simultaneous failures of tasks that ran concurrently count as one try.
-    if (atFault && !failures.isBlocked(now)) {
+    if (faulty && !failures.isBlocked(now)) {
       backOff(job, failures.backoffLevel() + 1, now);
     }
   }
 
   /** Blocks a job for a short time because a worker could not read its description yet. */
-  void unknownJob(Job job, SteadyTime now) {
+  void recordUnknownJob(Job job, SteadyTime now) {
     JobFailures failures = failuresOf(job);
     if (!failures.isBlocked(now)) {
-      failures.startAfter(now.plusSeconds(UNKNOWN_END_S));
+      failures.blockUntil(now.plusSeconds(UNKNOWN_JOB_BLOCK_S));
     }
   }
 
   private void backOff(Job job, int level, SteadyTime now) {
-    SteadyTime until = slots.take(now.plusSeconds(backoffS(level)), now);
+    SteadyTime until = slots.reserve(now.plusSeconds(backoffS(level)), now);
     failuresOf(job).backOff(level, until);
     ledger.setBackoffLevel(job, level);
     LOG.info(
@@ -147,24 +147,24 @@
     if (failures == null) {
       return false;
     }
-    if (!failures.triesSingleTasks()) {
+    if (!failures.isBackingOff()) {
       return failures.isBlocked(now);
     }
-    boolean triesNow = !job.spec().isGang() && !job.openAttempts().isEmpty();
-    return (failures.isBlocked(now) || triesNow) && !isHealthy(job, now);
+    boolean tryInProgress = !job.spec().isGang() && !job.openAttempts().isEmpty();
+    return (failures.isBlocked(now) || tryInProgress) && !isHealthy(job, now);
   }
 
   /** Returns whether a job backs off, so that only one of its tasks may be started at a time. */
-  public boolean triesSingleTask(Job job, SteadyTime now) {
+  public boolean isLimitedToSingleTask(Job job, SteadyTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures != null
-        && failures.triesSingleTasks()
+        && failures.isBackingOff()
         && !job.spec().isGang()
         && !isHealthy(job, now);
   }
 
   /** Returns the machines on which no task of a job should be placed now. */
-  public Set<MachineId> avoidedBy(Job job, SteadyTime now) {
+  public Set<MachineId> avoidedMachines(Job job, SteadyTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures == null ? Set.of() : failures.avoidedMachines(now);
   }
@@ -180,7 +180,7 @@
     }
     for (Attempt attempt : job.openAttempts()) {
       SteadyTime since = attempt.runningSince();
-      if (since != null && now.secondsSince(since) > HEALTHY_RUN_S) {
+      if (since != null && now.secondsSince(since) > HEALTHY_RUN_TIME_S) {
         return true;
       }
     }
@@ -194,7 +194,7 @@
   boolean isSuspect(JobId id) {
     JobFailures failures = failuresByJob.get(id);
     return failures == null
-        || failures.triesSingleTasks()
+        || failures.isBackingOff()
         || failures.machineCount() >= SUSPECT_MACHINES;
   }
 
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -17,7 +17,7 @@
    * for all jobs; if a job avoided machines indefinitely, one that fits on few machines would wait
    * although they are free.
    */
-  static final double AVOID_S = 45;
+  static final double AVOIDANCE_S = 45;
 
   /** Time of the last failure, by machine. */
   private final Map<MachineId, SteadyTime> lastFailures = new HashMap<>();
@@ -26,10 +26,10 @@
   private int backoffLevel;
 
   /** No task of the job is started before this time; null if unlimited. */
-  private SteadyTime startsAfter;
+  private SteadyTime blockedUntil;
 
   /** Records the failure of a task on a machine. */
-  void failedOn(MachineId machine, SteadyTime now) {
+  void recordFailure(MachineId machine, SteadyTime now) {
     lastFailures.put(machine, now);
   }
 
@@ -48,26 +48,26 @@
   }
 
   /** Blocks the job until the given time, which replaces an earlier limit. */
-  void startAfter(SteadyTime time) {
-    startsAfter = time;
+  void blockUntil(SteadyTime time) {
+    blockedUntil = time;
   }
 
   /** Sets the back-off level and blocks the job until the given time. */
   void backOff(int level, SteadyTime until) {
     backoffLevel = level;
-    startsAfter = until;
+    blockedUntil = until;
   }
 
   /** Returns whether no task of the job may be started now. */
   boolean isBlocked(SteadyTime now) {
-    return startsAfter != null && now.isBefore(startsAfter);
+    return blockedUntil != null && now.isBefore(blockedUntil);
   }
 
   /**
    * Returns whether the job backs off, so that its tasks are tried one at a time until one
    * succeeds.
    */
-  boolean triesSingleTasks() {
+  boolean isBackingOff() {
     return backoffLevel > 0;
   }
 
@@ -76,7 +76,7 @@
     Set<MachineId> avoided = new HashSet<>();
     lastFailures.forEach(
         (machine, failedAt) -> {
-          if (now.secondsSince(failedAt) < AVOID_S) {
+          if (now.secondsSince(failedAt) < AVOIDANCE_S) {
             avoided.add(machine);
           }
         });
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -26,10 +26,10 @@
    * Resources that are reserved for a job for which tasks of other jobs were preempted.
    *
    * @param job the job that may use the resources
-   * @param room the resources of one task
+   * @param resources the resources of one task
    * @param until when the reservation expires
    */
-  public record Reservation(JobId job, Resources room, SteadyTime until) {}
+  public record Reservation(JobId job, Resources resources, SteadyTime until) {}
 
   private final MachineId id;
   private final CloudStatus cloud;
@@ -99,14 +99,14 @@
   }
 
   /** Sets the description of the machine. */
-  public void describe(MachineDescription known) {
-    description = known;
+  public void setDescription(MachineDescription newDescription) {
+    description = newDescription;
     invalidateView();
   }
 
   /** Sets the upper bound of the provision time. */
-  public void provisionedAt(SteadyTime at) {
-    cloud.provisionedAt(at);
+  public void setProvisionedAt(SteadyTime at) {
+    cloud.setProvisionedAt(at);
     invalidateView();
   }
 
@@ -118,8 +118,8 @@
   }
 
   /** Replaces the tasks listed by the worker. */
-  void tasks(List<TaskStatus> shown) {
-    tasks = shown;
+  void setTasks(List<TaskStatus> listed) {
+    tasks = listed;
     tasksRevision++;
     invalidateView();
   }
@@ -145,7 +145,7 @@
    * @param sizeGb size of the image in GB
    * @param cacheGb image cache capacity of the machine type in GB
    */
-  public void useImage(String image, double sizeGb, double cacheGb) {
+  public void recordImageUse(String image, double sizeGb, double cacheGb) {
     if (images.use(image, sizeGb, cacheGb)) {
       invalidateView();
     }
@@ -176,7 +176,7 @@
   }
 
   /** Removes the oldest reservation of a job, if any. */
-  public void dropReservation(JobId job) {
+  public void removeReservation(JobId job) {
     for (int i = 0; i < reservations.size(); i++) {
       if (reservations.get(i).job().equals(job)) {
         reservations.remove(i);
@@ -187,7 +187,7 @@
   }
 
   /** Removes the expired reservations and returns whether there were any. */
-  public boolean expireReservations(SteadyTime now) {
+  public boolean removeExpiredReservations(SteadyTime now) {
     boolean expired =
         !reservations.isEmpty()
             && reservations.removeIf(reservation -> reservation.until().isBefore(now));
--- a/src/main/java/org/ternhinge/machine/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -9,43 +9,43 @@
  */
 final class MachineFailures {
   /** Number of failures of healthy jobs, which are attributed to the machine. */
-  private int ofHealthyJobs;
+  private int healthyJobFailures;
 
   /** Number of failures by job, for jobs that are not known to be healthy. */
-  private final Object2IntOpenHashMap<JobId> ofOtherJobs = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<JobId> unprovenJobFailures = new Object2IntOpenHashMap<>();
 
   /** Records the failure of a task of a healthy job. */
-  void healthyJobFailed() {
-    ofHealthyJobs++;
+  void recordHealthyJobFailure() {
+    healthyJobFailures++;
   }
 
   /** Records the failure of a task of a job that is not known to be healthy. */
-  void otherJobFailed(JobId job) {
-    ofOtherJobs.addTo(job, 1);
+  void recordUnprovenJobFailure(JobId job) {
+    unprovenJobFailures.addTo(job, 1);
   }
 
   /** Attributes the failures of a job to the machine, since the job has proved healthy. */
-  void jobIsHealthy(JobId job) {
-    ofHealthyJobs += ofOtherJobs.removeInt(job);
+  void markJobHealthy(JobId job) {
+    healthyJobFailures += unprovenJobFailures.removeInt(job);
   }
 
   /** Discards all failures after a task has succeeded on the machine. */
   void clear() {
-    ofHealthyJobs = 0;
-    ofOtherJobs.clear();
+    healthyJobFailures = 0;
+    unprovenJobFailures.clear();
   }
 
-  int countOfHealthyJobs() {
-    return ofHealthyJobs;
+  int healthyJobFailureCount() {
+    return healthyJobFailures;
   }
 
   /**
    * Returns the number of jobs that are not known to be healthy, have failed here and satisfy a
    * condition; each counts once.
    */
-  int countOfOtherJobs(Predicate<JobId> condition) {
+  int unprovenJobCount(Predicate<JobId> condition) {
     int count = 0;
-    for (JobId job : ofOtherJobs.keySet()) {
+    for (JobId job : unprovenJobFailures.keySet()) {
       count += condition.test(job) ? 1 : 0;
     }
     return count;
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -10,7 +10,7 @@
   private final MachineFailures failures = new MachineFailures();
   private final CommandReachability reachability = new CommandReachability();
   private SteadyTime quarantinedUntil;
-  private SteadyTime noRoomUntil;
+  private SteadyTime placementsBlockedUntil;
 
   /** Returns the failures of tasks since the last success on the machine. */
   MachineFailures failures() {
@@ -39,12 +39,12 @@
    * Blocks placements until the given time because the machine refused a task for lack of
    * resources.
    */
-  void refusesTasksUntil(SteadyTime time) {
-    noRoomUntil = time;
+  void blockPlacementsUntil(SteadyTime time) {
+    placementsBlockedUntil = time;
   }
 
   /** Returns whether the machine has not recently refused a task for lack of resources. */
   public boolean acceptsTasks(SteadyTime now) {
-    return noRoomUntil == null || noRoomUntil.isBefore(now);
+    return placementsBlockedUntil == null || placementsBlockedUntil.isBefore(now);
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -20,22 +20,22 @@
   private final Map<MachineId, Machine> machines = new TreeMap<>();
 
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
-  private final Set<MachineId> removed = new HashSet<>();
-  private final SteadyTime initialLeaseEnd;
+  private final Set<MachineId> removedIds = new HashSet<>();
+  private final SteadyTime initialLeaseExpiry;
 
   /**
    * Creates an empty registry.
    *
-   * @param initialLeaseEnd latest possible lease expiry of a machine that has sent no heartbeat in
+   * @param initialLeaseExpiry latest possible lease expiry of a machine that has sent no heartbeat in
    *     this leadership, whichever earlier leader last renewed the lease
    */
-  public MachineRegistry(SteadyTime initialLeaseEnd) {
-    this.initialLeaseEnd = initialLeaseEnd;
+  public MachineRegistry(SteadyTime initialLeaseExpiry) {
+    this.initialLeaseExpiry = initialLeaseExpiry;
   }
 
   /** Returns the machine with a name, which is added if it is not registered. */
   public Machine findOrAdd(MachineId id, SteadyTime now) {
-    return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseEnd));
+    return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseExpiry));
   }
 
   /** Returns the machine with a name; empty if it is unknown or was removed. */
@@ -54,11 +54,11 @@
   /** Removes a machine that no longer exists. */
   public void remove(MachineId id) {
     machines.remove(id);
-    removed.add(id);
+    removedIds.add(id);
   }
 
   /** Returns whether a machine was registered and removed. */
   public boolean wasRemoved(MachineId id) {
-    return removed.contains(id);
+    return removedIds.contains(id);
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -35,18 +35,18 @@
   /**
    * Creates a catalog with initial types.
    *
-   * @param known the types known to this node before the leadership
+   * @param initialTypes the types known to this node before the leadership
    */
   public MachineTypeCatalog(
-      Cloud cloud, LeadershipExecutor executor, Collection<MachineType> known) {
+      Cloud cloud, LeadershipExecutor executor, Collection<MachineType> initialTypes) {
     this.cloud = cloud;
     this.executor = executor;
-    learn(known);
+    putAll(initialTypes);
   }
 
   /** Adds types and replaces those with the same names. */
-  public void learn(Collection<MachineType> known) {
-    for (MachineType machineType : known) {
+  public void putAll(Collection<MachineType> types) {
+    for (MachineType machineType : types) {
       byName.put(machineType.name(), machineType);
       lookups.put(machineType.name(), Optional.of(machineType));
     }
@@ -59,7 +59,7 @@
 
   private void refreshed(Outcome<List<MachineType>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineType>> applied) {
-      learn(applied.value());
+      putAll(applied.value());
       executor.later(REFRESH_S, this::refresh);
     } else {
       executor.later(RETRY_S, this::refresh);
--- a/src/main/java/org/ternhinge/machine/OutstandingStarts.java
+++ b/src/main/java/org/ternhinge/machine/OutstandingStarts.java
@@ -32,17 +32,17 @@
   private final Object2IntOpenHashMap<Start> counts = new Object2IntOpenHashMap<>();
 
   /** Number of outstanding starts by attempt, restricted to terms below the fence. */
-  private final Object2IntOpenHashMap<Start> fenced = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<Start> fencedCounts = new Object2IntOpenHashMap<>();
 
   private Term fence = Term.NONE;
 
   /** Records that a start was sent. */
-  public void sent(TaskId task, AttemptNumber attempt) {
+  public void recordSent(TaskId task, AttemptNumber attempt) {
     counts.addTo(new Start(task, attempt), 1);
   }
 
   /** Records that a start was applied or can no longer be applied. */
-  public void settled(TaskId task, AttemptNumber attempt) {
+  public void settle(TaskId task, AttemptNumber attempt) {
     subtract(new Start(task, attempt), 1);
   }
 
@@ -56,28 +56,28 @@
    * the fence.
    */
   public boolean isFenced(TaskId task, AttemptNumber attempt) {
-    return fenced.containsKey(new Start(task, attempt));
+    return fencedCounts.containsKey(new Start(task, attempt));
   }
 
   /** Fences all outstanding starts after the term was raised above theirs. */
-  public void fence(Term raised) {
-    fenced.clear();
-    fenced.putAll(counts);
-    fence = raised;
+  public void fence(Term newTerm) {
+    fencedCounts.clear();
+    fencedCounts.putAll(counts);
+    fence = newTerm;
   }
 
   /**
    * Records a fencing token that the worker has seen; it rejects starts with lower terms from now
    * on.
    */
-  public void observeFencingToken(Term shown) {
-    if (fenced.isEmpty() || shown.compareTo(fence) < 0) {
+  public void observeFencingToken(Term token) {
+    if (fencedCounts.isEmpty() || token.compareTo(fence) < 0) {
       return;
     }
-    for (Object2IntMap.Entry<Start> entry : fenced.object2IntEntrySet()) {
+    for (Object2IntMap.Entry<Start> entry : fencedCounts.object2IntEntrySet()) {
       subtract(entry.getKey(), entry.getIntValue());
     }
-    fenced.clear();
+    fencedCounts.clear();
   }
 
   private void subtract(Start start, int count) {
@@ -92,6 +92,6 @@
    */
   public void clear() {
     counts.clear();
-    fenced.clear();
+    fencedCounts.clear();
   }
 }
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -11,25 +11,25 @@
  * Guarded by the controller's lock.
  */
 public final class ReportedTaskCounts implements ReportedTasks {
-  private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<TaskId> machineCounts = new Object2IntOpenHashMap<>();
 
   @Override
-  public boolean isShown(TaskId task) {
-    return machinesByTask.containsKey(task);
+  public boolean isReported(TaskId task) {
+    return machineCounts.containsKey(task);
   }
 
   @Override
-  public void show(Machine machine, List<TaskStatus> tasks) {
+  public void update(Machine machine, List<TaskStatus> tasks) {
     for (TaskStatus task : machine.tasks()) {
-      if (!task.ended() && machinesByTask.addTo(task.task(), -1) <= 1) {
-        machinesByTask.removeInt(task.task());
+      if (!task.ended() && machineCounts.addTo(task.task(), -1) <= 1) {
+        machineCounts.removeInt(task.task());
       }
     }
     for (TaskStatus task : tasks) {
       if (!task.ended()) {
-        machinesByTask.addTo(task.task(), 1);
+        machineCounts.addTo(task.task(), 1);
       }
     }
-    machine.tasks(tasks);
+    machine.setTasks(tasks);
   }
 }
--- a/src/main/java/org/ternhinge/machine/ReportedTasks.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTasks.java
@@ -10,8 +10,8 @@
  */
 public interface ReportedTasks {
   /** Returns whether any machine lists a task that has not ended. */
-  boolean isShown(TaskId task);
+  boolean isReported(TaskId task);
 
   /** Replaces the tasks that a machine lists. */
-  void show(Machine machine, List<TaskStatus> tasks);
+  void update(Machine machine, List<TaskStatus> tasks);
 }
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -24,7 +24,7 @@
   }
 
   /** Reserves the first free slot that starts at or after a time, and returns its start. */
-  SteadyTime take(SteadyTime earliest, SteadyTime now) {
+  SteadyTime reserve(SteadyTime earliest, SteadyTime now) {
     reserved.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
     long slot = (long) Math.ceil(earliest.secondsSince(origin) / slotS);
     while (!reserved.add(slot)) {
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(TaskFailures.class);
 
   /** Seconds without placements on a machine that refused a task for lack of resources. */
-  private static final double NO_ROOM_S = 5;
+  private static final double REFUSAL_PAUSE_S = 5;
 
   /**
    * Number of failures of healthy jobs, without a success between them, after which a machine is
@@ -58,31 +58,31 @@
   }
 
   /** Records the success of a task, which clears its machine and its job of suspicion. */
-  public void succeeded(Machine machine, Job job, SteadyTime now) {
+  public void recordSuccess(Machine machine, Job job, SteadyTime now) {
     if (!machine.health().isQuarantined(now)) {
       machine.health().failures().clear();
     }
-    Set<MachineId> failedBefore = jobBackoff.succeeded(job);
-    for (MachineId id : failedBefore) {
+    Set<MachineId> failedMachines = jobBackoff.recordSuccess(job);
+    for (MachineId id : failedMachines) {
       machines.find(id).ifPresent(other -> attributeToMachine(other, job, now));
     }
   }
 
   /** Attributes earlier failures of a job to a machine after the job has proved healthy. */
   private void attributeToMachine(Machine machine, Job job, SteadyTime now) {
-    machine.health().failures().jobIsHealthy(job.spec().id());
+    machine.health().failures().markJobHealthy(job.spec().id());
     updateQuarantine(machine, now);
   }
 
   /** Records the failure of a task that was not caused by the controller. */
-  public void failed(Machine machine, Job job, SteadyTime now) {
+  public void recordFailure(Machine machine, Job job, SteadyTime now) {
     JobId id = job.spec().id();
-    JobFailures jobFailures = jobBackoff.failed(machine, job, now);
+    JobFailures jobFailures = jobBackoff.recordFailure(machine, job, now);
     if (JobBackoff.isHealthy(job, now)) {
-      machine.health().failures().healthyJobFailed();
+      machine.health().failures().recordHealthyJobFailure();
     } else {
-      machine.health().failures().otherJobFailed(id);
-      jobBackoff.backOffIfAtFault(job, jobFailures, now);
+      machine.health().failures().recordUnprovenJobFailure(id);
+      jobBackoff.backOffIfFaulty(job, jobFailures, now);
     }
     updateQuarantine(machine, now);
     if (JobBackoff.hasBecomeSuspect(jobFailures)) {
@@ -92,15 +92,15 @@
   }
 
   /** Records that a machine refused a task for lack of resources. */
-  public void noRoom(Machine machine, SteadyTime now) {
-    machine.health().refusesTasksUntil(now.plusSeconds(NO_ROOM_S));
+  public void recordRefusal(Machine machine, SteadyTime now) {
+    machine.health().blockPlacementsUntil(now.plusSeconds(REFUSAL_PAUSE_S));
   }
 
   /**
    * Records that a worker refused a task because it could not read the description of the job yet.
    */
-  public void unknownJob(Job job, SteadyTime now) {
-    jobBackoff.unknownJob(job, now);
+  public void recordUnknownJob(Job job, SteadyTime now) {
+    jobBackoff.recordUnknownJob(job, now);
   }
 
   private void updateQuarantines(Set<MachineId> ids, SteadyTime now) {
@@ -125,9 +125,9 @@
 
   private boolean shouldQuarantine(Machine machine) {
     MachineFailures failures = machine.health().failures();
-    int ofHealthyJobs = failures.countOfHealthyJobs();
-    int ofOthers = failures.countOfOtherJobs(id -> !jobBackoff.isSuspect(id));
-    return ofHealthyJobs >= QUARANTINE_AFTER_FAILURES
-        || ofHealthyJobs + ofOthers >= QUARANTINE_AFTER_JOBS;
+    int healthyJobFailures = failures.healthyJobFailureCount();
+    int unprovenJobs = failures.unprovenJobCount(id -> !jobBackoff.isSuspect(id));
+    return healthyJobFailures >= QUARANTINE_AFTER_FAILURES
+        || healthyJobFailures + unprovenJobs >= QUARANTINE_AFTER_JOBS;
   }
 }
--- a/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
+++ b/src/main/java/org/ternhinge/machine/ZoneMachineCounts.java
@@ -11,10 +11,10 @@
   /**
    * Machine counts of one zone.
    *
-   * @param counted number of machines in the group
-   * @param marked number of these that satisfy the condition
+   * @param total number of machines in the group
+   * @param matching number of these that satisfy the condition
    */
-  public record Count(int counted, int marked) {}
+  public record Count(int total, int matching) {}
 
   private ZoneMachineCounts() {}
 
@@ -23,28 +23,28 @@
    *
    * @param zones number of zones
    * @param zoneOf index of a machine's zone; negative if the zone is unknown
-   * @param isCounted whether a machine belongs to the group
-   * @param isMarked whether a machine of the group satisfies the condition
+   * @param inGroup whether a machine belongs to the group
+   * @param condition whether a machine of the group satisfies the condition
    * @return the counts by zone index
    */
   public static List<Count> of(
       Collection<Machine> machines,
       int zones,
       ToIntFunction<Machine> zoneOf,
-      Predicate<Machine> isCounted,
-      Predicate<Machine> isMarked) {
-    int[] counted = new int[zones];
-    int[] marked = new int[zones];
+      Predicate<Machine> inGroup,
+      Predicate<Machine> condition) {
+    int[] total = new int[zones];
+    int[] matching = new int[zones];
     for (Machine machine : machines) {
       int zone = zoneOf.applyAsInt(machine);
-      if (zone >= 0 && isCounted.test(machine)) {
-        counted[zone]++;
-        marked[zone] += isMarked.test(machine) ? 1 : 0;
+      if (zone >= 0 && inGroup.test(machine)) {
+        total[zone]++;
+        matching[zone] += condition.test(machine) ? 1 : 0;
       }
     }
     List<Count> counts = new ArrayList<>(zones);
     for (int zone = 0; zone < zones; zone++) {
-      counts.add(new Count(counted[zone], marked[zone]));
+      counts.add(new Count(total[zone], matching[zone]));
     }
     return counts;
   }
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -58,7 +58,7 @@
         machine.description().zoneName(),
         machine.description().spot() ? " spot" : "",
         attemptsByClass,
-        machine.agent().isHeard() ? "" : "booting ",
+        machine.agent().hasReported() ? "" : "booting ",
         machine.cloud().isReleasing() ? "releasing " : "",
         snapshots.isPlaceable(machine, now) ? "" : "closed");
   }
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -117,7 +117,7 @@
       Job job, boolean withinGuarantee, int reservedTasks, SteadyTime now) {
     JobSpec spec = job.planned();
     JobRanking.Progress progress = progress(job);
-    int maxStarts = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
+    int maxStarts = failures.jobBackoff().isLimitedToSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
     return new Snapshot.JobView(
         spec,
         JobRanking.key(spec, progress),
@@ -128,7 +128,7 @@
         Math.min(maxStarts, progress.pending()),
         openByZone(job),
         failures.jobBackoff().isBlocked(job, now),
-        failures.jobBackoff().avoidedBy(job, now),
+        failures.jobBackoff().avoidedMachines(job, now),
         reservedTasks);
   }
 
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -50,7 +50,7 @@
   }
 
   private boolean isReady(Machine machine, SteadyTime now) {
-    return machine.agent().isHeard()
+    return machine.agent().hasReported()
         && machine.agent().hasEndpoint()
         && machine.agent().isEpochOpen()
         && machine.health().acceptsTasks(now)
@@ -63,17 +63,17 @@
    * or nothing would be provisioned in its place.
    */
   private boolean isUsable(Machine machine, SteadyTime now) {
-    return machine.cloud().isStaying()
+    return machine.cloud().isRetained()
         && machine.description().zone() >= 0
         && machineTypes.typeOf(machine).isPresent()
         && !machine.health().isQuarantined(now)
-        && !machine.health().reachability().unreachable();
+        && !machine.health().reachability().isUnreachable();
   }
 
   /** The views of all machines that are ready or expected to be so. */
   List<Snapshot.MachineView> list(SteadyTime now) {
     List<Snapshot.MachineView> views = new ArrayList<>(machines.all().size());
-    Set<MachineId> lateToBoot = bootTimes.late(now);
+    Set<MachineId> lateToBoot = bootTimes.lateMachines(now);
     for (Machine machine : machines.all()) {
       if (!isUsable(machine, now)) {
         continue;
@@ -88,8 +88,8 @@
 
   /** Whether a machine that is not ready is likely to become so soon. */
   private static boolean isExpected(Machine machine, Set<MachineId> lateToBoot, SteadyTime now) {
-    return machine.agent().isHeard()
-        ? machine.agent().silentForS(now) <= MAX_SILENCE_S
+    return machine.agent().hasReported()
+        ? machine.agent().silenceS(now) <= MAX_SILENCE_S
         : !lateToBoot.contains(machine.id());
   }
 
@@ -141,7 +141,7 @@
   private static List<Snapshot.Reservation> reservations(Machine machine) {
     List<Snapshot.Reservation> reservations = new ArrayList<>();
     for (Machine.Reservation kept : machine.reservations()) {
-      reservations.add(new Snapshot.Reservation(kept.job(), kept.room()));
+      reservations.add(new Snapshot.Reservation(kept.job(), kept.resources()));
     }
     return reservations;
   }
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -103,7 +103,7 @@
     Optional<AdmissionRefusal> refusal =
         placements.isEmpty()
             ? Optional.of(AdmissionRefusal.NOTHING_TO_PLACE)
-            : ledger.open(job, placements, reportedTasks::isShown, now);
+            : ledger.open(job, placements, reportedTasks::isReported, now);
     if (refusal.isPresent()) {
       LOG.debug("{} not placed: {}", planned.job(), refusal.get());
       return;
@@ -134,7 +134,7 @@
       Machine machine = machines.find(planned.machines().get(i)).orElse(null);
       // A task that some machine still reports must not delay the rest of its array.
       boolean isReported =
-          !job.spec().isGang() && reportedTasks.isShown(new TaskId(planned.job(), index));
+          !job.spec().isGang() && reportedTasks.isReported(new TaskId(planned.job(), index));
       if (machine != null && !isReported && snapshots.isPlaceable(machine, now)) {
         placements.add(new Ledger.Placement(index, attributes(machine)));
       }
@@ -157,9 +157,9 @@
   private void placed(Job job, Machine machine) {
     machine.invalidateView();
     // Each placed task uses up one reservation.
-    machine.dropReservation(job.spec().id());
+    machine.removeReservation(job.spec().id());
     double cacheGb = machineTypes.typeOf(machine).orElseThrow().cacheGb();
-    machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
+    machine.recordImageUse(job.spec().image(), job.spec().imageGb(), cacheGb);
   }
 
   // ---- preemptions and releases -----------------------------------------------------------------
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -89,7 +89,7 @@
     boolean isListed = false;
     for (Machine machine : fleet.machines().all()) {
       isListed |= machine.cloud().isListed();
-      if (!machine.agent().isHeard()
+      if (!machine.agent().hasReported()
           && (machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty())) {
         return false;
       }
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -26,24 +26,24 @@
   private static final int SLOTS_PER_ANNOUNCEMENT = 2;
 
   /** Heartbeat intervals during which workers may discover a new leader on their own. */
-  private static final int HEARTBEATS_AWAITED = 2;
+  private static final int DISCOVERY_HEARTBEATS = 2;
 
   private final CommandDispatcher dispatcher;
   private final TermAnnouncer termAnnouncer;
   private final SteadyTime electedAt;
-  private final double awaitedS;
+  private final double discoveryPeriodS;
 
   /** Indexes of the zones in which the term was announced to a worker. */
   private final Set<Integer> announcedZones = new HashSet<>();
 
   /** Announcements still permitted for the current listing. */
-  private int announcementsLeft;
+  private int remainingAnnouncements;
 
   /** Creates an announcer without any announcements made. */
   public ListedTermAnnouncer(
       LeadershipContext context, CommandDispatcher dispatcher, TermAnnouncer termAnnouncer) {
     Settings.Workers workers = context.services().settings().workers();
-    this.awaitedS = HEARTBEATS_AWAITED * workers.heartbeatIntervalS();
+    this.discoveryPeriodS = DISCOVERY_HEARTBEATS * workers.heartbeatIntervalS();
     this.electedAt = context.electedAt();
     this.dispatcher = dispatcher;
     this.termAnnouncer = termAnnouncer;
@@ -51,8 +51,8 @@
 
   /** Sets the number of announcements that a new listing permits. */
   void beginListing(SteadyTime now) {
-    announcementsLeft =
-        now.secondsSince(electedAt) < awaitedS
+    remainingAnnouncements =
+        now.secondsSince(electedAt) < discoveryPeriodS
             ? 0
             : dispatcher.freeSlots() / SLOTS_PER_ANNOUNCEMENT;
   }
@@ -60,12 +60,12 @@
   /** Announces the term to the worker of a listed machine if an announcement is due. */
   void announceIfDue(Machine machine, ListedMachine listed) {
     int zone = machine.description().zone();
-    boolean due = announcementsLeft > 0 || !announcedZones.contains(zone);
+    boolean due = remainingAnnouncements > 0 || !announcedZones.contains(zone);
     if (machine.agent().isTermAnnounced() || !due || !termAnnouncer.announce(machine, listed)) {
       return;
     }
     machine.agent().markTermAnnounced();
     announcedZones.add(zone);
-    announcementsLeft--;
+    remainingAnnouncements--;
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -59,7 +59,7 @@
   }
 
   /** Starts a listing now and repeats it periodically. */
-  public void list() {
+  public void start() {
     reader.start();
   }
 
@@ -75,36 +75,36 @@
     }
     removeMissing(listedIds, startedAt);
     // A removed machine that a stale listing still shows also counts towards its request.
-    listedIds.forEach(provisioner::seen);
+    listedIds.forEach(provisioner::markSeen);
     rounds.requestRound();
   }
 
   private void reconcile(ListedMachine listed, SteadyTime now) {
     Machine machine = machines.findOrAdd(listed.machine(), now);
-    describe(machine, listed, now);
+    updateDescription(machine, listed, now);
     termAnnouncer.announceIfDue(machine, listed);
-    machine.cloud().listed(now, listed.state() == ListedMachine.State.RUNNING);
-    provisioner.seen(machine.id());
+    machine.cloud().recordListing(now, listed.state() == ListedMachine.State.RUNNING);
+    provisioner.markSeen(machine.id());
     if (listed.state() == ListedMachine.State.FAILED && !machine.cloud().isTerminated()) {
       terminateFailed(machine);
     }
   }
 
-  private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
+  private void updateDescription(Machine machine, ListedMachine listed, SteadyTime now) {
     if (!machine.description().isKnown()) {
-      machine.describe(
+      machine.setDescription(
           MachineDescription.of(listed.type(), listed.zone(), listed.spot(), settings.zones()));
     }
     SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
     if (provisionedAt.isBefore(machine.cloud().provisionedAt())) {
       // Listings lag, so the listed age is a lower bound.
-      machine.provisionedAt(provisionedAt);
+      machine.setProvisionedAt(provisionedAt);
     }
   }
 
   private void terminateFailed(Machine machine) {
     LOG.info("machine {} terminated: listed as failed", machine.id());
-    removal.lost(machine, ClosingEvidence.MACHINE_FAILED);
+    removal.terminate(machine, ClosingEvidence.MACHINE_FAILED);
     if (!machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
@@ -122,10 +122,10 @@
     double maxListingAgeS =
         2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
-      double unlistedS = startedAt.secondsSince(machine.cloud().lastKnownAt());
-      if (!listedIds.contains(machine.id()) && unlistedS > maxListingAgeS) {
+      double unconfirmedS = startedAt.secondsSince(machine.cloud().lastConfirmedAt());
+      if (!listedIds.contains(machine.id()) && unconfirmedS > maxListingAgeS) {
         LOG.info("machine {} terminated: no longer listed", machine.id());
-        removal.lost(machine, ClosingEvidence.MACHINE_NOT_LISTED);
+        removal.terminate(machine, ClosingEvidence.MACHINE_NOT_LISTED);
         removal.remove(machine);
       }
     }
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -23,7 +23,7 @@
      *
      * @param startedAt when the first page was requested
      */
-    void listed(List<ListedMachine> listing, SteadyTime startedAt);
+    void onListing(List<ListedMachine> listing, SteadyTime startedAt);
   }
 
   /** Maximum number of machines per page. */
@@ -34,7 +34,7 @@
    * provision requests. Listings are the only source that reveals missing and unexpected machines,
    * so a burst of provision requests must not delay them further.
    */
-  private static final double PRIORITY_AFTER_S = 2;
+  private static final double PRIORITY_RAISE_DELAY_S = 2;
 
   private final Cloud cloud;
   private final Clock clock;
@@ -48,7 +48,7 @@
   private SteadyTime startedAt;
 
   /** When the current page was first requested, retries excluded. */
-  private SteadyTime pageDueSince;
+  private SteadyTime pageFirstRequestedAt;
 
   /**
    * Creates a reader that is not started.
@@ -67,20 +67,20 @@
   void start() {
     listing.clear();
     startedAt = clock.now();
-    nextPage(null);
+    requestPage(null);
   }
 
   /** Requests the page that follows a machine, or the first page if {@code after} is null. */
-  private void nextPage(MachineId after) {
-    pageDueSince = clock.now();
-    readPage(after);
+  private void requestPage(MachineId after) {
+    pageFirstRequestedAt = clock.now();
+    sendPageRequest(after);
   }
 
-  private void readPage(MachineId after) {
-    boolean delayed = clock.now().secondsSince(pageDueSince) > PRIORITY_AFTER_S;
+  private void sendPageRequest(MachineId after) {
+    boolean delayed = clock.now().secondsSince(pageFirstRequestedAt) > PRIORITY_RAISE_DELAY_S;
     RequestPriority priority = delayed ? RequestPriority.ATTEMPT : RequestPriority.QUERY;
     executor.whenAnswered(
-        cloud.list(after, PAGE_SIZE, priority), outcome -> pageRead(after, outcome));
+        cloud.list(after, PAGE_SIZE, priority), outcome -> handlePage(after, outcome));
   }
 
   /**
@@ -89,19 +89,19 @@
    * each time would never complete. Any other failure abandons the listing, and the next one starts
    * over.
    */
-  private void pageRead(MachineId after, Outcome<ListedMachine.Page> outcome) {
+  private void handlePage(MachineId after, Outcome<ListedMachine.Page> outcome) {
     if (RetryPolicy.isRateLimited(outcome)) {
-      executor.later(RetryPolicy.RATE_LIMITED_DELAY_S, () -> readPage(after));
+      executor.later(RetryPolicy.RATE_LIMITED_DELAY_S, () -> sendPageRequest(after));
       return;
     }
     if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
       ListedMachine.Page page = applied.value();
       listing.addAll(page.machines());
       if (page.more() && !page.machines().isEmpty()) {
-        nextPage(page.machines().get(page.machines().size() - 1).machine());
+        requestPage(page.machines().get(page.machines().size() - 1).machine());
         return;
       }
-      listener.listed(listing, startedAt);
+      listener.onListing(listing, startedAt);
     }
     executor.later(intervalS, this::start);
   }
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -118,27 +118,27 @@
       return;
     }
     locked.whenAnswered(
-        cloud.provision(provision.request()), outcome -> answered(provision, outcome));
+        cloud.provision(provision.request()), outcome -> handleOutcome(provision, outcome));
   }
 
   private void sendAfter(double seconds, OpenProvision provision) {
     executor.later(seconds, () -> send(provision));
   }
 
-  private void answered(OpenProvision provision, Outcome<List<MachineId>> outcome) {
+  private void handleOutcome(OpenProvision provision, Outcome<List<MachineId>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineId>> applied) {
-      provisioned(provision, applied.value());
+      handleMachines(provision, applied.value());
     } else if (RetryPolicy.isRateLimited(outcome)) {
       sendAfter(retryPolicy.delayS(outcome), provision);
     } else if (outcome instanceof Outcome.NotApplied<List<MachineId>> notApplied) {
-      refused(provision, notApplied);
+      handleRefusal(provision, notApplied);
     } else {
       provision.markMaybeApplied();
       sendAfter(retryPolicy.delayS(outcome), provision);
     }
   }
 
-  private void provisioned(OpenProvision provision, List<MachineId> ids) {
+  private void handleMachines(OpenProvision provision, List<MachineId> ids) {
     SteadyTime now = clock.now();
     Set<MachineId> unseen = new HashSet<>();
     for (MachineId id : ids) {
@@ -152,30 +152,30 @@
     } else {
       offerBackoff.reset(provision.offer());
     }
-    forgetIfComplete(provision);
+    removeIfComplete(provision);
     rounds.requestRound();
   }
 
   private Machine addMachine(ProvisionRequest request, MachineId id, SteadyTime now) {
     Machine machine = machines.findOrAdd(id, now);
     if (!machine.description().isKnown()) {
-      machine.describe(
+      machine.setDescription(
           MachineDescription.of(request.type(), request.zone(), request.spot(), zones));
-      machine.provisionedAt(now);
+      machine.setProvisionedAt(now);
     }
     return machine;
   }
 
   private static boolean isSeen(Machine machine) {
-    return machine.agent().isHeard() || machine.cloud().isListed();
+    return machine.agent().hasReported() || machine.cloud().isListed();
   }
 
   /** Handles a request that the cloud did not apply; an earlier try of it may have been applied. */
-  private void refused(OpenProvision provision, Outcome.NotApplied<List<MachineId>> refusal) {
+  private void handleRefusal(OpenProvision provision, Outcome.NotApplied<List<MachineId>> refusal) {
     boolean isFinal = refusal.reason() == Reason.CONFLICT || refusal.reason() == Reason.INVALID;
     if (isFinal || !provision.isMaybeApplied()) {
       offerBackoff.pause(provision.offer(), clock.now());
-      forget(provision);
+      remove(provision);
     } else {
       sendAfter(retryPolicy.delayS(refusal), provision);
     }
@@ -187,21 +187,21 @@
    * Records that a machine appeared in a heartbeat or a listing, so that it no longer needs the
    * record of its request.
    */
-  public void seen(MachineId id) {
+  public void markSeen(MachineId id) {
     for (OpenProvision provision : List.copyOf(openProvisions.values())) {
-      if (provision.seen(id)) {
-        forgetIfComplete(provision);
+      if (provision.markSeen(id)) {
+        removeIfComplete(provision);
       }
     }
   }
 
-  private void forgetIfComplete(OpenProvision provision) {
+  private void removeIfComplete(OpenProvision provision) {
     if (provision.isComplete()) {
-      forget(provision);
+      remove(provision);
     }
   }
 
-  private void forget(OpenProvision provision) {
+  private void remove(OpenProvision provision) {
     openProvisions.remove(provision.name());
     records.remove(provision.name());
   }
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -27,7 +27,7 @@
  */
 public final class MachineReleaser {
   /** Maximum number of machines that the cloud releases per request. */
-  private static final int MAX_MACHINES = 100;
+  private static final int MAX_BATCH_SIZE = 100;
 
   private final MachineRemoval removal;
   private final LeadershipExecutor executor;
@@ -41,7 +41,7 @@
   private final RetryPolicy retryPolicy = RetryPolicy.RECORDED_REQUESTS;
 
   /** Machines whose release is recorded but unanswered, oldest first. */
-  private final Set<Machine> due = new LinkedHashSet<>();
+  private final Set<Machine> pending = new LinkedHashSet<>();
 
   /** Whether a request is in flight or awaits its retry. */
   private boolean requestPending;
@@ -68,22 +68,22 @@
   private void resume(MachineId id) {
     Machine machine = machines.findOrAdd(id, electedAt);
     machine.cloud().markReleasing();
-    addDue(machine);
+    enqueue(machine);
   }
 
   /** Releases a machine and excludes it from further placements. */
   public void release(Machine machine) {
     machine.cloud().markReleasing();
-    records.put(machine.id().value(), BooleanNode.TRUE, () -> addDue(machine));
+    records.put(machine.id().value(), BooleanNode.TRUE, () -> enqueue(machine));
   }
 
-  private void addDue(Machine machine) {
-    due.add(machine);
-    sendNext();
+  private void enqueue(Machine machine) {
+    pending.add(machine);
+    sendNextBatch();
   }
 
-  private void sendNext() {
-    if (requestPending || due.isEmpty()) {
+  private void sendNextBatch() {
+    if (requestPending || pending.isEmpty()) {
       return;
     }
     requestPending = true;
@@ -91,27 +91,27 @@
       retryAfter(retryPolicy.failedDelayS());
       return;
     }
-    List<Machine> batch = due.stream().limit(MAX_MACHINES).toList();
+    List<Machine> batch = pending.stream().limit(MAX_BATCH_SIZE).toList();
     List<MachineId> ids = new ArrayList<>();
     for (Machine machine : batch) {
       ids.add(machine.id());
     }
-    locked.whenAnswered(cloud.release(ids), outcome -> answered(batch, outcome));
+    locked.whenAnswered(cloud.release(ids), outcome -> handleOutcome(batch, outcome));
   }
 
-  private void answered(List<Machine> batch, Outcome<Integer> outcome) {
+  private void handleOutcome(List<Machine> batch, Outcome<Integer> outcome) {
     if (!(outcome instanceof Outcome.Applied<Integer>)) {
       retryAfter(retryPolicy.delayS(outcome));
       return;
     }
     requestPending = false;
     for (Machine machine : batch) {
-      due.remove(machine);
+      pending.remove(machine);
       removal.remove(machine);
       records.remove(machine.id().value());
     }
     rounds.requestRound();
-    sendNext();
+    sendNextBatch();
   }
 
   private void retryAfter(double seconds) {
@@ -120,6 +120,6 @@
 
   private void retry() {
     requestPending = false;
-    sendNext();
+    sendNextBatch();
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -42,9 +42,9 @@
    *
    * @param evidence the proof that its attempts have ended, for the log
    */
-  void lost(Machine machine, ClosingEvidence evidence) {
+  void terminate(Machine machine, ClosingEvidence evidence) {
     machine.cloud().markTerminated();
-    reportedTasks.show(machine, List.of());
+    reportedTasks.update(machine, List.of());
     for (Attempt attempt : List.copyOf(ledger.attemptsOn(machine.id()))) {
       attempts.close(attempt, evidence);
     }
@@ -52,7 +52,7 @@
 
   /** Removes a machine that no longer exists. Machine names are never reused. */
   void remove(Machine machine) {
-    lost(machine, ClosingEvidence.MACHINE_GONE);
+    terminate(machine, ClosingEvidence.MACHINE_GONE);
     machines.remove(machine.id());
     machine.agent().endpoint().ifPresent(workers::forget);
   }
--- a/src/main/java/org/ternhinge/scaling/OpenProvision.java
+++ b/src/main/java/org/ternhinge/scaling/OpenProvision.java
@@ -68,7 +68,7 @@
   }
 
   /** Marks a machine as seen and returns whether the request was waiting for it. */
-  boolean seen(MachineId id) {
+  boolean markSeen(MachineId id) {
     return unseen.remove(id);
   }
 }
--- a/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
+++ b/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
@@ -57,7 +57,7 @@
       MachineType type, String zone, boolean spot, SteadyTime now, List<Snapshot.Offer> offers) {
     if (!provisioner.isPaused(new OfferKey(type.name(), zone, spot), now)) {
       int zoneIndex = zones.indexOf(zone);
-      double bootS = bootTimes.expectedS(type, zone);
+      double bootS = bootTimes.expectedBootS(type, zone);
       offers.add(
           new Snapshot.Offer(type, zoneIndex, zone, spot, ProvisionRequest.MAX_COUNT, bootS));
     }
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -32,14 +32,14 @@
   private static final double MAX_UNRELATED_SILENT_SHARE = 0.2;
 
   /** Grace period of a silent machine after its lease has expired, in lease durations. */
-  private static final int SILENT_LEASES = 1;
+  private static final int SILENCE_GRACE_LEASES = 1;
 
   /**
-   * Like {@link #SILENT_LEASES}, in zones where more machines are silent. The likely cause is the
+   * Like {@link #SILENCE_GRACE_LEASES}, in zones where more machines are silent. The likely cause is the
    * network; releasing the machines shortly before it recovers would cost each of them another boot
    * and image pull.
    */
-  private static final int SILENT_LEASES_IN_SILENT_ZONE = 3;
+  private static final int SILENT_ZONE_GRACE_LEASES = 3;
 
   /**
    * Time-out for the first heartbeat of a machine that is listed as running, as a multiple of the
@@ -52,10 +52,10 @@
   private static final double FIRST_HEARTBEAT_MARGIN_S = 45;
 
   /** Heartbeat intervals during which workers may discover a new leader. */
-  private static final int HEARTBEATS_AWAITED = 2;
+  private static final int DISCOVERY_HEARTBEATS = 2;
 
   /** Lease durations for which a machine may be unreachable by commands. */
-  private static final double UNREACHABLE_LEASES = 2;
+  private static final double MAX_UNREACHABLE_LEASES = 2;
 
   private final Settings settings;
   private final Ledger ledger;
@@ -86,7 +86,7 @@
     boolean[] silentZones = silentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
       if (isIdle(machine)) {
-        reasonToRelease(machine, silentZones, now).ifPresent(reason -> release(machine, reason));
+        releaseReason(machine, silentZones, now).ifPresent(reason -> release(machine, reason));
       }
     }
   }
@@ -112,27 +112,27 @@
             machines.all(),
             settings.zones().size(),
             machine -> machine.description().zone(),
-            machine -> machine.agent().isHeard() && !machine.cloud().isTerminated(),
+            machine -> machine.agent().hasReported() && !machine.cloud().isTerminated(),
             machine -> machine.agent().isLeaseExpired(now));
     boolean[] silent = new boolean[machineCounts.size()];
     for (int zone = 0; zone < silent.length; zone++) {
       ZoneMachineCounts.Count count = machineCounts.get(zone);
       double maxUnrelated =
-          Math.max(MAX_UNRELATED_SILENT, count.counted() * MAX_UNRELATED_SILENT_SHARE);
-      silent[zone] = count.marked() > maxUnrelated;
+          Math.max(MAX_UNRELATED_SILENT, count.total() * MAX_UNRELATED_SILENT_SHARE);
+      silent[zone] = count.matching() > maxUnrelated;
     }
     return silent;
   }
 
   /** Returns why a machine is unusable; empty if it is usable or its type is unknown. */
-  private Optional<ReleaseReason> reasonToRelease(
+  private Optional<ReleaseReason> releaseReason(
       Machine machine, boolean[] silentZones, SteadyTime now) {
     Optional<MachineType> type = machineTypes.typeOf(machine);
     if (type.isEmpty()) {
       return Optional.empty();
     }
-    if (hasNeverComeUp(machine, type.get(), now)) {
-      return Optional.of(ReleaseReason.NEVER_UP);
+    if (hasBootTimedOut(machine, type.get(), now)) {
+      return Optional.of(ReleaseReason.BOOT_TIMEOUT);
     }
     if (isSilent(machine, silentZones, now)) {
       return Optional.of(ReleaseReason.SILENT);
@@ -150,8 +150,8 @@
    * starts with the provision request, whichever leader sent it, but a running machine also needs
    * time to discover a new leader.
    */
-  private boolean hasNeverComeUp(Machine machine, MachineType type, SteadyTime now) {
-    if (machine.agent().isHeard()) {
+  private boolean hasBootTimedOut(Machine machine, MachineType type, SteadyTime now) {
+    if (machine.agent().hasReported()) {
       return false;
     }
     if (machine.cloud().isListedRunning()) {
@@ -160,21 +160,21 @@
       return now.secondsSince(machine.cloud().provisionedAt().max(electedAt)) > allowedS;
     }
     return now.secondsSince(electedAt)
-            > HEARTBEATS_AWAITED * settings.workers().heartbeatIntervalS()
-        && bootTimes.isGivenUp(machine, now);
+            > DISCOVERY_HEARTBEATS * settings.workers().heartbeatIntervalS()
+        && bootTimes.hasBootTimedOut(machine, now);
   }
 
   private boolean isSilent(Machine machine, boolean[] silentZones, SteadyTime now) {
     int zone = machine.description().zone();
     boolean inSilentZone = zone >= 0 && silentZones[zone];
-    int leases = inSilentZone ? SILENT_LEASES_IN_SILENT_ZONE : SILENT_LEASES;
+    int leases = inSilentZone ? SILENT_ZONE_GRACE_LEASES : SILENCE_GRACE_LEASES;
     double allowedS = settings.workers().leaseS() * leases;
-    return machine.agent().isHeard()
+    return machine.agent().hasReported()
         && machine.agent().leaseExpiry().plusSeconds(allowedS).isBefore(now);
   }
 
   private boolean isUnreachable(Machine machine, SteadyTime now) {
-    return machine.health().reachability().unreachableFor(now)
-        > UNREACHABLE_LEASES * settings.workers().leaseS();
+    return machine.health().reachability().unreachableForS(now)
+        > MAX_UNREACHABLE_LEASES * settings.workers().leaseS();
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -66,7 +66,7 @@
       attempt.stop(0, fixture.now());
     }
     if (!startOutstanding) {
-      machine.outstandingStarts().settled(attempt.task(), attempt.number());
+      machine.outstandingStarts().settle(attempt.task(), attempt.number());
     }
     Finding found =
         reconciler.reconcile(
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -57,7 +57,7 @@
     if (seen.isReported()) {
       attempt.observe(seen, fixture.now());
     }
-    machine.outbox().markLanded();
+    machine.outbox().markCompleted();
     fixture.sent.clear();
     cancellations.cancel(job, state -> {});
     assertTrue(attempt.stopping());
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -50,7 +50,7 @@
     // The fixture has sent the start of the attempt; the case says how many are outstanding.
     machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
-      machine.outstandingStarts().sent(attempt.task(), attempt.number());
+      machine.outstandingStarts().recordSent(attempt.task(), attempt.number());
     }
     if (fenced > 0) {
       machine.outstandingStarts().fence(new Term(2));
@@ -87,7 +87,7 @@
   @ParameterizedTest(name = "worker shows term {0}")
   @CsvSource({"1, true", "2, false"})
   void aWorkerThatShowsTheTermRefusesEarlierStarts(long shown, boolean outstanding) {
-    machine.outstandingStarts().sent(attempt.task(), attempt.number());
+    machine.outstandingStarts().recordSent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
     machine.outstandingStarts().observeFencingToken(new Term(shown));
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -41,7 +41,7 @@
   }
 
   private Machine inEast(Machine machine) {
-    machine.describe(new MachineDescription("small", 0, "east", false));
+    machine.setDescription(new MachineDescription("small", 0, "east", false));
     return machine;
   }
 
@@ -69,7 +69,7 @@
         heard ? fixture.machine("n-1") : fixture.machines.findOrAdd(id, fixture.now());
     inEast(machine);
     if (listed) {
-      machine.cloud().listed(fixture.now(), true);
+      machine.cloud().recordListing(fixture.now(), true);
     }
     if (leaving) {
       machine.cloud().markReleasing();
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -76,7 +76,7 @@
     long before = recorded().revision().value();
     for (int i = 0; i < 4; i++) {
       Machine machine = fixture.machine("n-00000" + i);
-      machine.describe(new MachineDescription("small", 0, "east", false));
+      machine.setDescription(new MachineDescription("small", 0, "east", false));
     }
     fixture.store.pauseReads();
     zones.recover();
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -47,7 +47,7 @@
   @CsvSource({"false", "true"})
   void anEndedTaskIsForgottenUnlessAStartOfItMayArrive(boolean startOutstanding) {
     if (startOutstanding) {
-      machine.outstandingStarts().sent(unknown, FIRST);
+      machine.outstandingStarts().recordSent(unknown, FIRST);
     }
     assertEquals(
         startOutstanding ? List.of() : command(Command.Op.FORGET, unknown, FIRST),
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -125,7 +125,7 @@
     @ParameterizedTest(name = "epoch {0}, ended up to {1}")
     @CsvSource({"0, 0", "1, 1", "1, 2"})
     void anEndedEpochGetsNoAnswerButKeepsTheMachine(long epoch, long lastEnded) {
-      machine.agent().endEpochs(new AgentEpoch(lastEnded));
+      machine.agent().endEpochsUpTo(new AgentEpoch(lastEnded));
       assertEquals(
           NotAnswered.EPOCH_ENDED, process(fixture.heartbeat(machine).epoch(epoch).build()));
       assertEquals(leaseFromNow(), machine.agent().leaseExpiry());
@@ -157,7 +157,7 @@
           List.of(new Command(Command.Op.STOP, attempt.task(), attempt.number(), 0)),
           commands(outdated));
       assertEquals(attempt, job.open(0));
-      assertEquals(received, machine.agent().lastHeartbeat());
+      assertEquals(received, machine.agent().lastMessageAt());
       assertEquals(received.plusSeconds(LEASE_S), machine.agent().leaseExpiry());
     }
   }
@@ -279,7 +279,7 @@
       for (int i = 1; i <= heartbeats; i++) {
         process(fixture.heartbeat(machine).sequence(i).fencingToken(token).build());
       }
-      assertEquals(unreachable, machine.health().reachability().unreachable());
+      assertEquals(unreachable, machine.health().reachability().isUnreachable());
     }
   }
 
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -62,11 +62,11 @@
   @CsvSource({"9.9, true", "10.1, false"})
   void attemptsAreClosedWithTheLease(double silentForS, boolean open) {
     Attempt attempt = fixture.open(job, 0, machine);
-    reportedTasks.show(machine, List.of(running(attempt.task(), attempt.number())));
+    reportedTasks.update(machine, List.of(running(attempt.task(), attempt.number())));
     fixture.clock.runFor(silentForS);
     monitor.check(fixture.now());
     assertEquals(open ? attempt : null, job.open(0));
-    assertEquals(open, reportedTasks.isShown(attempt.task()));
+    assertEquals(open, reportedTasks.isReported(attempt.task()));
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
 
@@ -74,10 +74,10 @@
   @Test
   void tasksWithoutAnAttemptAreForgottenWithTheLease() {
     TaskId unknown = new TaskId(new JobId("wk-9"), 0);
-    reportedTasks.show(machine, List.of(running(unknown, new AttemptNumber(1))));
+    reportedTasks.update(machine, List.of(running(unknown, new AttemptNumber(1))));
     fixture.clock.runFor(10.1);
     monitor.check(fixture.now());
-    assertFalse(reportedTasks.isShown(unknown));
+    assertFalse(reportedTasks.isReported(unknown));
   }
 
   /** Time to save, to learn of the peers' saving, and to report: 3 + 5 + 2 seconds. */
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -158,8 +158,8 @@
   public Machine machine(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), clock.now());
     machine.agent().beginEpoch(new AgentEpoch(1));
-    machine.agent().endpoint(WORKER_ENDPOINT);
-    machine.agent().heard(clock.now());
+    machine.agent().setEndpoint(WORKER_ENDPOINT);
+    machine.agent().recordMessage(clock.now());
     return machine;
   }
 
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -54,9 +54,9 @@
       "1, 9, true"
     })
     void aMessageThatIsNotNewerIsOutdated(long epoch, long sequence, boolean outdated) {
-      agent.endEpochs(new AgentEpoch(2));
+      agent.endEpochsUpTo(new AgentEpoch(2));
       agent.beginEpoch(new AgentEpoch(3));
-      agent.sequence(7);
+      agent.setSequence(7);
       assertEquals(outdated, agent.isOutdated(message(epoch, sequence)));
     }
 
@@ -66,7 +66,7 @@
     @Test
     void aMessageOfAnEndedEpochIsOutdatedAlthoughItIsNewer() {
       agent.beginEpoch(new AgentEpoch(3));
-      agent.endEpochs(new AgentEpoch(5));
+      agent.endEpochsUpTo(new AgentEpoch(5));
       assertTrue(agent.isOutdated(message(5, 1)));
       assertFalse(agent.isOutdated(message(6, 1)));
     }
@@ -75,7 +75,7 @@
     void anEpochIsOpenUntilItEnds() {
       agent.beginEpoch(new AgentEpoch(3));
       assertTrue(agent.isEpochOpen());
-      agent.endEpochs(new AgentEpoch(3));
+      agent.endEpochsUpTo(new AgentEpoch(3));
       assertFalse(agent.isEpochOpen());
       assertTrue(agent.hasEnded(new AgentEpoch(2)));
       agent.beginEpoch(new AgentEpoch(4));
@@ -109,18 +109,18 @@
 
     @Test
     void isInfiniteBeforeTheFirstMessage() {
-      assertFalse(agent.isHeard());
-      assertEquals(Double.POSITIVE_INFINITY, agent.silentForS(NOW));
+      assertFalse(agent.hasReported());
+      assertEquals(Double.POSITIVE_INFINITY, agent.silenceS(NOW));
       assertTrue(agent.isOverdue(WORKERS, NOW));
     }
 
     @Test
     void countsFromTheNewestMessage() {
-      agent.heard(NOW);
-      agent.heard(NOW.plusSeconds(3));
-      assertTrue(agent.isHeard());
-      assertEquals(NOW.plusSeconds(3), agent.lastHeartbeat());
-      assertEquals(4, agent.silentForS(NOW.plusSeconds(7)), 1e-9);
+      agent.recordMessage(NOW);
+      agent.recordMessage(NOW.plusSeconds(3));
+      assertTrue(agent.hasReported());
+      assertEquals(NOW.plusSeconds(3), agent.lastMessageAt());
+      assertEquals(4, agent.silenceS(NOW.plusSeconds(7)), 1e-9);
       assertFalse(agent.isOverdue(WORKERS, NOW.plusSeconds(3 + WORKERS.overdueS() - 0.1)));
       assertTrue(agent.isOverdue(WORKERS, NOW.plusSeconds(3 + WORKERS.overdueS() + 0.1)));
     }
@@ -141,10 +141,10 @@
     @Test
     void theTermOfTheLastAnswerCounts() {
       assertFalse(agent.wasAnswered());
-      agent.answeredIn(new Term(4));
+      agent.recordAnswer(new Term(4));
       assertTrue(agent.wasAnswered());
       assertTrue(agent.wasAnsweredIn(new Term(4)));
-      agent.answeredIn(new Term(5));
+      agent.recordAnswer(new Term(5));
       assertFalse(agent.wasAnsweredIn(new Term(4)));
     }
 
@@ -167,16 +167,16 @@
 
     @Test
     void isReplacedByANewerOne() {
-      agent.endpoint("10.0.1.1:9000");
-      agent.endpoint("10.0.1.2:9000");
+      agent.setEndpoint("10.0.1.1:9000");
+      agent.setEndpoint("10.0.1.2:9000");
       assertTrue(agent.hasEndpoint());
       assertEquals(Optional.of(new Endpoint("10.0.1.2", 9000)), agent.endpoint());
     }
 
     @Test
     void isKeptWhereTheNewerOneCanNotBeRead() {
-      agent.endpoint("10.0.1.1:9000");
-      assertThrows(IllegalArgumentException.class, () -> agent.endpoint("nowhere"));
+      agent.setEndpoint("10.0.1.1:9000");
+      assertThrows(IllegalArgumentException.class, () -> agent.setEndpoint("nowhere"));
       assertEquals(Optional.of(new Endpoint("10.0.1.1", 9000)), agent.endpoint());
     }
   }
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -33,26 +33,26 @@
 
   private Machine provision(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), start);
-    machine.describe(MachineDescription.of("small", "east", false, List.of("east", "west")));
+    machine.setDescription(MachineDescription.of("small", "east", false, List.of("east", "west")));
     return machine;
   }
 
   private void comeUp(Machine machine, double afterS) {
     SteadyTime now = start.plusSeconds(afterS);
-    machine.agent().heard(now);
-    bootTimes.cameUp(machine, now);
+    machine.agent().recordMessage(now);
+    bootTimes.recordBoot(machine, now);
   }
 
   private Set<MachineId> lateAfter(double seconds) {
-    return bootTimes.late(start.plusSeconds(seconds));
+    return bootTimes.lateMachines(start.plusSeconds(seconds));
   }
 
   static Stream<Named<Consumer<Machine>>> reasonsNotToWait() {
     return Stream.of(
-        Named.of("heard", m -> m.agent().heard(new SteadyTime(0))),
+        Named.of("heard", m -> m.agent().recordMessage(new SteadyTime(0))),
         Named.of("released", m -> m.cloud().markReleasing()),
         Named.of("terminated", m -> m.cloud().markTerminated()),
-        Named.of("listed as running", m -> m.cloud().listed(new SteadyTime(0), true)));
+        Named.of("listed as running", m -> m.cloud().recordListing(new SteadyTime(0), true)));
   }
 
   /** Machines that do not count as expected capacity. */
@@ -98,7 +98,7 @@
   class ExpectedTime {
     @Test
     void isTheNominalOneWithoutObservations() {
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"));
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
     }
 
     @Test
@@ -107,8 +107,8 @@
         provision("n-" + i);
       }
       lateAfter(63);
-      assertEquals(60, bootTimes.expectedS(SMALL, "east"), 1e-6);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "west"));
+      assertEquals(60, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "west"));
     }
 
     @Test
@@ -117,9 +117,9 @@
         comeUp(provision("n-" + i), 60);
       }
       lateAfter(61);
-      assertEquals(60, bootTimes.expectedS(SMALL, "east"), 1e-6);
+      assertEquals(60, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
       lateAfter(361);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"), 1e-6);
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
     }
 
     /**
@@ -130,11 +130,11 @@
     void ignoresMachinesOfAnEarlierLeadership() {
       for (int i = 0; i < 8; i++) {
         Machine machine = provision("n-" + i);
-        machine.provisionedAt(start.plusSeconds(-100));
+        machine.setProvisionedAt(start.plusSeconds(-100));
         comeUp(machine, 10);
       }
       lateAfter(11);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"));
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
     }
   }
 
@@ -145,7 +145,7 @@
     @ParameterizedTest
     @CsvSource({"60, false", "65, false", "65.1, true"})
     void isAMachineThatProbablyNeverComesUp(double afterS, boolean givenUp) {
-      assertEquals(givenUp, bootTimes.isGivenUp(provision("n-1"), start.plusSeconds(afterS)));
+      assertEquals(givenUp, bootTimes.hasBootTimedOut(provision("n-1"), start.plusSeconds(afterS)));
     }
 
     @ParameterizedTest
@@ -156,16 +156,16 @@
       }
       lateAfter(60);
       Machine machine = machines.findOrAdd(new MachineId("n-0"), start);
-      assertEquals(givenUp, bootTimes.isGivenUp(machine, start.plusSeconds(afterS)));
+      assertEquals(givenUp, bootTimes.hasBootTimedOut(machine, start.plusSeconds(afterS)));
     }
 
     @ParameterizedTest
     @MethodSource("org.ternhinge.machine.BootTimesTest#reasonsNotToWait")
     void isNoMachineThatIsNotBooting(Consumer<Machine> reason) {
       Machine machine = provision("n-1");
-      assertTrue(bootTimes.isGivenUp(machine, start.plusSeconds(600)));
+      assertTrue(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
       reason.accept(machine);
-      assertFalse(bootTimes.isGivenUp(machine, start.plusSeconds(600)));
+      assertFalse(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
     }
   }
 }
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -23,51 +23,51 @@
   void aMachineThatWasNeverListedExistedWhenItBecameKnown() {
     assertFalse(cloud.isListed());
     assertFalse(cloud.isListedRunning());
-    assertEquals(NOW, cloud.knownSince());
-    assertEquals(NOW, cloud.lastKnownAt());
+    assertEquals(NOW, cloud.discoveredAt());
+    assertEquals(NOW, cloud.lastConfirmedAt());
   }
 
   @Test
   void theLastListingCounts() {
-    cloud.listed(NOW, true);
+    cloud.recordListing(NOW, true);
     assertTrue(cloud.isListedRunning());
-    cloud.listed(LATER, false);
+    cloud.recordListing(LATER, false);
     assertTrue(cloud.isListed());
     assertFalse(cloud.isListedRunning());
-    assertEquals(LATER, cloud.lastKnownAt());
-    assertEquals(NOW, cloud.knownSince());
+    assertEquals(LATER, cloud.lastConfirmedAt());
+    assertEquals(NOW, cloud.discoveredAt());
   }
 
   @Test
   void theFirstReclaimNoticeStands() {
     assertEquals(Optional.empty(), cloud.reclaimAt());
-    assertFalse(cloud.isReclaimed());
-    cloud.reclaimAt(NOW);
-    cloud.reclaimAt(LATER);
+    assertFalse(cloud.hasReclaimNotice());
+    cloud.recordReclaimNotice(NOW);
+    cloud.recordReclaimNotice(LATER);
     assertEquals(Optional.of(NOW), cloud.reclaimAt());
-    assertTrue(cloud.isReclaimed());
+    assertTrue(cloud.hasReclaimNotice());
   }
 
   @Test
   void theProvisionTimeIsThatOfDiscoveryUntilItIsKnown() {
     assertEquals(NOW, cloud.provisionedAt());
     assertTrue(cloud.provisionedAt().isBefore(LATER));
-    cloud.provisionedAt(LATER);
+    cloud.setProvisionedAt(LATER);
     assertFalse(cloud.provisionedAt().isBefore(LATER));
   }
 
   static Stream<Named<Consumer<CloudStatus>>> departures() {
     return Stream.of(
         Named.of("released", CloudStatus::markReleasing),
-        Named.of("reclaimed", cloud -> cloud.reclaimAt(LATER)),
+        Named.of("reclaimed", cloud -> cloud.recordReclaimNotice(LATER)),
         Named.of("terminated", CloudStatus::markTerminated));
   }
 
   @ParameterizedTest
   @MethodSource("departures")
   void aMachineStaysUntilItIs(Consumer<CloudStatus> departure) {
-    assertTrue(cloud.isStaying());
+    assertTrue(cloud.isRetained());
     departure.accept(cloud);
-    assertFalse(cloud.isStaying());
+    assertFalse(cloud.isRetained());
   }
 }
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -37,7 +37,7 @@
     outbox.clear();
     assertTrue(outbox.isEmpty());
     assertTrue(outbox.isInFlight());
-    outbox.markLanded();
+    outbox.markCompleted();
     assertFalse(outbox.isInFlight());
   }
 
--- a/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
@@ -28,24 +28,24 @@
       char event = events.charAt(i);
       boolean othersReachable = Character.isUpperCase(event);
       switch (Character.toUpperCase(event)) {
-        case 'N' -> reachability.answerMissed(START, () -> othersReachable);
-        case 'L' -> reachability.leaseLapsed(START, () -> othersReachable);
-        case 'E' -> reachability.effectSeen();
-        default -> reachability.probeAnswered();
+        case 'N' -> reachability.recordMissedAnswer(START, () -> othersReachable);
+        case 'L' -> reachability.recordLeaseExpiry(START, () -> othersReachable);
+        case 'E' -> reachability.recordCommandEffect();
+        default -> reachability.recordProbeAnswer();
       }
     }
-    assertEquals(lost, reachability.unreachable());
-    assertEquals(lost ? 7 : 0, reachability.unreachableFor(START.plusSeconds(7)), 1e-9);
+    assertEquals(lost, reachability.isUnreachable());
+    assertEquals(lost ? 7 : 0, reachability.unreachableForS(START.plusSeconds(7)), 1e-9);
   }
 
   @Test
   void aMachineIsProbedAtIntervalsWhileCommandsAreLost() {
     assertFalse(reachability.isProbeDue(START));
-    reachability.leaseLapsed(START, () -> true);
+    reachability.recordLeaseExpiry(START, () -> true);
     assertTrue(reachability.isProbeDue(START));
     assertFalse(reachability.isProbeDue(START.plusSeconds(4.9)));
     assertTrue(reachability.isProbeDue(START.plusSeconds(5.1)));
-    reachability.probeAnswered();
+    reachability.recordProbeAnswer();
     assertFalse(reachability.isProbeDue(START.plusSeconds(20)));
   }
 }
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -20,8 +20,8 @@
     MachineId first = new MachineId("n-1");
     MachineId second = new MachineId("n-2");
     JobFailures failures = new JobFailures();
-    failures.failedOn(first, start);
-    failures.failedOn(second, start.plusSeconds(20));
+    failures.recordFailure(first, start);
+    failures.recordFailure(second, start.plusSeconds(20));
     assertEquals(Set.of(first, second), failures.avoidedMachines(start.plusSeconds(30)));
     assertEquals(Set.of(second), failures.avoidedMachines(start.plusSeconds(50)));
     assertEquals(Set.of(), failures.avoidedMachines(start.plusSeconds(70)));
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -28,7 +28,7 @@
   @Test
   void aMachineThatRefusedATaskAcceptsTasksAfterAWhile() {
     assertTrue(health.acceptsTasks(NOW));
-    health.refusesTasksUntil(NOW.plusSeconds(5));
+    health.blockPlacementsUntil(NOW.plusSeconds(5));
     assertFalse(health.acceptsTasks(NOW.plusSeconds(5)));
     assertTrue(health.acceptsTasks(NOW.plusSeconds(5.1)));
   }
@@ -36,24 +36,24 @@
   @Test
   void eachOtherJobCountsOnceAndOnlyIfTheConditionHolds() {
     MachineFailures failures = health.failures();
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(OTHER_JOB);
-    assertEquals(2, failures.countOfOtherJobs(job -> true));
-    assertEquals(1, failures.countOfOtherJobs(JOB::equals));
-    assertEquals(0, failures.countOfHealthyJobs());
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(OTHER_JOB);
+    assertEquals(2, failures.unprovenJobCount(job -> true));
+    assertEquals(1, failures.unprovenJobCount(JOB::equals));
+    assertEquals(0, failures.healthyJobFailureCount());
   }
 
   @Test
   void allFailuresOfAJobThatProvesHealthyAreTheMachines() {
     MachineFailures failures = health.failures();
-    failures.healthyJobFailed();
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(JOB);
-    failures.jobIsHealthy(JOB);
-    assertEquals(3, failures.countOfHealthyJobs());
-    assertEquals(0, failures.countOfOtherJobs(job -> true));
+    failures.recordHealthyJobFailure();
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(JOB);
+    failures.markJobHealthy(JOB);
+    assertEquals(3, failures.healthyJobFailureCount());
+    assertEquals(0, failures.unprovenJobCount(job -> true));
     failures.clear();
-    assertEquals(0, failures.countOfHealthyJobs());
+    assertEquals(0, failures.healthyJobFailureCount());
   }
 }
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -61,7 +61,7 @@
   class CachedView {
     @BeforeEach
     void buildOnce() {
-      machine.useImage("old", 1, 10);
+      machine.recordImageUse("old", 1, 10);
       machine.reserve(reservation(JOB, 10));
       view(true);
       viewsBuilt = 0;
@@ -69,14 +69,14 @@
 
     static Stream<Named<Consumer<Machine>>> changes() {
       return Stream.of(
-          Named.of("description", m -> m.describe(MachineDescription.UNKNOWN)),
-          Named.of("provision time", m -> m.provisionedAt(NOW)),
-          Named.of("tasks", m -> m.tasks(List.of())),
-          Named.of("new image", m -> m.useImage("new", 1, 10)),
+          Named.of("description", m -> m.setDescription(MachineDescription.UNKNOWN)),
+          Named.of("provision time", m -> m.setProvisionedAt(NOW)),
+          Named.of("tasks", m -> m.setTasks(List.of())),
+          Named.of("new image", m -> m.recordImageUse("new", 1, 10)),
           Named.of("idle time", m -> m.markIdle(NOW)),
           Named.of("new reservation", m -> m.reserve(reservation(OTHER_JOB, 10))),
-          Named.of("dropped reservation", m -> m.dropReservation(JOB)),
-          Named.of("expired reservation", m -> m.expireReservations(NOW.plusSeconds(11))),
+          Named.of("dropped reservation", m -> m.removeReservation(JOB)),
+          Named.of("expired reservation", m -> m.removeExpiredReservations(NOW.plusSeconds(11))),
           Named.of("attempts", Machine::invalidateView));
     }
 
@@ -91,9 +91,9 @@
     static Stream<Named<Consumer<Machine>>> nonChanges() {
       return Stream.of(
           Named.of("nothing", m -> {}),
-          Named.of("an image that it holds", m -> m.useImage("old", 1, 10)),
-          Named.of("a reservation of another job", m -> m.dropReservation(OTHER_JOB)),
-          Named.of("a reservation that lasts", m -> m.expireReservations(NOW.plusSeconds(10))));
+          Named.of("an image that it holds", m -> m.recordImageUse("old", 1, 10)),
+          Named.of("a reservation of another job", m -> m.removeReservation(OTHER_JOB)),
+          Named.of("a reservation that lasts", m -> m.removeExpiredReservations(NOW.plusSeconds(10))));
     }
 
     @ParameterizedTest
@@ -121,7 +121,7 @@
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 10));
       machine.reserve(reservation(JOB, 20));
-      machine.dropReservation(JOB);
+      machine.removeReservation(JOB);
       assertEquals(
           List.of(reservation(OTHER_JOB, 10), reservation(JOB, 20)), machine.reservations());
     }
@@ -130,8 +130,8 @@
     void expireAfterTheirTime() {
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 20));
-      assertFalse(machine.expireReservations(NOW.plusSeconds(10)));
-      assertTrue(machine.expireReservations(NOW.plusSeconds(11)));
+      assertFalse(machine.removeExpiredReservations(NOW.plusSeconds(10)));
+      assertTrue(machine.removeExpiredReservations(NOW.plusSeconds(11)));
       assertEquals(List.of(reservation(OTHER_JOB, 20)), machine.reservations());
     }
 
@@ -154,8 +154,8 @@
   @Test
   void eachReplacementOfTasksIsANewRevision() {
     long before = machine.tasksRevision();
-    machine.tasks(List.of());
-    machine.tasks(List.of());
+    machine.setTasks(List.of());
+    machine.setTasks(List.of());
     assertEquals(before + 2, machine.tasksRevision());
   }
 }
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -85,7 +85,7 @@
     MachineTypeCatalog catalog = catalog(SMALL);
     Machine machine = fixture.machine("n-1");
     assertEquals(Optional.empty(), catalog.typeOf(machine));
-    machine.describe(MachineDescription.of("small", "east", false, List.of("east")));
+    machine.setDescription(MachineDescription.of("small", "east", false, List.of("east")));
     assertEquals(Optional.of(SMALL), catalog.typeOf(machine));
   }
 
@@ -93,7 +93,7 @@
   void aTypeOfTheSameNameIsReplacedInItsPlace() {
     MachineTypeCatalog catalog = catalog(SMALL, LARGE);
     MachineType changed = TestMachineTypes.type("small", 25, "east", "west");
-    catalog.learn(List.of(changed));
+    catalog.putAll(List.of(changed));
     assertEquals(Optional.of(changed), catalog.find("small"));
     assertEquals(List.of(changed, LARGE), List.copyOf(catalog.all()));
   }
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -24,26 +24,26 @@
   @Test
   void aStartMayArriveUntilItIsSettled() {
     assertFalse(starts.mayArrive(TASK, FIRST));
-    starts.sent(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
     assertTrue(starts.mayArrive(TASK, FIRST));
     assertFalse(starts.mayArrive(TASK, SECOND));
-    starts.settled(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertFalse(starts.mayArrive(TASK, FIRST));
   }
 
   @Test
   void aStartThatWasSentTwiceIsSettledTwice() {
-    starts.sent(TASK, FIRST);
-    starts.sent(TASK, FIRST);
-    starts.settled(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertTrue(starts.mayArrive(TASK, FIRST));
-    starts.settled(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertFalse(starts.mayArrive(TASK, FIRST));
   }
 
   @Test
   void theEndOfTheEpochSettlesAll() {
-    starts.sent(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
     starts.fence(new Term(5));
     starts.clear();
     assertFalse(starts.mayArrive(TASK, FIRST));
@@ -56,7 +56,7 @@
     @ParameterizedTest(name = "token {0} against fence 5")
     @CsvSource({"4, true", "5, false", "6, false"})
     void settlesEarlierStartsOnceTheWorkerHasSeenIt(long token, boolean mayArrive) {
-      starts.sent(TASK, FIRST);
+      starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
       assertTrue(starts.isFenced(TASK, FIRST));
       starts.observeFencingToken(new Term(token));
@@ -67,7 +67,7 @@
     @Test
     void doesNotConcernLaterStarts() {
       starts.fence(new Term(5));
-      starts.sent(TASK, SECOND);
+      starts.recordSent(TASK, SECOND);
       starts.observeFencingToken(new Term(5));
       assertFalse(starts.isFenced(TASK, SECOND));
       assertTrue(starts.mayArrive(TASK, SECOND));
@@ -76,12 +76,12 @@
     /** An attempt may be sent again after the fence; only the earlier copies are fenced. */
     @Test
     void settlesOnlyTheCopiesThatWereSentBefore() {
-      starts.sent(TASK, FIRST);
+      starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
-      starts.sent(TASK, FIRST);
+      starts.recordSent(TASK, FIRST);
       starts.observeFencingToken(new Term(5));
       assertTrue(starts.mayArrive(TASK, FIRST));
-      starts.settled(TASK, FIRST);
+      starts.settle(TASK, FIRST);
       assertFalse(starts.mayArrive(TASK, FIRST));
     }
   }
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -32,30 +32,30 @@
 
   @Test
   void aTaskIsShownUntilNoMachineListsIt() {
-    assertFalse(reportedTasks.isShown(TASK));
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(second, List.of(RUNNING));
-    reportedTasks.show(first, List.of());
-    assertTrue(reportedTasks.isShown(TASK));
-    reportedTasks.show(second, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+    assertFalse(reportedTasks.isReported(TASK));
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(second, List.of(RUNNING));
+    reportedTasks.update(first, List.of());
+    assertTrue(reportedTasks.isReported(TASK));
+    reportedTasks.update(second, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 
   @Test
   void aTaskThatHasEndedIsNotShown() {
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(first, List.of(ENDED));
-    assertFalse(reportedTasks.isShown(TASK));
-    reportedTasks.show(first, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(first, List.of(ENDED));
+    assertFalse(reportedTasks.isReported(TASK));
+    reportedTasks.update(first, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 
   @Test
   void aTaskThatIsListedAgainCountsOnce() {
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(first, List.of(RUNNING));
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(first, List.of(RUNNING));
     assertEquals(List.of(RUNNING), first.tasks());
-    reportedTasks.show(first, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+    reportedTasks.update(first, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 }
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -16,14 +16,14 @@
 
   @Test
   void aRetryGetsTheFirstSlotAtItsTimeOrLater() {
-    assertEquals(at(2), slots.take(at(2), ORIGIN));
-    assertEquals(at(4), slots.take(at(3.6), ORIGIN));
+    assertEquals(at(2), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(4), slots.reserve(at(3.6), ORIGIN));
   }
 
   @Test
   void aSlotIsGivenToOneRetryOnly() {
-    assertEquals(at(2), slots.take(at(2), ORIGIN));
-    assertEquals(at(2.5), slots.take(at(2), ORIGIN));
-    assertEquals(at(3), slots.take(at(2), at(1)));
+    assertEquals(at(2), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(2.5), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(3), slots.reserve(at(2), at(1)));
   }
 }
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -48,7 +48,7 @@
 
   private void failOnThreeMachines(SteadyTime now) {
     for (Machine machine : List.of(first, second, third)) {
-      failures.failed(machine, job, now);
+      failures.recordFailure(machine, job, now);
     }
   }
 
@@ -58,29 +58,29 @@
     @Test
     void startsAtTheSecondFailureOfAHealthyJob() {
       Job healthy = healthyJob("wk-2");
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
       assertFalse(first.health().isQuarantined(start));
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
       assertTrue(first.health().isQuarantined(start.plusSeconds(599)));
       assertFalse(first.health().isQuarantined(start.plusSeconds(600)));
     }
 
     @Test
     void startsAtTheFailureOfTheThirdOtherJob() {
-      failures.failed(first, job, start);
-      failures.failed(first, job, start);
-      failures.failed(first, job("wk-2"), start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job("wk-2"), start);
       assertFalse(first.health().isQuarantined(start));
-      failures.failed(first, job("wk-3"), start);
+      failures.recordFailure(first, job("wk-3"), start);
       assertTrue(first.health().isQuarantined(start));
     }
 
     @Test
     void doesNotStartWhereATaskSucceedsBetweenFailures() {
       Job healthy = healthyJob("wk-2");
-      failures.failed(first, healthy, start);
-      failures.succeeded(first, job("wk-3"), start);
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
+      failures.recordSuccess(first, job("wk-3"), start);
+      failures.recordFailure(first, healthy, start);
       assertFalse(first.health().isQuarantined(start));
     }
 
@@ -89,26 +89,26 @@
      */
     @Test
     void endsWhereAJobThatFailedThereFailsElsewhereToo() {
-      failures.failed(first, job, start);
-      failures.failed(first, job("wk-2"), start);
-      failures.failed(first, job("wk-3"), start);
-      failures.failed(second, job, start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job("wk-2"), start);
+      failures.recordFailure(first, job("wk-3"), start);
+      failures.recordFailure(second, job, start);
       assertFalse(first.health().isQuarantined(start));
     }
 
     @Test
     void startsWhereAJobThatFailedThereSucceedsElsewhere() {
-      failures.failed(first, job, start);
-      failures.failed(first, job, start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job, start);
       assertFalse(first.health().isQuarantined(start));
-      failures.succeeded(second, job, start);
+      failures.recordSuccess(second, job, start);
       assertTrue(first.health().isQuarantined(start));
     }
   }
 
   @Test
   void aMachineThatRefusedATaskGetsNoneForAWhile() {
-    failures.noRoom(first, start);
+    failures.recordRefusal(first, start);
     assertFalse(first.health().acceptsTasks(start.plusSeconds(4.9)));
     assertTrue(first.health().acceptsTasks(start.plusSeconds(5.1)));
   }
@@ -118,13 +118,13 @@
   class BackOff {
     @Test
     void startsAtTheFailureOnTheThirdMachine() {
-      failures.failed(first, job, start);
-      failures.failed(second, job, start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(second, job, start);
       assertFalse(backoff.isBlocked(job, start));
-      assertFalse(backoff.triesSingleTask(job, start));
-      failures.failed(third, job, start);
+      assertFalse(backoff.isLimitedToSingleTask(job, start));
+      failures.recordFailure(third, job, start);
       assertTrue(backoff.isBlocked(job, start));
-      assertTrue(backoff.triesSingleTask(job, start));
+      assertTrue(backoff.isLimitedToSingleTask(job, start));
       assertEquals(1, job.backoffLevel());
     }
 
@@ -149,24 +149,24 @@
     @Test
     void growsWithTheNextFailure() {
       failOnThreeMachines(start);
-      failures.failed(first, job, start.plusSeconds(10));
+      failures.recordFailure(first, job, start.plusSeconds(10));
       assertEquals(2, job.backoffLevel());
     }
 
     @Test
     void endsWithTheFirstSuccess() {
       failOnThreeMachines(start);
-      failures.succeeded(first, job, start);
+      failures.recordSuccess(first, job, start);
       assertEquals(0, job.backoffLevel());
       assertFalse(backoff.isBlocked(job, start));
-      assertFalse(backoff.triesSingleTask(job, start));
+      assertFalse(backoff.isLimitedToSingleTask(job, start));
     }
 
     @Test
     void isNotAppliedToAHealthyJob() {
       Job healthy = healthyJob("wk-2");
       for (Machine machine : List.of(first, second, third)) {
-        failures.failed(machine, healthy, start);
+        failures.recordFailure(machine, healthy, start);
       }
       assertEquals(0, healthy.backoffLevel());
       assertFalse(backoff.isBlocked(healthy, start));
@@ -184,7 +184,7 @@
 
   @Test
   void aJobWhoseDescriptionWasMissingIsBlockedForAWhile() {
-    failures.unknownJob(job, start);
+    failures.recordUnknownJob(job, start);
     assertTrue(backoff.isBlocked(job, start.plusSeconds(2.9)));
     assertFalse(backoff.isBlocked(job, start.plusSeconds(3)));
     assertEquals(0, job.backoffLevel());
@@ -192,9 +192,9 @@
 
   @Test
   void aJobAvoidsTheMachinesOnWhichItFailed() {
-    assertEquals(Set.of(), backoff.avoidedBy(job, start));
-    failures.failed(first, job, start);
-    assertEquals(Set.of(first.id()), backoff.avoidedBy(job, start));
-    assertEquals(Set.of(), backoff.avoidedBy(job, start.plusSeconds(46)));
+    assertEquals(Set.of(), backoff.avoidedMachines(job, start));
+    failures.recordFailure(first, job, start);
+    assertEquals(Set.of(first.id()), backoff.avoidedMachines(job, start));
+    assertEquals(Set.of(), backoff.avoidedMachines(job, start.plusSeconds(46)));
   }
 }
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -15,7 +15,7 @@
 
   private static Machine machine(String zone) {
     Machine machine = new Machine(new MachineId("n-1"), NOW, NOW);
-    machine.describe(MachineDescription.of("small", zone, false, ZONES));
+    machine.setDescription(MachineDescription.of("small", zone, false, ZONES));
     return machine;
   }
 
@@ -24,7 +24,7 @@
     Machine released = machine("east");
     released.cloud().markReleasing();
     Machine heard = machine("west");
-    heard.agent().heard(NOW);
+    heard.agent().recordMessage(NOW);
     List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), heard));
     machines.add(released);
     machines.add(machine("north"));
@@ -38,6 +38,6 @@
             ZONES.size(),
             machine -> machine.description().zone(),
             machine -> !machine.cloud().isReleasing(),
-            machine -> machine.agent().isHeard()));
+            machine -> machine.agent().hasReported()));
   }
 }
--- a/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
@@ -24,7 +24,7 @@
     for (int i = 0; i < count; i++) {
       MachineId id = new MachineId("n-" + machines.size());
       Machine machine = fixture.leadership.machines.findOrAdd(id, fixture.start);
-      machine.describe(MachineDescription.of("small", zone, false, ZONES));
+      machine.setDescription(MachineDescription.of("small", zone, false, ZONES));
       machines.add(machine);
     }
   }
@@ -68,7 +68,7 @@
   @Test
   void workersThatFoundTheLeaderByThemselvesAreLeftOut() {
     add(3, "east");
-    machines.get(0).agent().heard(fixture.leadership.now());
+    machines.get(0).agent().recordMessage(fixture.leadership.now());
     assertEquals(1, list());
     assertFalse(machines.get(0).agent().isTermAnnounced());
   }
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -44,7 +44,7 @@
     })
     void aListingIsCompleteInTheEnd(String script, double withinS) {
       fixture.cloud.listScript.addAll(List.of(script.split(" ")));
-      inventory.list();
+      inventory.start();
       fixture.runFor(withinS);
       assertTrue(fixture.isKnown(ScriptedCloud.FIRST), "machine of the first page registered");
       assertTrue(fixture.isKnown(ScriptedCloud.LAST), "machine of the last page registered");
@@ -55,7 +55,7 @@
       for (int i = 0; i < 20; i++) {
         fixture.cloud.listScript.add("limit");
       }
-      inventory.list();
+      inventory.start();
       fixture.runFor(5);
       assertEquals(RequestPriority.QUERY, fixture.cloud.listPriorities.get(0));
       assertEquals(RequestPriority.ATTEMPT, fixture.cloud.listPriorities.get(15));
@@ -79,7 +79,7 @@
       if (secondPage != null) {
         fixture.cloud.listScript.addAll(List.of("page", secondPage));
       }
-      inventory.list();
+      inventory.start();
       fixture.runFor(1);
       assertEquals(stillThere, fixture.isKnown(other));
       fixture.runFor(OLDEST_LIST_S + 10);
@@ -88,7 +88,7 @@
 
     @Test
     void anUnexpectedMachineIsDescribedByItsListing() {
-      inventory.list();
+      inventory.start();
       Machine machine = fixture.leadership.machines.find(ScriptedCloud.FIRST).orElseThrow();
       assertTrue(machine.description().matches("small", "east", false));
       assertEquals(fixture.start.plusSeconds(-5), machine.cloud().provisionedAt());
@@ -99,7 +99,7 @@
     void aMachineThatWasRemovedIsNotAddedAgain() {
       fixture.leadership.machines.findOrAdd(ScriptedCloud.FIRST, fixture.start);
       fixture.leadership.machines.remove(ScriptedCloud.FIRST);
-      inventory.list();
+      inventory.start();
       assertFalse(fixture.isKnown(ScriptedCloud.FIRST));
       assertTrue(fixture.isKnown(ScriptedCloud.LAST));
     }
@@ -110,7 +110,7 @@
       Job job = fixture.leadership.job(Specs.json("wk-1", "batch", 1));
       Attempt attempt = fixture.leadership.open(job, 0, machine);
       fixture.cloud.listedState = ListedMachine.State.FAILED;
-      inventory.list();
+      inventory.start();
       assertTrue(machine.cloud().isTerminated());
       assertTrue(machine.cloud().isReleasing());
       assertFalse(job.openAttempts().contains(attempt));
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -148,9 +148,9 @@
     void theRecordIsKeptUntilAllMachinesAreSeen() {
       answer("machines");
       provision();
-      provisioner.seen(FIRST);
+      provisioner.markSeen(FIRST);
       assertEquals(1, recorded());
-      provisioner.seen(SECOND);
+      provisioner.markSeen(SECOND);
       assertEquals(0, recorded());
     }
 
--- a/src/test/java/org/ternhinge/scaling/ScalingFixture.java
+++ b/src/test/java/org/ternhinge/scaling/ScalingFixture.java
@@ -63,14 +63,14 @@
   /** Adds a machine that was provisioned and has not sent a heartbeat. */
   Machine bootingMachine(String name) {
     Machine machine = leadership.machines.findOrAdd(new MachineId(name), leadership.now());
-    machine.describe(MachineDescription.of("small", "east", false, List.of("east")));
+    machine.setDescription(MachineDescription.of("small", "east", false, List.of("east")));
     return machine;
   }
 
   /** Adds a machine that has just sent a heartbeat. */
   Machine runningMachine(String name) {
     Machine machine = bootingMachine(name);
-    machine.agent().heard(leadership.now());
+    machine.agent().recordMessage(leadership.now());
     return machine;
   }
 
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -41,15 +41,15 @@
 
   private void makeUnusable(Machine machine, ReleaseReason reason) {
     switch (reason) {
-      case NEVER_UP -> machine.provisionedAt(start.plusSeconds(-1000));
-      case SILENT -> machine.agent().heard(start);
+      case BOOT_TIMEOUT -> machine.setProvisionedAt(start.plusSeconds(-1000));
+      case SILENT -> machine.agent().recordMessage(start);
       case UNREACHABLE -> {
-        machine.agent().heard(start);
+        machine.agent().recordMessage(start);
         machine.agent().extendLease(start.plusSeconds(1000));
-        machine.health().reachability().leaseLapsed(start, () -> true);
+        machine.health().reachability().recordLeaseExpiry(start, () -> true);
       }
       case QUARANTINED -> {
-        machine.agent().heard(start);
+        machine.agent().recordMessage(start);
         machine.agent().extendLease(start.plusSeconds(1000));
         quarantine(machine);
       }
@@ -62,7 +62,7 @@
         new TaskFailures(fixture.leadership.ledger, fixture.leadership.machines, 20, start);
     for (int i = 1; i <= 3; i++) {
       Job job = fixture.leadership.job(Specs.json("wk-" + i, "batch", 1));
-      failures.failed(machine, job, start.plusSeconds(100));
+      failures.recordFailure(machine, job, start.plusSeconds(100));
     }
   }
 
@@ -94,7 +94,7 @@
   @Test
   void aTerminatedMachineIsNotReleasedAgain() {
     Machine machine = fixture.bootingMachine("n-1");
-    makeUnusable(machine, ReleaseReason.NEVER_UP);
+    makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
     machine.cloud().markTerminated();
     assertFalse(isReleased(machine, 100));
   }
@@ -110,7 +110,7 @@
   @CsvSource({"64, false", "66, true"})
   void aMachineThatIsListedAsRunningHasTimeForItsFirstHeartbeat(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
-    machine.cloud().listed(start, true);
+    machine.cloud().recordListing(start, true);
     assertEquals(released, isReleased(machine, afterS));
   }
 
@@ -122,7 +122,7 @@
   @CsvSource({"3, false", "5, true"})
   void noMachineIsGivenUpBeforeWorkersHadTimeToFindTheLeader(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
-    makeUnusable(machine, ReleaseReason.NEVER_UP);
+    makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
     assertEquals(released, isReleased(machine, afterS));
   }
 
@@ -143,7 +143,7 @@
 
   @Test
   void reasonsAreLoggedInWords() {
-    assertEquals("no heartbeat within the boot time-out", ReleaseReason.NEVER_UP.toString());
+    assertEquals("no heartbeat within the boot time-out", ReleaseReason.BOOT_TIMEOUT.toString());
     assertEquals("no heartbeat since the lease expired", ReleaseReason.SILENT.toString());
     assertEquals("unreachable by commands", ReleaseReason.UNREACHABLE.toString());
     assertEquals("quarantined", ReleaseReason.QUARANTINED.toString());
