--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -42,7 +42,7 @@
 
   /** Delayed messages must not replace newer state. */
   @Nested
-  class OrderOfMessages {
+  class MessageOrder {
     /** The newest message has sequence number 7 in epoch 3, and epochs up to 2 have ended. */
     @ParameterizedTest(name = "epoch {0}, sequence {1}")
     @CsvSource({
@@ -53,7 +53,7 @@
       "2, 9, true",
       "1, 9, true"
     })
-    void aMessageThatIsNotNewerIsOutdated(long epoch, long sequence, boolean outdated) {
+    void messageNotNewerIsOutdated(long epoch, long sequence, boolean outdated) {
       agent.endEpochsUpTo(new AgentEpoch(2));
       agent.beginEpoch(new AgentEpoch(3));
       agent.setSequence(7);
@@ -64,7 +64,7 @@
      * An epoch known from an attempt may end by lease expiry before any of its messages arrives.
      */
     @Test
-    void aMessageOfAnEndedEpochIsOutdatedAlthoughItIsNewer() {
+    void newerMessageOfEndedEpochIsOutdated() {
       agent.beginEpoch(new AgentEpoch(3));
       agent.endEpochsUpTo(new AgentEpoch(5));
       assertTrue(agent.isOutdated(message(5, 1)));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void anEpochIsOpenUntilItEnds() {
+    void epochIsOpenUntilItEnds() {
       agent.beginEpoch(new AgentEpoch(3));
       assertTrue(agent.isEpochOpen());
       agent.endEpochsUpTo(new AgentEpoch(3));
@@ -97,7 +97,7 @@
 
     @ParameterizedTest
     @CsvSource({"29, false", "30, false", "30.1, true"})
-    void expiresAfterItsTime(double afterS, boolean expired) {
+    void expiresAfterExpiryTime(double afterS, boolean expired) {
       assertEquals(expired, agent.isLeaseExpired(NOW.plusSeconds(afterS)));
     }
   }
@@ -130,7 +130,7 @@
   @Nested
   class Terms {
     @Test
-    void theFencingTokenOnlyRises() {
+    void fencingTokenNeverDecreases() {
       agent.observeFencingToken(new Term(4));
       agent.observeFencingToken(new Term(3));
       assertEquals(new Term(4), agent.fencingToken());
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void theTermOfTheLastAnswerCounts() {
+    void termOfLastAnswerIsKept() {
       assertFalse(agent.wasAnswered());
       agent.recordAnswer(new Term(4));
       assertTrue(agent.wasAnswered());
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anAnnouncementIsRemembered() {
+    void announcementIsRecorded() {
       assertFalse(agent.isTermAnnounced());
       agent.markTermAnnounced();
       assertTrue(agent.isTermAnnounced());
@@ -160,13 +160,13 @@
   @Nested
   class Address {
     @Test
-    void isUnknownAtFirst() {
+    void isInitiallyUnknown() {
       assertFalse(agent.hasEndpoint());
       assertEquals(Optional.empty(), agent.endpoint());
     }
 
     @Test
-    void isReplacedByANewerOne() {
+    void isReplacedByNewerOne() {
       agent.setEndpoint("10.0.1.1:9000");
       agent.setEndpoint("10.0.1.2:9000");
       assertTrue(agent.hasEndpoint());
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void isKeptWhereTheNewerOneCanNotBeRead() {
+    void isKeptIfNewerOneIsInvalid() {
       agent.setEndpoint("10.0.1.1:9000");
       assertThrows(IllegalArgumentException.class, () -> agent.setEndpoint("nowhere"));
       assertEquals(Optional.of(new Endpoint("10.0.1.1", 9000)), agent.endpoint());
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -37,7 +37,7 @@
     return machine;
   }
 
-  private void comeUp(Machine machine, double afterS) {
+  private void recordBoot(Machine machine, double afterS) {
     SteadyTime now = start.plusSeconds(afterS);
     machine.agent().recordMessage(now);
     bootTimes.recordBoot(machine, now);
@@ -47,7 +47,7 @@
     return bootTimes.lateMachines(start.plusSeconds(seconds));
   }
 
-  static Stream<Named<Consumer<Machine>>> reasonsNotToWait() {
+  static Stream<Named<Consumer<Machine>>> nonBootingStates() {
     return Stream.of(
         Named.of("heard", m -> m.agent().recordMessage(new SteadyTime(0))),
         Named.of("released", m -> m.cloud().markReleasing()),
@@ -57,35 +57,35 @@
 
   /** Machines that do not count as expected capacity. */
   @Nested
-  class Late {
+  class LateMachines {
     /** Two other machines came up in the nominal time. */
     @ParameterizedTest
     @CsvSource({"30, false", "33, false", "33.1, true", "60, true"})
-    void isAMachineBeyondTheUsualSpread(double afterS, boolean late) {
-      comeUp(provision("n-1"), BOOT_S);
-      comeUp(provision("n-2"), BOOT_S);
+    void includesMachineBeyondOverdueFactor(double afterS, boolean late) {
+      recordBoot(provision("n-1"), BOOT_S);
+      recordBoot(provision("n-2"), BOOT_S);
       Machine machine = provision("n-3");
       assertEquals(late ? Set.of(machine.id()) : Set.of(), lateAfter(afterS));
     }
 
     @ParameterizedTest
-    @MethodSource("org.ternhinge.machine.BootTimesTest#reasonsNotToWait")
-    void isNoMachineThatIsNotBooting(Consumer<Machine> reason) {
-      comeUp(provision("n-1"), BOOT_S);
-      comeUp(provision("n-2"), BOOT_S);
-      reason.accept(provision("n-3"));
+    @MethodSource("org.ternhinge.machine.BootTimesTest#nonBootingStates")
+    void excludesMachineNotBooting(Consumer<Machine> change) {
+      recordBoot(provision("n-1"), BOOT_S);
+      recordBoot(provision("n-2"), BOOT_S);
+      change.accept(provision("n-3"));
       assertEquals(Set.of(), lateAfter(60));
     }
 
     @Test
-    void isNoMachineOfAnUnknownType() {
+    void excludesMachineOfUnknownType() {
       machines.findOrAdd(new MachineId("n-1"), start);
       assertEquals(Set.of(), lateAfter(600));
     }
 
     /** If all of them counted as late, replacing them would only double the cost. */
     @Test
-    void isOnlyAQuarterOfTheMachinesWhereMostAreSlow() {
+    void includesQuarterOfMachinesIfMostAreSlow() {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
@@ -97,12 +97,12 @@
   @Nested
   class ExpectedTime {
     @Test
-    void isTheNominalOneWithoutObservations() {
+    void isNominalWithoutObservations() {
       assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
     }
 
     @Test
-    void growsInTheZoneWhereMachinesAreSlow() {
+    void growsInZoneWithSlowMachines() {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
@@ -112,9 +112,9 @@
     }
 
     @Test
-    void forgetsBootsAfterFiveMinutes() {
+    void excludesBootsOlderThanFiveMinutes() {
       for (int i = 0; i < 8; i++) {
-        comeUp(provision("n-" + i), 60);
+        recordBoot(provision("n-" + i), 60);
       }
       lateAfter(61);
       assertEquals(60, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
@@ -127,11 +127,11 @@
      * leader.
      */
     @Test
-    void ignoresMachinesOfAnEarlierLeadership() {
+    void excludesMachinesOfEarlierLeadership() {
       for (int i = 0; i < 8; i++) {
         Machine machine = provision("n-" + i);
         machine.setProvisionedAt(start.plusSeconds(-100));
-        comeUp(machine, 10);
+        recordBoot(machine, 10);
       }
       lateAfter(11);
       assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
@@ -140,17 +140,17 @@
 
   /** Machines that have exceeded their boot time-out. */
   @Nested
-  class GivenUp {
+  class BootTimeout {
     /** The time-out is the larger of three boot times and 45 s in addition to one. */
     @ParameterizedTest
     @CsvSource({"60, false", "65, false", "65.1, true"})
-    void isAMachineThatProbablyNeverComesUp(double afterS, boolean givenUp) {
+    void timesOutAfterThreeBootTimesOrMargin(double afterS, boolean givenUp) {
       assertEquals(givenUp, bootTimes.hasBootTimedOut(provision("n-1"), start.plusSeconds(afterS)));
     }
 
     @ParameterizedTest
     @CsvSource({"66, false", "160, false", "160.1, true"})
-    void isAMachineLaterWhereMostAreSlow(double afterS, boolean givenUp) {
+    void timesOutLaterIfMostAreSlow(double afterS, boolean givenUp) {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
@@ -160,11 +160,11 @@
     }
 
     @ParameterizedTest
-    @MethodSource("org.ternhinge.machine.BootTimesTest#reasonsNotToWait")
-    void isNoMachineThatIsNotBooting(Consumer<Machine> reason) {
+    @MethodSource("org.ternhinge.machine.BootTimesTest#nonBootingStates")
+    void excludesMachineNotBooting(Consumer<Machine> change) {
       Machine machine = provision("n-1");
       assertTrue(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
-      reason.accept(machine);
+      change.accept(machine);
       assertFalse(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
     }
   }
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -20,7 +20,7 @@
   private final CloudStatus cloud = new CloudStatus(NOW);
 
   @Test
-  void aMachineThatWasNeverListedExistedWhenItBecameKnown() {
+  void unlistedMachineIsConfirmedByDiscovery() {
     assertFalse(cloud.isListed());
     assertFalse(cloud.isListedRunning());
     assertEquals(NOW, cloud.discoveredAt());
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void theLastListingCounts() {
+  void lastListingIsKept() {
     cloud.recordListing(NOW, true);
     assertTrue(cloud.isListedRunning());
     cloud.recordListing(LATER, false);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void theFirstReclaimNoticeStands() {
+  void firstReclaimNoticeIsKept() {
     assertEquals(Optional.empty(), cloud.reclaimAt());
     assertFalse(cloud.hasReclaimNotice());
     cloud.recordReclaimNotice(NOW);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void theProvisionTimeIsThatOfDiscoveryUntilItIsKnown() {
+  void provisionTimeDefaultsToDiscoveryTime() {
     assertEquals(NOW, cloud.provisionedAt());
     assertTrue(cloud.provisionedAt().isBefore(LATER));
     cloud.setProvisionedAt(LATER);
@@ -65,7 +65,7 @@
 
   @ParameterizedTest
   @MethodSource("departures")
-  void aMachineStaysUntilItIs(Consumer<CloudStatus> departure) {
+  void machineIsRetainedUntil(Consumer<CloudStatus> departure) {
     assertTrue(cloud.isRetained());
     departure.accept(cloud);
     assertFalse(cloud.isRetained());
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void commandsLeaveInTheOrderInWhichTheyCame() {
+  void commandsAreTakenInFifoOrder() {
     outbox.add(command(0));
     outbox.add(command(1));
     assertEquals(command(0), outbox.take());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void clearingDropsWhatWaitsAndNotWhatIsInFlight() {
+  void clearDiscardsQueueButNotMessageInFlight() {
     outbox.add(command(0));
     outbox.markInFlight();
     outbox.clear();
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aPauseEndsAtItsTime() {
+  void pauseEndsAtGivenTime() {
     assertFalse(outbox.isPaused(NOW));
     outbox.pauseUntil(NOW.plusSeconds(2));
     assertTrue(outbox.isPaused(NOW.plusSeconds(1.9)));
--- a/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
@@ -23,7 +23,7 @@
     "NN, false", "NNN, true", "NNEN, false", "NNAN, false", "L, true", "EL, true",
     "NNNE, true", "NNNA, false", "nnn, false", "nnnN, true", "l, false", "lN, true"
   })
-  void commandsAreLost(String events, boolean lost) {
+  void eventsDetermineReachability(String events, boolean unreachable) {
     for (int i = 0; i < events.length(); i++) {
       char event = events.charAt(i);
       boolean othersReachable = Character.isUpperCase(event);
@@ -34,12 +34,12 @@
         default -> reachability.recordProbeAnswer();
       }
     }
-    assertEquals(lost, reachability.isUnreachable());
-    assertEquals(lost ? 7 : 0, reachability.unreachableForS(START.plusSeconds(7)), 1e-9);
+    assertEquals(unreachable, reachability.isUnreachable());
+    assertEquals(unreachable ? 7 : 0, reachability.unreachableForS(START.plusSeconds(7)), 1e-9);
   }
 
   @Test
-  void aMachineIsProbedAtIntervalsWhileCommandsAreLost() {
+  void unreachableMachineIsProbedAtIntervals() {
     assertFalse(reachability.isProbeDue(START));
     reachability.recordLeaseExpiry(START, () -> true);
     assertTrue(reachability.isProbeDue(START));
--- a/src/test/java/org/ternhinge/machine/ImageCacheTest.java
+++ b/src/test/java/org/ternhinge/machine/ImageCacheTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void onlyAnImageThatWasNotThereIsNew() {
+  void onlyAbsentImageIsNew() {
     assertTrue(use("first", 4));
     assertFalse(use("first", 4));
     assertTrue(cache.contains("first"));
@@ -25,14 +25,14 @@
   }
 
   @Test
-  void imagesAreKeptUpToTheCapacity() {
+  void imagesAreKeptUpToCapacity() {
     use("first", 4);
     use("second", 6);
     assertEquals(Set.of("first", "second"), cache.names());
   }
 
   @Test
-  void theLeastRecentlyUsedImageIsEvictedFirst() {
+  void leastRecentlyUsedImageIsEvictedFirst() {
     use("first", 4);
     use("second", 4);
     use("first", 4);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void asManyImagesAreEvictedAsNecessary() {
+  void imagesAreEvictedUntilCapacitySuffices() {
     use("first", 4);
     use("second", 4);
     use("third", 9);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anImageAboveTheCapacityIsKeptAlone() {
+  void imageLargerThanCapacityIsKeptAlone() {
     use("first", 4);
     use("huge", 12);
     assertEquals(Set.of("huge"), cache.names());
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -15,7 +15,7 @@
    * would do so if it avoided them indefinitely.
    */
   @Test
-  void aMachineIsAvoidedForAWhileAndCountedForEver() {
+  void machineIsAvoidedTemporarilyButStaysCounted() {
     SteadyTime start = new SimClock().now();
     MachineId first = new MachineId("n-1");
     MachineId second = new MachineId("n-2");
--- a/src/test/java/org/ternhinge/machine/MachineDescriptionTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineDescriptionTest.java
@@ -14,7 +14,7 @@
 
   @ParameterizedTest
   @CsvSource({"east, 0", "west, 1", "north, -1"})
-  void theIndexOfAZoneIsThatInTheSettings(String zone, int index) {
+  void zoneIndexIsPositionInSettings(String zone, int index) {
     assertEquals(index, MachineDescription.of("small", zone, false, ZONES).zone());
   }
 
@@ -25,13 +25,13 @@
     "small, west, true, false",
     "small, east, false, false"
   })
-  void matchesOnlyTheSameAttributes(String type, String zone, boolean spot, boolean matches) {
+  void onlyEqualAttributesMatch(String type, String zone, boolean spot, boolean matches) {
     MachineDescription description = MachineDescription.of("small", "east", true, ZONES);
     assertEquals(matches, description.matches(type, zone, spot));
   }
 
   @Test
-  void anUnknownDescriptionMatchesNothing() {
+  void unknownDescriptionMatchesNothing() {
     assertFalse(MachineDescription.UNKNOWN.isKnown());
     assertFalse(MachineDescription.UNKNOWN.matches("", "", false));
   }
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -16,7 +16,7 @@
   private final MachineHealth health = new MachineHealth();
 
   @Test
-  void aQuarantineEndsAtItsTimeOrBefore() {
+  void quarantineEndsAtGivenTimeOrOnRequest() {
     assertFalse(health.isQuarantined(NOW));
     health.quarantineUntil(NOW.plusSeconds(600));
     assertTrue(health.isQuarantined(NOW.plusSeconds(599)));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aMachineThatRefusedATaskAcceptsTasksAfterAWhile() {
+  void machineAcceptsTasksAfterRefusalPause() {
     assertTrue(health.acceptsTasks(NOW));
     health.blockPlacementsUntil(NOW.plusSeconds(5));
     assertFalse(health.acceptsTasks(NOW.plusSeconds(5)));
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void eachOtherJobCountsOnceAndOnlyIfTheConditionHolds() {
+  void unprovenJobCountsOnceIfConditionHolds() {
     MachineFailures failures = health.failures();
     failures.recordUnprovenJobFailure(JOB);
     failures.recordUnprovenJobFailure(JOB);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void allFailuresOfAJobThatProvesHealthyAreTheMachines() {
+  void failuresOfProvenJobAreAttributedToMachine() {
     MachineFailures failures = health.failures();
     failures.recordHealthyJobFailure();
     failures.recordUnprovenJobFailure(JOB);
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -17,21 +17,21 @@
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final MachineId FIRST = new MachineId("n-1");
   private static final MachineId SECOND = new MachineId("n-2");
-  private final SteadyTime leaseEnd = NOW.plusSeconds(40);
-  private final MachineRegistry registry = new MachineRegistry(leaseEnd);
+  private final SteadyTime leaseExpiry = NOW.plusSeconds(40);
+  private final MachineRegistry registry = new MachineRegistry(leaseExpiry);
 
   @Test
-  void machinesAreKeptInOrderOfTheirNames() {
+  void machinesAreSortedByName() {
     Machine second = registry.findOrAdd(SECOND, NOW);
     Machine first = registry.findOrAdd(FIRST, NOW);
     assertSame(first, registry.findOrAdd(FIRST, NOW.plusSeconds(1)));
     assertEquals(List.of(first, second), List.copyOf(registry.all()));
-    assertEquals(leaseEnd, first.agent().leaseExpiry());
+    assertEquals(leaseExpiry, first.agent().leaseExpiry());
   }
 
   /** A delayed heartbeat must not register a removed machine again. */
   @Test
-  void aRemovedMachineIsRemembered() {
+  void removedMachineIsRecorded() {
     registry.findOrAdd(FIRST, NOW);
     assertFalse(registry.wasRemoved(FIRST));
     registry.remove(FIRST);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void onlyAMachineThatWasAddedIsFound() {
+  void onlyAddedMachineIsFound() {
     assertEquals(Optional.empty(), registry.find(FIRST));
     Machine first = registry.findOrAdd(FIRST, NOW);
     assertEquals(Optional.of(first), registry.find(FIRST));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void machinesAreRemovedByTheRegistryAlone() {
+  void viewOfMachinesIsUnmodifiable() {
     registry.findOrAdd(FIRST, NOW);
     assertThrows(UnsupportedOperationException.class, () -> registry.all().clear());
   }
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -60,7 +60,7 @@
   @Nested
   class CachedView {
     @BeforeEach
-    void buildOnce() {
+    void prepareView() {
       machine.recordImageUse("old", 1, 10);
       machine.reserve(reservation(JOB, 10));
       view(true);
@@ -82,7 +82,7 @@
 
     @ParameterizedTest
     @MethodSource("changes")
-    void isBuiltAgainAfterAChangeOf(Consumer<Machine> change) {
+    void isRebuiltAfterChange(Consumer<Machine> change) {
       change.accept(machine);
       view(true);
       assertEquals(1, viewsBuilt);
@@ -98,7 +98,7 @@
 
     @ParameterizedTest
     @MethodSource("nonChanges")
-    void isKeptAfter(Consumer<Machine> nonChange) {
+    void isKeptWithoutChange(Consumer<Machine> nonChange) {
       Snapshot.MachineView before = view(true);
       nonChange.accept(machine);
       assertSame(before, view(true));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void isBuiltAgainWhenReadinessChanges() {
+    void isRebuiltWhenReadinessChanges() {
       assertFalse(view(false).ready());
       assertTrue(view(true).ready());
       assertEquals(2, viewsBuilt);
@@ -117,7 +117,7 @@
   @Nested
   class Reservations {
     @Test
-    void areDroppedOneAtATime() {
+    void areRemovedOneAtATime() {
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 10));
       machine.reserve(reservation(JOB, 20));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void expireAfterTheirTime() {
+    void expireAfterEndTime() {
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 20));
       assertFalse(machine.removeExpiredReservations(NOW.plusSeconds(10)));
@@ -136,14 +136,14 @@
     }
 
     @Test
-    void canNotBeChangedFromOutside() {
+    void areUnmodifiable() {
       List<Machine.Reservation> view = machine.reservations();
       assertThrows(UnsupportedOperationException.class, () -> view.add(reservation(JOB, 10)));
     }
   }
 
   @Test
-  void aNewMachineIsIdleAndUnknown() {
+  void newMachineIsIdleAndUnknown() {
     assertFalse(machine.description().isKnown());
     assertEquals(NOW, machine.idleSince());
     assertEquals(List.of(), machine.tasks());
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void eachReplacementOfTasksIsANewRevision() {
+  void eachReplacementOfTasksIncrementsRevision() {
     long before = machine.tasksRevision();
     machine.setTasks(List.of());
     machine.setTasks(List.of());
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -75,13 +75,13 @@
 
   /** Each scheduling round looks up the type of every machine. */
   @Test
-  void aLookUpAllocatesNothing() {
+  void lookUpDoesNotAllocate() {
     MachineTypeCatalog catalog = catalog(SMALL);
     assertSame(catalog.find("small"), catalog.find("small"));
   }
 
   @Test
-  void theTypeOfAMachineIsUnknownUntilTheMachineIsDescribed() {
+  void typeOfMachineIsUnknownUntilDescribed() {
     MachineTypeCatalog catalog = catalog(SMALL);
     Machine machine = fixture.machine("n-1");
     assertEquals(Optional.empty(), catalog.typeOf(machine));
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aTypeOfTheSameNameIsReplacedInItsPlace() {
+  void typeWithSameNameIsReplacedInPlace() {
     MachineTypeCatalog catalog = catalog(SMALL, LARGE);
     MachineType changed = TestMachineTypes.type("small", 25, "east", "west");
     catalog.putAll(List.of(changed));
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void typesAreReadAgainAfterAMinute() {
+  void typesAreRefreshedAfterOneMinute() {
     answers.add(Outcome.applied(List.of(SMALL)));
     answers.add(Outcome.applied(List.of(LARGE)));
     MachineTypeCatalog catalog = catalog();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aRefreshThatFailedIsRetriedSooner() {
+  void failedRefreshIsRetriedSooner() {
     answers.add(Outcome.notApplied(Reason.REFUSED, "unavailable"));
     answers.add(Outcome.unknown("no answer"));
     answers.add(Outcome.applied(List.of(SMALL)));
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -22,7 +22,7 @@
   private final OutstandingStarts starts = new OutstandingStarts();
 
   @Test
-  void aStartMayArriveUntilItIsSettled() {
+  void startMayArriveUntilSettled() {
     assertFalse(starts.mayArrive(TASK, FIRST));
     starts.recordSent(TASK, FIRST);
     assertTrue(starts.mayArrive(TASK, FIRST));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void aStartThatWasSentTwiceIsSettledTwice() {
+  void startSentTwiceIsSettledTwice() {
     starts.recordSent(TASK, FIRST);
     starts.recordSent(TASK, FIRST);
     starts.settle(TASK, FIRST);
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void theEndOfTheEpochSettlesAll() {
+  void endOfEpochDiscardsAllStarts() {
     starts.recordSent(TASK, FIRST);
     starts.fence(new Term(5));
     starts.clear();
@@ -55,7 +55,7 @@
   class Fence {
     @ParameterizedTest(name = "token {0} against fence 5")
     @CsvSource({"4, true", "5, false", "6, false"})
-    void settlesEarlierStartsOnceTheWorkerHasSeenIt(long token, boolean mayArrive) {
+    void settlesEarlierStartsOnceWorkerHasSeenIt(long token, boolean mayArrive) {
       starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
       assertTrue(starts.isFenced(TASK, FIRST));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void doesNotConcernLaterStarts() {
+    void doesNotAffectLaterStarts() {
       starts.fence(new Term(5));
       starts.recordSent(TASK, SECOND);
       starts.observeFencingToken(new Term(5));
@@ -75,7 +75,7 @@
 
     /** An attempt may be sent again after the fence; only the earlier copies are fenced. */
     @Test
-    void settlesOnlyTheCopiesThatWereSentBefore() {
+    void settlesOnlyCopiesSentBefore() {
       starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
       starts.recordSent(TASK, FIRST);
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aTaskIsShownUntilNoMachineListsIt() {
+  void taskIsReportedUntilNoMachineListsIt() {
     assertFalse(reportedTasks.isReported(TASK));
     reportedTasks.update(first, List.of(RUNNING));
     reportedTasks.update(second, List.of(RUNNING));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aTaskThatHasEndedIsNotShown() {
+  void endedTaskIsNotReported() {
     reportedTasks.update(first, List.of(RUNNING));
     reportedTasks.update(first, List.of(ENDED));
     assertFalse(reportedTasks.isReported(TASK));
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aTaskThatIsListedAgainCountsOnce() {
+  void taskListedAgainCountsOnce() {
     reportedTasks.update(first, List.of(RUNNING));
     reportedTasks.update(first, List.of(RUNNING));
     assertEquals(List.of(RUNNING), first.tasks());
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -15,13 +15,13 @@
   }
 
   @Test
-  void aRetryGetsTheFirstSlotAtItsTimeOrLater() {
+  void retryGetsFirstSlotAtOrAfterItsTime() {
     assertEquals(at(2), slots.reserve(at(2), ORIGIN));
     assertEquals(at(4), slots.reserve(at(3.6), ORIGIN));
   }
 
   @Test
-  void aSlotIsGivenToOneRetryOnly() {
+  void slotIsReservedForOneRetry() {
     assertEquals(at(2), slots.reserve(at(2), ORIGIN));
     assertEquals(at(2.5), slots.reserve(at(2), ORIGIN));
     assertEquals(at(3), slots.reserve(at(2), at(1)));
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -56,7 +56,7 @@
   @Nested
   class Quarantine {
     @Test
-    void startsAtTheSecondFailureOfAHealthyJob() {
+    void startsAtSecondFailureOfHealthyJob() {
       Job healthy = healthyJob("wk-2");
       failures.recordFailure(first, healthy, start);
       assertFalse(first.health().isQuarantined(start));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void startsAtTheFailureOfTheThirdOtherJob() {
+    void startsAtFailureOfThirdUnprovenJob() {
       failures.recordFailure(first, job, start);
       failures.recordFailure(first, job, start);
       failures.recordFailure(first, job("wk-2"), start);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void doesNotStartWhereATaskSucceedsBetweenFailures() {
+    void doesNotStartIfTaskSucceedsBetweenFailures() {
       Job healthy = healthyJob("wk-2");
       failures.recordFailure(first, healthy, start);
       failures.recordSuccess(first, job("wk-3"), start);
@@ -88,7 +88,7 @@
      * The job also fails on a second machine, so its failure no longer counts against the first.
      */
     @Test
-    void endsWhereAJobThatFailedThereFailsElsewhereToo() {
+    void endsIfJobAlsoFailsElsewhere() {
       failures.recordFailure(first, job, start);
       failures.recordFailure(first, job("wk-2"), start);
       failures.recordFailure(first, job("wk-3"), start);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void startsWhereAJobThatFailedThereSucceedsElsewhere() {
+    void startsIfJobSucceedsElsewhere() {
       failures.recordFailure(first, job, start);
       failures.recordFailure(first, job, start);
       assertFalse(first.health().isQuarantined(start));
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void aMachineThatRefusedATaskGetsNoneForAWhile() {
+  void machineRefusesTasksForPauseAfterRefusal() {
     failures.recordRefusal(first, start);
     assertFalse(first.health().acceptsTasks(start.plusSeconds(4.9)));
     assertTrue(first.health().acceptsTasks(start.plusSeconds(5.1)));
@@ -117,7 +117,7 @@
   @Nested
   class BackOff {
     @Test
-    void startsAtTheFailureOnTheThirdMachine() {
+    void startsAtFailureOnThirdMachine() {
       failures.recordFailure(first, job, start);
       failures.recordFailure(second, job, start);
       assertFalse(backoff.isBlocked(job, start));
@@ -130,7 +130,7 @@
 
     /** Tasks that ran concurrently may fail simultaneously. */
     @Test
-    void countsFailuresWhileItLastsAsOneTry() {
+    void countsFailuresDuringBackOffAsOneTry() {
       failOnThreeMachines(start);
       failOnThreeMachines(start.plusSeconds(1));
       assertEquals(1, job.backoffLevel());
@@ -138,7 +138,7 @@
 
     @ParameterizedTest(name = "level {0}")
     @CsvSource({"1, 2", "2, 4", "3, 8", "5, 32", "6, 60", "9, 60"})
-    void doublesUpToAMinute(int level, double seconds) {
+    void doublesUpToOneMinute(int level, double seconds) {
       fixture.ledger.setBackoffLevel(job, level);
       backoff.recover(List.of(job), start);
       assertEquals(level, job.backoffLevel());
@@ -147,14 +147,14 @@
     }
 
     @Test
-    void growsWithTheNextFailure() {
+    void growsWithNextFailure() {
       failOnThreeMachines(start);
       failures.recordFailure(first, job, start.plusSeconds(10));
       assertEquals(2, job.backoffLevel());
     }
 
     @Test
-    void endsWithTheFirstSuccess() {
+    void endsWithFirstSuccess() {
       failOnThreeMachines(start);
       failures.recordSuccess(first, job, start);
       assertEquals(0, job.backoffLevel());
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void isNotAppliedToAHealthyJob() {
+    void isNotAppliedToHealthyJob() {
       Job healthy = healthyJob("wk-2");
       for (Machine machine : List.of(first, second, third)) {
         failures.recordFailure(machine, healthy, start);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void blocksFurtherTasksWhileOneIsTried() {
+    void blocksFurtherTasksDuringTry() {
       failOnThreeMachines(start);
       SteadyTime later = start.plusSeconds(10);
       assertFalse(backoff.isBlocked(job, later));
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void aJobWhoseDescriptionWasMissingIsBlockedForAWhile() {
+  void jobUnknownToWorkerIsBlockedTemporarily() {
     failures.recordUnknownJob(job, start);
     assertTrue(backoff.isBlocked(job, start.plusSeconds(2.9)));
     assertFalse(backoff.isBlocked(job, start.plusSeconds(3)));
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void aJobAvoidsTheMachinesOnWhichItFailed() {
+  void jobAvoidsMachinesOnWhichItFailed() {
     assertEquals(Set.of(), backoff.avoidedMachines(job, start));
     failures.recordFailure(first, job, start);
     assertEquals(Set.of(first.id()), backoff.avoidedMachines(job, start));
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void onlyMachinesOfTheGroupInAKnownZoneAreCounted() {
+  void onlyMachinesOfGroupInKnownZoneAreCounted() {
     Machine released = machine("east");
     released.cloud().markReleasing();
     Machine heard = machine("west");
--- a/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
@@ -30,7 +30,7 @@
   }
 
   /** Processes a listing of all machines; returns how many were announced to since the start. */
-  private long list() {
+  private long processListing() {
     announcer.beginListing(fixture.leadership.now());
     for (Machine machine : machines) {
       announcer.announceIfDue(machine, listed(machine));
@@ -50,37 +50,37 @@
   }
 
   @Test
-  void afterTheElectionTheTermIsAnnouncedToOneWorkerOfEachZone() {
+  void termIsAnnouncedToOneWorkerPerZoneAfterElection() {
     add(3, "east");
     add(3, "west");
-    assertEquals(2, list());
-    assertEquals(2, list(), "announcements after the next listing");
+    assertEquals(2, processListing());
+    assertEquals(2, processListing(), "announcements after the next listing");
   }
 
   @Test
-  void aZoneThatIsListedLaterGetsItsAnnouncementAtOnce() {
+  void zoneListedLaterGetsAnnouncementImmediately() {
     add(3, "east");
-    assertEquals(1, list());
+    assertEquals(1, processListing());
     add(3, "west");
-    assertEquals(2, list());
+    assertEquals(2, processListing());
   }
 
   @Test
-  void workersThatFoundTheLeaderByThemselvesAreLeftOut() {
+  void workerThatDiscoveredLeaderIsSkipped() {
     add(3, "east");
     machines.get(0).agent().recordMessage(fixture.leadership.now());
-    assertEquals(1, list());
+    assertEquals(1, processListing());
     assertFalse(machines.get(0).agent().isTermAnnounced());
   }
 
   @Test
-  void twoHeartbeatIntervalsLaterEachListingMayUseHalfOfTheFreeSlots() {
+  void listingAfterDiscoveryPeriodUsesHalfOfFreeSlots() {
     int slots = fixture.leadership.dispatcher.freeSlots();
     add(2 * slots, "east");
-    assertEquals(1, list());
+    assertEquals(1, processListing());
     double interval = fixture.context.services().settings().workers().heartbeatIntervalS();
     fixture.runFor(2 * interval);
     int free = fixture.leadership.dispatcher.freeSlots();
-    assertEquals(1 + free / 2, list());
+    assertEquals(1 + free / 2, processListing());
   }
 }
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -20,14 +20,14 @@
 /** Reconciliation with paged listings, some pages of which are rate-limited. */
 class MachineInventoryTest {
   /** Twice the listing lag, which is 10 s in the settings. */
-  private static final double OLDEST_LIST_S = 20;
+  private static final double MAX_LISTING_AGE_S = 20;
 
   private final ScalingFixture fixture = new ScalingFixture();
   private final MachineInventory inventory = fixture.inventory();
 
   /** Pages and their retries. */
   @Nested
-  class Reading {
+  class PagedListing {
     /**
      * At two requests per second the second page is never permitted immediately. If a rate-limited
      * page restarted the listing, one of more than a page would never complete.
@@ -42,7 +42,7 @@
       "page lost page page, 6",
       "refused refused page limit page, 11"
     })
-    void aListingIsCompleteInTheEnd(String script, double withinS) {
+    void listingEventuallyCompletes(String script, double withinS) {
       fixture.cloud.listScript.addAll(List.of(script.split(" ")));
       inventory.start();
       fixture.runFor(withinS);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aPageThatHasWaitedForLongGetsThePriorityOfProvisionRequests() {
+    void longDelayedPageGetsPriorityOfProvisionRequests() {
       for (int i = 0; i < 20; i++) {
         fixture.cloud.listScript.add("limit");
       }
@@ -71,8 +71,8 @@
      */
     @ParameterizedTest(name = "known for {0} s, {1}")
     @CsvSource({"0, , true", "15, , true", "21, , false", "21, limit, false", "21, refused, true"})
-    void aMachineThatNoListingShowsIsRemoved(
-        double knownForS, String secondPage, boolean stillThere) {
+    void unlistedMachineIsRemoved(
+        double knownForS, String secondPage, boolean registered) {
       MachineId other = new MachineId("n-000500");
       fixture.leadership.machines.findOrAdd(other, fixture.leadership.now());
       fixture.runFor(knownForS);
@@ -81,13 +81,13 @@
       }
       inventory.start();
       fixture.runFor(1);
-      assertEquals(stillThere, fixture.isKnown(other));
-      fixture.runFor(OLDEST_LIST_S + 10);
+      assertEquals(registered, fixture.isKnown(other));
+      fixture.runFor(MAX_LISTING_AGE_S + 10);
       assertFalse(fixture.isKnown(other), "still registered after a later listing");
     }
 
     @Test
-    void anUnexpectedMachineIsDescribedByItsListing() {
+    void unexpectedMachineIsDescribedByListing() {
       inventory.start();
       Machine machine = fixture.leadership.machines.find(ScriptedCloud.FIRST).orElseThrow();
       assertTrue(machine.description().matches("small", "east", false));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aMachineThatWasRemovedIsNotAddedAgain() {
+    void removedMachineIsNotAddedAgain() {
       fixture.leadership.machines.findOrAdd(ScriptedCloud.FIRST, fixture.start);
       fixture.leadership.machines.remove(ScriptedCloud.FIRST);
       inventory.start();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aMachineThatIsListedAsFailedIsReleasedAndItsAttemptsAreClosed() {
+    void machineListedAsFailedIsReleasedAndItsAttemptsClosed() {
       Machine machine = fixture.runningMachine(ScriptedCloud.FIRST.value());
       Job job = fixture.leadership.job(Specs.json("wk-1", "batch", 1));
       Attempt attempt = fixture.leadership.open(job, 0, machine);
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -35,7 +35,7 @@
           List.of("east"), fixture.machineTypes, fixture.bootTimes, fixture.provisioner);
 
   /** Scripts the answers to provision requests; every successful answer names both machines. */
-  private void answer(String... words) {
+  private void scriptAnswers(String... words) {
     for (String word : words) {
       fixture.cloud.provisionAnswers.add(ScriptedCloud.outcome(word, () -> BOTH));
     }
@@ -51,7 +51,7 @@
   }
 
   /** Returns the number of requests recorded in the key-value store. */
-  private int recorded() {
+  private int recordedRequests() {
     fixture.runFor(0.1);
     return fixture
         .leadership
@@ -71,7 +71,7 @@
   @Nested
   class Sending {
     @Test
-    void aRequestIsSentOnceItIsRecorded() {
+    void requestIsSentOnceRecorded() {
       fixture.leadership.store.pauseWrites();
       provision();
       assertEquals(0, requestsSent());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void anOfferIsNotRequestedAgainUntilTheAnswer() {
+    void offerIsNotRequestedAgainBeforeAnswer() {
       provision();
       provision();
       assertEquals(1, requestsSent());
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aRequestIsLimitedToWhatTheCloudAccepts() {
+    void requestIsLimitedToMaximumCount() {
       provisioner.provision(new Plan.ScaleOut("small", "east", true, 1000));
       fixture.runFor(0.1);
       assertEquals(ProvisionRequest.MAX_COUNT, fixture.cloud.provisionRequests.get(0).count());
@@ -101,8 +101,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource({"limit, 0.3", "lost, 1.5"})
-    void theSameRequestIsSentAgainAfterADelay(String word, double delayS) {
-      answer(word);
+    void sameRequestIsResentAfterDelay(String word, double delayS) {
+      scriptAnswers(word);
       provisioner.provision(WANTED);
       fixture.runFor(delayS - 0.05);
       assertEquals(1, requestsSent());
@@ -121,13 +121,13 @@
       "lost invalid, 2, 0",
       "lost conflict, 2, 0"
     })
-    void aRefusedRequestIsForgottenUnlessItMayHaveBeenApplied(
+    void refusedRequestIsRemovedUnlessPossiblyApplied(
         String script, int sent, int stillRecorded) {
-      answer(script.split(" "));
+      scriptAnswers(script.split(" "));
       provision();
       fixture.runFor(4);
       assertEquals(sent, requestsSent());
-      assertEquals(stillRecorded, recorded());
+      assertEquals(stillRecorded, recordedRequests());
     }
   }
 
@@ -135,38 +135,38 @@
   @Nested
   class Completion {
     @Test
-    void theMachinesAreKnownFromTheAnswerOn() {
-      answer("machines");
+    void answerRegistersMachines() {
+      scriptAnswers("machines");
       provision();
       Machine machine = fixture.leadership.machines.find(FIRST).orElseThrow();
       assertTrue(machine.description().matches("small", "east", true));
       assertTrue(fixture.isKnown(SECOND));
-      assertEquals(1, recorded());
+      assertEquals(1, recordedRequests());
     }
 
     @Test
-    void theRecordIsKeptUntilAllMachinesAreSeen() {
-      answer("machines");
+    void recordIsKeptUntilAllMachinesAreSeen() {
+      scriptAnswers("machines");
       provision();
       provisioner.markSeen(FIRST);
-      assertEquals(1, recorded());
+      assertEquals(1, recordedRequests());
       provisioner.markSeen(SECOND);
-      assertEquals(0, recorded());
+      assertEquals(0, recordedRequests());
     }
 
     @Test
-    void machinesThatAreSeenBeforeTheAnswerAreNotWaitedFor() {
+    void machinesSeenBeforeAnswerAreNotAwaited() {
       fixture.runningMachine("n-1");
       fixture.leadership.machines.findOrAdd(SECOND, fixture.start);
       fixture.leadership.machines.remove(SECOND);
-      answer("machines");
+      scriptAnswers("machines");
       provision();
-      assertEquals(0, recorded());
+      assertEquals(0, recordedRequests());
       assertFalse(fixture.isKnown(SECOND));
     }
 
     @Test
-    void aRequestOfAnEarlierLeaderIsSentAgain() {
+    void requestOfEarlierLeaderIsResent() {
       ProvisionRequest request = new ProvisionRequest("t0-7", "small", "east", false, 2);
       ObjectNode record = Json.object().set("t0-7", request.write());
       provisioner.resume(
@@ -177,10 +177,10 @@
 
   /** Offers and pending requests. */
   @Nested
-  class PlannersView {
+  class PlannerInput {
     @Test
-    void aRequestIsPendingUntilItIsAnswered() {
-      answer("lost", "machines");
+    void requestIsPendingUntilAnswered() {
+      scriptAnswers("lost", "machines");
       provision();
       assertEquals(
           List.of(
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void spotAndOrdinaryMachinesAreOfferedInEachKnownZone() {
+    void spotAndOnDemandMachinesAreOfferedInEachKnownZone() {
       assertEquals(
           List.of(
               new Snapshot.Offer(ScalingFixture.SMALL, 0, "east", true, ProvisionRequest.MAX_COUNT),
@@ -202,8 +202,8 @@
     }
 
     @Test
-    void anOfferWithoutCapacityIsPaused() {
-      answer("refused");
+    void offerWithoutCapacityIsPaused() {
+      scriptAnswers("refused");
       provision();
       assertFalse(isSpotOffered());
       fixture.runFor(6);
@@ -211,15 +211,15 @@
     }
 
     @Test
-    void anOfferThatWasProvisionedInPartIsPaused() {
+    void partiallyProvisionedOfferIsPaused() {
       fixture.cloud.provisionAnswers.add(Outcome.applied(List.of(FIRST)));
       provision();
       assertFalse(isSpotOffered());
     }
 
     @Test
-    void anOfferThatWasProvisionedInFullIsNotPaused() {
-      answer("machines");
+    void fullyProvisionedOfferIsNotPaused() {
+      scriptAnswers("machines");
       provision();
       assertTrue(isSpotOffered());
     }
--- a/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineReleaserTest.java
@@ -20,14 +20,14 @@
   private final ScalingFixture fixture = new ScalingFixture();
   private final MachineReleaser releaser = fixture.releaser;
 
-  private void answer(String... words) {
+  private void scriptAnswers(String... words) {
     for (String word : words) {
       fixture.cloud.releaseAnswers.add(ScriptedCloud.outcome(word, () -> 1));
     }
   }
 
   @Test
-  void aReleaseIsSentOnceItIsRecorded() {
+  void releaseIsSentOnceRecorded() {
     Machine machine = fixture.runningMachine("n-1");
     fixture.leadership.store.pauseWrites();
     releaser.release(machine);
@@ -40,9 +40,9 @@
   }
 
   @Test
-  void aMachineIsRemovedOnceItsReleaseIsAnswered() {
+  void machineIsRemovedOnceReleaseIsAnswered() {
     Machine machine = fixture.runningMachine("n-1");
-    answer("released");
+    scriptAnswers("released");
     releaser.release(machine);
     fixture.runFor(0.1);
     assertFalse(fixture.isKnown(machine.id()));
@@ -52,9 +52,9 @@
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({"limit, 0.3", "refused, 1.5", "lost, 1.5"})
-  void aReleaseIsRepeatedUntilItIsAnswered(String word, double delayS) {
+  void releaseIsRetriedUntilAnswered(String word, double delayS) {
     Machine machine = fixture.runningMachine("n-1");
-    answer(word, "released");
+    scriptAnswers(word, "released");
     releaser.release(machine);
     fixture.runFor(delayS - 0.05);
     assertEquals(1, fixture.cloud.releaseRequests.size());
@@ -66,8 +66,8 @@
 
   /** The cloud accepts few requests per second, so releases are batched. */
   @Test
-  void releasesThatBecomeDueDuringARequestAreSentInOne() {
-    answer("lost");
+  void releasesEnqueuedDuringRequestAreBatched() {
+    scriptAnswers("lost");
     for (String name : List.of("n-1", "n-2", "n-3")) {
       releaser.release(fixture.runningMachine(name));
       fixture.runFor(0.1);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aReleaseOfAnEarlierLeaderIsContinued() {
+  void releaseOfEarlierLeaderIsResumed() {
     ObjectNode record = Json.object().put("n-1", true);
     releaser.resume(
         new Entry(Keys.RELEASES + "0", record, fixture.leadership.authority.termRevision()));
--- a/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
+++ b/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
@@ -17,7 +17,7 @@
 
   @ParameterizedTest(name = "{0} times")
   @CsvSource({"1, 5", "2, 10", "3, 20", "4, 30", "9, 30"})
-  void aPauseDoublesUpToAMaximum(int times, double seconds) {
+  void pauseDoublesUpToMaximum(int times, double seconds) {
     for (int i = 0; i < times; i++) {
       backoff.pause(OFFER, NOW);
     }
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void anOfferWithCapacityStartsAnew() {
+  void resetOfferStartsWithFirstPause() {
     backoff.pause(OFFER, NOW);
     backoff.pause(OFFER, NOW);
     backoff.reset(OFFER);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void anOfferIsLoggedByItsAttributes() {
+  void offerIsFormattedByAttributes() {
     assertEquals("small east spot", OFFER.toString());
     assertEquals("small east", new OfferKey("small", "east", false).toString());
   }
--- a/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
+++ b/src/test/java/org/ternhinge/scaling/RetryPolicyTest.java
@@ -11,14 +11,14 @@
 class RetryPolicyTest {
   @ParameterizedTest
   @CsvSource({"limit, 0.3, true", "refused, 1.5, false", "lost, 1.5, false"})
-  void onlyTheRateLimitShortensTheDelay(String word, double delayS, boolean rateLimited) {
+  void onlyRateLimitShortensDelay(String word, double delayS, boolean rateLimited) {
     Outcome<Integer> outcome = ScriptedCloud.outcome(word, () -> 1);
     assertEquals(delayS, RetryPolicy.RECORDED_REQUESTS.delayS(outcome));
     assertEquals(rateLimited, RetryPolicy.isRateLimited(outcome));
   }
 
   @Test
-  void aFailedCallIsNoRateLimit() {
+  void failedCallUsesDelayOfFailures() {
     Outcome<Integer> failed = Outcome.unknown("the client failed");
     assertEquals(1.5, RetryPolicy.RECORDED_REQUESTS.delayS(failed));
   }
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -29,13 +29,13 @@
           fixture.releaser,
           fixture.bootTimes);
 
-  private boolean isReleased(Machine machine, double afterS) {
+  private boolean isReleasedAfter(Machine machine, double afterS) {
     check.check(start.plusSeconds(afterS));
     return machine.cloud().isReleasing();
   }
 
   /** Returns the lease expiry of a machine, in seconds since the start. */
-  private double leaseEndS(Machine machine) {
+  private double leaseExpiryS(Machine machine) {
     return machine.agent().leaseExpiry().secondsSince(start);
   }
 
@@ -68,50 +68,50 @@
 
   @ParameterizedTest
   @EnumSource
-  void anIdleMachineIsReleasedFor(ReleaseReason reason) {
+  void idleMachineIsReleased(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
-    assertTrue(isReleased(machine, 100));
+    assertTrue(isReleasedAfter(machine, 100));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aMachineWithAnAttemptIsKeptInSpiteOf(ReleaseReason reason) {
+  void machineWithAttemptIsKept(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
     fixture.leadership.open(fixture.leadership.job(Specs.json("wk-9", "batch", 1)), 0, machine);
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aMachineOfAnUnknownTypeIsKeptInSpiteOf(ReleaseReason reason) {
+  void machineOfUnknownTypeIsKept(ReleaseReason reason) {
     Machine machine = fixture.leadership.machines.findOrAdd(new MachineId("n-1"), start);
     makeUnusable(machine, reason);
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @Test
-  void aTerminatedMachineIsNotReleasedAgain() {
+  void terminatedMachineIsNotReleased() {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
     machine.cloud().markTerminated();
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @Test
-  void aUsableMachineIsKept() {
+  void usableMachineIsKept() {
     Machine machine = fixture.runningMachine("n-1");
-    assertFalse(isReleased(machine, 1));
+    assertFalse(isReleasedAfter(machine, 1));
   }
 
   /** The time-out is the larger of three nominal boot times and 45 s in addition to one. */
   @ParameterizedTest
   @CsvSource({"64, false", "66, true"})
-  void aMachineThatIsListedAsRunningHasTimeForItsFirstHeartbeat(double afterS, boolean released) {
+  void machineListedAsRunningIsReleasedAfterFirstHeartbeatTimeout(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
     machine.cloud().recordListing(start, true);
-    assertEquals(released, isReleased(machine, afterS));
+    assertEquals(released, isReleasedAfter(machine, afterS));
   }
 
   /**
@@ -120,15 +120,15 @@
    */
   @ParameterizedTest
   @CsvSource({"3, false", "5, true"})
-  void noMachineIsGivenUpBeforeWorkersHadTimeToFindTheLeader(double afterS, boolean released) {
+  void bootTimeoutWaitsForDiscoveryOfLeader(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
-    assertEquals(released, isReleased(machine, afterS));
+    assertEquals(released, isReleasedAfter(machine, afterS));
   }
 
   @ParameterizedTest(name = "{0} silent of {1}")
   @CsvSource({"2, 2, 1", "3, 3, 3", "4, 20, 1", "5, 20, 3"})
-  void aSilentMachineIsKeptForLongerWhereManyOfItsZoneAre(int silent, int all, int leases) {
+  void silentMachineIsKeptLongerInSilentZone(int silent, int all, int leases) {
     Machine machine = fixture.runningMachine("n-0");
     for (int i = 1; i < all; i++) {
       Machine other = fixture.runningMachine("n-" + i);
@@ -136,13 +136,13 @@
         other.agent().extendLease(start.plusSeconds(1000));
       }
     }
-    double endS = leaseEndS(machine);
-    assertFalse(isReleased(machine, endS + leases * LEASE_S));
-    assertTrue(isReleased(machine, endS + leases * LEASE_S + 0.1));
+    double endS = leaseExpiryS(machine);
+    assertFalse(isReleasedAfter(machine, endS + leases * LEASE_S));
+    assertTrue(isReleasedAfter(machine, endS + leases * LEASE_S + 0.1));
   }
 
   @Test
-  void reasonsAreLoggedInWords() {
+  void reasonsAreFormattedAsText() {
     assertEquals("no heartbeat within the boot time-out", ReleaseReason.BOOT_TIMEOUT.toString());
     assertEquals("no heartbeat since the lease expired", ReleaseReason.SILENT.toString());
     assertEquals("unreachable by commands", ReleaseReason.UNREACHABLE.toString());
