--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -91,7 +91,8 @@
 
   private void updateDescription(Machine machine, Heartbeat status) {
     if (!machine.description().matches(status.type(), status.zone(), status.spot())) {
-      machine.setDescription(MachineDescription.of(status.type(), status.zone(), status.spot(), zones));
+      machine.setDescription(
+          MachineDescription.of(status.type(), status.zone(), status.spot(), zones));
     }
   }
 
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -70,8 +70,8 @@
     private final Deque<Boot> boots = new ArrayDeque<>();
 
     /**
-     * Machines that are still booting after more than {@link #OVERDUE_FACTOR} times the nominal boot
-     * time.
+     * Machines that are still booting after more than {@link #OVERDUE_FACTOR} times the nominal
+     * boot time.
      */
     private List<Machine> overdue = new ArrayList<>();
 
@@ -177,8 +177,7 @@
       MachineType machineType = machineType(machine);
       ratios.add(elapsedRatio(machine, machineType, now));
       SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
-      windowStart =
-          windowStart == null || since.isBefore(windowStart) ? since : windowStart;
+      windowStart = windowStart == null || since.isBefore(windowStart) ? since : windowStart;
     }
     for (Boot boot : statistics.boots) {
       if (windowStart == null || !boot.provisionedAt().isBefore(windowStart)) {
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -26,8 +26,8 @@
   /**
    * Creates an empty registry.
    *
-   * @param initialLeaseExpiry latest possible lease expiry of a machine that has sent no heartbeat in
-   *     this leadership, whichever earlier leader last renewed the lease
+   * @param initialLeaseExpiry latest possible lease expiry of a machine that has sent no heartbeat
+   *     in this leadership, whichever earlier leader last renewed the lease
    */
   public MachineRegistry(SteadyTime initialLeaseExpiry) {
     this.initialLeaseExpiry = initialLeaseExpiry;
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -35,9 +35,9 @@
   private static final int SILENCE_GRACE_LEASES = 1;
 
   /**
-   * Like {@link #SILENCE_GRACE_LEASES}, in zones where more machines are silent. The likely cause is the
-   * network; releasing the machines shortly before it recovers would cost each of them another boot
-   * and image pull.
+   * Like {@link #SILENCE_GRACE_LEASES}, in zones where more machines are silent. The likely cause
+   * is the network; releasing the machines shortly before it recovers would cost each of them
+   * another boot and image pull.
    */
   private static final int SILENT_ZONE_GRACE_LEASES = 3;
 
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -93,7 +93,8 @@
           Named.of("nothing", m -> {}),
           Named.of("an image that it holds", m -> m.recordImageUse("old", 1, 10)),
           Named.of("a reservation of another job", m -> m.removeReservation(OTHER_JOB)),
-          Named.of("a reservation that lasts", m -> m.removeExpiredReservations(NOW.plusSeconds(10))));
+          Named.of(
+              "a reservation that lasts", m -> m.removeExpiredReservations(NOW.plusSeconds(10))));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -71,8 +71,7 @@
      */
     @ParameterizedTest(name = "known for {0} s, {1}")
     @CsvSource({"0, , true", "15, , true", "21, , false", "21, limit, false", "21, refused, true"})
-    void unlistedMachineIsRemoved(
-        double knownForS, String secondPage, boolean registered) {
+    void unlistedMachineIsRemoved(double knownForS, String secondPage, boolean registered) {
       MachineId other = new MachineId("n-000500");
       fixture.leadership.machines.findOrAdd(other, fixture.leadership.now());
       fixture.runFor(knownForS);
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -121,8 +121,7 @@
       "lost invalid, 2, 0",
       "lost conflict, 2, 0"
     })
-    void refusedRequestIsRemovedUnlessPossiblyApplied(
-        String script, int sent, int stillRecorded) {
+    void refusedRequestIsRemovedUnlessPossiblyApplied(String script, int sent, int stillRecorded) {
       scriptAnswers(script.split(" "));
       provision();
       fixture.runFor(4);
