--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -49,7 +49,7 @@
 
   static Stream<Named<Consumer<Machine>>> nonBootingStates() {
     return Stream.of(
-        Named.of("heard", m -> m.agent().recordMessage(new SteadyTime(0))),
+        Named.of("has reported", m -> m.agent().recordMessage(new SteadyTime(0))),
         Named.of("released", m -> m.cloud().markReleasing()),
         Named.of("terminated", m -> m.cloud().markTerminated()),
         Named.of("listed as running", m -> m.cloud().recordListing(new SteadyTime(0), true)));
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -56,7 +56,7 @@
     assertFalse(cloud.provisionedAt().isBefore(LATER));
   }
 
-  static Stream<Named<Consumer<CloudStatus>>> departures() {
+  static Stream<Named<Consumer<CloudStatus>>> removalCauses() {
     return Stream.of(
         Named.of("released", CloudStatus::markReleasing),
         Named.of("reclaimed", cloud -> cloud.recordReclaimNotice(LATER)),
@@ -64,10 +64,10 @@
   }
 
   @ParameterizedTest
-  @MethodSource("departures")
-  void machineIsRetainedUntil(Consumer<CloudStatus> departure) {
+  @MethodSource("removalCauses")
+  void machineIsRetainedUntil(Consumer<CloudStatus> cause) {
     assertTrue(cloud.isRetained());
-    departure.accept(cloud);
+    cause.accept(cloud);
     assertFalse(cloud.isRetained());
   }
 }
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -23,9 +23,9 @@
   void onlyMachinesOfGroupInKnownZoneAreCounted() {
     Machine released = machine("east");
     released.cloud().markReleasing();
-    Machine heard = machine("west");
-    heard.agent().recordMessage(NOW);
-    List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), heard));
+    Machine reporting = machine("west");
+    reporting.agent().recordMessage(NOW);
+    List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), reporting));
     machines.add(released);
     machines.add(machine("north"));
     assertEquals(
