--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -107,7 +107,7 @@
    * due.
    */
   private HeartbeatResult respondToOutdated(Machine machine, boolean mayCommand) {
-    leases.renewFrom(machine, machine.agent().lastHeartbeat());
+    leases.renewFrom(machine, machine.agent().lastMessageAt());
     return mayCommand ? accepted(commands.stops(machine)) : WITHOUT_COMMANDS;
   }
 
@@ -116,7 +116,7 @@
     if (hasMissedResponse(machine, heartbeat)) {
       reachability.recordMissedResponse(machine, now);
     }
-    machine.agent().answeredIn(authority.term());
+    machine.agent().recordAnswer(authority.term());
     // The worker counts its lease from when it sent the heartbeat, so this one ends no earlier.
     leases.renewFrom(machine, now);
     return mayCommand ? accepted(commands.commands(machine, heartbeat)) : WITHOUT_COMMANDS;
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -114,7 +114,7 @@
   }
 
   private void expireReservations(Machine machine, SteadyTime now) {
-    if (machine.expireReservations(now)) {
+    if (machine.removeExpiredReservations(now)) {
       rounds.requestRound();
     }
   }
@@ -139,11 +139,11 @@
       }
       attempts.close(attempt, ClosingEvidence.LEASE_EXPIRED);
     }
-    machine.agent().endEpochs(lastEpoch);
+    machine.agent().endEpochsUpTo(lastEpoch);
     machine.outstandingStarts().clear();
     machine.outbox().clear();
     // Otherwise, its tasks would still count as reported and could not be started elsewhere.
-    reportedTasks.show(machine, List.of());
+    reportedTasks.update(machine, List.of());
   }
 
   /** Returns a copy, since stopping an attempt may modify the ledger's own collection. */
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -15,66 +15,70 @@
 import org.ternhinge.wire.MachineType;
 
 /**
- * Recent boot times of machines, and the provisioned machines that are late by these. Guarded by
- * the controller's lock.
+ * Tracks recent boot times and determines which booting machines are late. Guarded by the
+ * controller's lock.
  *
- * <p>Boot times are kept by machine type and zone, as ratios to the type's nominal boot time. A
- * machine that is still booting counts with its boot time so far. If few machines are late while
- * many have come up, the late ones no longer count as expected capacity; if most machines are late,
- * the type is slow in that zone, and provisioning all of them again would only cost twice.
+ * <p>Boot times are kept per machine type and zone, as ratios to the nominal boot time of the type.
+ * Machines that are still booting are included with the time elapsed so far. If a few machines are
+ * late while many have come up, the late ones no longer count as expected capacity. If most
+ * machines are late, the type is slow in that zone, and provisioning replacements for all of them
+ * would only double the cost.
  */
 public final class BootTimes {
-  /** Machines usually come up within this multiple of the expected boot time. */
-  private static final double USUAL_SPREAD = 1.5;
+  /** Multiple of the expected boot time within which machines usually come up. */
+  private static final double OVERDUE_FACTOR = 1.5;
 
-  /** Seconds until a machine that is up has sent a heartbeat. */
+  /** Seconds within which a machine that is up sends its first heartbeat. */
   private static final double HEARTBEAT_MARGIN_S = 3;
 
-  /** Seconds for which a boot time counts as recent. */
-  private static final double RECENT_S = 300;
+  /** Age in seconds up to which an observed boot time is used. */
+  private static final double OBSERVATION_WINDOW_S = 300;
 
-  /** Ratio of a machine that comes up in the nominal time; counts as one observed boot. */
+  /** Ratio of a boot in the nominal time; always included as one observation. */
   private static final double NOMINAL_RATIO = 1;
 
   /**
-   * Share of the machines that have to come up in time for the others to count as late. At least so
-   * many do where some machines never come up, hardly any where all of them are slow.
+   * Quantile of the boot ratios that is taken as the expected one. At least this share of machines
+   * comes up in time if only some never do, and hardly any if all are slow.
    */
-  private static final double IN_TIME_SHARE = 0.25;
+  private static final double ON_TIME_QUANTILE = 0.25;
 
-  /** Where most machines are slow, the share of the overdue ones that count as late anyway. */
-  private static final double LATE_SHARE_WHERE_SLOW = 0.25;
+  /** Share of the overdue machines that are late even if most machines are slow. */
+  private static final double SLOW_POOL_LATE_SHARE = 0.25;
 
-  /** Multiple of the nominal boot time after which a machine is given up. */
-  private static final double GIVE_UP_FACTOR = 3;
+  /** Boot time-out as a multiple of the nominal boot time. */
+  private static final double BOOT_TIMEOUT_FACTOR = 3;
 
-  /** The same where most machines of the type are slow in the zone. */
-  private static final double GIVE_UP_FACTOR_WHERE_SLOW = 8;
+  /** Like {@link #BOOT_TIMEOUT_FACTOR}, if most machines of the type are slow in the zone. */
+  private static final double SLOW_BOOT_TIMEOUT_FACTOR = 8;
 
-  /** No machine is given up before this many seconds beyond its nominal boot time. */
-  private static final double GIVE_UP_MARGIN_S = 45;
+  /** Minimum boot time-out in seconds, in addition to the nominal boot time. */
+  private static final double BOOT_TIMEOUT_MARGIN_S = 45;
 
   private static final Comparator<Machine> BY_PROVISION_TIME =
       Comparator.comparing(machine -> machine.cloud().provisionedAt());
 
-  /** A machine that has come up, with its boot time as a ratio to the nominal one. */
+  /** A completed boot, with its duration as a ratio to the nominal boot time. */
   private record Boot(SteadyTime provisionedAt, SteadyTime upAt, double ratio) {}
 
   /** The machines of one type in one zone. */
   private record Pool(String typeName, String zoneName) {}
 
-  /** The boots in one pool. */
+  /** Boot statistics of one pool. */
   private static final class BootStatistics {
-    /** Recent boots, the latest one last. */
+    /** Recent boots, oldest first. */
     private final Deque<Boot> boots = new ArrayDeque<>();
 
-    /** Machines that are still booting beyond the usual spread. */
+    /**
+     * Machines that are still booting after more than {@link #OVERDUE_FACTOR} times the nominal
+     * boot time.
+     */
     private List<Machine> overdue = new ArrayList<>();
 
-    /** The ratio within which the {@link #IN_TIME_SHARE} of machines comes up. */
+    /** Boot ratio at the quantile {@link #ON_TIME_QUANTILE}. */
     private double expectedRatio = NOMINAL_RATIO;
 
-    void forgetBefore(SteadyTime time) {
+    void evictBefore(SteadyTime time) {
       while (!boots.isEmpty() && boots.peekFirst().upAt().isBefore(time)) {
         boots.removeFirst();
       }
@@ -95,19 +99,19 @@
   }
 
   /** Records the first heartbeat of a machine in this leadership. */
-  public void cameUp(Machine machine, SteadyTime now) {
+  public void recordBoot(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     SteadyTime provisionedAt = machine.cloud().provisionedAt();
     if (machineType == null || provisionedAt.isBefore(electedAt)) {
-      // It may have come up under an earlier leader.
+      // It may have sent its first heartbeat to an earlier leader.
       return;
     }
     double ratio = now.secondsSince(provisionedAt) / machineType.bootS();
     statistics(machine).boots.addLast(new Boot(provisionedAt, now, ratio));
   }
 
-  /** The machines that should be up but are not; they do not count as expected capacity. */
-  public Set<MachineId> late(SteadyTime now) {
+  /** Returns the machines that are late; they do not count as expected capacity. */
+  public Set<MachineId> lateMachines(SteadyTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
     for (BootStatistics statistics : statisticsByPool.values()) {
@@ -120,90 +124,95 @@
   private void collectOverdue(SteadyTime now) {
     for (BootStatistics statistics : statisticsByPool.values()) {
       statistics.overdue = new ArrayList<>();
-      statistics.forgetBefore(now.plusSeconds(-RECENT_S));
+      statistics.evictBefore(now.plusSeconds(-OBSERVATION_WINDOW_S));
     }
     for (Machine machine : machines.all()) {
       MachineType machineType = machineType(machine);
       if (machineType != null
           && isBooting(machine)
-          && ratioSoFar(machine, machineType, now) > USUAL_SPREAD) {
+          && elapsedRatio(machine, machineType, now) > OVERDUE_FACTOR) {
         statistics(machine).overdue.add(machine);
       }
     }
   }
 
   private static boolean isBooting(Machine machine) {
-    return !machine.agent().isHeard()
+    return !machine.agent().hasReported()
         && !machine.cloud().isTerminated()
         && !machine.cloud().isReleasing()
         && !machine.cloud().isListedRunning();
   }
 
-  /** Adds the machines that are late for their pool, and the oldest of those that are overdue. */
+  /**
+   * Adds the machines that are late by the expected ratio of their pool and, of the other overdue
+   * ones, a share with the earliest provision times.
+   */
   private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
-    List<Machine> others = new ArrayList<>();
+    List<Machine> otherOverdue = new ArrayList<>();
     for (Machine machine : statistics.overdue) {
-      double ratio = ratioSoFar(machine, machineType(machine), now);
-      if (ratio > USUAL_SPREAD * statistics.expectedRatio) {
+      double ratio = elapsedRatio(machine, machineType(machine), now);
+      if (ratio > OVERDUE_FACTOR * statistics.expectedRatio) {
         late.add(machine.id());
       } else {
-        others.add(machine);
+        otherOverdue.add(machine);
       }
     }
-    others.sort(BY_PROVISION_TIME);
-    int lateCount = (int) Math.ceil(others.size() * LATE_SHARE_WHERE_SLOW);
-    for (Machine machine : others.subList(0, lateCount)) {
+    otherOverdue.sort(BY_PROVISION_TIME);
+    int lateCount = (int) Math.ceil(otherOverdue.size() * SLOW_POOL_LATE_SHARE);
+    for (Machine machine : otherOverdue.subList(0, lateCount)) {
       late.add(machine.id());
     }
   }
 
   /**
-   * The ratio within which a share of the machines comes up, at least the nominal one. Overdue
-   * machines count with their ratio so far. Boots of machines that were provisioned long before the
-   * overdue ones are left out, since conditions may have changed since.
+   * Computes the boot ratio at the quantile {@link #ON_TIME_QUANTILE}, at least the nominal one.
+   * Overdue machines are included with their current ratio. Boots of machines that were provisioned
+   * long before the overdue ones are excluded, since conditions may have changed.
    */
   private double expectedRatio(BootStatistics statistics, SteadyTime now) {
     List<Double> ratios = new ArrayList<>();
     ratios.add(NOMINAL_RATIO);
-    SteadyTime comparedSince = null;
+    SteadyTime windowStart = null;
     for (Machine machine : statistics.overdue) {
       MachineType machineType = machineType(machine);
-      ratios.add(ratioSoFar(machine, machineType, now));
+      ratios.add(elapsedRatio(machine, machineType, now));
       SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
-      comparedSince =
-          comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
+      windowStart = windowStart == null || since.isBefore(windowStart) ? since : windowStart;
     }
     for (Boot boot : statistics.boots) {
-      if (comparedSince == null || !boot.provisionedAt().isBefore(comparedSince)) {
+      if (windowStart == null || !boot.provisionedAt().isBefore(windowStart)) {
         ratios.add(boot.ratio());
       }
     }
     Collections.sort(ratios);
-    double ratio = ratios.get((int) ((ratios.size() - 1) * IN_TIME_SHARE));
+    double ratio = ratios.get((int) ((ratios.size() - 1) * ON_TIME_QUANTILE));
     return Math.max(NOMINAL_RATIO, ratio);
   }
 
-  /** The boot time of a machine so far, as a ratio to the nominal one. */
-  private static double ratioSoFar(Machine machine, MachineType machineType, SteadyTime now) {
+  /** Returns the elapsed boot time of a machine as a ratio to the nominal boot time. */
+  private static double elapsedRatio(Machine machine, MachineType machineType, SteadyTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
 
-  /** Whether a machine that has not come up is to be released since it probably never will. */
-  public boolean isGivenUp(Machine machine, SteadyTime now) {
+  /**
+   * Returns whether a booting machine has exceeded its boot time-out and should be released, since
+   * it will probably never come up.
+   */
+  public boolean hasBootTimedOut(Machine machine, SteadyTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
     }
-    boolean slow = statistics(machine).expectedRatio > USUAL_SPREAD;
-    double factor = slow ? GIVE_UP_FACTOR_WHERE_SLOW : GIVE_UP_FACTOR;
+    boolean slow = statistics(machine).expectedRatio > OVERDUE_FACTOR;
+    double factor = slow ? SLOW_BOOT_TIMEOUT_FACTOR : BOOT_TIMEOUT_FACTOR;
     double allowedS =
-        Math.max(factor * machineType.bootS(), machineType.bootS() + GIVE_UP_MARGIN_S);
+        Math.max(factor * machineType.bootS(), machineType.bootS() + BOOT_TIMEOUT_MARGIN_S);
     return now.secondsSince(machine.cloud().provisionedAt()) > allowedS;
   }
 
-  /** Seconds that a machine of a type is expected to take to come up in a zone. */
-  public double expectedS(MachineType machineType, String zoneName) {
+  /** Returns the expected boot time in seconds of a machine type in a zone. */
+  public double expectedBootS(MachineType machineType, String zoneName) {
     BootStatistics statistics = statisticsByPool.get(new Pool(machineType.name(), zoneName));
     return machineType.bootS() * (statistics == null ? NOMINAL_RATIO : statistics.expectedRatio);
   }
@@ -214,7 +223,7 @@
         new Pool(description.typeName(), description.zoneName()), pool -> new BootStatistics());
   }
 
-  /** The type of a machine; null while it is not known. */
+  /** Returns the type of a machine; null if it is unknown. */
   private MachineType machineType(Machine machine) {
     return machineTypes.typeOf(machine).orElse(null);
   }
--- a/src/main/java/org/ternhinge/machine/MachineFailures.java
+++ b/src/main/java/org/ternhinge/machine/MachineFailures.java
@@ -5,46 +5,47 @@
 import org.ternhinge.model.JobId;
 
 /**
- * The failures of tasks on one machine since a task last succeeded there. Guarded by the
- * controller's lock.
+ * Failures of tasks on one machine since the last success on it. Guarded by the controller's lock.
  */
 final class MachineFailures {
-  /** Failures of healthy jobs, which are attributed to the machine. */
-  private int ofHealthyJobs;
+  /** Number of failures of healthy jobs, which are attributed to the machine. */
+  private int healthyJobFailures;
 
-  /** Failures by job, of jobs that are not known to be healthy. */
-  private final Object2IntOpenHashMap<JobId> ofOtherJobs = new Object2IntOpenHashMap<>();
+  /** Number of failures by job, for jobs that are not known to be healthy. */
+  private final Object2IntOpenHashMap<JobId> unprovenJobFailures = new Object2IntOpenHashMap<>();
 
-  /** Records that a task of a healthy job has failed. */
-  void healthyJobFailed() {
-    ofHealthyJobs++;
+  /** Records the failure of a task of a healthy job. */
+  void recordHealthyJobFailure() {
+    healthyJobFailures++;
   }
 
-  /** Records that a task of a job that is not known to be healthy has failed. */
-  void otherJobFailed(JobId job) {
-    ofOtherJobs.addTo(job, 1);
+  /** Records the failure of a task of a job that is not known to be healthy. */
+  void recordUnprovenJobFailure(JobId job) {
+    unprovenJobFailures.addTo(job, 1);
   }
 
-  /** A job has proved healthy: its failures here are attributed to the machine. */
-  void jobIsHealthy(JobId job) {
-    ofHealthyJobs += ofOtherJobs.removeInt(job);
+  /** Attributes the failures of a job to the machine, since the job has proved healthy. */
+  void markJobHealthy(JobId job) {
+    healthyJobFailures += unprovenJobFailures.removeInt(job);
   }
 
-  /** A task has succeeded on the machine. */
+  /** Discards all failures after a task has succeeded on the machine. */
   void clear() {
-    ofHealthyJobs = 0;
-    ofOtherJobs.clear();
+    healthyJobFailures = 0;
+    unprovenJobFailures.clear();
   }
 
-  /** Number of failed tasks of healthy jobs. */
-  int countOfHealthyJobs() {
-    return ofHealthyJobs;
+  int healthyJobFailureCount() {
+    return healthyJobFailures;
   }
 
-  /** Number of other jobs with failures that satisfy a condition; each counts once. */
-  int countOfOtherJobs(Predicate<JobId> condition) {
+  /**
+   * Returns the number of jobs that are not known to be healthy, have failed here and satisfy a
+   * condition; each counts once.
+   */
+  int unprovenJobCount(Predicate<JobId> condition) {
     int count = 0;
-    for (JobId job : ofOtherJobs.keySet()) {
+    for (JobId job : unprovenJobFailures.keySet()) {
       count += condition.test(job) ? 1 : 0;
     }
     return count;
--- a/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
+++ b/src/main/java/org/ternhinge/machine/ReportedTaskCounts.java
@@ -6,30 +6,30 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Counts the machines that list each task. The counts are updated by the difference between
- * consecutive messages of a machine, so that no update visits the whole fleet. Guarded by the
- * controller's lock.
+ * Counts for each task the machines that list it. An update applies the difference between
+ * consecutive messages of one machine, so that its cost does not depend on the size of the fleet.
+ * Guarded by the controller's lock.
  */
 public final class ReportedTaskCounts implements ReportedTasks {
-  private final Object2IntOpenHashMap<TaskId> machinesByTask = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<TaskId> machineCounts = new Object2IntOpenHashMap<>();
 
   @Override
-  public boolean isShown(TaskId task) {
-    return machinesByTask.containsKey(task);
+  public boolean isReported(TaskId task) {
+    return machineCounts.containsKey(task);
   }
 
   @Override
-  public void show(Machine machine, List<TaskStatus> tasks) {
+  public void update(Machine machine, List<TaskStatus> tasks) {
     for (TaskStatus task : machine.tasks()) {
-      if (!task.ended() && machinesByTask.addTo(task.task(), -1) <= 1) {
-        machinesByTask.removeInt(task.task());
+      if (!task.ended() && machineCounts.addTo(task.task(), -1) <= 1) {
+        machineCounts.removeInt(task.task());
       }
     }
     for (TaskStatus task : tasks) {
       if (!task.ended()) {
-        machinesByTask.addTo(task.task(), 1);
+        machineCounts.addTo(task.task(), 1);
       }
     }
-    machine.tasks(tasks);
+    machine.setTasks(tasks);
   }
 }
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -105,7 +105,7 @@
     Optional<AdmissionRefusal> refusal =
         placements.isEmpty()
             ? Optional.of(AdmissionRefusal.NOTHING_TO_PLACE)
-            : ledger.open(job, placements, reportedTasks::isShown, now);
+            : ledger.open(job, placements, reportedTasks::isReported, now);
     if (refusal.isPresent()) {
       LOG.debug("{} not placed: {}", planned.job(), refusal.get());
       return;
@@ -136,7 +136,7 @@
       Machine machine = machines.find(planned.machines().get(i)).orElse(null);
       // Skips a task that a machine still reports, so that it does not block the rest of its job.
       boolean isReported =
-          !job.spec().isGang() && reportedTasks.isShown(new TaskId(planned.job(), index));
+          !job.spec().isGang() && reportedTasks.isReported(new TaskId(planned.job(), index));
       if (machine != null && !isReported && snapshots.isPlaceable(machine, now)) {
         placements.add(new Ledger.Placement(index, attributes(machine)));
       }
@@ -159,9 +159,9 @@
   private void updateAfterPlacement(Job job, Machine machine) {
     machine.invalidateView();
     // Each placed task consumes one reservation.
-    machine.dropReservation(job.spec().id());
+    machine.removeReservation(job.spec().id());
     double cacheGb = machineTypes.typeOf(machine).orElseThrow().cacheGb();
-    machine.useImage(job.spec().image(), job.spec().imageGb(), cacheGb);
+    machine.recordImageUse(job.spec().image(), job.spec().imageGb(), cacheGb);
   }
 
   // ---- preemptions and releases -----------------------------------------------------------------
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -88,7 +88,7 @@
     boolean anyListed = false;
     for (Machine machine : fleet.machines().all()) {
       anyListed |= machine.cloud().isListed();
-      if (!machine.agent().isHeard()
+      if (!machine.agent().hasReported()
           && (machine.cloud().isListedRunning() || !ledger.attemptsOn(machine.id()).isEmpty())) {
         return false;
       }
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -19,9 +19,9 @@
 import org.ternhinge.wire.ListedMachine;
 
 /**
- * Reconciles the registry of machines with the cloud's listings: unexpected machines are added,
- * failed ones are released, and those that are missing for longer than a listing may lag are
- * removed. Guarded by the controller's lock.
+ * Reconciles the machine registry with the cloud's listings: adds unexpected machines, releases
+ * failed ones, and removes machines that have been missing for longer than a listing may lag.
+ * Guarded by the controller's lock.
  */
 public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
@@ -37,7 +37,7 @@
   private final ListedTermAnnouncer termAnnouncer;
   private final MachineListReader reader;
 
-  /** Creates an inventory that has not started. */
+  /** Creates an inventory that does not list machines until it is started. */
   public MachineInventory(
       LeadershipContext context,
       MachineRegistry machines,
@@ -58,8 +58,8 @@
         new MachineListReader(context, settings.cloudLimits().listLagS() / 2, this::reconcile);
   }
 
-  /** Starts a listing now, and periodically from then on. */
-  public void list() {
+  /** Starts a listing now and repeats it periodically. */
+  public void start() {
     reader.start();
   }
 
@@ -74,57 +74,58 @@
       }
     }
     removeMissing(listedIds, startedAt);
-    // Removed machines that the lagging list still shows complete their provision requests, too.
-    listedIds.forEach(provisioner::seen);
+    // A removed machine that a stale listing still shows also counts towards its request.
+    listedIds.forEach(provisioner::markSeen);
     rounds.requestRound();
   }
 
   private void reconcile(ListedMachine listed, SteadyTime now) {
     Machine machine = machines.findOrAdd(listed.machine(), now);
-    describe(machine, listed, now);
+    updateDescription(machine, listed, now);
     termAnnouncer.announceIfDue(machine, listed);
-    machine.cloud().listed(now, listed.state() == ListedMachine.State.RUNNING);
-    provisioner.seen(machine.id());
+    machine.cloud().recordListing(now, listed.state() == ListedMachine.State.RUNNING);
+    provisioner.markSeen(machine.id());
     if (listed.state() == ListedMachine.State.FAILED && !machine.cloud().isTerminated()) {
       terminateFailed(machine);
     }
   }
 
-  private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
+  private void updateDescription(Machine machine, ListedMachine listed, SteadyTime now) {
     if (!machine.description().isKnown()) {
-      machine.describe(
+      machine.setDescription(
           MachineDescription.of(listed.type(), listed.zone(), listed.spot(), settings.zones()));
     }
     SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
     if (provisionedAt.isBefore(machine.cloud().provisionedAt())) {
-      // The listing lags, so the machine is at least as old as listed.
-      machine.provisionedAt(provisionedAt);
+      // Listings lag, so the listed age is a lower bound.
+      machine.setProvisionedAt(provisionedAt);
     }
   }
 
   private void terminateFailed(Machine machine) {
     LOG.info("machine {} terminated: listed as failed", machine.id());
-    removal.lost(machine, ClosingEvidence.MACHINE_FAILED);
+    removal.terminate(machine, ClosingEvidence.MACHINE_FAILED);
     if (!machine.cloud().isReleasing()) {
       releaser.release(machine);
     }
   }
 
   /**
-   * Removes machines that are gone. A machine is listed as long as it exists, and no listing is
-   * older than twice the lag. So a machine that existed earlier than that before the listing
-   * started, and is missing from it, is gone. A machine is known to have existed when a listing
-   * last showed it or, if none has, when it became known in this leadership: by a heartbeat, by the
-   * answer to a provision request or by a recovered attempt.
+   * Removes machines that no longer exist. The cloud lists a machine for as long as it exists, and
+   * the content of a listing is at most twice the lag old. A machine that is missing from a
+   * listing, but was known to exist longer ago than that before the listing started, is therefore
+   * gone. The last proof of existence is the last listing that contained the machine or, if there
+   * is none, the time at which it was discovered in this leadership: by a heartbeat, by the answer
+   * to a provision request or by a recovered attempt.
    */
   private void removeMissing(Set<MachineId> listedIds, SteadyTime startedAt) {
     double maxListingAgeS =
         2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
-      double unlistedS = startedAt.secondsSince(machine.cloud().lastKnownAt());
-      if (!listedIds.contains(machine.id()) && unlistedS > maxListingAgeS) {
+      double unconfirmedS = startedAt.secondsSince(machine.cloud().lastConfirmedAt());
+      if (!listedIds.contains(machine.id()) && unconfirmedS > maxListingAgeS) {
         LOG.info("machine {} terminated: no longer listed", machine.id());
-        removal.lost(machine, ClosingEvidence.MACHINE_NOT_LISTED);
+        removal.terminate(machine, ClosingEvidence.MACHINE_NOT_LISTED);
         removal.remove(machine);
       }
     }
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -21,13 +21,13 @@
 import org.ternhinge.term.RoundTrigger;
 
 /**
- * Releases machines. A release is recorded before it is sent and repeated until it is answered, so
- * that no leader places tasks on a machine that may disappear at any time. One request releases
- * many machines, since the cloud accepts few requests per second. Guarded by the controller's lock.
+ * Releases machines. A release is recorded before it is sent and retried until it is answered, so
+ * that no leader places tasks on a machine that may disappear at any time. Releases are batched
+ * because the cloud accepts few requests per second. Guarded by the controller's lock.
  */
 public final class MachineReleaser {
-  /** Machines that the cloud releases in one request. */
-  private static final int MAX_MACHINES = 100;
+  /** Maximum number of machines that the cloud releases per request. */
+  private static final int MAX_BATCH_SIZE = 100;
 
   private final MachineRemoval removal;
   private final LeadershipExecutor executor;
@@ -40,10 +40,10 @@
   private final BucketedRecords records;
   private final RetryPolicy retryPolicy = RetryPolicy.RECORDED_REQUESTS;
 
-  /** Machines whose release is recorded and unanswered, the oldest first. */
-  private final Set<Machine> due = new LinkedHashSet<>();
+  /** Machines whose release is recorded but unanswered, oldest first. */
+  private final Set<Machine> pending = new LinkedHashSet<>();
 
-  /** Whether a request is in flight or waits for its retry. */
+  /** Whether a request is in flight or awaits its retry. */
   private boolean requestPending;
 
   /** Creates a releaser without open releases. */
@@ -60,7 +60,7 @@
     this.removal = removal;
   }
 
-  /** Continues the recorded releases of earlier leaders. */
+  /** Resumes the recorded releases of earlier leaders. */
   public void resume(Entry entry) {
     records.restore(entry, (name, value) -> resume(new MachineId(name)));
   }
@@ -68,22 +68,22 @@
   private void resume(MachineId id) {
     Machine machine = machines.findOrAdd(id, electedAt);
     machine.cloud().markReleasing();
-    addDue(machine);
+    enqueue(machine);
   }
 
-  /** Releases a machine; nothing more is placed on it from now on. */
+  /** Releases a machine and excludes it from further placements. */
   public void release(Machine machine) {
     machine.cloud().markReleasing();
-    records.put(machine.id().value(), BooleanNode.TRUE, () -> addDue(machine));
+    records.put(machine.id().value(), BooleanNode.TRUE, () -> enqueue(machine));
   }
 
-  private void addDue(Machine machine) {
-    due.add(machine);
-    sendNext();
+  private void enqueue(Machine machine) {
+    pending.add(machine);
+    sendNextBatch();
   }
 
-  private void sendNext() {
-    if (requestPending || due.isEmpty()) {
+  private void sendNextBatch() {
+    if (requestPending || pending.isEmpty()) {
       return;
     }
     requestPending = true;
@@ -91,27 +91,27 @@
       retryAfter(retryPolicy.failedDelayS());
       return;
     }
-    List<Machine> batch = due.stream().limit(MAX_MACHINES).toList();
+    List<Machine> batch = pending.stream().limit(MAX_BATCH_SIZE).toList();
     List<MachineId> ids = new ArrayList<>();
     for (Machine machine : batch) {
       ids.add(machine.id());
     }
-    locked.whenAnswered(cloud.release(ids), outcome -> answered(batch, outcome));
+    locked.whenAnswered(cloud.release(ids), outcome -> handleOutcome(batch, outcome));
   }
 
-  private void answered(List<Machine> batch, Outcome<Integer> outcome) {
+  private void handleOutcome(List<Machine> batch, Outcome<Integer> outcome) {
     if (!(outcome instanceof Outcome.Applied<Integer>)) {
       retryAfter(retryPolicy.delayS(outcome));
       return;
     }
     requestPending = false;
     for (Machine machine : batch) {
-      due.remove(machine);
+      pending.remove(machine);
       removal.remove(machine);
       records.remove(machine.id().value());
     }
     rounds.requestRound();
-    sendNext();
+    sendNextBatch();
   }
 
   private void retryAfter(double seconds) {
@@ -120,6 +120,6 @@
 
   private void retry() {
     requestPending = false;
-    sendNext();
+    sendNextBatch();
   }
 }
--- a/src/test/java/org/ternhinge/attempt/JobCancellerTest.java
+++ b/src/test/java/org/ternhinge/attempt/JobCancellerTest.java
@@ -58,7 +58,7 @@
     if (reported.isReported()) {
       attempt.observe(reported, fixture.now());
     }
-    machine.outbox().markLanded();
+    machine.outbox().markCompleted();
     fixture.sentCommands.clear();
     jobCanceller.cancel(job, state -> {});
     assertTrue(attempt.stopping());
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -50,7 +50,7 @@
     // The fixture has already sent a start; replace it by the number of starts of the test case.
     machine.outstandingStarts().clear();
     for (int i = 0; i < outstanding; i++) {
-      machine.outstandingStarts().sent(attempt.task(), attempt.number());
+      machine.outstandingStarts().recordSent(attempt.task(), attempt.number());
     }
     if (fenced > 0) {
       machine.outstandingStarts().fence(new Term(2));
@@ -87,7 +87,7 @@
   @ParameterizedTest(name = "worker reports term {0}")
   @CsvSource({"1, true", "2, false"})
   void startIsFencedOnceWorkerReportsTerm(long reportedTerm, boolean outstanding) {
-    machine.outstandingStarts().sent(attempt.task(), attempt.number());
+    machine.outstandingStarts().recordSent(attempt.task(), attempt.number());
     fence.raise(fixture.now());
     fixture.clock.runFor(0.1);
     machine.outstandingStarts().observeFencingToken(new Term(reportedTerm));
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Heartbeat;
 
-/** Epochs, the order of messages, the lease and the fencing token of a worker agent. */
+/** Epochs, message order, lease and fencing token of a worker agent. */
 class AgentStateTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final SteadyTime LEASE_EXPIRY = NOW.plusSeconds(30);
@@ -40,9 +40,9 @@
         List.of());
   }
 
-  /** Delayed copies must not replace newer state. */
+  /** Delayed messages must not replace newer state. */
   @Nested
-  class OrderOfMessages {
+  class MessageOrder {
     /** The newest message has sequence number 7 in epoch 3, and epochs up to 2 have ended. */
     @ParameterizedTest(name = "epoch {0}, sequence {1}")
     @CsvSource({
@@ -53,27 +53,29 @@
       "2, 9, true",
       "1, 9, true"
     })
-    void aMessageThatIsNotNewerIsOutdated(long epoch, long sequence, boolean outdated) {
-      agent.endEpochs(new AgentEpoch(2));
+    void messageNotNewerIsOutdated(long epoch, long sequence, boolean outdated) {
+      agent.endEpochsUpTo(new AgentEpoch(2));
       agent.beginEpoch(new AgentEpoch(3));
-      agent.sequence(7);
+      agent.setSequence(7);
       assertEquals(outdated, agent.isOutdated(message(epoch, sequence)));
     }
 
-    /** The lease of an attempt's epoch may expire before any message of it has arrived. */
+    /**
+     * An epoch known from an attempt may end by lease expiry before any of its messages arrives.
+     */
     @Test
-    void aMessageOfAnEndedEpochIsOutdatedAlthoughItIsNewer() {
+    void newerMessageOfEndedEpochIsOutdated() {
       agent.beginEpoch(new AgentEpoch(3));
-      agent.endEpochs(new AgentEpoch(5));
+      agent.endEpochsUpTo(new AgentEpoch(5));
       assertTrue(agent.isOutdated(message(5, 1)));
       assertFalse(agent.isOutdated(message(6, 1)));
     }
 
     @Test
-    void anEpochIsOpenUntilItEnds() {
+    void epochIsOpenUntilItEnds() {
       agent.beginEpoch(new AgentEpoch(3));
       assertTrue(agent.isEpochOpen());
-      agent.endEpochs(new AgentEpoch(3));
+      agent.endEpochsUpTo(new AgentEpoch(3));
       assertFalse(agent.isEpochOpen());
       assertTrue(agent.hasEnded(new AgentEpoch(2)));
       agent.beginEpoch(new AgentEpoch(4));
@@ -95,7 +97,7 @@
 
     @ParameterizedTest
     @CsvSource({"29, false", "30, false", "30.1, true"})
-    void expiresAfterItsTime(double afterS, boolean expired) {
+    void expiresAfterExpiryTime(double afterS, boolean expired) {
       assertEquals(expired, agent.isLeaseExpired(NOW.plusSeconds(afterS)));
     }
   }
@@ -107,18 +109,18 @@
 
     @Test
     void isInfiniteBeforeTheFirstMessage() {
-      assertFalse(agent.isHeard());
-      assertEquals(Double.POSITIVE_INFINITY, agent.silentForS(NOW));
+      assertFalse(agent.hasReported());
+      assertEquals(Double.POSITIVE_INFINITY, agent.silenceS(NOW));
       assertTrue(agent.isOverdue(WORKERS, NOW));
     }
 
     @Test
     void countsFromTheNewestMessage() {
-      agent.heard(NOW);
-      agent.heard(NOW.plusSeconds(3));
-      assertTrue(agent.isHeard());
-      assertEquals(NOW.plusSeconds(3), agent.lastHeartbeat());
-      assertEquals(4, agent.silentForS(NOW.plusSeconds(7)), 1e-9);
+      agent.recordMessage(NOW);
+      agent.recordMessage(NOW.plusSeconds(3));
+      assertTrue(agent.hasReported());
+      assertEquals(NOW.plusSeconds(3), agent.lastMessageAt());
+      assertEquals(4, agent.silenceS(NOW.plusSeconds(7)), 1e-9);
       assertFalse(agent.isOverdue(WORKERS, NOW.plusSeconds(3 + WORKERS.overdueS() - 0.1)));
       assertTrue(agent.isOverdue(WORKERS, NOW.plusSeconds(3 + WORKERS.overdueS() + 0.1)));
     }
@@ -128,7 +130,7 @@
   @Nested
   class Terms {
     @Test
-    void theFencingTokenOnlyRises() {
+    void fencingTokenNeverDecreases() {
       agent.observeFencingToken(new Term(4));
       agent.observeFencingToken(new Term(3));
       assertEquals(new Term(4), agent.fencingToken());
@@ -137,44 +139,44 @@
     }
 
     @Test
-    void theTermOfTheLastAnswerCounts() {
+    void termOfLastAnswerIsKept() {
       assertFalse(agent.wasAnswered());
-      agent.answeredIn(new Term(4));
+      agent.recordAnswer(new Term(4));
       assertTrue(agent.wasAnswered());
       assertTrue(agent.wasAnsweredIn(new Term(4)));
-      agent.answeredIn(new Term(5));
+      agent.recordAnswer(new Term(5));
       assertFalse(agent.wasAnsweredIn(new Term(4)));
     }
 
     @Test
-    void anAnnouncementIsRemembered() {
+    void announcementIsRecorded() {
       assertFalse(agent.isTermAnnounced());
       agent.markTermAnnounced();
       assertTrue(agent.isTermAnnounced());
     }
   }
 
-  /** Where the agent accepts direct commands. */
+  /** The endpoint for direct commands. */
   @Nested
   class Address {
     @Test
-    void isUnknownAtFirst() {
+    void isInitiallyUnknown() {
       assertFalse(agent.hasEndpoint());
       assertEquals(Optional.empty(), agent.endpoint());
     }
 
     @Test
-    void isReplacedByANewerOne() {
-      agent.endpoint("10.0.1.1:9000");
-      agent.endpoint("10.0.1.2:9000");
+    void isReplacedByNewerOne() {
+      agent.setEndpoint("10.0.1.1:9000");
+      agent.setEndpoint("10.0.1.2:9000");
       assertTrue(agent.hasEndpoint());
       assertEquals(Optional.of(new Endpoint("10.0.1.2", 9000)), agent.endpoint());
     }
 
     @Test
-    void isKeptWhereTheNewerOneCanNotBeRead() {
-      agent.endpoint("10.0.1.1:9000");
-      assertThrows(IllegalArgumentException.class, () -> agent.endpoint("nowhere"));
+    void isKeptIfNewerOneIsInvalid() {
+      agent.setEndpoint("10.0.1.1:9000");
+      assertThrows(IllegalArgumentException.class, () -> agent.setEndpoint("nowhere"));
       assertEquals(Optional.of(new Endpoint("10.0.1.1", 9000)), agent.endpoint());
     }
   }
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.MachineType;
 
-/** Which machines are late or given up, with a nominal boot time of 20 s. */
+/** Late machines and boot time-outs, with a nominal boot time of 20 s. */
 class BootTimesTest {
   private static final double BOOT_S = 20;
   private static final MachineType SMALL = TestMachineTypes.type("small", BOOT_S, "east", "west");
@@ -33,59 +33,59 @@
 
   private Machine provision(String name) {
     Machine machine = machines.findOrAdd(new MachineId(name), start);
-    machine.describe(MachineDescription.of("small", "east", false, List.of("east", "west")));
+    machine.setDescription(MachineDescription.of("small", "east", false, List.of("east", "west")));
     return machine;
   }
 
-  private void comeUp(Machine machine, double afterS) {
+  private void recordBoot(Machine machine, double afterS) {
     SteadyTime now = start.plusSeconds(afterS);
-    machine.agent().heard(now);
-    bootTimes.cameUp(machine, now);
+    machine.agent().recordMessage(now);
+    bootTimes.recordBoot(machine, now);
   }
 
   private Set<MachineId> lateAfter(double seconds) {
-    return bootTimes.late(start.plusSeconds(seconds));
+    return bootTimes.lateMachines(start.plusSeconds(seconds));
   }
 
-  static Stream<Named<Consumer<Machine>>> reasonsNotToWait() {
+  static Stream<Named<Consumer<Machine>>> nonBootingStates() {
     return Stream.of(
-        Named.of("heard", m -> m.agent().heard(new SteadyTime(0))),
+        Named.of("has reported", m -> m.agent().recordMessage(new SteadyTime(0))),
         Named.of("released", m -> m.cloud().markReleasing()),
         Named.of("terminated", m -> m.cloud().markTerminated()),
-        Named.of("listed as running", m -> m.cloud().listed(new SteadyTime(0), true)));
+        Named.of("listed as running", m -> m.cloud().recordListing(new SteadyTime(0), true)));
   }
 
   /** Machines that do not count as expected capacity. */
   @Nested
-  class Late {
-    /** Beside two machines that came up in the nominal time. */
+  class LateMachines {
+    /** Two other machines came up in the nominal time. */
     @ParameterizedTest
     @CsvSource({"30, false", "33, false", "33.1, true", "60, true"})
-    void isAMachineBeyondTheUsualSpread(double afterS, boolean late) {
-      comeUp(provision("n-1"), BOOT_S);
-      comeUp(provision("n-2"), BOOT_S);
+    void includesMachineBeyondOverdueFactor(double afterS, boolean late) {
+      recordBoot(provision("n-1"), BOOT_S);
+      recordBoot(provision("n-2"), BOOT_S);
       Machine machine = provision("n-3");
       assertEquals(late ? Set.of(machine.id()) : Set.of(), lateAfter(afterS));
     }
 
     @ParameterizedTest
-    @MethodSource("org.ternhinge.machine.BootTimesTest#reasonsNotToWait")
-    void isNoMachineThatIsNotBooting(Consumer<Machine> reason) {
-      comeUp(provision("n-1"), BOOT_S);
-      comeUp(provision("n-2"), BOOT_S);
-      reason.accept(provision("n-3"));
+    @MethodSource("org.ternhinge.machine.BootTimesTest#nonBootingStates")
+    void excludesMachineNotBooting(Consumer<Machine> change) {
+      recordBoot(provision("n-1"), BOOT_S);
+      recordBoot(provision("n-2"), BOOT_S);
+      change.accept(provision("n-3"));
       assertEquals(Set.of(), lateAfter(60));
     }
 
     @Test
-    void isNoMachineOfAnUnknownType() {
+    void excludesMachineOfUnknownType() {
       machines.findOrAdd(new MachineId("n-1"), start);
       assertEquals(Set.of(), lateAfter(600));
     }
 
-    /** Provisioning all of them again would only cost twice. */
+    /** If all of them counted as late, replacing them would only double the cost. */
     @Test
-    void isOnlyAQuarterOfTheMachinesWhereMostAreSlow() {
+    void includesQuarterOfMachinesIfMostAreSlow() {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
@@ -93,76 +93,79 @@
     }
   }
 
-  /** The boot time that the planner expects. */
+  /** The boot time expected by the planner. */
   @Nested
   class ExpectedTime {
     @Test
-    void isTheNominalOneWithoutObservations() {
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"));
+    void isNominalWithoutObservations() {
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
     }
 
     @Test
-    void growsInTheZoneWhereMachinesAreSlow() {
+    void growsInZoneWithSlowMachines() {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
       lateAfter(63);
-      assertEquals(60, bootTimes.expectedS(SMALL, "east"), 1e-6);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "west"));
+      assertEquals(60, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "west"));
     }
 
     @Test
-    void forgetsBootsAfterFiveMinutes() {
+    void excludesBootsOlderThanFiveMinutes() {
       for (int i = 0; i < 8; i++) {
-        comeUp(provision("n-" + i), 60);
+        recordBoot(provision("n-" + i), 60);
       }
       lateAfter(61);
-      assertEquals(60, bootTimes.expectedS(SMALL, "east"), 1e-6);
+      assertEquals(60, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
       lateAfter(361);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"), 1e-6);
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"), 1e-6);
     }
 
-    /** Such a machine may have come up long before its first heartbeat to this leader. */
+    /**
+     * A machine of an earlier leadership may have come up long before its first heartbeat to this
+     * leader.
+     */
     @Test
-    void ignoresMachinesOfAnEarlierLeadership() {
+    void excludesMachinesOfEarlierLeadership() {
       for (int i = 0; i < 8; i++) {
         Machine machine = provision("n-" + i);
-        machine.provisionedAt(start.plusSeconds(-100));
-        comeUp(machine, 10);
+        machine.setProvisionedAt(start.plusSeconds(-100));
+        recordBoot(machine, 10);
       }
       lateAfter(11);
-      assertEquals(BOOT_S, bootTimes.expectedS(SMALL, "east"));
+      assertEquals(BOOT_S, bootTimes.expectedBootS(SMALL, "east"));
     }
   }
 
-  /** Machines that are released. */
+  /** Machines that have exceeded their boot time-out. */
   @Nested
-  class GivenUp {
-    /** The larger of three boot times and 45 s beyond one. */
+  class BootTimeout {
+    /** The time-out is the larger of three boot times and 45 s in addition to one. */
     @ParameterizedTest
     @CsvSource({"60, false", "65, false", "65.1, true"})
-    void isAMachineThatProbablyNeverComesUp(double afterS, boolean givenUp) {
-      assertEquals(givenUp, bootTimes.isGivenUp(provision("n-1"), start.plusSeconds(afterS)));
+    void timesOutAfterThreeBootTimesOrMargin(double afterS, boolean givenUp) {
+      assertEquals(givenUp, bootTimes.hasBootTimedOut(provision("n-1"), start.plusSeconds(afterS)));
     }
 
     @ParameterizedTest
     @CsvSource({"66, false", "160, false", "160.1, true"})
-    void isAMachineLaterWhereMostAreSlow(double afterS, boolean givenUp) {
+    void timesOutLaterIfMostAreSlow(double afterS, boolean givenUp) {
       for (int i = 0; i < 8; i++) {
         provision("n-" + i);
       }
       lateAfter(60);
       Machine machine = machines.findOrAdd(new MachineId("n-0"), start);
-      assertEquals(givenUp, bootTimes.isGivenUp(machine, start.plusSeconds(afterS)));
+      assertEquals(givenUp, bootTimes.hasBootTimedOut(machine, start.plusSeconds(afterS)));
     }
 
     @ParameterizedTest
-    @MethodSource("org.ternhinge.machine.BootTimesTest#reasonsNotToWait")
-    void isNoMachineThatIsNotBooting(Consumer<Machine> reason) {
+    @MethodSource("org.ternhinge.machine.BootTimesTest#nonBootingStates")
+    void excludesMachineNotBooting(Consumer<Machine> change) {
       Machine machine = provision("n-1");
-      assertTrue(bootTimes.isGivenUp(machine, start.plusSeconds(600)));
-      reason.accept(machine);
-      assertFalse(bootTimes.isGivenUp(machine, start.plusSeconds(600)));
+      assertTrue(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
+      change.accept(machine);
+      assertFalse(bootTimes.hasBootTimedOut(machine, start.plusSeconds(600)));
     }
   }
 }
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -13,61 +13,61 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ternhinge.model.SteadyTime;
 
-/** A machine as the cloud sees it. */
+/** The state of a machine as reported by the cloud. */
 class CloudStatusTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final SteadyTime LATER = NOW.plusSeconds(9);
   private final CloudStatus cloud = new CloudStatus(NOW);
 
   @Test
-  void aMachineThatWasNeverListedExistedWhenItBecameKnown() {
+  void unlistedMachineIsConfirmedByDiscovery() {
     assertFalse(cloud.isListed());
     assertFalse(cloud.isListedRunning());
-    assertEquals(NOW, cloud.knownSince());
-    assertEquals(NOW, cloud.lastKnownAt());
+    assertEquals(NOW, cloud.discoveredAt());
+    assertEquals(NOW, cloud.lastConfirmedAt());
   }
 
   @Test
-  void theLastListingCounts() {
-    cloud.listed(NOW, true);
+  void lastListingIsKept() {
+    cloud.recordListing(NOW, true);
     assertTrue(cloud.isListedRunning());
-    cloud.listed(LATER, false);
+    cloud.recordListing(LATER, false);
     assertTrue(cloud.isListed());
     assertFalse(cloud.isListedRunning());
-    assertEquals(LATER, cloud.lastKnownAt());
-    assertEquals(NOW, cloud.knownSince());
+    assertEquals(LATER, cloud.lastConfirmedAt());
+    assertEquals(NOW, cloud.discoveredAt());
   }
 
   @Test
-  void theFirstReclaimNoticeStands() {
+  void firstReclaimNoticeIsKept() {
     assertEquals(Optional.empty(), cloud.reclaimAt());
-    assertFalse(cloud.isReclaimed());
-    cloud.reclaimAt(NOW);
-    cloud.reclaimAt(LATER);
+    assertFalse(cloud.hasReclaimNotice());
+    cloud.recordReclaimNotice(NOW);
+    cloud.recordReclaimNotice(LATER);
     assertEquals(Optional.of(NOW), cloud.reclaimAt());
-    assertTrue(cloud.isReclaimed());
+    assertTrue(cloud.hasReclaimNotice());
   }
 
   @Test
-  void theProvisionTimeIsThatOfDiscoveryUntilItIsKnown() {
+  void provisionTimeDefaultsToDiscoveryTime() {
     assertEquals(NOW, cloud.provisionedAt());
     assertTrue(cloud.provisionedAt().isBefore(LATER));
-    cloud.provisionedAt(LATER);
+    cloud.setProvisionedAt(LATER);
     assertFalse(cloud.provisionedAt().isBefore(LATER));
   }
 
-  static Stream<Named<Consumer<CloudStatus>>> departures() {
+  static Stream<Named<Consumer<CloudStatus>>> removalCauses() {
     return Stream.of(
         Named.of("released", CloudStatus::markReleasing),
-        Named.of("reclaimed", cloud -> cloud.reclaimAt(LATER)),
+        Named.of("reclaimed", cloud -> cloud.recordReclaimNotice(LATER)),
         Named.of("terminated", CloudStatus::markTerminated));
   }
 
   @ParameterizedTest
-  @MethodSource("departures")
-  void aMachineStaysUntilItIs(Consumer<CloudStatus> departure) {
-    assertTrue(cloud.isStaying());
-    departure.accept(cloud);
-    assertFalse(cloud.isStaying());
+  @MethodSource("removalCauses")
+  void machineIsRetainedUntil(Consumer<CloudStatus> cause) {
+    assertTrue(cloud.isRetained());
+    cause.accept(cloud);
+    assertFalse(cloud.isRetained());
   }
 }
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.Command;
 
-/** The commands that wait for one worker. */
+/** Queueing of the commands to one worker. */
 class CommandOutboxTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private final CommandOutbox outbox = new CommandOutbox();
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void commandsLeaveInTheOrderInWhichTheyCame() {
+  void commandsAreTakenInFifoOrder() {
     outbox.add(command(0));
     outbox.add(command(1));
     assertEquals(command(0), outbox.take());
@@ -31,18 +31,18 @@
   }
 
   @Test
-  void clearingDropsWhatWaitsAndNotWhatIsInFlight() {
+  void clearDiscardsQueueButNotMessageInFlight() {
     outbox.add(command(0));
     outbox.markInFlight();
     outbox.clear();
     assertTrue(outbox.isEmpty());
     assertTrue(outbox.isInFlight());
-    outbox.markLanded();
+    outbox.markCompleted();
     assertFalse(outbox.isInFlight());
   }
 
   @Test
-  void aPauseEndsAtItsTime() {
+  void pauseEndsAtGivenTime() {
     assertFalse(outbox.isPaused(NOW));
     outbox.pauseUntil(NOW.plusSeconds(2));
     assertTrue(outbox.isPaused(NOW.plusSeconds(1.9)));
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -8,20 +8,20 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
 
-/** Back-off and avoided machines of a job that fails. */
+/** Machines that a failing job avoids. */
 class JobFailuresTest {
   /**
-   * No job may wait for 90 s although a machine is free for it; a job that fits only few machines
-   * would if it avoided them for ever.
+   * No job may wait for 90 s although a machine is free for it. A job that fits on few machines
+   * would do so if it avoided them indefinitely.
    */
   @Test
-  void aMachineIsAvoidedForAWhileAndCountedForEver() {
+  void machineIsAvoidedTemporarilyButStaysCounted() {
     SteadyTime start = new SimClock().now();
     MachineId first = new MachineId("n-1");
     MachineId second = new MachineId("n-2");
     JobFailures failures = new JobFailures();
-    failures.failedOn(first, start);
-    failures.failedOn(second, start.plusSeconds(20));
+    failures.recordFailure(first, start);
+    failures.recordFailure(second, start.plusSeconds(20));
     assertEquals(Set.of(first, second), failures.avoidedMachines(start.plusSeconds(30)));
     assertEquals(Set.of(second), failures.avoidedMachines(start.plusSeconds(50)));
     assertEquals(Set.of(), failures.avoidedMachines(start.plusSeconds(70)));
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
 
-/** Quarantine, refusals and the failures that are attributed to a machine. */
+/** Quarantine, refused tasks and attribution of failures. */
 class MachineHealthTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final JobId JOB = new JobId("wk-1");
@@ -16,7 +16,7 @@
   private final MachineHealth health = new MachineHealth();
 
   @Test
-  void aQuarantineEndsAtItsTimeOrBefore() {
+  void quarantineEndsAtGivenTimeOrOnRequest() {
     assertFalse(health.isQuarantined(NOW));
     health.quarantineUntil(NOW.plusSeconds(600));
     assertTrue(health.isQuarantined(NOW.plusSeconds(599)));
@@ -26,34 +26,34 @@
   }
 
   @Test
-  void aMachineThatRefusedATaskAcceptsTasksAfterAWhile() {
+  void machineAcceptsTasksAfterRefusalPause() {
     assertTrue(health.acceptsTasks(NOW));
-    health.refusesTasksUntil(NOW.plusSeconds(5));
+    health.blockPlacementsUntil(NOW.plusSeconds(5));
     assertFalse(health.acceptsTasks(NOW.plusSeconds(5)));
     assertTrue(health.acceptsTasks(NOW.plusSeconds(5.1)));
   }
 
   @Test
-  void eachOtherJobCountsOnceAndOnlyIfTheConditionHolds() {
+  void unprovenJobCountsOnceIfConditionHolds() {
     MachineFailures failures = health.failures();
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(OTHER_JOB);
-    assertEquals(2, failures.countOfOtherJobs(job -> true));
-    assertEquals(1, failures.countOfOtherJobs(JOB::equals));
-    assertEquals(0, failures.countOfHealthyJobs());
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(OTHER_JOB);
+    assertEquals(2, failures.unprovenJobCount(job -> true));
+    assertEquals(1, failures.unprovenJobCount(JOB::equals));
+    assertEquals(0, failures.healthyJobFailureCount());
   }
 
   @Test
-  void allFailuresOfAJobThatProvesHealthyAreTheMachines() {
+  void failuresOfProvenJobAreAttributedToMachine() {
     MachineFailures failures = health.failures();
-    failures.healthyJobFailed();
-    failures.otherJobFailed(JOB);
-    failures.otherJobFailed(JOB);
-    failures.jobIsHealthy(JOB);
-    assertEquals(3, failures.countOfHealthyJobs());
-    assertEquals(0, failures.countOfOtherJobs(job -> true));
+    failures.recordHealthyJobFailure();
+    failures.recordUnprovenJobFailure(JOB);
+    failures.recordUnprovenJobFailure(JOB);
+    failures.markJobHealthy(JOB);
+    assertEquals(3, failures.healthyJobFailureCount());
+    assertEquals(0, failures.unprovenJobCount(job -> true));
     failures.clear();
-    assertEquals(0, failures.countOfHealthyJobs());
+    assertEquals(0, failures.healthyJobFailureCount());
   }
 }
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -22,7 +22,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
 
-/** The cached view of a machine, and the state that it is built of. */
+/** The cached planner view of a machine and the state it depends on. */
 class MachineTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final JobId JOB = new JobId("wk-1");
@@ -56,12 +56,12 @@
     return new Machine.Reservation(job, Resources.offer(1, 0, 1), NOW.plusSeconds(untilS));
   }
 
-  /** When the planner's view is built again. */
+  /** Invalidation of the cached view. */
   @Nested
   class CachedView {
     @BeforeEach
-    void buildOnce() {
-      machine.useImage("old", 1, 10);
+    void prepareView() {
+      machine.recordImageUse("old", 1, 10);
       machine.reserve(reservation(JOB, 10));
       view(true);
       viewsBuilt = 0;
@@ -69,20 +69,20 @@
 
     static Stream<Named<Consumer<Machine>>> changes() {
       return Stream.of(
-          Named.of("description", m -> m.describe(MachineDescription.UNKNOWN)),
-          Named.of("provision time", m -> m.provisionedAt(NOW)),
-          Named.of("tasks", m -> m.tasks(List.of())),
-          Named.of("new image", m -> m.useImage("new", 1, 10)),
+          Named.of("description", m -> m.setDescription(MachineDescription.UNKNOWN)),
+          Named.of("provision time", m -> m.setProvisionedAt(NOW)),
+          Named.of("tasks", m -> m.setTasks(List.of())),
+          Named.of("new image", m -> m.recordImageUse("new", 1, 10)),
           Named.of("idle time", m -> m.markIdle(NOW)),
           Named.of("new reservation", m -> m.reserve(reservation(OTHER_JOB, 10))),
-          Named.of("dropped reservation", m -> m.dropReservation(JOB)),
-          Named.of("expired reservation", m -> m.expireReservations(NOW.plusSeconds(11))),
+          Named.of("dropped reservation", m -> m.removeReservation(JOB)),
+          Named.of("expired reservation", m -> m.removeExpiredReservations(NOW.plusSeconds(11))),
           Named.of("attempts", Machine::invalidateView));
     }
 
     @ParameterizedTest
     @MethodSource("changes")
-    void isBuiltAgainAfterAChangeOf(Consumer<Machine> change) {
+    void isRebuiltAfterChange(Consumer<Machine> change) {
       change.accept(machine);
       view(true);
       assertEquals(1, viewsBuilt);
@@ -91,14 +91,15 @@
     static Stream<Named<Consumer<Machine>>> nonChanges() {
       return Stream.of(
           Named.of("nothing", m -> {}),
-          Named.of("an image that it holds", m -> m.useImage("old", 1, 10)),
-          Named.of("a reservation of another job", m -> m.dropReservation(OTHER_JOB)),
-          Named.of("a reservation that lasts", m -> m.expireReservations(NOW.plusSeconds(10))));
+          Named.of("an image that it holds", m -> m.recordImageUse("old", 1, 10)),
+          Named.of("a reservation of another job", m -> m.removeReservation(OTHER_JOB)),
+          Named.of(
+              "a reservation that lasts", m -> m.removeExpiredReservations(NOW.plusSeconds(10))));
     }
 
     @ParameterizedTest
     @MethodSource("nonChanges")
-    void isKeptAfter(Consumer<Machine> nonChange) {
+    void isKeptWithoutChange(Consumer<Machine> nonChange) {
       Snapshot.MachineView before = view(true);
       nonChange.accept(machine);
       assertSame(before, view(true));
@@ -106,44 +107,44 @@
     }
 
     @Test
-    void isBuiltAgainWhenReadinessChanges() {
+    void isRebuiltWhenReadinessChanges() {
       assertFalse(view(false).ready());
       assertTrue(view(true).ready());
       assertEquals(2, viewsBuilt);
     }
   }
 
-  /** Room that is kept free for jobs. */
+  /** Resources reserved for jobs. */
   @Nested
   class Reservations {
     @Test
-    void areDroppedOneAtATime() {
+    void areRemovedOneAtATime() {
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 10));
       machine.reserve(reservation(JOB, 20));
-      machine.dropReservation(JOB);
+      machine.removeReservation(JOB);
       assertEquals(
           List.of(reservation(OTHER_JOB, 10), reservation(JOB, 20)), machine.reservations());
     }
 
     @Test
-    void expireAfterTheirTime() {
+    void expireAfterEndTime() {
       machine.reserve(reservation(JOB, 10));
       machine.reserve(reservation(OTHER_JOB, 20));
-      assertFalse(machine.expireReservations(NOW.plusSeconds(10)));
-      assertTrue(machine.expireReservations(NOW.plusSeconds(11)));
+      assertFalse(machine.removeExpiredReservations(NOW.plusSeconds(10)));
+      assertTrue(machine.removeExpiredReservations(NOW.plusSeconds(11)));
       assertEquals(List.of(reservation(OTHER_JOB, 20)), machine.reservations());
     }
 
     @Test
-    void canNotBeChangedFromOutside() {
+    void areUnmodifiable() {
       List<Machine.Reservation> view = machine.reservations();
       assertThrows(UnsupportedOperationException.class, () -> view.add(reservation(JOB, 10)));
     }
   }
 
   @Test
-  void aNewMachineIsIdleAndUnknown() {
+  void newMachineIsIdleAndUnknown() {
     assertFalse(machine.description().isKnown());
     assertEquals(NOW, machine.idleSince());
     assertEquals(List.of(), machine.tasks());
@@ -152,10 +153,10 @@
   }
 
   @Test
-  void eachReplacementOfTasksIsANewRevision() {
+  void eachReplacementOfTasksIncrementsRevision() {
     long before = machine.tasksRevision();
-    machine.tasks(List.of());
-    machine.tasks(List.of());
+    machine.setTasks(List.of());
+    machine.setTasks(List.of());
     assertEquals(before + 2, machine.tasksRevision());
   }
 }
--- a/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTypeCatalogTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Look-ups of machine types, and their refreshes. */
+/** Look-up and refresh of machine types. */
 class MachineTypeCatalogTest {
   private static final MachineType SMALL = TestMachineTypes.type("small", 20, "east");
   private static final MachineType LARGE = TestMachineTypes.type("large", 30, "east");
@@ -34,7 +34,10 @@
     return new MachineTypeCatalog(new TypesOnlyCloud(), fixture.executor, List.of(known));
   }
 
-  /** Answers requests for types in the order given, and then never. */
+  /**
+   * A cloud that answers requests for machine types as scripted; further requests remain
+   * unanswered.
+   */
   private final class TypesOnlyCloud implements Cloud {
     @Override
     public CompletableFuture<Outcome<List<MachineType>>> machineTypes() {
@@ -70,33 +73,33 @@
     assertTrue(catalog().isEmpty());
   }
 
-  /** Each round looks up the type of each machine. */
+  /** Each scheduling round looks up the type of every machine. */
   @Test
-  void aLookUpAllocatesNothing() {
+  void lookUpDoesNotAllocate() {
     MachineTypeCatalog catalog = catalog(SMALL);
     assertSame(catalog.find("small"), catalog.find("small"));
   }
 
   @Test
-  void theTypeOfAMachineIsUnknownUntilTheMachineIsDescribed() {
+  void typeOfMachineIsUnknownUntilDescribed() {
     MachineTypeCatalog catalog = catalog(SMALL);
     Machine machine = fixture.addMachine("n-1");
     assertEquals(Optional.empty(), catalog.typeOf(machine));
-    machine.describe(MachineDescription.of("small", "east", false, List.of("east")));
+    machine.setDescription(MachineDescription.of("small", "east", false, List.of("east")));
     assertEquals(Optional.of(SMALL), catalog.typeOf(machine));
   }
 
   @Test
-  void aTypeOfTheSameNameIsReplacedInItsPlace() {
+  void typeWithSameNameIsReplacedInPlace() {
     MachineTypeCatalog catalog = catalog(SMALL, LARGE);
     MachineType changed = TestMachineTypes.type("small", 25, "east", "west");
-    catalog.learn(List.of(changed));
+    catalog.putAll(List.of(changed));
     assertEquals(Optional.of(changed), catalog.find("small"));
     assertEquals(List.of(changed, LARGE), List.copyOf(catalog.all()));
   }
 
   @Test
-  void typesAreReadAgainAfterAMinute() {
+  void typesAreRefreshedAfterOneMinute() {
     answers.add(Outcome.applied(List.of(SMALL)));
     answers.add(Outcome.applied(List.of(LARGE)));
     MachineTypeCatalog catalog = catalog();
@@ -109,8 +112,8 @@
   }
 
   @Test
-  void aRefreshThatFailedIsRetriedSooner() {
-    answers.add(Outcome.notApplied(Reason.REFUSED, "trouble"));
+  void failedRefreshIsRetriedSooner() {
+    answers.add(Outcome.notApplied(Reason.REFUSED, "unavailable"));
     answers.add(Outcome.unknown("no answer"));
     answers.add(Outcome.applied(List.of(SMALL)));
     MachineTypeCatalog catalog = catalog();
--- a/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
+++ b/src/test/java/org/ternhinge/machine/OutstandingStartsTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-/** Direct starts that may still arrive at a worker. */
+/** Direct start commands that may still arrive at a worker. */
 class OutstandingStartsTest {
   private static final TaskId TASK = new TaskId(new JobId("wk-1"), 0);
   private static final AttemptNumber FIRST = new AttemptNumber(1);
@@ -22,41 +22,41 @@
   private final OutstandingStarts starts = new OutstandingStarts();
 
   @Test
-  void aStartMayArriveUntilItIsSettled() {
+  void startMayArriveUntilSettled() {
     assertFalse(starts.mayArrive(TASK, FIRST));
-    starts.sent(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
     assertTrue(starts.mayArrive(TASK, FIRST));
     assertFalse(starts.mayArrive(TASK, SECOND));
-    starts.settled(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertFalse(starts.mayArrive(TASK, FIRST));
   }
 
   @Test
-  void aStartThatWasSentTwiceIsSettledTwice() {
-    starts.sent(TASK, FIRST);
-    starts.sent(TASK, FIRST);
-    starts.settled(TASK, FIRST);
+  void startSentTwiceIsSettledTwice() {
+    starts.recordSent(TASK, FIRST);
+    starts.recordSent(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertTrue(starts.mayArrive(TASK, FIRST));
-    starts.settled(TASK, FIRST);
+    starts.settle(TASK, FIRST);
     assertFalse(starts.mayArrive(TASK, FIRST));
   }
 
   @Test
-  void theEndOfTheEpochSettlesAll() {
-    starts.sent(TASK, FIRST);
+  void endOfEpochDiscardsAllStarts() {
+    starts.recordSent(TASK, FIRST);
     starts.fence(new Term(5));
     starts.clear();
     assertFalse(starts.mayArrive(TASK, FIRST));
     assertFalse(starts.isFenced(TASK, FIRST));
   }
 
-  /** A raised term makes earlier starts harmless. */
+  /** Fencing of earlier starts by a raised term. */
   @Nested
   class Fence {
     @ParameterizedTest(name = "token {0} against fence 5")
     @CsvSource({"4, true", "5, false", "6, false"})
-    void settlesEarlierStartsOnceTheWorkerHasSeenIt(long token, boolean mayArrive) {
-      starts.sent(TASK, FIRST);
+    void settlesEarlierStartsOnceWorkerHasSeenIt(long token, boolean mayArrive) {
+      starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
       assertTrue(starts.isFenced(TASK, FIRST));
       starts.observeFencingToken(new Term(token));
@@ -65,23 +65,23 @@
     }
 
     @Test
-    void doesNotConcernLaterStarts() {
+    void doesNotAffectLaterStarts() {
       starts.fence(new Term(5));
-      starts.sent(TASK, SECOND);
+      starts.recordSent(TASK, SECOND);
       starts.observeFencingToken(new Term(5));
       assertFalse(starts.isFenced(TASK, SECOND));
       assertTrue(starts.mayArrive(TASK, SECOND));
     }
 
-    /** The same attempt may be sent again after the fence; only the earlier copy is harmless. */
+    /** An attempt may be sent again after the fence; only the earlier copies are fenced. */
     @Test
-    void settlesOnlyTheCopiesThatWereSentBefore() {
-      starts.sent(TASK, FIRST);
+    void settlesOnlyCopiesSentBefore() {
+      starts.recordSent(TASK, FIRST);
       starts.fence(new Term(5));
-      starts.sent(TASK, FIRST);
+      starts.recordSent(TASK, FIRST);
       starts.observeFencingToken(new Term(5));
       assertTrue(starts.mayArrive(TASK, FIRST));
-      starts.settled(TASK, FIRST);
+      starts.settle(TASK, FIRST);
       assertFalse(starts.mayArrive(TASK, FIRST));
     }
   }
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** Which tasks the heartbeats of machines list. */
+/** Counting of the tasks listed in heartbeats. */
 class ReportedTaskCountsTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final TaskId TASK = new TaskId(new JobId("wk-1"), 0);
@@ -31,31 +31,31 @@
   }
 
   @Test
-  void aTaskIsShownUntilNoMachineListsIt() {
-    assertFalse(reportedTasks.isShown(TASK));
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(second, List.of(RUNNING));
-    reportedTasks.show(first, List.of());
-    assertTrue(reportedTasks.isShown(TASK));
-    reportedTasks.show(second, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+  void taskIsReportedUntilNoMachineListsIt() {
+    assertFalse(reportedTasks.isReported(TASK));
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(second, List.of(RUNNING));
+    reportedTasks.update(first, List.of());
+    assertTrue(reportedTasks.isReported(TASK));
+    reportedTasks.update(second, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 
   @Test
-  void aTaskThatHasEndedIsNotShown() {
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(first, List.of(ENDED));
-    assertFalse(reportedTasks.isShown(TASK));
-    reportedTasks.show(first, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+  void endedTaskIsNotReported() {
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(first, List.of(ENDED));
+    assertFalse(reportedTasks.isReported(TASK));
+    reportedTasks.update(first, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 
   @Test
-  void aTaskThatIsListedAgainCountsOnce() {
-    reportedTasks.show(first, List.of(RUNNING));
-    reportedTasks.show(first, List.of(RUNNING));
+  void taskListedAgainCountsOnce() {
+    reportedTasks.update(first, List.of(RUNNING));
+    reportedTasks.update(first, List.of(RUNNING));
     assertEquals(List.of(RUNNING), first.tasks());
-    reportedTasks.show(first, List.of());
-    assertFalse(reportedTasks.isShown(TASK));
+    reportedTasks.update(first, List.of());
+    assertFalse(reportedTasks.isReported(TASK));
   }
 }
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.SteadyTime;
 
-/** Retries of all jobs at a bounded rate. */
+/** Rate limit of the retries of all jobs. */
 class RetrySlotsTest {
   private static final SteadyTime ORIGIN = new SteadyTime(0);
   private final RetrySlots slots = new RetrySlots(0.5, ORIGIN);
@@ -15,15 +15,15 @@
   }
 
   @Test
-  void aRetryGetsTheFirstSlotAtItsTimeOrLater() {
-    assertEquals(at(2), slots.take(at(2), ORIGIN));
-    assertEquals(at(4), slots.take(at(3.6), ORIGIN));
+  void retryGetsFirstSlotAtOrAfterItsTime() {
+    assertEquals(at(2), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(4), slots.reserve(at(3.6), ORIGIN));
   }
 
   @Test
-  void aSlotIsGivenToOneRetryOnly() {
-    assertEquals(at(2), slots.take(at(2), ORIGIN));
-    assertEquals(at(2.5), slots.take(at(2), ORIGIN));
-    assertEquals(at(3), slots.take(at(2), at(1)));
+  void slotIsReservedForOneRetry() {
+    assertEquals(at(2), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(2.5), slots.reserve(at(2), ORIGIN));
+    assertEquals(at(3), slots.reserve(at(2), at(1)));
   }
 }
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -17,9 +17,9 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** Whether failures of tasks are attributed to machines or to jobs, and what follows. */
+/** Attribution of failures to machines or jobs, with quarantine and back-off as results. */
 class TaskFailuresTest {
-  /** With this rate of changes a slot for retries lasts 0.02 s. */
+  /** At this change rate a retry slot lasts 0.02 s. */
   private static final double CHANGES_PER_S = 1000;
 
   private static final double SLOT_S = 0.02;
@@ -38,7 +38,7 @@
     return fixture.addJob(Specs.json(id, "batch", 4));
   }
 
-  /** A job with a task that has run for long enough on a machine. */
+  /** Creates a job that is healthy because a task has run for long enough. */
   private Job healthyJob(String id) {
     Job healthy = job(id);
     Attempt attempt = fixture.openAttempt(healthy, 0, third);
@@ -48,7 +48,7 @@
 
   private void failOnThreeMachines(SteadyTime now) {
     for (Machine machine : List.of(first, second, third)) {
-      failures.failed(machine, job, now);
+      failures.recordFailure(machine, job, now);
     }
   }
 
@@ -56,59 +56,59 @@
   @Nested
   class Quarantine {
     @Test
-    void startsAtTheSecondFailureOfAHealthyJob() {
+    void startsAtSecondFailureOfHealthyJob() {
       Job healthy = healthyJob("wk-2");
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
       assertFalse(first.health().isQuarantined(start));
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
       assertTrue(first.health().isQuarantined(start.plusSeconds(599)));
       assertFalse(first.health().isQuarantined(start.plusSeconds(600)));
     }
 
     @Test
-    void startsAtTheFailureOfTheThirdOtherJob() {
-      failures.failed(first, job, start);
-      failures.failed(first, job, start);
-      failures.failed(first, job("wk-2"), start);
+    void startsAtFailureOfThirdUnprovenJob() {
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job("wk-2"), start);
       assertFalse(first.health().isQuarantined(start));
-      failures.failed(first, job("wk-3"), start);
+      failures.recordFailure(first, job("wk-3"), start);
       assertTrue(first.health().isQuarantined(start));
     }
 
     @Test
-    void doesNotStartWhereATaskSucceedsBetweenFailures() {
+    void doesNotStartIfTaskSucceedsBetweenFailures() {
       Job healthy = healthyJob("wk-2");
-      failures.failed(first, healthy, start);
-      failures.succeeded(first, job("wk-3"), start);
-      failures.failed(first, healthy, start);
+      failures.recordFailure(first, healthy, start);
+      failures.recordSuccess(first, job("wk-3"), start);
+      failures.recordFailure(first, healthy, start);
       assertFalse(first.health().isQuarantined(start));
     }
 
     /**
-     * The job fails on a second machine too, so its failure is no longer held against the first.
+     * The job also fails on a second machine, so its failure no longer counts against the first.
      */
     @Test
-    void endsWhereAJobThatFailedThereFailsElsewhereToo() {
-      failures.failed(first, job, start);
-      failures.failed(first, job("wk-2"), start);
-      failures.failed(first, job("wk-3"), start);
-      failures.failed(second, job, start);
+    void endsIfJobAlsoFailsElsewhere() {
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job("wk-2"), start);
+      failures.recordFailure(first, job("wk-3"), start);
+      failures.recordFailure(second, job, start);
       assertFalse(first.health().isQuarantined(start));
     }
 
     @Test
-    void startsWhereAJobThatFailedThereSucceedsElsewhere() {
-      failures.failed(first, job, start);
-      failures.failed(first, job, start);
+    void startsIfJobSucceedsElsewhere() {
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(first, job, start);
       assertFalse(first.health().isQuarantined(start));
-      failures.succeeded(second, job, start);
+      failures.recordSuccess(second, job, start);
       assertTrue(first.health().isQuarantined(start));
     }
   }
 
   @Test
-  void aMachineThatRefusedATaskGetsNoneForAWhile() {
-    failures.noRoom(first, start);
+  void machineRefusesTasksForPauseAfterRefusal() {
+    failures.recordRefusal(first, start);
     assertFalse(first.health().acceptsTasks(start.plusSeconds(4.9)));
     assertTrue(first.health().acceptsTasks(start.plusSeconds(5.1)));
   }
@@ -117,20 +117,20 @@
   @Nested
   class BackOff {
     @Test
-    void startsAtTheFailureOnTheThirdMachine() {
-      failures.failed(first, job, start);
-      failures.failed(second, job, start);
+    void startsAtFailureOnThirdMachine() {
+      failures.recordFailure(first, job, start);
+      failures.recordFailure(second, job, start);
       assertFalse(backoff.isBlocked(job, start));
-      assertFalse(backoff.triesSingleTask(job, start));
-      failures.failed(third, job, start);
+      assertFalse(backoff.isLimitedToSingleTask(job, start));
+      failures.recordFailure(third, job, start);
       assertTrue(backoff.isBlocked(job, start));
-      assertTrue(backoff.triesSingleTask(job, start));
+      assertTrue(backoff.isLimitedToSingleTask(job, start));
       assertEquals(1, job.backoffLevel());
     }
 
-    /** Tasks that ran at the same time fail at the same time. */
+    /** Tasks that ran concurrently may fail simultaneously. */
     @Test
-    void countsFailuresWhileItLastsAsOneTry() {
+    void countsFailuresDuringBackOffAsOneTry() {
       failOnThreeMachines(start);
       failOnThreeMachines(start.plusSeconds(1));
       assertEquals(1, job.backoffLevel());
@@ -138,7 +138,7 @@
 
     @ParameterizedTest(name = "level {0}")
     @CsvSource({"1, 2", "2, 4", "3, 8", "5, 32", "6, 60", "9, 60"})
-    void doublesUpToAMinute(int level, double seconds) {
+    void doublesUpToOneMinute(int level, double seconds) {
       fixture.ledger.setBackoffLevel(job, level);
       backoff.recover(List.of(job), start);
       assertEquals(level, job.backoffLevel());
@@ -147,33 +147,33 @@
     }
 
     @Test
-    void growsWithTheNextFailure() {
+    void growsWithNextFailure() {
       failOnThreeMachines(start);
-      failures.failed(first, job, start.plusSeconds(10));
+      failures.recordFailure(first, job, start.plusSeconds(10));
       assertEquals(2, job.backoffLevel());
     }
 
     @Test
-    void endsWithTheFirstSuccess() {
+    void endsWithFirstSuccess() {
       failOnThreeMachines(start);
-      failures.succeeded(first, job, start);
+      failures.recordSuccess(first, job, start);
       assertEquals(0, job.backoffLevel());
       assertFalse(backoff.isBlocked(job, start));
-      assertFalse(backoff.triesSingleTask(job, start));
+      assertFalse(backoff.isLimitedToSingleTask(job, start));
     }
 
     @Test
-    void isNotAppliedToAHealthyJob() {
+    void isNotAppliedToHealthyJob() {
       Job healthy = healthyJob("wk-2");
       for (Machine machine : List.of(first, second, third)) {
-        failures.failed(machine, healthy, start);
+        failures.recordFailure(machine, healthy, start);
       }
       assertEquals(0, healthy.backoffLevel());
       assertFalse(backoff.isBlocked(healthy, start));
     }
 
     @Test
-    void blocksFurtherTasksWhileOneIsTried() {
+    void blocksFurtherTasksDuringTry() {
       failOnThreeMachines(start);
       SteadyTime later = start.plusSeconds(10);
       assertFalse(backoff.isBlocked(job, later));
@@ -183,18 +183,18 @@
   }
 
   @Test
-  void aJobWhoseDescriptionWasMissingIsBlockedForAWhile() {
-    failures.unknownJob(job, start);
+  void jobUnknownToWorkerIsBlockedTemporarily() {
+    failures.recordUnknownJob(job, start);
     assertTrue(backoff.isBlocked(job, start.plusSeconds(2.9)));
     assertFalse(backoff.isBlocked(job, start.plusSeconds(3)));
     assertEquals(0, job.backoffLevel());
   }
 
   @Test
-  void aJobAvoidsTheMachinesOnWhichItFailed() {
-    assertEquals(Set.of(), backoff.avoidedBy(job, start));
-    failures.failed(first, job, start);
-    assertEquals(Set.of(first.id()), backoff.avoidedBy(job, start));
-    assertEquals(Set.of(), backoff.avoidedBy(job, start.plusSeconds(46)));
+  void jobAvoidsMachinesOnWhichItFailed() {
+    assertEquals(Set.of(), backoff.avoidedMachines(job, start));
+    failures.recordFailure(first, job, start);
+    assertEquals(Set.of(first.id()), backoff.avoidedMachines(job, start));
+    assertEquals(Set.of(), backoff.avoidedMachines(job, start.plusSeconds(46)));
   }
 }
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -8,24 +8,24 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** Machines of a group by zone. */
+/** Machine counts by zone. */
 class ZoneMachineCountsTest {
   private static final SteadyTime NOW = new SteadyTime(0);
   private static final List<String> ZONES = List.of("east", "west", "south");
 
   private static Machine machine(String zone) {
     Machine machine = new Machine(new MachineId("n-1"), NOW, NOW);
-    machine.describe(MachineDescription.of("small", zone, false, ZONES));
+    machine.setDescription(MachineDescription.of("small", zone, false, ZONES));
     return machine;
   }
 
   @Test
-  void onlyMachinesOfTheGroupInAKnownZoneAreCounted() {
+  void onlyMachinesOfGroupInKnownZoneAreCounted() {
     Machine released = machine("east");
     released.cloud().markReleasing();
-    Machine heard = machine("west");
-    heard.agent().heard(NOW);
-    List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), heard));
+    Machine reporting = machine("west");
+    reporting.agent().recordMessage(NOW);
+    List<Machine> machines = new ArrayList<>(List.of(machine("east"), machine("west"), reporting));
     machines.add(released);
     machines.add(machine("north"));
     assertEquals(
@@ -38,6 +38,6 @@
             ZONES.size(),
             machine -> machine.description().zone(),
             machine -> !machine.cloud().isReleasing(),
-            machine -> machine.agent().isHeard()));
+            machine -> machine.agent().hasReported()));
   }
 }
--- a/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
+++ b/src/test/java/org/ternhinge/scaling/ListedTermAnnouncerTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.ListedMachine;
 
-/** To which listed machines a new leader announces its term, and when. */
+/** Selection of the listed machines to which a new leader announces its term, and the timing. */
 class ListedTermAnnouncerTest {
   private static final List<String> ZONES = List.of("east", "west");
 
@@ -24,13 +24,13 @@
     for (int i = 0; i < count; i++) {
       MachineId id = new MachineId("n-" + machines.size());
       Machine machine = fixture.leadership.machines.findOrAdd(id, fixture.start);
-      machine.describe(MachineDescription.of("small", zone, false, ZONES));
+      machine.setDescription(MachineDescription.of("small", zone, false, ZONES));
       machines.add(machine);
     }
   }
 
-  /** Goes through a listing of all machines; returns how many were announced to since the start. */
-  private long list() {
+  /** Processes a listing of all machines; returns how many were announced to since the start. */
+  private long processListing() {
     announcer.beginListing(fixture.leadership.now());
     for (Machine machine : machines) {
       announcer.announceIfDue(machine, listed(machine));
@@ -50,37 +50,37 @@
   }
 
   @Test
-  void afterTheElectionTheTermIsAnnouncedToOneWorkerOfEachZone() {
+  void termIsAnnouncedToOneWorkerPerZoneAfterElection() {
     add(3, "east");
     add(3, "west");
-    assertEquals(2, list());
-    assertEquals(2, list(), "the next listing adds none");
+    assertEquals(2, processListing());
+    assertEquals(2, processListing(), "announcements after the next listing");
   }
 
   @Test
-  void aZoneThatIsListedLaterGetsItsAnnouncementAtOnce() {
+  void zoneListedLaterGetsAnnouncementImmediately() {
     add(3, "east");
-    assertEquals(1, list());
+    assertEquals(1, processListing());
     add(3, "west");
-    assertEquals(2, list());
+    assertEquals(2, processListing());
   }
 
   @Test
-  void workersThatFoundTheLeaderByThemselvesAreLeftOut() {
+  void workerThatDiscoveredLeaderIsSkipped() {
     add(3, "east");
-    machines.get(0).agent().heard(fixture.leadership.now());
-    assertEquals(1, list());
+    machines.get(0).agent().recordMessage(fixture.leadership.now());
+    assertEquals(1, processListing());
     assertFalse(machines.get(0).agent().isTermAnnounced());
   }
 
   @Test
-  void twoHeartbeatIntervalsLaterEachListingMayUseHalfOfTheFreeSlots() {
+  void listingAfterDiscoveryPeriodUsesHalfOfFreeSlots() {
     int slots = fixture.leadership.dispatcher.freeSlots();
     add(2 * slots, "east");
-    assertEquals(1, list());
+    assertEquals(1, processListing());
     double interval = fixture.context.services().settings().workers().heartbeatIntervalS();
     fixture.runFor(2 * interval);
     int free = fixture.leadership.dispatcher.freeSlots();
-    assertEquals(1 + free / 2, list());
+    assertEquals(1 + free / 2, processListing());
   }
 }
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -17,78 +17,77 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.ListedMachine;
 
-/** Reconciliation with listings of several pages, some of which the cloud's rate limit delays. */
+/** Reconciliation with paged listings, some pages of which are rate-limited. */
 class MachineInventoryTest {
-  /** Twice the lag of the list, which is 10 s in the settings. */
-  private static final double OLDEST_LIST_S = 20;
+  /** Twice the listing lag, which is 10 s in the settings. */
+  private static final double MAX_LISTING_AGE_S = 20;
 
   private final ScalingFixture fixture = new ScalingFixture();
   private final MachineInventory inventory = fixture.inventory();
 
   /** Pages and their retries. */
   @Nested
-  class Reading {
+  class PagedListing {
     /**
-     * With two requests a second the second page is never permitted at once. When a listing was
-     * started anew for that, one of more than a page was never complete.
+     * At two requests per second the second page is never permitted immediately. If a rate-limited
+     * page restarted the listing, one of more than a page would never complete.
      */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
       "page, 0.1",
-      "page held page, 0.5",
-      "held page held held page, 1.5",
-      "page held held held held held held held held held held page, 4",
+      "page limit page, 0.5",
+      "limit page limit limit page, 1.5",
+      "page limit limit limit limit limit limit limit limit limit limit page, 4",
       "page refused page page, 6",
       "page lost page page, 6",
-      "refused refused page held page, 11"
+      "refused refused page limit page, 11"
     })
-    void aListingIsCompleteInTheEnd(String script, double withinS) {
+    void listingEventuallyCompletes(String script, double withinS) {
       fixture.cloud.listScript.addAll(List.of(script.split(" ")));
-      inventory.list();
+      inventory.start();
       fixture.runFor(withinS);
-      assertTrue(fixture.isKnown(ScriptedCloud.FIRST), "the first page");
-      assertTrue(fixture.isKnown(ScriptedCloud.LAST), "the last page");
+      assertTrue(fixture.isKnown(ScriptedCloud.FIRST), "machine of the first page registered");
+      assertTrue(fixture.isKnown(ScriptedCloud.LAST), "machine of the last page registered");
     }
 
     @Test
-    void aPageThatHasWaitedForLongGetsThePriorityOfProvisionRequests() {
+    void longDelayedPageGetsPriorityOfProvisionRequests() {
       for (int i = 0; i < 20; i++) {
-        fixture.cloud.listScript.add("held");
+        fixture.cloud.listScript.add("limit");
       }
-      inventory.list();
+      inventory.start();
       fixture.runFor(5);
       assertEquals(RequestPriority.QUERY, fixture.cloud.listPriorities.get(0));
       assertEquals(RequestPriority.ATTEMPT, fixture.cloud.listPriorities.get(15));
     }
   }
 
-  /** What follows from a complete listing. */
+  /** Effects of a complete listing. */
   @Nested
   class Reconciliation {
     /**
-     * A machine that is known and that no listing has shown is gone once a listing was started late
-     * enough: otherwise the next leader counts on machines that the last one had requested.
+     * A known machine that no listing has contained is gone once a listing started late enough. If
+     * it stayed registered, a new leader would count on machines that its predecessor requested.
      */
     @ParameterizedTest(name = "known for {0} s, {1}")
-    @CsvSource({"0, , true", "15, , true", "21, , false", "21, held, false", "21, refused, true"})
-    void aMachineThatNoListingShowsIsRemoved(
-        double knownForS, String secondPage, boolean stillThere) {
+    @CsvSource({"0, , true", "15, , true", "21, , false", "21, limit, false", "21, refused, true"})
+    void unlistedMachineIsRemoved(double knownForS, String secondPage, boolean registered) {
       MachineId other = new MachineId("n-000500");
       fixture.leadership.machines.findOrAdd(other, fixture.leadership.now());
       fixture.runFor(knownForS);
       if (secondPage != null) {
         fixture.cloud.listScript.addAll(List.of("page", secondPage));
       }
-      inventory.list();
+      inventory.start();
       fixture.runFor(1);
-      assertEquals(stillThere, fixture.isKnown(other));
-      fixture.runFor(OLDEST_LIST_S + 10);
-      assertFalse(fixture.isKnown(other), "gone in the end");
+      assertEquals(registered, fixture.isKnown(other));
+      fixture.runFor(MAX_LISTING_AGE_S + 10);
+      assertFalse(fixture.isKnown(other), "still registered after a later listing");
     }
 
     @Test
-    void anUnexpectedMachineIsDescribedByItsListing() {
-      inventory.list();
+    void unexpectedMachineIsDescribedByListing() {
+      inventory.start();
       Machine machine = fixture.leadership.machines.find(ScriptedCloud.FIRST).orElseThrow();
       assertTrue(machine.description().matches("small", "east", false));
       assertEquals(fixture.start.plusSeconds(-5), machine.cloud().provisionedAt());
@@ -96,21 +95,21 @@
     }
 
     @Test
-    void aMachineThatWasRemovedIsNotAddedAgain() {
+    void removedMachineIsNotAddedAgain() {
       fixture.leadership.machines.findOrAdd(ScriptedCloud.FIRST, fixture.start);
       fixture.leadership.machines.remove(ScriptedCloud.FIRST);
-      inventory.list();
+      inventory.start();
       assertFalse(fixture.isKnown(ScriptedCloud.FIRST));
       assertTrue(fixture.isKnown(ScriptedCloud.LAST));
     }
 
     @Test
-    void aMachineThatIsListedAsFailedIsReleasedAndItsAttemptsAreClosed() {
+    void machineListedAsFailedIsReleasedAndItsAttemptsClosed() {
       Machine machine = fixture.runningMachine(ScriptedCloud.FIRST.value());
       Job job = fixture.leadership.addJob(Specs.json("wk-1", "batch", 1));
       Attempt attempt = fixture.leadership.openAttempt(job, 0, machine);
       fixture.cloud.listedState = ListedMachine.State.FAILED;
-      inventory.list();
+      inventory.start();
       assertTrue(machine.cloud().isTerminated());
       assertTrue(machine.cloud().isReleasing());
       assertFalse(job.openAttempts().contains(attempt));
--- a/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineProvisionerTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Requests for machines, their records and retries, and what the planner is shown of them. */
+/** Provision requests, their records and retries, and the resulting input of the planner. */
 class MachineProvisionerTest {
   private static final Plan.ScaleOut WANTED = new Plan.ScaleOut("small", "east", true, 2);
   private static final MachineId FIRST = new MachineId("n-1");
@@ -34,8 +34,8 @@
       new ScaleOutOptions(
           List.of("east"), fixture.machineTypes, fixture.bootTimes, fixture.provisioner);
 
-  /** Scripts the answers to requests; every answer of machines names both. */
-  private void answer(String... words) {
+  /** Scripts the answers to provision requests; every successful answer names both machines. */
+  private void scriptAnswers(String... words) {
     for (String word : words) {
       fixture.cloud.provisionAnswers.add(ScriptedCloud.outcome(word, () -> BOTH));
     }
@@ -50,8 +50,8 @@
     return fixture.cloud.provisionRequests.size();
   }
 
-  /** The number of requests that the key-value store holds. */
-  private int recorded() {
+  /** Returns the number of requests recorded in the key-value store. */
+  private int recordedRequests() {
     fixture.runFor(0.1);
     return fixture
         .leadership
@@ -67,11 +67,11 @@
     return options.offers(fixture.leadership.now()).stream().anyMatch(Snapshot.Offer::spot);
   }
 
-  /** When a request is sent, and when it is sent again. */
+  /** First sending and retries. */
   @Nested
   class Sending {
     @Test
-    void aRequestIsSentOnceItIsRecorded() {
+    void requestIsSentOnceRecorded() {
       fixture.leadership.store.pauseWrites();
       provision();
       assertEquals(0, requestsSent());
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void anOfferIsNotRequestedAgainUntilTheAnswer() {
+    void offerIsNotRequestedAgainBeforeAnswer() {
       provision();
       provision();
       assertEquals(1, requestsSent());
@@ -93,16 +93,16 @@
     }
 
     @Test
-    void aRequestIsLimitedToWhatTheCloudAccepts() {
+    void requestIsLimitedToMaximumCount() {
       provisioner.provision(new Plan.ScaleOut("small", "east", true, 1000));
       fixture.runFor(0.1);
       assertEquals(ProvisionRequest.MAX_COUNT, fixture.cloud.provisionRequests.get(0).count());
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource({"held, 0.3", "lost, 1.5"})
-    void theSameRequestIsSentAgainAfterADelay(String word, double delayS) {
-      answer(word);
+    @CsvSource({"limit, 0.3", "lost, 1.5"})
+    void sameRequestIsResentAfterDelay(String word, double delayS) {
+      scriptAnswers(word);
       provisioner.provision(WANTED);
       fixture.runFor(delayS - 0.05);
       assertEquals(1, requestsSent());
@@ -111,7 +111,7 @@
       assertEquals(fixture.cloud.provisionRequests.get(0), fixture.cloud.provisionRequests.get(1));
     }
 
-    /** After a lost answer only a final refusal shows that no machine was provisioned. */
+    /** After a lost answer only a final refusal proves that no machine was provisioned. */
     @ParameterizedTest(name = "{0}")
     @CsvSource({
       "refused, 1, 0",
@@ -121,52 +121,51 @@
       "lost invalid, 2, 0",
       "lost conflict, 2, 0"
     })
-    void aRefusedRequestIsForgottenUnlessItMayHaveBeenApplied(
-        String script, int sent, int stillRecorded) {
-      answer(script.split(" "));
+    void refusedRequestIsRemovedUnlessPossiblyApplied(String script, int sent, int stillRecorded) {
+      scriptAnswers(script.split(" "));
       provision();
       fixture.runFor(4);
       assertEquals(sent, requestsSent());
-      assertEquals(stillRecorded, recorded());
+      assertEquals(stillRecorded, recordedRequests());
     }
   }
 
-  /** When the record of a request is removed. */
+  /** Removal of the record of a request. */
   @Nested
   class Completion {
     @Test
-    void theMachinesAreKnownFromTheAnswerOn() {
-      answer("machines");
+    void answerRegistersMachines() {
+      scriptAnswers("machines");
       provision();
       Machine machine = fixture.leadership.machines.find(FIRST).orElseThrow();
       assertTrue(machine.description().matches("small", "east", true));
       assertTrue(fixture.isKnown(SECOND));
-      assertEquals(1, recorded());
+      assertEquals(1, recordedRequests());
     }
 
     @Test
-    void theRecordIsKeptUntilAllMachinesAreSeen() {
-      answer("machines");
+    void recordIsKeptUntilAllMachinesAreSeen() {
+      scriptAnswers("machines");
       provision();
-      provisioner.seen(FIRST);
-      assertEquals(1, recorded());
-      provisioner.seen(SECOND);
-      assertEquals(0, recorded());
+      provisioner.markSeen(FIRST);
+      assertEquals(1, recordedRequests());
+      provisioner.markSeen(SECOND);
+      assertEquals(0, recordedRequests());
     }
 
     @Test
-    void machinesThatAreSeenBeforeTheAnswerAreNotWaitedFor() {
+    void machinesSeenBeforeAnswerAreNotAwaited() {
       fixture.runningMachine("n-1");
       fixture.leadership.machines.findOrAdd(SECOND, fixture.start);
       fixture.leadership.machines.remove(SECOND);
-      answer("machines");
+      scriptAnswers("machines");
       provision();
-      assertEquals(0, recorded());
+      assertEquals(0, recordedRequests());
       assertFalse(fixture.isKnown(SECOND));
     }
 
     @Test
-    void aRequestOfAnEarlierLeaderIsSentAgain() {
+    void requestOfEarlierLeaderIsResent() {
       ProvisionRequest request = new ProvisionRequest("t0-7", "small", "east", false, 2);
       ObjectNode record = Json.object().set("t0-7", request.write());
       provisioner.resume(
@@ -177,10 +176,10 @@
 
   /** Offers and pending requests. */
   @Nested
-  class PlannersView {
+  class PlannerInput {
     @Test
-    void aRequestIsPendingUntilItIsAnswered() {
-      answer("lost", "machines");
+    void requestIsPendingUntilAnswered() {
+      scriptAnswers("lost", "machines");
       provision();
       assertEquals(
           List.of(
@@ -192,7 +191,7 @@
     }
 
     @Test
-    void spotAndOrdinaryMachinesAreOfferedInEachKnownZone() {
+    void spotAndOnDemandMachinesAreOfferedInEachKnownZone() {
       assertEquals(
           List.of(
               new Snapshot.Offer(ScalingFixture.SMALL, 0, "east", true, ProvisionRequest.MAX_COUNT),
@@ -202,8 +201,8 @@
     }
 
     @Test
-    void anOfferWithoutCapacityIsPaused() {
-      answer("refused");
+    void offerWithoutCapacityIsPaused() {
+      scriptAnswers("refused");
       provision();
       assertFalse(isSpotOffered());
       fixture.runFor(6);
@@ -211,15 +210,15 @@
     }
 
     @Test
-    void anOfferThatWasProvisionedInPartIsPaused() {
+    void partiallyProvisionedOfferIsPaused() {
       fixture.cloud.provisionAnswers.add(Outcome.applied(List.of(FIRST)));
       provision();
       assertFalse(isSpotOffered());
     }
 
     @Test
-    void anOfferThatWasProvisionedInFullIsNotPaused() {
-      answer("machines");
+    void fullyProvisionedOfferIsNotPaused() {
+      scriptAnswers("machines");
       provision();
       assertTrue(isSpotOffered());
     }
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** Which idle machines are released, with leases of 10 s and a nominal boot time of 20 s. */
+/** Release of unusable idle machines, with leases of 10 s and a nominal boot time of 20 s. */
 class UnusableMachineCheckTest {
   private static final double LEASE_S = 10;
 
@@ -29,27 +29,27 @@
           fixture.releaser,
           fixture.bootTimes);
 
-  private boolean isReleased(Machine machine, double afterS) {
+  private boolean isReleasedAfter(Machine machine, double afterS) {
     check.check(start.plusSeconds(afterS));
     return machine.cloud().isReleasing();
   }
 
-  /** The lease of a machine that was heard once at the start. */
-  private double leaseEndS(Machine machine) {
+  /** Returns the lease expiry of a machine, in seconds since the start. */
+  private double leaseExpiryS(Machine machine) {
     return machine.agent().leaseExpiry().secondsSince(start);
   }
 
   private void makeUnusable(Machine machine, ReleaseReason reason) {
     switch (reason) {
-      case NEVER_UP -> machine.provisionedAt(start.plusSeconds(-1000));
-      case SILENT -> machine.agent().heard(start);
+      case BOOT_TIMEOUT -> machine.setProvisionedAt(start.plusSeconds(-1000));
+      case SILENT -> machine.agent().recordMessage(start);
       case UNREACHABLE -> {
-        machine.agent().heard(start);
+        machine.agent().recordMessage(start);
         machine.agent().extendLease(start.plusSeconds(1000));
-        machine.health().reachability().leaseLapsed(start, () -> true);
+        machine.health().reachability().recordLeaseExpiry(start, () -> true);
       }
       case QUARANTINED -> {
-        machine.agent().heard(start);
+        machine.agent().recordMessage(start);
         machine.agent().extendLease(start.plusSeconds(1000));
         quarantine(machine);
       }
@@ -62,71 +62,74 @@
         new TaskFailures(fixture.leadership.ledger, fixture.leadership.machines, 20, start);
     for (int i = 1; i <= 3; i++) {
       Job job = fixture.leadership.addJob(Specs.json("wk-" + i, "batch", 1));
-      failures.failed(machine, job, start.plusSeconds(100));
+      failures.recordFailure(machine, job, start.plusSeconds(100));
     }
   }
 
   @ParameterizedTest
   @EnumSource
-  void anIdleMachineIsReleasedFor(ReleaseReason reason) {
+  void idleMachineIsReleased(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
-    assertTrue(isReleased(machine, 100));
+    assertTrue(isReleasedAfter(machine, 100));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aMachineWithAnAttemptIsKeptInSpiteOf(ReleaseReason reason) {
+  void machineWithAttemptIsKept(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
     fixture.leadership.openAttempt(
         fixture.leadership.addJob(Specs.json("wk-9", "batch", 1)), 0, machine);
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @ParameterizedTest
   @EnumSource
-  void aMachineOfAnUnknownTypeIsKeptInSpiteOf(ReleaseReason reason) {
+  void machineOfUnknownTypeIsKept(ReleaseReason reason) {
     Machine machine = fixture.leadership.machines.findOrAdd(new MachineId("n-1"), start);
     makeUnusable(machine, reason);
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @Test
-  void aTerminatedMachineIsNotReleasedAgain() {
+  void terminatedMachineIsNotReleased() {
     Machine machine = fixture.bootingMachine("n-1");
-    makeUnusable(machine, ReleaseReason.NEVER_UP);
+    makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
     machine.cloud().markTerminated();
-    assertFalse(isReleased(machine, 100));
+    assertFalse(isReleasedAfter(machine, 100));
   }
 
   @Test
-  void aUsableMachineIsKept() {
+  void usableMachineIsKept() {
     Machine machine = fixture.runningMachine("n-1");
-    assertFalse(isReleased(machine, 1));
+    assertFalse(isReleasedAfter(machine, 1));
   }
 
-  /** Three nominal boot times, or 45 s beyond one. */
+  /** The time-out is the larger of three nominal boot times and 45 s in addition to one. */
   @ParameterizedTest
   @CsvSource({"64, false", "66, true"})
-  void aMachineThatIsListedAsRunningHasTimeForItsFirstHeartbeat(double afterS, boolean released) {
+  void machineListedAsRunningIsReleasedAfterFirstHeartbeatTimeout(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
-    machine.cloud().listed(start, true);
-    assertEquals(released, isReleased(machine, afterS));
+    machine.cloud().recordListing(start, true);
+    assertEquals(released, isReleasedAfter(machine, afterS));
   }
 
-  /** A machine that an earlier leader provisioned long ago may be up and not know this one. */
+  /**
+   * A machine that an earlier leader provisioned long ago may be running without having discovered
+   * the current leader.
+   */
   @ParameterizedTest
   @CsvSource({"3, false", "5, true"})
-  void noMachineIsGivenUpBeforeWorkersHadTimeToFindTheLeader(double afterS, boolean released) {
+  void bootTimeoutWaitsForDiscoveryOfLeader(double afterS, boolean released) {
     Machine machine = fixture.bootingMachine("n-1");
-    makeUnusable(machine, ReleaseReason.NEVER_UP);
-    assertEquals(released, isReleased(machine, afterS));
+    makeUnusable(machine, ReleaseReason.BOOT_TIMEOUT);
+    assertEquals(released, isReleasedAfter(machine, afterS));
   }
 
   @ParameterizedTest(name = "{0} silent of {1}")
   @CsvSource({"2, 2, 1", "3, 3, 3", "4, 20, 1", "5, 20, 3"})
-  void aSilentMachineIsKeptForLongerWhereManyOfItsZoneAre(int silent, int all, int leases) {
+  void silentMachineIsKeptLongerInSilentZone(int silent, int all, int leases) {
     Machine machine = fixture.runningMachine("n-0");
     for (int i = 1; i < all; i++) {
       Machine other = fixture.runningMachine("n-" + i);
@@ -134,15 +137,15 @@
         other.agent().extendLease(start.plusSeconds(1000));
       }
     }
-    double endS = leaseEndS(machine);
-    assertFalse(isReleased(machine, endS + leases * LEASE_S));
-    assertTrue(isReleased(machine, endS + leases * LEASE_S + 0.1));
+    double endS = leaseExpiryS(machine);
+    assertFalse(isReleasedAfter(machine, endS + leases * LEASE_S));
+    assertTrue(isReleasedAfter(machine, endS + leases * LEASE_S + 0.1));
   }
 
   @Test
-  void reasonsAreLoggedInWords() {
-    assertEquals("never up", ReleaseReason.NEVER_UP.toString());
-    assertEquals("silent", ReleaseReason.SILENT.toString());
+  void reasonsAreFormattedAsText() {
+    assertEquals("no heartbeat within the boot time-out", ReleaseReason.BOOT_TIMEOUT.toString());
+    assertEquals("no heartbeat since the lease expired", ReleaseReason.SILENT.toString());
     assertEquals("unreachable by commands", ReleaseReason.UNREACHABLE.toString());
     assertEquals("quarantined", ReleaseReason.QUARANTINED.toString());
   }
