--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -15,9 +15,9 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The one check that every start has to pass, whatever a policy asks for: state of the job, double
- * starts, gangs as a whole, types, zones and kinds of machines, room on the machine, the team's
- * limit and room in the job's record. It only asks and changes nothing.
+ * Admission control for task starts, independent of the scheduling policy: checks the job's state,
+ * duplicate starts, complete gangs, permitted machine types, zones and spot machines, free machine
+ * resources, the team's limit and space in the job's record. It has no side effects.
  */
 final class Admission {
   private final Map<String, Team> teams;
@@ -25,9 +25,9 @@
   private final ResourceUsage usage;
 
   /**
-   * Creates an admission by the limits of the teams.
+   * Creates an admission control that enforces the limits of the teams.
    *
-   * @param valueBytes the most that the key-value store takes as one value
+   * @param valueBytes maximum size of a value in the key-value store
    */
   Admission(Map<String, Team> teams, int valueBytes, ResourceUsage usage) {
     this.teams = teams;
@@ -38,13 +38,13 @@
   /**
    * Checks placements of one job, which are admitted together or not at all.
    *
-   * @param stillShown whether a machine still shows a task that has no open attempt
-   * @return the first reason against them, or nothing where they are admitted
+   * @param stillReported whether a machine still reports a task that has no open attempt
+   * @return the first reason for a refusal, or empty if the placements are admitted
    */
   Optional<AdmissionRefusal> check(
-      Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
+      Job job, List<Placement> placements, Predicate<TaskId> stillReported) {
     Optional<AdmissionRefusal> refusal = checkJob(job, placements);
-    PlacementChecks checks = new PlacementChecks(job, stillShown);
+    PlacementChecks checks = new PlacementChecks(job, stillReported);
     for (Placement placement : placements) {
       if (refusal.isPresent()) {
         return refusal;
@@ -53,7 +53,7 @@
     }
     return refusal
         .or(() -> checkTeamLimit(job.spec(), placements.size()))
-        .or(() -> checkRecord(job, placements));
+        .or(() -> checkRecordCapacity(job, placements));
   }
 
   private Optional<AdmissionRefusal> checkJob(Job job, List<Placement> placements) {
@@ -78,12 +78,12 @@
     return refuseIf(!Ledger.within(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
   }
 
-  private Optional<AdmissionRefusal> checkRecord(Job job, List<Placement> placements) {
+  private Optional<AdmissionRefusal> checkRecordCapacity(Job job, List<Placement> placements) {
     return refuseIf(
         fitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
   }
 
-  /** Of tasks that are to start, those whose attempts the job's record has room for. */
+  /** Returns the placements whose attempts fit the job's record. */
   List<Placement> fitting(Job job, List<Placement> placements) {
     if (SegmentCapacity.isUnlimited(job, valueBytes)) {
       return placements;
@@ -104,19 +104,19 @@
     return condition ? Optional.of(refusal) : Optional.empty();
   }
 
-  /** Checks one placement after the other, each on top of those before it. */
+  /** Checks placements one by one, counting the resources of those checked before. */
   private final class PlacementChecks {
     private final Job job;
     private final JobSpec spec;
-    private final Predicate<TaskId> stillShown;
+    private final Predicate<TaskId> stillReported;
     private final Set<Integer> placed = new HashSet<>();
     private final Map<Integer, Integer> tasksByZone = new HashMap<>();
-    private final Map<MachineId, Resources> roomByMachine = new HashMap<>();
+    private final Map<MachineId, Resources> freeByMachine = new HashMap<>();
 
-    PlacementChecks(Job job, Predicate<TaskId> stillShown) {
+    PlacementChecks(Job job, Predicate<TaskId> stillReported) {
       this.job = job;
       this.spec = job.spec();
-      this.stillShown = stillShown;
+      this.stillReported = stillReported;
       for (Attempt attempt : job.openAttempts()) {
         tasksByZone.merge(attempt.zone(), 1, Integer::sum);
       }
@@ -127,7 +127,7 @@
       return checkTask(placement.index())
           .or(() -> refuseIf(!permits(machine), AdmissionRefusal.MACHINE_NOT_PERMITTED))
           .or(() -> checkZone(machine.zone()))
-          .or(() -> checkRoom(machine));
+          .or(() -> checkMachineCapacity(machine));
     }
 
     private Optional<AdmissionRefusal> checkTask(int index) {
@@ -141,7 +141,7 @@
         return Optional.of(AdmissionRefusal.TASK_OPEN);
       }
       return refuseIf(
-          stillShown.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
+          stillReported.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
     }
 
     private boolean permits(MachineAttributes machine) {
@@ -158,14 +158,14 @@
       return refuseIf(spec.together() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
     }
 
-    private Optional<AdmissionRefusal> checkRoom(MachineAttributes machine) {
-      Resources room =
-          roomByMachine
+    private Optional<AdmissionRefusal> checkMachineCapacity(MachineAttributes machine) {
+      Resources free =
+          freeByMachine
               .computeIfAbsent(
                   machine.machine(), id -> machine.capacity().minus(usage.ofMachine(id)))
               .minus(spec.need());
-      roomByMachine.put(machine.machine(), room);
-      boolean full = room.cpus() < 0 || room.gpus() < 0 || room.memory() < 0;
+      freeByMachine.put(machine.machine(), free);
+      boolean full = free.cpus() < 0 || free.gpus() < 0 || free.memory() < 0;
       return refuseIf(full, AdmissionRefusal.MACHINE_FULL);
     }
   }
--- a/src/main/java/org/ternhinge/ledger/AdmissionRefusal.java
+++ b/src/main/java/org/ternhinge/ledger/AdmissionRefusal.java
@@ -1,22 +1,22 @@
 package org.ternhinge.ledger;
 
-/** Why tasks may not be started as a plan asks. */
+/** Reason why planned placements are not admitted. */
 public enum AdmissionRefusal {
-  NOTHING_TO_PLACE("nothing to place"),
-  JOB_OVER("job is over"),
-  WAITS_FOR_JOBS("waits for other jobs"),
-  GANG_INCOMPLETE("a gang starts whole, after every task of its last attempt is gone"),
+  NOTHING_TO_PLACE("no placements"),
+  JOB_OVER("job is cancelled or finished"),
+  WAITS_FOR_JOBS("job has unmet dependencies"),
+  GANG_INCOMPLETE("gang must start with all tasks and without open attempts"),
   UNKNOWN_TEAM("unknown team"),
-  NO_SUCH_TASK("no such task"),
+  NO_SUCH_TASK("task index is invalid or repeated"),
   TASK_DONE("task is done"),
   TASK_OPEN("task has an open attempt"),
-  TASK_STILL_SHOWN("task still shows on a machine"),
+  TASK_STILL_SHOWN("task is still reported by a machine"),
   MACHINE_NOT_PERMITTED("job does not permit this machine"),
   ZONE_LIMIT("too many tasks in one zone"),
-  SEVERAL_ZONES("tasks in several zones"),
-  MACHINE_FULL("no room on the machine"),
-  TEAM_LIMIT("team limit"),
-  RECORD_FULL("no room in the record");
+  SEVERAL_ZONES("tasks of a single-zone job are placed in several zones"),
+  MACHINE_FULL("insufficient free resources on the machine"),
+  TEAM_LIMIT("team limit exceeded"),
+  RECORD_FULL("job record is full");
 
   private final String description;
 
@@ -24,7 +24,7 @@
     this.description = description;
   }
 
-  /** The reason in words, for logs. */
+  /** Returns a description for log messages. */
   @Override
   public String toString() {
     return description;
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -8,11 +8,12 @@
 import org.ternhinge.model.TaskId;
 
 /**
- * One attempt to run a task on one machine, from the decision to open it until there is proof that
- * it is gone. All that while it counts against its team's limit, its machine and its job's zones.
+ * One attempt to run a task on one machine, from the decision to open it until it is proven to have
+ * ended. Until then it counts against its team's limit, its machine's capacity and its job's limits
+ * per zone.
  *
- * <p>Its state follows the table of {@link AttemptState}; whether it is to stop is independent of
- * that. The controller's lock guards it.
+ * <p>Its state changes as {@link AttemptState} permits; stop requests are independent of the state.
+ * Guarded by the controller's lock.
  */
 public final class Attempt {
 
@@ -28,7 +29,7 @@
   private AttemptState state;
   private SteadyTime runningSince;
 
-  /** The request to stop with the least grace so far; null where there was none. */
+  /** The stop request with the shortest grace period so far, or null. */
   private StopRequest stopRequest;
 
   private long startAnswered = -1;
@@ -64,72 +65,73 @@
     return task;
   }
 
-  /** Number within the job; later attempts have higher ones. */
+  /** Attempt number within the job; increases with each attempt. */
   public AttemptNumber number() {
     return number;
   }
 
-  /** The machine that the attempt was opened on. */
+  /** The machine on which the attempt was opened. */
   public MachineId machine() {
     return machine;
   }
 
-  /** Epoch of the machine's agent that the attempt was opened for; no later one may start it. */
+  /** Epoch of the machine's agent for which the attempt was opened; no later epoch may start it. */
   public AgentEpoch epoch() {
     return epoch;
   }
 
-  /** Index of the zone in the settings. */
+  /** Index of the machine's zone in the settings. */
   public int zone() {
     return zone;
   }
 
-  /** Whether an earlier leader opened it. */
+  /** Whether the attempt was opened by an earlier leader. */
   public boolean recovered() {
     return recovered;
   }
 
-  /** When this leader opened it, or loaded it if an earlier one did. */
+  /** When this leader opened the attempt, or loaded it if an earlier leader opened it. */
   public SteadyTime openedAt() {
     return openedAt;
   }
 
-  /** The state, by the key-value store's answers and the worker's latest status. */
+  /** The state, from the key-value store's responses and the worker's latest status. */
   public AttemptState state() {
     return state;
   }
 
-  /** Whether the key-value store holds it; until then no start may be sent. */
+  /** Whether the attempt is durable in the key-value store; until then no start may be sent. */
   public boolean durable() {
     return state.isDurable();
   }
 
-  /** Whether the worker has shown it. */
+  /** Whether the worker has reported the attempt. */
   public boolean isReported() {
     return state.isReported();
   }
 
-  /** The key-value store holds it. */
+  /** Marks the attempt as durable in the key-value store. */
   void markDurable() {
     transition(AttemptState.STARTING);
   }
 
-  /** There is proof that it is gone. */
+  /** Closes the attempt once it is proven to have ended. */
   void close() {
     transition(AttemptState.CLOSED);
   }
 
-  /** When the worker was first seen to run it, or null before that. */
+  /** When the worker first reported it as running, or null if it has not. */
   public SteadyTime runningSince() {
     return runningSince;
   }
 
   /**
-   * Records the worker's status. One that comes before the record is durable is ignored: no start
-   * was sent, so it can only be a worker's mistake, and must not make the attempt look durable.
+   * Records the state reported by the worker. A status received before the record is durable is
+   * ignored: no start was sent yet, so the status is a worker's error and must not make the attempt
+   * appear durable.
    *
    * @param reported a {@linkplain AttemptState#isReported reported} state
-   * @throws IllegalTransitionException if the state is no reported one or the attempt is closed
+   * @throws IllegalTransitionException if workers do not report this state or the attempt is closed
    */
   public void observe(AttemptState reported, SteadyTime at) {
     if (!reported.isReported()) {
@@ -156,46 +158,44 @@
     return stopRequest != null;
   }
 
-  /** The request to stop, or nothing where there was none. */
+  /** The stop request, if there is one. */
   public Optional<StopRequest> stopRequest() {
     return Optional.ofNullable(stopRequest);
   }
 
-  /**
-   * Seconds that the task has for a checkpoint once it is to stop; 0 where no stop is requested.
-   */
+  /** Grace period in seconds for a checkpoint before the task is stopped; 0 without a request. */
   public double stopGraceS() {
     return stopRequest == null ? 0 : stopRequest.graceS();
   }
 
-  /** Requests a stop; a later request replaces an earlier one only if its grace is shorter. */
+  /** Requests a stop; replaces an earlier request only if the grace period is shorter. */
   public void stop(double graceS, SteadyTime at) {
     if (stopRequest == null || graceS < stopRequest.graceS()) {
       stopRequest = new StopRequest(graceS, at);
     }
   }
 
-  /** Revision of the machine's tasks, as this leader counts them, that showed it last, or -1. */
+  /** This leader's latest revision of the machine's task list that contained the attempt, or -1. */
   public long shownIn() {
     return shownIn;
   }
 
-  /** Records the revision of the machine's tasks that shows it. */
+  /** Records the revision of the machine's task list that contains the attempt. */
   public void shownIn(long tasksRevision) {
     shownIn = tasksRevision;
   }
 
-  /** Sequence of the heartbeat whose answer carried the start, or -1. */
+  /** Sequence number of the heartbeat whose response carried the start command, or -1. */
   public long startAnswered() {
     return startAnswered;
   }
 
-  /** Records the heartbeat whose answer carried the start. */
+  /** Records the sequence number of the heartbeat whose response carried the start command. */
   public void startAnswered(long sequence) {
     startAnswered = sequence;
   }
 
-  /** Task, attempt number and machine, for messages. */
+  /** Returns task, attempt number and machine, for log and error messages. */
   @Override
   public String toString() {
     return task + " attempt " + number + " on " + machine;
--- a/src/main/java/org/ternhinge/ledger/AttemptState.java
+++ b/src/main/java/org/ternhinge/ledger/AttemptState.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The life of an attempt, from the decision to open it until there is proof that it is gone. */
+/** Lifecycle of an attempt, from the decision to open it until it is proven to have ended. */
 public enum AttemptState {
   /** Opened in memory; its record is not durable yet, so no start may be sent. */
   PROPOSED,
-  /** Durable, without a status from the worker: the start may be on its way. */
+  /** Durable, not yet reported by the worker; a start command may have been sent. */
   STARTING,
-  /** The worker fetches the image. */
+  /** The worker is fetching the image. */
   FETCHING,
-  /** A task of a gang waits for the others. */
+  /** The task is waiting for the other tasks of its gang. */
   WAITING,
-  /** The task runs. */
+  /** The task is running. */
   RUNNING,
-  /** The task writes a checkpoint before it stops. */
+  /** The task is writing a checkpoint before it stops. */
   CHECKPOINTING,
-  /** There is proof that the attempt is gone. */
+  /** The attempt is proven to have ended. */
   CLOSED;
 
   private static final Map<AttemptState, Set<AttemptState>> TRANSITIONS = transitions();
 
   /**
-   * The permitted transitions. Those of the states that a worker shows may follow each other in any
-   * order: the leader doesn't see every step, and a worker's status must never be an error of its
-   * own. Any of them may be repeated.
+   * The permitted transitions. States reported by a worker may follow each other in any order and
+   * may repeat: the leader does not see every step, and a status report must not be rejected because
+   * of its order.
    */
   private static Map<AttemptState, Set<AttemptState>> transitions() {
     Set<AttemptState> reportedOrClosed =
@@ -43,17 +43,17 @@
     return table;
   }
 
-  /** Whether this state may be followed by another. */
+  /** Whether a transition from this state to {@code next} is permitted. */
   boolean permits(AttemptState next) {
     return TRANSITIONS.get(this).contains(next);
   }
 
-  /** Whether the key-value store holds the attempt. */
+  /** Whether an attempt in this state is durable in the key-value store. */
   boolean isDurable() {
     return this != PROPOSED;
   }
 
-  /** Whether this is a state that a worker shows in its status. */
+  /** Whether workers report this state in their status. */
   public boolean isReported() {
     return this == FETCHING || this == WAITING || this == RUNNING || this == CHECKPOINTING;
   }
--- a/src/main/java/org/ternhinge/ledger/Authority.java
+++ b/src/main/java/org/ternhinge/ledger/Authority.java
@@ -3,20 +3,20 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-/** The leadership that writes are made under. */
+/** The leadership under which writes are made. */
 public interface Authority {
-  /** Number of the leadership, raised with each one. */
+  /** Term of the leadership; increases with each leadership. */
   Term term();
 
-  /** Version of the term's key; every write of a leader is conditional on it. */
+  /** Revision of the term's key; every write of the leader is conditional on it. */
   Revision termRevision();
 
-  /** Whether the leadership certainly still holds, judged by this process alone. */
+  /** Whether the leadership is certain to be still held, from local state alone. */
   boolean valid();
 
-  /** The term's key was raised by this leadership itself, to fence its own late commands. */
+  /** Called after this leadership raised its own term, which fences its delayed commands. */
   void raised(Term term, Revision revision);
 
-  /** The key-value store has shown that the leadership is over. */
+  /** Called when the leadership is found to have ended. */
   void lost(LeadershipLoss loss);
 }
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrite.java
@@ -5,10 +5,11 @@
 import java.util.function.Supplier;
 
 /**
- * A write to a key beside the jobs' records, such as the term or the provision requests under way.
+ * A pending write to a key other than a job's record, such as the term or the provision requests in
+ * progress.
  *
- * @param value asked for only when a transaction is built, so that several requests for a key
- *     before that make one change
- * @param onDurable run in their order once the key-value store holds the value
+ * @param value evaluated when the transaction is built, so that several earlier requests for a key
+ *     result in one change
+ * @param onDurable callbacks that run in order once the value is durable in the key-value store
  */
 record AuxiliaryWrite(String key, Supplier<JsonNode> value, List<Runnable> onDurable) {}
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -11,11 +11,11 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.wire.Json;
 
-/** The keys beside the jobs' records: what waits to be written to them, and their versions. */
+/** Pending writes and known revisions of keys other than the jobs' records. */
 final class AuxiliaryWrites {
   private final Ledger ledger;
   private final Authority authority;
-  private final Map<String, AuxiliaryWrite> waiting = new LinkedHashMap<>();
+  private final Map<String, AuxiliaryWrite> pending = new LinkedHashMap<>();
   private final Map<String, Revision> revisions = new HashMap<>();
 
   AuxiliaryWrites(Ledger ledger, Authority authority) {
@@ -23,33 +23,33 @@
     this.authority = authority;
   }
 
-  /** Records the revision of a key that existed before this leadership. */
+  /** Sets the revision of a key that existed before this leadership. */
   void setRevision(String key, Revision revision) {
     revisions.put(key, revision);
   }
 
   /**
-   * Asks for a key to be set; joins a request for the same key that still waits.
+   * Requests that a key be set; merged into a pending request for the same key.
    *
-   * @param onDurable runs once the key-value store holds the value
+   * @param onDurable runs once the value is durable in the key-value store
    */
   void request(String key, Supplier<JsonNode> value, Runnable onDurable) {
     AuxiliaryWrite write =
-        waiting.computeIfAbsent(key, k -> new AuxiliaryWrite(k, value, new ArrayList<>()));
+        pending.computeIfAbsent(key, k -> new AuxiliaryWrite(k, value, new ArrayList<>()));
     write.onDurable().add(onDurable);
   }
 
   boolean isEmpty() {
-    return waiting.isEmpty();
+    return pending.isEmpty();
   }
 
   /**
-   * Moves what waits into a transaction.
+   * Moves the pending writes into a transaction.
    *
-   * @return false when the transaction is full and something still waits
+   * @return false if the transaction is full and writes are still pending
    */
   boolean addTo(TransactionDraft draft) {
-    Iterator<AuxiliaryWrite> writes = waiting.values().iterator();
+    Iterator<AuxiliaryWrite> writes = pending.values().iterator();
     while (writes.hasNext()) {
       if (draft.isFull()) {
         return false;
@@ -57,7 +57,7 @@
       AuxiliaryWrite write = writes.next();
       JsonNode value = write.value().get();
       if (Json.bytes(value).length > ledger.valueBytes()) {
-        // Written under a larger limit: it waits until enough of what it lists has been settled.
+        // Stored under a larger limit: stays pending until enough of its entries are removed.
         continue;
       }
       writes.remove();
@@ -68,9 +68,9 @@
   }
 
   /**
-   * The key-value store holds these writes at a version. All versions are noted before anything
-   * follows from the writes: that may write at once, and a version that is out of date would make
-   * its transaction a conflict, which ends the leadership.
+   * Handles writes that were applied at a revision. All revisions are recorded before any callback
+   * runs: a callback may write immediately, and an outdated revision would make its transaction
+   * conflict, which ends the leadership.
    */
   void applied(List<AuxiliaryWrite> writes, Revision revision) {
     for (AuxiliaryWrite write : writes) {
--- a/src/main/java/org/ternhinge/ledger/DependencyGraph.java
+++ b/src/main/java/org/ternhinge/ledger/DependencyGraph.java
@@ -18,36 +18,35 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * The graph of dependencies between jobs. The state of a dependent job follows from durable facts
- * alone: it is cancelled at the instant at which the key-value store holds the cancellation of one
- * that it depends on, directly or through others, and it may start once the key-value store holds
- * that all of them are done. Its own record follows when the write limits allow, and the next
- * leader derives the same.
+ * The graph of dependencies between jobs. The state of a dependent job is derived from durable
+ * records alone: it is cancelled as soon as the cancellation of a direct or transitive dependency is
+ * durable, and it may start once the completion of all its dependencies is durable. Its own record
+ * is written later, as the write limits allow; a new leader derives the same state.
  */
 public final class DependencyGraph {
   private final Ledger ledger;
   private final Clock clock;
 
-  /** Unstarted jobs by each of their unmet dependencies. */
+  /** Jobs that have not started, by each of their unmet dependencies. */
   private final Map<JobId, Set<Job>> dependents = new HashMap<>();
 
-  /** Dependencies that are neither in the ledger nor known to have ended. */
+  /** Dependencies that are neither in the ledger nor known to have ended, still to be looked up. */
   private final LinkedHashSet<JobId> unresolved = new LinkedHashSet<>();
 
   /** Jobs whose planned priority was raised since the last {@link #drainRaised}. */
   private final List<Job> raised = new ArrayList<>();
 
   /** Whether a job became ready since the last {@link #drainReady}. */
-  private boolean someReady;
+  private boolean jobBecameReady;
 
   DependencyGraph(Ledger ledger, Clock clock) {
     this.ledger = ledger;
     this.clock = clock;
   }
 
-  // ---- jobs that are added --------------------------------------------------------------------
+  // ---- adding jobs ----------------------------------------------------------------------------
 
-  /** Adds a job that was just added to the ledger. */
+  /** Adds a new job of the ledger. */
   void add(Job job) {
     JobId id = job.spec().id();
     unresolved.remove(id);
@@ -102,7 +101,7 @@
     job.unmetDependencies().clear();
   }
 
-  /** A job is as urgent as the most urgent one that depends on it, directly or through others. */
+  /** Propagates a priority to a job and to its direct and transitive dependencies. */
   private void raisePriority(Job job, Priority priority) {
     Deque<Job> pending = new ArrayDeque<>(List.of(job));
     while (!pending.isEmpty()) {
@@ -121,7 +120,7 @@
 
   // ---- cancellations and ends -----------------------------------------------------------------
 
-  /** The key-value store holds a job's cancellation: cancels every job that depends on it. */
+  /** Cancels all direct and transitive dependents of a job whose cancellation is durable. */
   void cancelDependents(JobId id) {
     cancel(dependents.getOrDefault(id, Set.of()));
   }
@@ -141,7 +140,7 @@
     }
   }
 
-  /** The key-value store holds a job's final record. */
+  /** Updates the dependents of a job whose final record is durable. */
   void markEnded(JobState state) {
     unresolved.remove(state.id());
     if (state.phase() == JobState.Phase.CANCELLED) {
@@ -156,28 +155,28 @@
       job.unmetDependencies().remove(state.id());
       if (!job.hasUnmetDependencies()) {
         job.readyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
-        someReady = true;
+        jobBecameReady = true;
       }
     }
   }
 
-  // ---- questions of the leadership ------------------------------------------------------------
+  // ---- queries of the leadership --------------------------------------------------------------
 
   /** Whether a job became ready to start since the last call. */
   public boolean drainReady() {
-    boolean ready = someReady;
-    someReady = false;
+    boolean ready = jobBecameReady;
+    jobBecameReady = false;
     return ready;
   }
 
-  /** Jobs whose planned priority was raised since the last call. */
+  /** Returns the jobs whose planned priority was raised since the last call. */
   public List<Job> drainRaised() {
     List<Job> drained = List.copyOf(raised);
     raised.clear();
     return drained;
   }
 
-  /** Removes and returns a dependency whose end has to be read from the key-value store. */
+  /** Removes and returns a dependency whose final state must be read from the key-value store. */
   public Optional<JobId> pollUnresolved() {
     Iterator<JobId> ids = unresolved.iterator();
     if (!ids.hasNext()) {
@@ -188,7 +187,7 @@
     return Optional.of(id);
   }
 
-  /** The end of a job could not be read: returns it to the unresolved ones if it still matters. */
+  /** Re-queues a dependency whose final state could not be read, if it is still needed. */
   public void retryUnresolved(JobId id) {
     if (dependents.containsKey(id) && ledger.job(id) == null && ledger.findEnd(id).isEmpty()) {
       unresolved.add(id);
@@ -196,9 +195,9 @@
   }
 
   /**
-   * Whether the state of a job is certain by memory alone: not while the cancellation of a
-   * dependency may be durable without this leader having seen it, nor while the end of a dependency
-   * is unresolved.
+   * Whether the state of a job is certain from memory alone: not while the cancellation of a
+   * dependency may be durable without confirmation to this leader, nor while the final state of a
+   * dependency is unresolved.
    */
   boolean isCertain(Job job) {
     if (!job.hasUnmetDependencies()) {
--- a/src/main/java/org/ternhinge/ledger/IllegalTransitionException.java
+++ b/src/main/java/org/ternhinge/ledger/IllegalTransitionException.java
@@ -1,7 +1,8 @@
 package org.ternhinge.ledger;
 
 /**
- * A state machine was asked for a transition that its table does not permit: a programming error.
+ * Thrown when a state machine is asked for a transition that it does not permit; indicates a
+ * programming error.
  */
 public final class IllegalTransitionException extends IllegalStateException {
   private static final long serialVersionUID = 1L;
@@ -12,9 +13,9 @@
   /**
    * Creates the exception.
    *
-   * @param subject what is in the state, such as an attempt, for the message
+   * @param subject the object whose state should change, such as an attempt, for the message
    * @param from the current state
-   * @param to the state that may not follow it
+   * @param to the requested state
    */
   public IllegalTransitionException(String subject, Enum<?> from, Enum<?> to) {
     super(subject + ": no transition from " + from.name() + " to " + to.name());
@@ -22,12 +23,12 @@
     this.to = to;
   }
 
-  /** The state before the transition, which is kept. */
+  /** The current state, which is unchanged. */
   public Enum<?> from() {
     return from;
   }
 
-  /** The state that was asked for. */
+  /** The requested state. */
   public Enum<?> to() {
     return to;
   }
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -12,9 +12,9 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * An unfinished job with its done tasks and its open attempts. Its phase follows the table of
- * {@link JobPhase}; how its record is written is the concern of {@link JobRecordState}. Only the
- * {@link Ledger} and its helpers in this package change it; the controller's lock guards it.
+ * An unfinished job with its done tasks and open attempts. Its phase changes as {@link JobPhase}
+ * permits; {@link JobRecordState} tracks which parts of its record must be written. Modified only by
+ * the {@link Ledger} and its helpers in this package; guarded by the controller's lock.
  */
 public final class Job {
   private final JobSpec spec;
@@ -39,12 +39,12 @@
     this.readyMillis = acceptedMillis;
   }
 
-  /** The job as it was submitted. */
+  /** The job specification as submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** When the submission was accepted, in milliseconds of wall time. */
+  /** Wall-clock time in milliseconds at which the submission was accepted. */
   public long acceptedMillis() {
     return acceptedMillis;
   }
@@ -54,7 +54,7 @@
     return record;
   }
 
-  /** Whether the key-value store holds what is known of a task. */
+  /** Whether the current state of a task is durable in the key-value store. */
   public boolean recorded(int index) {
     return record.isWritten(index);
   }
@@ -66,53 +66,53 @@
     return phase.isCancelled();
   }
 
-  /** Whether the key-value store holds the cancellation, so that users may see it. */
+  /** Whether the cancellation is durable in the key-value store, so that users may see it. */
   public boolean cancelDurable() {
     return phase.isCancelDurable();
   }
 
-  /** Whether nothing more is to be done for the job. */
+  /** Whether the job has no open attempts and needs no more starts. */
   public boolean over() {
     return phase.isFinished();
   }
 
-  /** Whether the key-value store holds the final record. */
+  /** Whether the final record is durable in the key-value store. */
   public boolean finalDurable() {
     return phase.isEnded();
   }
 
-  /** Whether the job is cancelled because one that it depends on is, whatever its record says. */
+  /** Whether the job is cancelled because of a cancelled dependency, whatever its record says. */
   public boolean cancelledByDependency() {
     return cancelledByDependency;
   }
 
-  /** A user cancels the job. */
+  /** Cancels the job at a user's request. */
   void cancel() {
     transition(JobPhase.CANCELLING);
   }
 
-  /** The key-value store holds the cancellation; has no effect where that is known already. */
+  /** Marks the cancellation as durable in the key-value store; idempotent. */
   void markCancelDurable() {
     if (!phase.isCancelDurable()) {
       transition(phase.withDurableCancellation());
     }
   }
 
-  /** A job that this one depends on is durably cancelled, and so is this one. */
+  /** Marks the job as durably cancelled because a dependency is. */
   void cancelByDependency() {
     markCancelDurable();
     cancelledByDependency = true;
     unmetDependencies.clear();
   }
 
-  /** Nothing more is to be done for the job; has no effect where that is known already. */
+  /** Marks the job as finished; idempotent. */
   void markOver() {
     if (!phase.isFinished()) {
       transition(phase.finished());
     }
   }
 
-  /** The key-value store holds the final record. */
+  /** Marks the final record as durable in the key-value store. */
   void markFinalDurable() {
     transition(phase.ended());
   }
@@ -124,7 +124,7 @@
     phase = next;
   }
 
-  /** The state that the job's user may see. */
+  /** The state that is visible to users. */
   public JobState state() {
     JobId id = spec.id();
     if (cancelDurable()) {
@@ -137,12 +137,12 @@
 
   // ---- dependencies and priority --------------------------------------------------------------
 
-  /** The job as the planner is to see it, with the highest priority of those that depend on it. */
+  /** The specification for the planner, with the highest priority among the job's dependents. */
   public JobSpec planned() {
     return planned;
   }
 
-  /** Raises the planned priority; false if it is as high already. */
+  /** Raises the planned priority; returns false if it is already as high. */
   boolean inherit(Priority priority) {
     if (priority.compareTo(planned.priority()) >= 0) {
       return false;
@@ -151,17 +151,17 @@
     return true;
   }
 
-  /** Jobs that this one depends on and that are not known to be durably done. */
+  /** Dependencies that are not known to be durably done. */
   Set<JobId> unmetDependencies() {
     return unmetDependencies;
   }
 
-  /** Whether a dependency is not known to be durably done: no task may start. */
+  /** Whether a dependency is not known to be durably done, so that no task may start. */
   public boolean hasUnmetDependencies() {
     return !unmetDependencies.isEmpty();
   }
 
-  /** Wall time in milliseconds from which the job's delays count, except for its deadline. */
+  /** Wall-clock time in milliseconds from which the job's delays count, except for its deadline. */
   public long readyMillis() {
     return readyMillis;
   }
@@ -172,7 +172,7 @@
 
   // ---- tasks and attempts ---------------------------------------------------------------------
 
-  /** Whether an attempt was ever opened; then all dependencies were done. */
+  /** Whether an attempt was ever opened, which implies that all dependencies were done. */
   boolean started() {
     return highest.value() > 0 || !done.isEmpty() || !open.isEmpty();
   }
@@ -214,7 +214,7 @@
     return spec.tasks() - done - open.size();
   }
 
-  /** The first task from a number on that is not done and has no open attempt, or -1. */
+  /** The first task at or after an index that is not done and has no open attempt, or -1. */
   public int nextWaiting(int from) {
     for (int i = done.nextClearBit(from); i < spec.tasks(); i = done.nextClearBit(i + 1)) {
       if (!open.containsKey(i)) {
@@ -224,7 +224,7 @@
     return -1;
   }
 
-  /** How many tasks run or write a checkpoint by their workers' latest status. */
+  /** Number of tasks that run or write a checkpoint, from their workers' latest status. */
   public int runningCount() {
     int count = 0;
     for (Attempt attempt : open.values()) {
@@ -236,7 +236,7 @@
     return count;
   }
 
-  /** Whether nothing more is to be done for the tasks of a segment. */
+  /** Whether a segment's tasks have no open attempts and need no more starts. */
   boolean isSegmentOver(int segment) {
     int firstTask = record.firstTask(segment);
     if (!cancelled() && done.nextClearBit(firstTask) < record.endOfTasks(segment)) {
@@ -250,7 +250,7 @@
     return true;
   }
 
-  /** The highest attempt number so far. */
+  /** The highest attempt number used so far. */
   public AttemptNumber highest() {
     return highest;
   }
@@ -259,7 +259,7 @@
     highest = number;
   }
 
-  /** How often the back-off has grown since a task was last done; 0 without recent failures. */
+  /** Number of back-off increases since a task last completed; 0 without recent failures. */
   public int backoffLevel() {
     return backoffLevel;
   }
--- a/src/main/java/org/ternhinge/ledger/JobPhase.java
+++ b/src/main/java/org/ternhinge/ledger/JobPhase.java
@@ -6,25 +6,25 @@
 import java.util.Set;
 
 /**
- * The life of a job in the ledger. A job is finished once nothing more is to be done for it, and
- * ended once the key-value store holds its final record.
+ * Lifecycle of a job in the ledger. A job is finished once it has no open attempts and needs no more
+ * starts, and ended once its final record is durable in the key-value store.
  */
 enum JobPhase {
-  /** Tasks wait or have open attempts. */
+  /** Tasks are waiting or have open attempts. */
   ACTIVE,
-  /** A user has cancelled it; the cancellation is not durable, and attempts are still open. */
+  /** Cancelled by a user; the cancellation is not durable yet and attempts are still open. */
   CANCELLING,
   /** The cancellation is durable; attempts are still open. */
   CANCELLED,
-  /** As {@link #CANCELLING}, without open attempts. */
+  /** Same as {@link #CANCELLING}, without open attempts. */
   CANCELLING_FINISHED,
-  /** As {@link #CANCELLED}, without open attempts. */
+  /** Same as {@link #CANCELLED}, without open attempts. */
   CANCELLED_FINISHED,
   /** All tasks are done. */
   COMPLETED,
-  /** The key-value store holds the final record of the cancelled job. */
+  /** The final record of the cancelled job is durable. */
   ENDED_CANCELLED,
-  /** The key-value store holds the final record of the completed job. */
+  /** The final record of the completed job is durable. */
   ENDED_COMPLETED;
 
   private static final Map<JobPhase, Set<JobPhase>> TRANSITIONS = transitions();
@@ -35,8 +35,8 @@
   private static final Set<JobPhase> ENDED = EnumSet.of(ENDED_CANCELLED, ENDED_COMPLETED);
 
   /**
-   * The permitted transitions. An active job is cancelled durably at once where its record says so
-   * when it is loaded, or where a job that it depends on is durably cancelled.
+   * The permitted transitions. An active job becomes durably cancelled in one step if its loaded
+   * record says so or if a dependency is durably cancelled.
    */
   private static Map<JobPhase, Set<JobPhase>> transitions() {
     Map<JobPhase, Set<JobPhase>> table = new EnumMap<>(JobPhase.class);
@@ -51,7 +51,7 @@
     return table;
   }
 
-  /** Whether this phase may be followed by another. */
+  /** Whether a transition from this phase to {@code next} is permitted. */
   boolean permits(JobPhase next) {
     return TRANSITIONS.get(this).contains(next);
   }
@@ -61,27 +61,27 @@
     return !NOT_CANCELLED.contains(this);
   }
 
-  /** Whether the key-value store holds the cancellation. */
+  /** Whether the cancellation is durable in the key-value store. */
   boolean isCancelDurable() {
     return DURABLY_CANCELLED.contains(this);
   }
 
-  /** Whether nothing more is to be done for the job. */
+  /** Whether the job has no open attempts and needs no more starts. */
   boolean isFinished() {
     return !UNFINISHED.contains(this);
   }
 
-  /** Whether the key-value store holds the job's final record. */
+  /** Whether the job's final record is durable in the key-value store. */
   boolean isEnded() {
     return ENDED.contains(this);
   }
 
-  /** The phase once the cancellation is durable. */
+  /** The phase that follows once the cancellation is durable. */
   JobPhase withDurableCancellation() {
     return this == CANCELLING_FINISHED ? CANCELLED_FINISHED : CANCELLED;
   }
 
-  /** The phase once nothing more is to be done for the job. */
+  /** The phase that follows once the job is finished. */
   JobPhase finished() {
     return switch (this) {
       case CANCELLING -> CANCELLING_FINISHED;
@@ -90,7 +90,7 @@
     };
   }
 
-  /** The phase once the key-value store holds the final record. */
+  /** The phase that follows once the final record is durable. */
   JobPhase ended() {
     return isCancelled() ? ENDED_CANCELLED : ENDED_COMPLETED;
   }
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -7,24 +7,24 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * A job's record in the key-value store: how it is split into segments, and which of these are yet
- * to be written. A segment is for a fixed number of tasks, so that a large array fits the limit on
- * values; only the segments that changed are written.
+ * State of a job's record in the key-value store: its division into segments, and which of them must
+ * be written. A segment covers a fixed number of tasks, so that large arrays fit the limit on value
+ * sizes; only changed segments are written.
  */
 final class JobRecordState {
   private final JobSpec spec;
   private int segmentSize;
 
-  /** Bytes of the job's description in the record; 0 until they are asked for. */
+  /** Encoded size of the job specification; 0 until computed. */
   private int specBytes;
 
-  /** Segments with changes that are in no transaction yet. */
+  /** Segments with changes that are not in a transaction yet. */
   private final BitSet dirty = new BitSet();
 
-  /** Segments in the transaction that is under way. */
+  /** Segments in the transaction in progress. */
   private final BitSet inFlight = new BitSet();
 
-  /** Segments that are over and listed in the first one. */
+  /** Finished segments that are listed in the first segment instead of having their own keys. */
   private final BitSet merged = new BitSet();
 
   /** Revisions of the segments that have a key. */
@@ -42,37 +42,37 @@
 
   // ---- segments -------------------------------------------------------------------------------
 
-  /** How many tasks a segment is for. */
+  /** Number of tasks that a segment covers. */
   int segmentSize() {
     return segmentSize;
   }
 
-  /** How many segments the record has. */
+  /** Number of segments of the record. */
   int segments() {
     return segmentCount(segmentSize);
   }
 
-  /** How many segments the record would have with another segment size. */
+  /** Number of segments that the record would have with the given segment size. */
   int segmentCount(int size) {
     return (spec.tasks() + size - 1) / size;
   }
 
-  /** The first task of a segment. */
+  /** Index of a segment's first task. */
   int firstTask(int segment) {
     return segment * segmentSize;
   }
 
-  /** The number after that of a segment's last task. */
+  /** Index after that of a segment's last task. */
   int endOfTasks(int segment) {
     return Math.min(spec.tasks(), firstTask(segment) + segmentSize);
   }
 
-  /** The segment that a task belongs to. */
+  /** Index of the segment that covers a task. */
   int segmentOf(int index) {
     return index / segmentSize;
   }
 
-  /** Bytes of the job's description in the record. */
+  /** Encoded size of the job specification in bytes. */
   int specBytes() {
     if (specBytes == 0) {
       specBytes = RecordSize.specBytes(spec);
@@ -94,18 +94,18 @@
     return merged;
   }
 
-  /** Marks the segment of a task for writing. */
+  /** Marks the segment of a task as changed. */
   void markTaskDirty(int index) {
     dirty.set(segmentOf(index));
   }
 
-  /** Whether the key-value store holds what is known of a task. */
+  /** Whether the current state of a task is durable in the key-value store. */
   boolean isWritten(int index) {
     int segment = segmentOf(index);
     return !dirty.get(segment) && !inFlight.get(segment);
   }
 
-  /** Whether attempts were opened that are in no transaction yet. */
+  /** Whether attempts were opened that are not in a transaction yet. */
   boolean opensAttempts() {
     return opensAttempts;
   }
@@ -114,7 +114,7 @@
     opensAttempts = value;
   }
 
-  /** Since when the job waits in the write queue. */
+  /** When the job was added to the write queue. */
   SteadyTime dirtySince() {
     return dirtySince;
   }
@@ -123,7 +123,7 @@
     dirtySince = at;
   }
 
-  /** Revision of a segment's key, {@link Revision#NONE} where it has none. */
+  /** Revision of a segment's key, or {@link Revision#NONE} if the key does not exist. */
   Revision revision(int segment) {
     return new Revision(revisions.get(segment));
   }
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Segments after the first that have a key of their own. */
+  /** Segments after the first that have their own key. */
   BitSet liveSegments() {
     BitSet live = new BitSet();
     revisions.keySet().forEach(live::set);
@@ -146,13 +146,13 @@
 
   // ---- repartitioning -------------------------------------------------------------------------
 
-  /** Changes the segment size: the next write has to carry the whole record, unless it is empty. */
+  /** Changes the segment size; unless the record is empty, the next write must include all of it. */
   void repartition(int size) {
     segmentSize = size;
     repartitionWanted = false;
   }
 
-  /** Whether tasks wait for the record to be repartitioned. */
+  /** Whether tasks are waiting for the record to be repartitioned. */
   boolean repartitionWanted() {
     return repartitionWanted;
   }
@@ -161,7 +161,7 @@
     repartitionWanted = wanted;
   }
 
-  /** Whether the record, repartitioned, would not fit one transaction. */
+  /** Whether the repartitioned record would not fit one transaction. */
   boolean repartitionTooLarge() {
     return repartitionTooLarge;
   }
--- a/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
@@ -6,15 +6,15 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.wire.Json;
 
-/** Adds to a transaction what one job has to write: the segments that changed, or its end. */
+/** Adds a job's pending writes to a transaction: its changed segments, or its final record. */
 final class JobRecordWrites {
-  /** The final record and the first segment, which every end changes. */
-  private static final int END_CHANGES = 2;
+  /** Changes of every end besides later segments: the final record and the first segment. */
+  private static final int FINAL_RECORD_CHANGES = 2;
 
-  /** What became of a segment that was to be added. */
-  private enum Added {
-    DONE,
-    /** Larger than a value may be: it stays to be written. */
+  /** Result of adding a segment to a transaction. */
+  private enum AddResult {
+    ADDED,
+    /** The segment exceeds the limit on value sizes and stays pending. */
     TOO_LARGE,
     TRANSACTION_FULL
   }
@@ -28,12 +28,12 @@
   }
 
   /**
-   * Adds what a job has to write.
+   * Adds the pending writes of a job.
    *
-   * @return false when the transaction is full
+   * @return false if the transaction is full
    */
   boolean add(TransactionDraft draft, Job job) {
-    return job.over() ? addEnd(draft, job) : addChangedSegments(draft, job);
+    return job.over() ? addFinalRecord(draft, job) : addChangedSegments(draft, job);
   }
 
   private boolean addChangedSegments(TransactionDraft draft, Job job) {
@@ -43,11 +43,11 @@
     BitSet dirty = job.record().dirty();
     boolean complete = true;
     for (int s = dirty.nextSetBit(0); s >= 0; s = dirty.nextSetBit(s + 1)) {
-      Added added = draft.isFull() ? Added.TRANSACTION_FULL : addSegment(draft, job, s);
-      if (added == Added.TRANSACTION_FULL) {
+      AddResult result = draft.isFull() ? AddResult.TRANSACTION_FULL : addSegment(draft, job, s);
+      if (result == AddResult.TRANSACTION_FULL) {
         return false;
       }
-      complete &= added == Added.DONE;
+      complete &= result == AddResult.ADDED;
     }
     if (complete) {
       ledger.removeFromWriteQueue(job);
@@ -55,32 +55,33 @@
     return true;
   }
 
-  private Added addSegment(TransactionDraft draft, Job job, int segment) {
+  private AddResult addSegment(TransactionDraft draft, Job job, int segment) {
     if (segment > 0 && job.record().merged().get(segment)) {
       removeMerged(draft, job, segment);
-      return Added.DONE;
+      return AddResult.ADDED;
     }
     ObjectNode value = RecordCodec.encode(job, segment);
     int bytes = Json.bytes(value).length;
     if (bytes > ledger.valueBytes()) {
-      // Only a segment written under a larger limit gets here: admission lets no other grow so
-      // far. It can be written once enough of its attempts have ended, or when repartitioned.
-      // Until then the key-value store holds more attempts than there are, which is the safe side.
+      // Only segments written under a larger limit reach this, since admission bounds the size of
+      // all others. The segment can be written once enough of its attempts have ended or the
+      // record is repartitioned. Until then the stored segment lists attempts that have ended,
+      // which is safe.
       repartitioner.request(job);
-      return Added.TOO_LARGE;
+      return AddResult.TOO_LARGE;
     }
     String key = Keys.segment(job.spec().id(), segment);
     if (!draft.hasBytesFor(key, bytes)) {
-      return Added.TRANSACTION_FULL;
+      return AddResult.TRANSACTION_FULL;
     }
     draft.putSegment(key, value, bytes, job.record().revision(segment));
-    sent(draft, RecordWrite.Segment.of(job, segment), segment);
-    return Added.DONE;
+    markInFlight(draft, RecordWrite.Segment.of(job, segment), segment);
+    return AddResult.ADDED;
   }
 
   private void removeMerged(TransactionDraft draft, Job job, int segment) {
     if (job.record().revision(segment).equals(Revision.NONE)) {
-      // It never had a key of its own.
+      // The segment was never stored under its own key.
       job.record().dirty().clear(segment);
       return;
     }
@@ -89,19 +90,19 @@
 
   private static void delete(TransactionDraft draft, Job job, int segment) {
     draft.delete(Keys.segment(job.spec().id(), segment), job.record().revision(segment));
-    sent(draft, new RecordWrite.SegmentRemoval(job, segment), segment);
+    markInFlight(draft, new RecordWrite.SegmentRemoval(job, segment), segment);
   }
 
-  private static void sent(TransactionDraft draft, RecordWrite write, int segment) {
+  private static void markInFlight(TransactionDraft draft, RecordWrite write, int segment) {
     draft.add(write);
     write.job().record().dirty().clear(segment);
     write.job().record().inFlight().set(segment);
   }
 
-  private boolean addEnd(TransactionDraft draft, Job job) {
+  private boolean addFinalRecord(TransactionDraft draft, Job job) {
     BitSet live = job.record().liveSegments();
-    if (live.cardinality() + END_CHANGES > draft.freeChanges()) {
-      return addStepTowardsEnd(draft, job, live);
+    if (live.cardinality() + FINAL_RECORD_CHANGES > draft.freeChanges()) {
+      return addPartialEnd(draft, job, live);
     }
     JobId id = job.spec().id();
     draft.put(Keys.end(id), RecordCodec.end(job), Revision.NONE);
@@ -116,19 +117,19 @@
   }
 
   /**
-   * An end that doesn't fit a transaction as a whole is written in several: segments go first, as
-   * many as fit, and the final record comes last. The first segment has to say that the others are
-   * done before they may go: a leader that came in between would take their tasks for tasks that
-   * never ran, and run them again.
+   * Writes part of an end that needs several transactions: each deletes as many segments as fit, and
+   * the last one writes the final record. The first segment must list the others as merged before
+   * they are deleted: otherwise a leader elected in between would assume that their tasks never ran
+   * and run them again.
    */
-  private boolean addStepTowardsEnd(TransactionDraft draft, Job job, BitSet live) {
+  private boolean addPartialEnd(TransactionDraft draft, Job job, BitSet live) {
     if (live.isEmpty() || draft.isFull()) {
       return false;
     }
     JobId id = job.spec().id();
     if (job.record().dirty().get(0) && !job.record().revision(0).equals(Revision.NONE)) {
       draft.put(Keys.job(id), RecordCodec.encode(job, 0), job.record().revision(0));
-      sent(draft, RecordWrite.Segment.of(job, 0), 0);
+      markInFlight(draft, RecordWrite.Segment.of(job, 0), 0);
     }
     for (int s = live.nextSetBit(0); s >= 0 && !draft.isFull(); s = live.nextSetBit(s + 1)) {
       job.record().merged().set(s);
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -2,24 +2,24 @@
 
 import org.ternhinge.model.JobId;
 
-/** Names of the keys in the key-value store; other versions use the same, so they stay. */
+/** Keys in the key-value store; shared with other versions and therefore not to be changed. */
 public final class Keys {
-  /** The number of the current leadership; every leader's write is conditional on its version. */
+  /** The current term; every write of a leader is conditional on the revision of this key. */
   public static final String TERM = "term";
 
-  /** Who leads, on a lease. */
+  /** The current leader, held under a lease. */
   public static final String LEADER = "leader";
 
-  /** Machine types of the cloud as they were last read from it. */
+  /** Machine types as last read from the cloud. */
   public static final String MACHINE_TYPES = "flavors";
 
-  /** Prefix of unfinished jobs' records. */
+  /** Prefix of the records of unfinished jobs. */
   public static final String JOBS = "j/";
 
-  /** Prefix of final records of jobs that have ended, which are kept for ever. */
+  /** Prefix of the final records of ended jobs, which are never deleted. */
   public static final String JOB_ENDS = "f/";
 
-  /** Prefix of the records of provision requests under way. */
+  /** Prefix of the records of provision requests in progress. */
   public static final String PROVISIONS = "r/";
 
   /** Prefix of the records of machines being returned. */
@@ -27,17 +27,17 @@
 
   private Keys() {}
 
-  /** The first segment of an unfinished job's record. */
+  /** Key of the first segment of an unfinished job's record. */
   public static String job(JobId id) {
     return JOBS + id.value();
   }
 
-  /** A segment of an unfinished job's record. */
+  /** Key of a segment of an unfinished job's record. */
   static String segment(JobId id, int segment) {
     return segment == 0 ? job(id) : JOBS + id.value() + "/" + segment;
   }
 
-  /** A job's final record. */
+  /** Key of a job's final record. */
   public static String end(JobId id) {
     return JOB_ENDS + id.value();
   }
--- a/src/main/java/org/ternhinge/ledger/LeadershipLoss.java
+++ b/src/main/java/org/ternhinge/ledger/LeadershipLoss.java
@@ -2,13 +2,13 @@
 
 import org.ternhinge.model.Term;
 
-/** Why a leadership has ended. */
+/** Reason for which a leadership has ended. */
 public sealed interface LeadershipLoss {
 
-  /** The reason in words, for the log line of the term's end. */
+  /** Returns a description for the log message at the end of the term. */
   String description();
 
-  /** The key-value store has said that it holds the leader's lease no more. */
+  /** The key-value store reported that the leader's lease has expired. */
   record LeaseExpired() implements LeadershipLoss {
     @Override
     public String description() {
@@ -16,7 +16,7 @@
     }
   }
 
-  /** A worker has seen a higher term, so another leader was elected. */
+  /** A worker reported a higher term, so another leader was elected. */
   record HigherTermSeen(Term term) implements LeadershipLoss {
     @Override
     public String description() {
@@ -24,7 +24,7 @@
     }
   }
 
-  /** The watch of the jobs' records lacks changes, which only a new recovery can read. */
+  /** The watch of the job records missed changes, which only a new recovery can read. */
   record WatchFellBehind() implements LeadershipLoss {
     @Override
     public String description() {
@@ -33,9 +33,9 @@
   }
 
   /**
-   * The key-value store refused a transaction because a key has changed.
+   * The key-value store rejected a transaction because a key was changed by someone else.
    *
-   * @param detail the keys, as the key-value store lists them
+   * @param detail the conflicting keys, as listed by the key-value store
    */
   record WriteConflict(String detail) implements LeadershipLoss {
     @Override
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Another leader's write came before one whose answer was lost.
+   * Another leader's write preceded a write of this leader whose response was lost.
    *
-   * @param byOtherTerm whether the term's key shows it
+   * @param byOtherTerm whether the term's key shows another leadership
    */
   record WriteOvertaken(boolean byOtherTerm) implements LeadershipLoss {
     @Override
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -20,17 +20,17 @@
 import org.ternhinge.wire.TaskStatus;
 
 /**
- * Unfinished jobs and their attempts: the only place where an attempt opens or closes. Whatever a
- * policy asks for, {@link Admission} decides; it counts every attempt that may still exist.
+ * The unfinished jobs and their attempts; attempts are opened and closed only here. Every start is
+ * subject to {@link Admission}, which counts all attempts that may still exist.
  *
- * <p>Not safe for use by several threads; the controller's lock guards it.
+ * <p>Not thread-safe; guarded by the controller's lock.
  */
 public final class Ledger {
 
   /**
-   * One task and the machine that it is to run on.
+   * The assignment of a task to a machine.
    *
-   * @param index the task's number in its job
+   * @param index the task's index in its job
    */
   public record Placement(int index, MachineAttributes site) {}
 
@@ -38,29 +38,29 @@
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
   private final ResourceUsage usage = new ResourceUsage();
-  private final RecentJobEnds recentEnds = new RecentJobEnds();
+  private final RecentJobEnds recentlyEnded = new RecentJobEnds();
   private final Admission admission;
-  private final SegmentMerger merger;
+  private final SegmentMerger segmentMerger;
   private final WriteQueue writeQueue;
   private final DependencyGraph dependencies;
 
   /**
    * Creates a ledger without jobs.
    *
-   * @param teams the limits of each team
-   * @param valueBytes the most bytes that the key-value store holds as one value
+   * @param teams the teams and their limits, by name
+   * @param valueBytes maximum size of a value in the key-value store
    */
   public Ledger(Map<String, Team> teams, int valueBytes, Clock clock) {
     this.valueBytes = valueBytes;
     this.admission = new Admission(teams, valueBytes, usage);
-    this.merger = new SegmentMerger(valueBytes);
+    this.segmentMerger = new SegmentMerger(valueBytes);
     this.writeQueue = new WriteQueue(clock);
     this.dependencies = new DependencyGraph(this, clock);
   }
 
-  // ---- questions ------------------------------------------------------------------------------
+  // ---- queries --------------------------------------------------------------------------------
 
-  /** The most bytes that the key-value store holds as one value. */
+  /** Maximum size in bytes of a value in the key-value store. */
   int valueBytes() {
     return valueBytes;
   }
@@ -70,7 +70,10 @@
     return dependencies;
   }
 
-  /** An unfinished job, or null: asked for each task of each heartbeat. */
+  /**
+   * Returns an unfinished job, or null. Called for each task of each heartbeat, so it does not
+   * allocate an {@code Optional}.
+   */
   public Job job(JobId id) {
     return jobs.get(id);
   }
@@ -82,25 +85,25 @@
 
   /** The final state of a job that ended recently. */
   public Optional<JobState> findEnd(JobId id) {
-    return recentEnds.find(id);
+    return recentlyEnded.find(id);
   }
 
-  /** Resources that a team's open attempts use. */
+  /** Resources used by a team's open attempts. */
   public Resources teamUse(String team) {
     return usage.ofTeam(team);
   }
 
-  /** Resources of a machine that open attempts use. */
+  /** Resources of a machine that are used by open attempts. */
   public Resources machineUse(MachineId machine) {
     return usage.ofMachine(machine);
   }
 
-  /** Attempts open on a machine; to be copied before some of them are opened or closed. */
+  /** Open attempts on a machine; copy the collection before opening or closing any of them. */
   public Collection<Attempt> attemptsOn(MachineId machine) {
     return usage.attemptsOn(machine);
   }
 
-  /** Whether a task that a machine shows is an attempt that is open there. */
+  /** Whether a task reported by a machine belongs to an open attempt on that machine. */
   public boolean holds(TaskStatus shown, MachineId machine) {
     Job job = jobs.get(shown.task().job());
     Attempt attempt = job == null ? null : job.open(shown.task().index());
@@ -109,20 +112,20 @@
         && attempt.machine().equals(machine);
   }
 
-  /** Machines with open attempts, whether or not anything else is known about them. */
+  /** Machines with open attempts, including machines of which nothing else is known. */
   public Set<MachineId> machinesInUse() {
     return usage.machines();
   }
 
-  /** Whether resources keep to a team's limit; a limit of 0 is none. */
+  /** Whether a usage is within a team's limits; 0 means unlimited. */
   public static boolean within(Team team, Resources use) {
     return (team.cpusMax() == 0 || use.cpus() <= team.cpusMax())
         && (team.gpusMax() == 0 || use.gpus() <= team.gpusMax());
   }
 
   /**
-   * The state of a job, unless memory alone can't say it for certain: a cancellation that is not
-   * known to be durable may be durable all the same, its own or that of a dependency.
+   * Returns the state of a job if it is certain from memory alone. It is uncertain while a
+   * cancellation of the job or of a dependency is in progress, since it may already be durable.
    */
   public Optional<JobState> findState(Job job) {
     if (job.cancelDurable()) {
@@ -135,7 +138,7 @@
 
   // ---- jobs -----------------------------------------------------------------------------------
 
-  /** Adds a job that the key-value store holds; has no effect where the ledger has it already. */
+  /** Adds a job that is durable in the key-value store; has no effect if it was added before. */
   public void add(Job job) {
     if (jobs.putIfAbsent(job.spec().id(), job) != null) {
       return;
@@ -146,8 +149,8 @@
   }
 
   /**
-   * Cancels a job on behalf of its user; no task starts from now on. A job that is over stays what
-   * it is: the record that says so may be on its way to the key-value store already.
+   * Cancels a job at a user's request; no more tasks are started. A finished job is left unchanged,
+   * since its final record may already have been sent to the key-value store.
    */
   public void cancel(Job job) {
     if (!job.cancelled() && !job.over()) {
@@ -156,7 +159,7 @@
     }
   }
 
-  /** A dependency of the job is durably cancelled, and so is the job, before its record says it. */
+  /** Cancels a job whose dependency is durably cancelled; this counts before its record is written. */
   void cancelByDependency(Job job) {
     job.cancelByDependency();
     afterCancellation(job);
@@ -168,48 +171,48 @@
     mergeAndFinish(job);
   }
 
-  /** The key-value store holds a job's cancellation. */
+  /** Marks a job's cancellation as durable and cancels the jobs that depend on it. */
   void markCancelDurable(Job job) {
     job.markCancelDurable();
     dependencies.cancelDependents(job.spec().id());
   }
 
   /**
-   * Sets how far a job that fails everywhere has backed off. The level goes into its record with
-   * the next change that is written anyway: a retry must not cost one more.
+   * Sets the back-off level of a job whose tasks fail on every machine. The level is stored with the
+   * next write of the record, so that a retry does not cost an additional change.
    */
   public void setBackoffLevel(Job job, int level) {
     job.backoffLevel(level);
   }
 
-  /** The key-value store holds a job's final record: removes the job. */
+  /** Removes a job whose final record is durable. */
   void markEnded(Job job) {
     jobs.remove(job.spec().id());
     writeQueue.remove(job);
     JobState.Phase phase = job.cancelled() ? JobState.Phase.CANCELLED : JobState.Phase.DONE;
     JobState state = new JobState(job.spec().id(), phase, job.doneCount(), 0);
-    recentEnds.add(state);
+    recentlyEnded.add(state);
     dependencies.markEnded(state);
   }
 
-  /** A job outside the ledger was found to have ended, perhaps long ago. */
+  /** Records the final state of a job that is not in the ledger, read from the key-value store. */
   public void resolveEnd(JobState state) {
-    recentEnds.add(state);
+    recentlyEnded.add(state);
     dependencies.markEnded(state);
   }
 
   // ---- attempts -------------------------------------------------------------------------------
 
-  /** Of tasks that are to start, those whose attempts the job's record has room for. */
+  /** Returns the placements whose attempts fit the job's record. */
   public List<Placement> fitting(Job job, List<Placement> placements) {
     return admission.fitting(job, placements);
   }
 
   /**
-   * Asks for more room in a job's record, as its tasks don't {@linkplain #fitting fit}. That of a
-   * service is repartitioned then, where this may help: nothing of it ends by itself, so waiting
-   * for room in a large segment could take for ever. An array's tasks end, and writing its first
-   * segment for this in every round would only cost changes.
+   * Requests more space in a job's record when placements do not {@linkplain #fitting fit}. Only the
+   * record of a service is repartitioned: its tasks do not end by themselves, so a large segment
+   * might never have space again. Tasks of an array end, and writing its first segment in every
+   * scheduling round would only consume changes.
    */
   public void requestRoom(Job job) {
     if (job.spec().isService() && RepartitionPolicy.permits(job, valueBytes)) {
@@ -220,26 +223,26 @@
   }
 
   /**
-   * Opens attempts for tasks of a job, all with one number, or none of them. Nothing may be started
-   * until the attempts are durable.
+   * Opens attempts for all placements, with a common attempt number, or for none of them. No task
+   * may be started until its attempt is durable.
    *
-   * @param stillShown whether a machine still shows a task that has no open attempt
-   * @return the reason against it, or nothing when the attempts are open
+   * @param stillReported whether a machine still reports a task that has no open attempt
+   * @return the reason for a refusal, or empty if the attempts were opened
    */
   public Optional<AdmissionRefusal> open(
-      Job job, List<Placement> placements, Predicate<TaskId> stillShown, SteadyTime now) {
+      Job job, List<Placement> placements, Predicate<TaskId> stillReported, SteadyTime now) {
     RepartitionPolicy.repartitionWaitingGang(job, valueBytes);
-    Optional<AdmissionRefusal> refusal = admit(job, placements, stillShown);
+    Optional<AdmissionRefusal> refusal = admit(job, placements, stillReported);
     if (refusal.isEmpty()) {
       openAll(job, placements, now);
     }
     return refusal;
   }
 
-  /** Whether attempts may open, by {@link Admission}; changes nothing. */
+  /** Checks by {@link Admission} whether attempts may be opened, without opening them. */
   Optional<AdmissionRefusal> admit(
-      Job job, List<Placement> placements, Predicate<TaskId> stillShown) {
-    return admission.check(job, placements, stillShown);
+      Job job, List<Placement> placements, Predicate<TaskId> stillReported) {
+    return admission.check(job, placements, stillReported);
   }
 
   private void openAll(Job job, List<Placement> placements, SteadyTime now) {
@@ -260,10 +263,10 @@
   }
 
   /**
-   * Closes an attempt once there is proof that it is gone. One task that is done finishes its whole
-   * gang. Has no effect where the attempt is not open.
+   * Closes an attempt that is proven to have ended. One done task completes its whole gang. Has no
+   * effect if the attempt is not open.
    *
-   * @param done whether the task is done, so that it won't be started again
+   * @param done whether the task is done and must not be started again
    */
   public void close(Attempt attempt, boolean done) {
     Job job = attempt.job();
@@ -284,9 +287,9 @@
     mergeAndFinish(job);
   }
 
-  /** Merges segments that are over into the first, and finishes the job if all of it is over. */
+  /** Merges finished segments into the first one, and marks the job as finished if it is. */
   private void mergeAndFinish(Job job) {
-    if (merger.merge(job)) {
+    if (segmentMerger.merge(job)) {
       writeQueue.add(job);
     }
     boolean complete = job.doneCount() == job.spec().tasks();
@@ -298,18 +301,18 @@
 
   // ---- writes ---------------------------------------------------------------------------------
 
-  /** The jobs that may be written, as in {@link WriteQueue#ready}. */
+  /** Returns the jobs to write, as {@link WriteQueue#ready} does. */
   Map<WriteQueue.Urgency, List<Job>> readyToWrite(
       SteadyTime batchedBefore, SteadyTime overdueBefore) {
     return writeQueue.ready(batchedBefore, overdueBefore);
   }
 
-  /** Whether a job has something to write. */
+  /** Whether a job has pending writes. */
   boolean hasDirty() {
     return !writeQueue.isEmpty();
   }
 
-  /** All that a job has to write is in a transaction. */
+  /** Removes a job all of whose pending writes are in a transaction. */
   void removeFromWriteQueue(Job job) {
     writeQueue.remove(job);
     job.record().opensAttempts(false);
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -23,34 +23,34 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Reads everything that a new leader starts from: all unfinished jobs, the provision requests and
- * the releases under way. A record that can't be read is left out and logged; it doesn't keep the
- * others back.
+ * Loads the state for a new leader: all unfinished jobs, and the provision requests and machine
+ * releases in progress. Unreadable records are logged and skipped, so that they do not prevent the
+ * others from being loaded.
  */
 public final class LedgerLoader {
   private static final Logger LOG = LoggerFactory.getLogger(LedgerLoader.class);
 
-  /** Keys asked for at once: within the key-value store's page of 1000 items and 512 KiB. */
+  /** Keys per page, within the key-value store's limits of 1000 items and 512 KiB per page. */
   private static final int PAGE_KEYS = 500;
 
-  /** Seconds until a page that wasn't answered is asked for again. */
+  /** Seconds before a page is requested again after a failure. */
   private static final double RETRY_S = 0.3;
 
   /**
-   * What the key-value store holds.
+   * The loaded records.
    *
-   * @param revision changes after this one come by the watch
+   * @param revision revision after which changes must be read by a watch
    */
   public record Loaded(
       List<Job> jobs, List<Entry> provisions, List<Entry> releases, Revision revision) {}
 
-  /** All keys with a prefix, as far as they are read. */
+  /** The entries with a prefix that have been read so far. */
   private record Range(String prefix, List<Entry> entries) {
     Range(String prefix) {
       this(prefix, new ArrayList<>());
     }
 
-    /** The key after which the next page begins, or null for the first page. */
+    /** Returns the key after which the next page starts, or null for the first page. */
     String lastKey() {
       return entries.isEmpty() ? null : entries.get(entries.size() - 1).key();
     }
@@ -62,15 +62,15 @@
   private final Range jobs = new Range(Keys.JOBS);
   private final Range provisions = new Range(Keys.PROVISIONS);
   private final Range releases = new Range(Keys.RELEASES);
-  private final Deque<Range> unread = new ArrayDeque<>(List.of(jobs, provisions, releases));
+  private final Deque<Range> unreadRanges = new ArrayDeque<>(List.of(jobs, provisions, releases));
 
-  /** Of the first page: whatever changed after it may be missing in later ones. */
+  /** Revision of the first page; later pages may or may not include changes made after it. */
   private Revision revision;
 
   /**
-   * Creates a loader that has read nothing yet.
+   * Creates a loader.
    *
-   * @param lock taken whenever an answer comes
+   * @param lock held while responses are handled
    */
   public LedgerLoader(KeyValueStore store, Clock clock, Lock lock) {
     this.store = store;
@@ -78,19 +78,19 @@
     this.locked = new LockedExecutor(lock);
   }
 
-  /** Reads until all is there, however often it has to ask; then calls back under the lock. */
+  /** Reads all records, retrying without limit, and then invokes the callback under the lock. */
   public void load(Consumer<Loaded> onLoaded) {
-    if (unread.isEmpty()) {
+    if (unreadRanges.isEmpty()) {
       onLoaded.accept(finish());
       return;
     }
-    Range range = unread.peek();
+    Range range = unreadRanges.peek();
     locked.whenAnswered(
         store.list(range.prefix(), range.lastKey(), PAGE_KEYS, RequestPriority.RENEWAL),
-        outcome -> answered(range, outcome, onLoaded));
+        outcome -> handlePage(range, outcome, onLoaded));
   }
 
-  private void answered(
+  private void handlePage(
       Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.Page> applied) {
       addPage(range, applied.value());
@@ -106,42 +106,42 @@
     }
     range.entries().addAll(page.entries());
     if (!page.more() || page.entries().isEmpty()) {
-      unread.remove();
+      unreadRanges.remove();
     }
   }
 
   private Loaded finish() {
-    Map<JobId, Job> found = new TreeMap<>();
+    Map<JobId, Job> jobsById = new TreeMap<>();
     SteadyTime now = clock.now();
     for (Entry entry : jobs.entries()) {
       try {
-        read(entry, found, now);
+        read(entry, jobsById, now);
       } catch (WireException | RuntimeException e) {
-        LOG.error("record {} is unreadable: {}", entry.key(), e.toString());
+        LOG.error("skipping unreadable job record {}: {}", entry.key(), e.toString());
       }
     }
     return new Loaded(
-        new ArrayList<>(found.values()), provisions.entries(), releases.entries(), revision);
+        new ArrayList<>(jobsById.values()), provisions.entries(), releases.entries(), revision);
   }
 
-  private static void read(Entry entry, Map<JobId, Job> found, SteadyTime now)
+  private static void read(Entry entry, Map<JobId, Job> jobsById, SteadyTime now)
       throws WireException {
     String name = entry.key().substring(Keys.JOBS.length());
     int slash = name.indexOf('/');
     if (slash < 0) {
       Job job = RecordCodec.decodeFirst(entry.value(), entry.revision(), now);
-      found.put(job.spec().id(), job);
+      jobsById.put(job.spec().id(), job);
       return;
     }
-    // Keys come in order, so the first segment was read before.
-    Job job = found.get(new JobId(name.substring(0, slash)));
+    // Keys are listed in order, so the first segment has been read already.
+    Job job = jobsById.get(new JobId(name.substring(0, slash)));
     if (job != null) {
       int segment = Integer.parseInt(name.substring(slash + 1));
       RecordCodec.decodeTasks(job, segment, entry.value(), entry.revision(), now);
     }
   }
 
-  /** Reads the record of a job that was just accepted. */
+  /** Reads the record of a newly accepted job. */
   public static Job read(JsonNode value, Revision revision, SteadyTime now) throws WireException {
     return RecordCodec.decodeFirst(value, revision, now);
   }
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -17,36 +17,35 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Writes the ledger's changes to the key-value store, many records to a transaction.
+ * Writes the ledger's changes to the key-value store, batching many records in a transaction.
  *
- * <p>It guarantees:
+ * <p>Guarantees:
  *
  * <ul>
- *   <li>One transaction at a time is under way, so that every one is built on known versions.
- *   <li>Each is conditional on the term and on the version of every key that it changes: a leader
- *       that was replaced can write nothing, and a copy that is applied late can't undo what came
- *       after it.
- *   <li>One whose answer was lost is sent again unchanged until its fate is known. A conflict after
- *       a lost answer is settled by reading back, the term first (see {@link TransactionVerifier});
- *       any other conflict ends the leadership.
+ *   <li>At most one transaction is in progress, so that each is built on known revisions.
+ *   <li>Each is conditional on the term and on the revision of every key that it changes: a
+ *       replaced leader cannot write, and a delayed copy cannot undo later changes.
+ *   <li>After a lost response a transaction is sent again unchanged until its outcome is known. A
+ *       conflict after a lost response is resolved by reading back, the term first (see {@link
+ *       TransactionVerifier}); any other conflict ends the leadership.
  * </ul>
  *
- * <p>What is written when is chosen by {@link TransactionAssembler}; what follows from a durable
- * transaction is done by {@link TransactionSettlement}. All methods are called under the lock.
+ * <p>{@link TransactionAssembler} selects what to write and when; {@link TransactionSettlement}
+ * updates the ledger after a transaction was applied. All methods are called under the lock.
  */
 public final class LedgerWriter {
   private static final Logger LOG = LoggerFactory.getLogger(LedgerWriter.class);
 
-  /** Seconds until a transaction is sent again that was refused or had no answer. */
+  /** Seconds before a transaction is sent again that was rejected or received no response. */
   private static final double RETRY_S = 0.2;
 
   /**
-   * Seconds until it is checked again whether something may be written that waits for tokens or for
-   * its time. Whatever is more urgent may still come before it.
+   * Interval in seconds at which writes are checked that wait for tokens or for the end of their
+   * batching period. No transaction is built in advance, so that more urgent writes may go first.
    */
   private static final double POLL_S = 0.05;
 
-  /** Seconds on top of the wait for tokens, so that rounding doesn't wake it up too early. */
+  /** Seconds added to the wait for tokens, so that rounding does not end it too early. */
   private static final double TOKEN_MARGIN_S = 0.005;
 
   private final Ledger ledger;
@@ -60,25 +59,25 @@
   private final TransactionVerifier verifier;
   private final TransactionSettlement settlement;
 
-  /** The transaction that is under way or waits to be sent again, or null. */
+  /** The transaction that is in progress or waiting to be sent again, or null. */
   private LedgerTransaction pending;
 
-  /** Whether a copy of the pending transaction was sent whose answer was lost. */
+  /** Whether the response to a copy of the pending transaction was lost. */
   private boolean mayBeApplied;
 
-  /** Whether an answer or a timer is awaited that will go on with the pending transaction. */
-  private boolean busy;
+  /** Whether a response or timer is awaited that will resume the pending transaction. */
+  private boolean awaitingCallback;
 
   private boolean pollScheduled;
   private boolean stopped;
 
   /**
-   * Creates a writer with nothing to write.
+   * Creates a writer without pending writes.
    *
-   * @param lock guards the ledger; taken whenever an answer comes
-   * @param maxChanges the most changes that the key-value store accepts in a transaction
+   * @param lock guards the ledger; held while responses are handled
+   * @param maxChanges maximum number of changes in a transaction of the key-value store
    * @param onDurable receives the attempts that may be started now; called under the lock after
-   *     every write, also with an empty list
+   *     every write, even if there are none
    */
   public LedgerWriter(
       Ledger ledger,
@@ -102,22 +101,22 @@
     this.settlement = new TransactionSettlement(ledger, auxiliaryWrites, onDurable);
   }
 
-  /** Ends all writing; answers that still come are ignored. */
+  /** Stops writing; later responses are ignored. */
   public void stop() {
     stopped = true;
     verifier.stop();
   }
 
-  /** Records the revision of a key that existed before this leadership. */
+  /** Sets the revision of a key that existed before this leadership. */
   public void setRevision(String key, Revision revision) {
     auxiliaryWrites.setRevision(key, revision);
   }
 
   /**
-   * Sets a key beside the jobs' records. Several calls for a key before it is written make one
+   * Sets a key other than a job's record. Several calls for a key before it is written result in one
    * change.
    *
-   * @param value supplies the value when the key is written
+   * @param value supplies the value when the transaction is built
    */
   public void write(String key, Supplier<JsonNode> value) {
     write(key, value, () -> {});
@@ -126,7 +125,7 @@
   /**
    * Sets a key as {@link #write(String, Supplier)} does.
    *
-   * @param onDurable runs once the key-value store holds the value
+   * @param onDurable runs once the value is durable in the key-value store
    */
   public void write(String key, Supplier<JsonNode> value, Runnable onDurable) {
     auxiliaryWrites.request(key, value, onDurable);
@@ -134,21 +133,21 @@
   }
 
   /**
-   * Raises the term, so that workers which have seen the new one refuse whatever was sent under the
-   * old one, however late it arrives.
+   * Raises the term, so that workers that have received the new term reject commands sent under the
+   * old one, no matter how late these arrive.
    */
   public void raiseTerm(Runnable onDurable) {
     write(Keys.TERM, () -> Json.object().put("n", authority.term().next().value()), onDurable);
   }
 
-  /** Whether no change is waiting or under way. */
+  /** Whether no write is pending or in progress. */
   public boolean idle() {
     return pending == null && auxiliaryWrites.isEmpty() && !ledger.hasDirty();
   }
 
-  /** Sends the next transaction if there is one and none is under way; called on every change. */
+  /** Sends the next transaction if there is one and none is in progress; called on every change. */
   public void pump() {
-    if (busy || stopped) {
+    if (awaitingCallback || stopped) {
       return;
     }
     if (pending == null) {
@@ -162,7 +161,7 @@
     }
   }
 
-  /** A transaction for the tokens at hand, or null. */
+  /** Builds a transaction that the available tokens permit, or returns null. */
   private LedgerTransaction nextTransaction() {
     int limit = Math.min(maxChanges, store.availableChanges(RequestPriority.ATTEMPT));
     return limit > 0 ? assembler.next(limit).orElse(null) : null;
@@ -175,11 +174,11 @@
     }
     double wait = store.secondsUntilAvailable(pending.size(), RequestPriority.ATTEMPT);
     if (wait > 0) {
-      // Only what is sent again has to wait: a new transaction is built for the tokens at hand.
+      // Only a transaction that is sent again can wait here: new ones fit the available tokens.
       retryAfter(wait + TOKEN_MARGIN_S);
       return;
     }
-    busy = true;
+    awaitingCallback = true;
     locked.whenAnswered(
         store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::handleAnswer);
   }
@@ -197,17 +196,17 @@
   }
 
   private void retryAfter(double seconds) {
-    busy = true;
+    awaitingCallback = true;
     clock.after(seconds, locked.guarded(this::retry));
   }
 
   private void retry() {
-    busy = false;
+    awaitingCallback = false;
     pump();
   }
 
   private void handleAnswer(Outcome<Revision> outcome) {
-    busy = false;
+    awaitingCallback = false;
     if (stopped) {
       return;
     }
@@ -229,7 +228,7 @@
 
   private void handleRefusal(Outcome.NotApplied<Revision> refusal) {
     if (refusal.reason() == Reason.CONFLICT && mayBeApplied) {
-      busy = true;
+      awaitingCallback = true;
       verifier.verify(pending, this::handleVerdict);
     } else if (refusal.reason() == Reason.CONFLICT) {
       authority.lost(new LeadershipLoss.WriteConflict(refusal.detail()));
@@ -247,7 +246,7 @@
   }
 
   private void handleVerdict(TransactionVerifier.Verdict verdict) {
-    busy = false;
+    awaitingCallback = false;
     if (verdict instanceof TransactionVerifier.WasApplied applied) {
       complete(applied.revision());
     } else if (verdict instanceof TransactionVerifier.Overtaken overtaken) {
--- a/src/main/java/org/ternhinge/ledger/MachineAttributes.java
+++ b/src/main/java/org/ternhinge/ledger/MachineAttributes.java
@@ -5,14 +5,14 @@
 import org.ternhinge.model.Resources;
 
 /**
- * What admission needs to know of the machine that an attempt is to open on.
+ * Attributes of a machine that are needed to admit and open an attempt on it.
  *
- * @param epoch the worker's current run on the machine
- * @param type name of the machine type in the settings
- * @param zone index of the zone in the settings, which records name it by
- * @param zoneName name of the zone, which jobs ask for it by
- * @param spot whether the cloud may take the machine back at any time
- * @param capacity all that the machine offers to tasks, free or not
+ * @param epoch epoch of the agent that currently runs on the machine
+ * @param type name of the machine type
+ * @param zone index of the zone in the settings, as stored in records
+ * @param zoneName name of the zone, as requested by jobs
+ * @param spot whether the cloud may reclaim the machine at any time
+ * @param capacity total resources for tasks, whether free or used
  */
 public record MachineAttributes(
     MachineId machine,
--- a/src/main/java/org/ternhinge/ledger/RecentJobEnds.java
+++ b/src/main/java/org/ternhinge/ledger/RecentJobEnds.java
@@ -5,9 +5,9 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
 
-/** Final states of jobs that ended recently, for users who ask for a job shortly after its end. */
+/** Cache of the final states of recently ended jobs, for users who query them shortly afterwards. */
 final class RecentJobEnds {
-  /** How many are kept; the oldest are dropped. */
+  /** Maximum number of states; the oldest are evicted. */
   private static final int CAPACITY = 4096;
 
   private final Object2ObjectLinkedOpenHashMap<JobId, JobState> states =
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The final state of a job, if it is still kept. */
+  /** Returns the final state of a job, if it is cached. */
   Optional<JobState> find(JobId id) {
     return Optional.ofNullable(states.get(id));
   }
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -20,50 +20,50 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The layout of records in the key-value store. Other versions read and write the same records, so
- * the names of fields are a contract; they are short because values are limited in size.
+ * Encoding of records in the key-value store. Other versions read and write the same records, so the
+ * field names must not change; they are short because the size of values is limited.
  *
- * <p>A record's first segment describes the job; every segment, the first included, lists the done
- * tasks and open attempts of its own range of tasks.
+ * <p>The first segment of a record contains the job specification; every segment, including the
+ * first, lists the done tasks and open attempts of its range of tasks.
  */
 public final class RecordCodec {
-  /** The job's description, as it was submitted. */
+  /** The job specification as submitted. */
   private static final String SPEC = "s";
 
-  /** Milliseconds of the wall clock at which the job was accepted. */
+  /** Wall-clock time in milliseconds at which the job was accepted. */
   private static final String ACCEPTED = "t";
 
-  /** How many tasks a segment of this record is for. */
+  /** Number of tasks that a segment of this record covers. */
   private static final String SEGMENT_SIZE = "p";
 
-  /** The highest attempt number that the job has used. */
+  /** The highest attempt number used so far. */
   private static final String HIGHEST_ATTEMPT = "h";
 
   /**
-   * How often the back-off of a job that fails everywhere has grown; absent where it has not. A
-   * version that does not support it drops it, and the job then begins to back off anew.
+   * Back-off level of a job whose tasks fail on every machine; absent if 0. Versions that do not
+   * support the field drop it, and the job's back-off then starts again from 0.
    */
   private static final String BACKOFF_LEVEL = "e";
 
-  /** Present and true once the job is cancelled. */
+  /** True if the job is cancelled, otherwise absent. */
   private static final String CANCELLED = "c";
 
-  /** Ranges of segments that are over and have no key of their own any more. */
+  /** Ranges of finished segments that no longer have their own keys. */
   private static final String MERGED = "f";
 
-  /** Ranges of tasks that are done. */
+  /** Ranges of done tasks. */
   private static final String DONE = "d";
 
   /** Open attempts, each {@code attempt:machine:epoch:zone:ranges of tasks}. */
   private static final String OPEN = "o";
 
-  /** Fields of an open attempt's text. */
+  /** Number of fields in the text of an open attempt. */
   private static final int ATTEMPT_FIELDS = 5;
 
-  /** How a job ended, in its final record. */
+  /** In the final record: whether the job was done or cancelled. */
   private static final String END_STATE = "s";
 
-  /** How many tasks were done at a job's end. */
+  /** In the final record: number of done tasks. */
   private static final String END_DONE = "n";
 
   private static final String END_STATE_CANCELLED = "cancelled";
@@ -72,8 +72,8 @@
   private RecordCodec() {}
 
   /**
-   * The dependencies of a job that has not started, by its first segment alone; none once it has
-   * started or is cancelled.
+   * Returns the dependencies of a job from its first segment; empty if the job has started or is
+   * cancelled.
    */
   public static List<JobId> unstartedDependencies(JsonNode value) {
     boolean started =
@@ -84,17 +84,17 @@
     return started || cancelled ? List.of() : JobSpec.dependenciesOf(value.path(SPEC));
   }
 
-  /** Whether a first segment is of a service. */
+  /** Whether a first segment belongs to a service. */
   public static boolean isService(JsonNode value) {
     return JobSpec.isService(value.path(SPEC));
   }
 
-  /** The record of a job that was just accepted. */
+  /** Encodes the record of a newly accepted job. */
   public static ObjectNode encodeNew(JobSpec spec, long acceptedMillis, int valueBytes) {
     return encodeFirst(new Job(spec, acceptedMillis, RecordSize.segmentSize(spec, valueBytes)));
   }
 
-  /** A segment as the job stands now. */
+  /** Encodes a segment from the job's current state. */
   static ObjectNode encode(Job job, int segment) {
     return segment == 0 ? encodeFirst(job) : encodeTasks(job, segment, Json.object());
   }
@@ -123,23 +123,23 @@
     out.put(DONE, TaskRanges.encode(job.done(), from, to));
     ArrayNode open = out.putArray(OPEN);
     tasksByAttempt(job, from, to)
-        .forEach((head, tasks) -> open.add(head + TaskRanges.encode(tasks, from, to)));
+        .forEach((prefix, tasks) -> open.add(prefix + TaskRanges.encode(tasks, from, to)));
     return out;
   }
 
-  /** The open tasks of a range by what stands before them in the record, in order of the tasks. */
+  /** Groups the open tasks of a range by the prefix of their attempts, in order of the tasks. */
   private static Map<String, BitSet> tasksByAttempt(Job job, int from, int to) {
     Map<String, BitSet> tasks = new LinkedHashMap<>();
     for (int i = from; i < to; i++) {
       Attempt attempt = job.open(i);
       if (attempt != null) {
-        tasks.computeIfAbsent(attemptHead(attempt), head -> new BitSet()).set(i);
+        tasks.computeIfAbsent(attemptPrefix(attempt), prefix -> new BitSet()).set(i);
       }
     }
     return tasks;
   }
 
-  private static String attemptHead(Attempt attempt) {
+  private static String attemptPrefix(Attempt attempt) {
     return attempt.number()
         + ":"
         + attempt.machine()
@@ -150,7 +150,7 @@
         + ":";
   }
 
-  /** Reads the first segment. */
+  /** Decodes the first segment. */
   static Job decodeFirst(JsonNode value, Revision revision, SteadyTime now) throws WireException {
     JsonNode spec = value.get(SPEC);
     if (spec == null) {
@@ -169,7 +169,7 @@
     for (int segment : TaskRanges.decode(value.path(MERGED).asText(""))) {
       job.record().merged().set(segment);
       if (!job.cancelled()) {
-        // Of a cancelled job's merged segments it isn't known which tasks were done.
+        // Which tasks of merged segments were done is unknown if the job is cancelled.
         job.done().set(job.record().firstTask(segment), job.record().endOfTasks(segment));
       }
     }
@@ -177,7 +177,7 @@
     return job;
   }
 
-  /** Reads what a segment says of its tasks into the job. */
+  /** Decodes a segment's done tasks and open attempts into the job. */
   static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, SteadyTime now)
       throws WireException {
     job.record().revision(segment, revision);
@@ -195,7 +195,7 @@
   private static void decodeAttempts(Job job, String text, SteadyTime now) throws WireException {
     String[] fields = text.split(":", ATTEMPT_FIELDS);
     if (fields.length != ATTEMPT_FIELDS) {
-      throw new WireException(OPEN + ": " + text);
+      throw new WireException(OPEN + ": malformed attempt: " + text);
     }
     AttemptNumber number = new AttemptNumber(Long.parseLong(fields[0]));
     MachineId machine = new MachineId(fields[1]);
@@ -206,20 +206,20 @@
     }
   }
 
-  /** The final record of a job that is over. */
+  /** Encodes the final record of a finished job. */
   static ObjectNode end(Job job) {
     String state = job.cancelled() ? END_STATE_CANCELLED : END_STATE_DONE;
     return Json.object().put(END_STATE, state).put(END_DONE, job.doneCount());
   }
 
-  /** Reads a job's final record. */
+  /** Decodes a job's final record. */
   public static JobState decodeEnd(JobId id, JsonNode value) {
     boolean cancelled = value.path(END_STATE).asText().equals(END_STATE_CANCELLED);
     JobState.Phase phase = cancelled ? JobState.Phase.CANCELLED : JobState.Phase.DONE;
     return new JobState(id, phase, value.path(END_DONE).asInt(), 0);
   }
 
-  /** Reads the state that a user may see from the first segment alone. */
+  /** Decodes the state that is visible to users from the first segment alone. */
   public static JobState decodeState(JobId id, JsonNode value) {
     if (value.path(CANCELLED).asBoolean()) {
       return new JobState(id, JobState.Phase.CANCELLED, 0, 0);
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -6,51 +6,51 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Splits a record into smaller segments where an earlier version wrote it under a larger limit on
- * values. All of it is written in one transaction: the segment size stands in the first segment, so
- * a leader that came in between two transactions would read the other segments wrongly.
+ * Splits records that an earlier version wrote under a larger limit on value sizes into smaller
+ * segments. The whole record is written in one transaction: the segment size is stored in the first
+ * segment, so a leader elected between two transactions would misinterpret the other segments.
  */
 final class RecordRepartitioner {
   private final Ledger ledger;
   private final int maxChanges;
 
-  /** The job whose record goes into a transaction of its own before anything else, or null. */
-  private Job next;
+  /** The job whose record is written next, in a transaction of its own, or null. */
+  private Job requested;
 
   /**
-   * Creates a repartitioner for records of a largest size.
+   * Creates a repartitioner for records that fit one transaction.
    *
-   * @param maxChanges the most changes that the key-value store accepts in a transaction
+   * @param maxChanges maximum number of changes in a transaction of the key-value store
    */
   RecordRepartitioner(Ledger ledger, int maxChanges) {
     this.ledger = ledger;
     this.maxChanges = maxChanges;
   }
 
-  /** Asks for a record to be repartitioned; one job at a time can wait for it. */
+  /** Requests that a record be repartitioned; ignored while another job's request is pending. */
   void request(Job job) {
     job.record().repartitionWanted(false);
     if (job.record().segmentCount(targetSize(job)) > maxChanges) {
       job.record().markRepartitionTooLarge();
-    } else if (next == null && RepartitionPolicy.permits(job, ledger.valueBytes())) {
-      next = job;
+    } else if (requested == null && RepartitionPolicy.permits(job, ledger.valueBytes())) {
+      requested = job;
     }
   }
 
   /**
-   * Adds the record that waits to an empty transaction. While tokens are too few for the whole of
-   * it, the job stays the next one.
+   * Adds the requested record to an empty transaction. The request stays pending while the available
+   * tokens do not suffice for the whole record.
    */
   void addTo(TransactionDraft draft) {
-    if (next == null) {
+    if (requested == null) {
       return;
     }
-    Job job = next;
+    Job job = requested;
     int size = targetSize(job);
     if (!RepartitionPolicy.permits(job, ledger.valueBytes())) {
-      next = null;
+      requested = null;
     } else if (job.record().segmentCount(size) <= draft.freeChanges()) {
-      next = null;
+      requested = null;
       repartition(draft, job, size);
     }
   }
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Smaller segments are more, so each of the old ones is written over. The record is left as it is
-   * where a segment would still be too large: then an array has more open attempts than its
-   * admission allows, and they will end.
+   * Smaller segments are more numerous, so each old segment is overwritten. The record is left
+   * unchanged if a segment would still be too large: the job is then an array with more open
+   * attempts than admission would allow now, and these will end.
    */
   private void repartition(TransactionDraft draft, Job job, int size) {
     int previousSize = job.record().segmentSize();
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -8,90 +8,90 @@
 import org.ternhinge.wire.Json;
 
 /**
- * How many bytes the segments of a record take at most, and how many tasks a segment is for so that
- * it fits the key-value store's limit on values.
+ * Computes upper bounds for the sizes of record segments, and the number of tasks per segment for
+ * which segments fit the key-value store's limit on value sizes.
  */
 public final class RecordSize {
-  /** Names, numbers and punctuation of a segment, beside what is counted apart. */
-  private static final int FRAME_BYTES = 160;
+  /** Bytes of field names, numbers and punctuation in a segment that are not counted separately. */
+  private static final int FIXED_BYTES = 160;
 
-  /** The list of merged segments may take this part of the limit: one in so many bytes. */
-  private static final int MERGED_PART = 10;
+  /** The list of merged segments may use the value limit divided by this number. */
+  private static final int MERGED_LIST_DIVISOR = 10;
 
-  /** Bytes of one range of merged segments at most, such as {@code 780-787,}. */
+  /** Maximum bytes of a range of merged segments, such as {@code 780-787,}. */
   private static final int RANGE_BYTES = 10;
 
-  /** Bytes of an attempt alone on its machine, at most, with its task's number. */
+  /** Maximum bytes of an attempt with a single task on its machine, including the task's index. */
   static final int BYTES_ALONE = 36;
 
-  /** Bytes of an array's task on average, where several share an attempt's number and machine. */
-  private static final double BYTES_SHARED = 14.5;
+  /** Average bytes of an array's task if several tasks share an attempt number and machine. */
+  private static final double SHARED_TASK_BYTES = 14.5;
 
-  /** Punctuation in what stands before an open attempt's tasks, and the index of its zone. */
-  private static final int HEAD_PUNCTUATION_BYTES = 10;
+  /** Bytes of punctuation and zone index in the text that precedes an open attempt's tasks. */
+  private static final int PREFIX_PUNCTUATION_BYTES = 10;
 
-  /** Segments for fewer tasks would cost more in keys than in tasks. */
+  /** Minimum tasks per segment; with fewer, keys would take more space than the tasks. */
   private static final int MIN_TASKS = 8;
 
-  /** Segments for more tasks would save few changes, and cost more bytes for each. */
+  /** Maximum tasks per segment; more would save few changes and make each of them larger. */
   private static final int MAX_TASKS = 127;
 
   private RecordSize() {}
 
-  /** Bytes of a job's description as it stands in its record. */
+  /** Encoded size of a job specification in bytes. */
   static int specBytes(JobSpec spec) {
     return Json.bytes(spec.write()).length;
   }
 
-  /** Whether a job's description leaves room for its tasks in a record. */
+  /** Whether a job specification leaves enough space for tasks in the first segment. */
   public static boolean fits(JobSpec spec, int valueBytes) {
-    int least = Math.min(spec.tasks(), MIN_TASKS) * BYTES_ALONE;
-    return roomForTasks(specBytes(spec), valueBytes) >= least;
+    int required = Math.min(spec.tasks(), MIN_TASKS) * BYTES_ALONE;
+    return spaceForTasks(specBytes(spec), valueBytes) >= required;
   }
 
   /**
-   * How many tasks a segment of a new record is for. Those of a gang or a service may all be on
-   * machines of their own; an array's admission is bounded by {@link SegmentCapacity}.
+   * Returns the number of tasks per segment for a new record. For gangs and services every task may
+   * be on a different machine; for arrays {@link SegmentCapacity} bounds admission.
    */
   static int segmentSize(JobSpec spec, int valueBytes) {
     return segmentSize(spec.kind(), specBytes(spec), valueBytes);
   }
 
-  /** How many tasks a segment of a job's record would be for if the record were new. */
+  /** Returns the number of tasks per segment that the job's record would have if it were new. */
   static int segmentSize(Job job, int valueBytes) {
     return segmentSize(job.spec().kind(), job.record().specBytes(), valueBytes);
   }
 
   private static int segmentSize(JobKind kind, int specBytes, int valueBytes) {
-    double bytesPerTask = kind == JobKind.ARRAY ? BYTES_SHARED : BYTES_ALONE;
-    int tasks = (int) (roomForTasks(specBytes, valueBytes) / bytesPerTask);
+    double bytesPerTask = kind == JobKind.ARRAY ? SHARED_TASK_BYTES : BYTES_ALONE;
+    int tasks = (int) (spaceForTasks(specBytes, valueBytes) / bytesPerTask);
     return Math.max(MIN_TASKS, Math.min(MAX_TASKS, tasks));
   }
 
-  /** Bytes of the first segment that are left for its tasks. */
-  private static int roomForTasks(int specBytes, int valueBytes) {
-    return valueBytes - specBytes - FRAME_BYTES - valueBytes / MERGED_PART;
+  /** Bytes that are available for tasks in the first segment. */
+  private static int spaceForTasks(int specBytes, int valueBytes) {
+    return valueBytes - specBytes - FIXED_BYTES - valueBytes / MERGED_LIST_DIVISOR;
   }
 
-  /** How many ranges of merged segments the first segment may list. */
+  /** Maximum number of ranges of merged segments in the first segment. */
   static int mergedRanges(int valueBytes) {
-    return valueBytes / MERGED_PART / RANGE_BYTES;
+    return valueBytes / MERGED_LIST_DIVISOR / RANGE_BYTES;
   }
 
-  /** Bytes of a segment, at most, however its tasks end, without the attempts' heads. */
+  /** Maximum bytes of a segment for any set of done tasks, without the prefixes of its attempts. */
   static int baseBytes(Job job, int segment, int valueBytes) {
     int from = job.record().firstTask(segment);
     int to = job.record().endOfTasks(segment);
     int digits = Integer.toString(to).length();
-    int onlyInFirst = segment == 0 ? job.record().specBytes() + valueBytes / MERGED_PART : 0;
-    return FRAME_BYTES + onlyInFirst + (to - from) * (digits + 1);
+    int firstSegmentBytes = segment == 0 ? job.record().specBytes() + valueBytes / MERGED_LIST_DIVISOR : 0;
+    return FIXED_BYTES + firstSegmentBytes + (to - from) * (digits + 1);
   }
 
-  /** Bytes of what stands before an open attempt's tasks, for each attempt and machine. */
+  /** Bytes of the prefix that precedes an open attempt's tasks, once per attempt and machine. */
   static int headBytes(AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     return machine.value().length()
         + Long.toString(number.value()).length()
         + Long.toString(epoch.value()).length()
-        + HEAD_PUNCTUATION_BYTES;
+        + PREFIX_PUNCTUATION_BYTES;
   }
 }
--- a/src/main/java/org/ternhinge/ledger/RecordWrite.java
+++ b/src/main/java/org/ternhinge/ledger/RecordWrite.java
@@ -3,24 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a transaction changes in one job's record, and what follows once that is durable. */
+/** A change to a job's record in a transaction, with its effects once it is durable. */
 sealed interface RecordWrite {
 
   /** The job whose record is written. */
   Job job();
 
   /**
-   * One segment is set.
+   * Sets a segment.
    *
    * @param cancels whether the write makes the job's cancellation durable
-   * @param opens attempts that the write makes durable, so that their tasks may be started
+   * @param opens attempts that become durable by the write, so that their tasks may be started
    */
   record Segment(Job job, int index, boolean cancels, List<Attempt> opens) implements RecordWrite {
 
-    /** The write of a segment as the job stands now. */
+    /** Creates the write of a segment from the job's current state. */
     static Segment of(Job job, int index) {
-      // By the iterator and not by a stream, which goes through this map in another order: starts
-      // are sent in the order of the opens.
+      // Uses the iterator, since a stream visits this map in a different order: starts are sent
+      // in the order of this list.
       List<Attempt> opens = new ArrayList<>();
       for (Attempt attempt : job.openAttempts()) {
         if (!attempt.durable() && job.record().segmentOf(attempt.task().index()) == index) {
@@ -32,11 +32,11 @@
   }
 
   /**
-   * One segment is removed, since it was merged into the first. Removals and other writes differ
-   * from when they are built: a segment that is merged only while it is being written has a key.
+   * Deletes a segment that was merged into the first one. Whether a write is a deletion is fixed when
+   * it is built: a segment that is merged while being written has a key afterwards.
    */
   record SegmentRemoval(Job job, int index) implements RecordWrite {}
 
-  /** The final record replaces all that is left of the record. */
+  /** Replaces the remaining segments by the final record. */
   record End(Job job) implements RecordWrite {}
 }
--- a/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
+++ b/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
@@ -1,16 +1,16 @@
 package org.ternhinge.ledger;
 
 /**
- * Decides when a record that was written under a larger limit on values is split into smaller
+ * Decides when a record that was written under a larger limit on value sizes is split into smaller
  * segments. {@link RecordRepartitioner} writes the result.
  */
 final class RepartitionPolicy {
   private RepartitionPolicy() {}
 
   /**
-   * Whether a record has larger segments than it would have now, and may be repartitioned.
+   * Whether a record has larger segments than a new record would have, and may be repartitioned.
    *
-   * @param valueBytes the most bytes that the key-value store holds as one value
+   * @param valueBytes maximum size of a value in the key-value store
    */
   static boolean permits(Job job, int valueBytes) {
     JobRecordState record = job.record();
@@ -22,9 +22,8 @@
   }
 
   /**
-   * Repartitions the record of a gang that waits, where its attempts might not fit the segments
-   * otherwise. No other segment than the first has a key then, so the next write of that one is
-   * enough.
+   * Repartitions the record of a waiting gang whose attempts might not fit the current segments. Only
+   * the first segment has a key at that time, so writing that segment is sufficient.
    */
   static void repartitionWaitingGang(Job job, int valueBytes) {
     if (job.spec().isGang()
--- a/src/main/java/org/ternhinge/ledger/ResourceUsage.java
+++ b/src/main/java/org/ternhinge/ledger/ResourceUsage.java
@@ -10,8 +10,8 @@
 import org.ternhinge.model.Resources;
 
 /**
- * What the open attempts take up of teams' limits and of machines. An attempt counts from the
- * decision to open it until there is proof that it is gone.
+ * Resources used by open attempts, by team and by machine. An attempt counts from the decision to
+ * open it until it is proven to have ended.
  */
 final class ResourceUsage {
   private final Map<String, Resources> byTeam = new HashMap<>();
@@ -26,17 +26,17 @@
     return byMachine.getOrDefault(machine, Resources.ZERO);
   }
 
-  /** Attempts open on a machine, in the order in which they were opened. */
+  /** Open attempts on a machine, in the order in which they were opened. */
   Collection<Attempt> attemptsOn(MachineId machine) {
     return attempts.getOrDefault(machine, Set.of());
   }
 
-  /** Machines that attempts are open on. */
+  /** Machines with open attempts. */
   Set<MachineId> machines() {
     return new HashSet<>(attempts.keySet());
   }
 
-  /** Counts an attempt that opens. */
+  /** Adds the resources of an attempt that is opened. */
   void add(Attempt attempt) {
     Resources need = attempt.job().spec().need();
     byTeam.merge(attempt.job().spec().team(), need, Resources::plus);
@@ -44,7 +44,7 @@
     attempts.computeIfAbsent(attempt.machine(), machine -> new LinkedHashSet<>()).add(attempt);
   }
 
-  /** No longer counts an attempt that was counted. */
+  /** Subtracts the resources of an attempt that is closed. */
   void remove(Attempt attempt) {
     Resources need = attempt.job().spec().need();
     MachineId machine = attempt.machine();
--- a/src/main/java/org/ternhinge/ledger/SegmentMerger.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentMerger.java
@@ -3,22 +3,22 @@
 import java.util.BitSet;
 
 /**
- * Merges segments of a job's record that are over into the first segment, so that their keys can be
- * removed. The first segment lists the merged ones as ranges, whose number is limited.
+ * Merges finished segments of a job's record into the first segment, so that their keys can be
+ * deleted. The first segment lists merged segments as ranges, whose number is limited.
  */
 final class SegmentMerger {
   private final int maxRanges;
 
   /**
-   * Creates a merger for records of a largest size.
+   * Creates a merger for a limit on value sizes.
    *
-   * @param valueBytes the most bytes that the key-value store holds as one value
+   * @param valueBytes maximum size of a value in the key-value store
    */
   SegmentMerger(int valueBytes) {
     this.maxRanges = RecordSize.mergedRanges(valueBytes);
   }
 
-  /** Merges all segments that are over; returns whether there were any. */
+  /** Merges all finished segments as far as possible; returns whether any was merged. */
   boolean merge(Job job) {
     boolean changed = false;
     for (int segment = 1; segment < job.record().segments(); segment++) {
@@ -37,7 +37,7 @@
     return !merged.get(segment) && job.isSegmentOver(segment) && fitsRanges(merged, segment);
   }
 
-  /** Whether a segment extends a range, or the list has room for one more. */
+  /** Whether a segment extends an existing range or the list has space for another one. */
   private boolean fitsRanges(BitSet merged, int segment) {
     return merged.get(segment + 1) || merged.get(segment - 1) || countRanges(merged) < maxRanges;
   }
--- a/src/main/java/org/ternhinge/ledger/StopRequest.java
+++ b/src/main/java/org/ternhinge/ledger/StopRequest.java
@@ -3,9 +3,9 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The request to stop an attempt.
+ * A request to stop an attempt.
  *
- * @param graceS seconds that the task has for a checkpoint from when it receives the stop
+ * @param graceS seconds for a checkpoint, counted from when the task receives the stop command
  * @param at when the request was made
  */
 public record StopRequest(double graceS, SteadyTime at) {}
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -8,21 +8,19 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Chooses what goes into the next transaction. While changes are scarce, cancellations go first,
- * then what users wait for most. Ends of tasks wait a moment, so that one change carries many of
- * them.
+ * Selects the writes of the next transaction. While tokens are scarce, cancellations go first, then
+ * other writes in order of urgency to users. Ends of tasks are batched for a short time, so that one
+ * change includes many of them.
  */
 final class TransactionAssembler {
   /**
-   * Seconds for which ends of tasks are batched before they are written: a fraction of the time in
-   * which users notice an end, and long enough for a segment to collect those of many tasks.
+   * Seconds for which ends of tasks are batched before they are written: short compared to the delay
+   * that users notice, and long enough to batch the ends of many tasks in a segment.
    */
   private static final double BATCH_S = 0.4;
 
-  /**
-   * Seconds after which ends of tasks no longer wait behind starts, so that none waits for ever.
-   */
-  private static final double LATE_S = 2;
+  /** Seconds after which ends of tasks get the urgency of starts, which prevents starvation. */
+  private static final double OVERDUE_S = 2;
 
   private final Ledger ledger;
   private final Authority authority;
@@ -48,8 +46,8 @@
   /**
    * Builds the next transaction.
    *
-   * @param maxChanges changes that it may carry
-   * @return nothing where nothing is to be written yet
+   * @param maxChanges maximum number of changes in the transaction
+   * @return the transaction, or empty if nothing may be written yet
    */
   Optional<LedgerTransaction> next(int maxChanges) {
     TransactionDraft draft = new TransactionDraft(authority.termRevision(), maxChanges);
@@ -63,10 +61,10 @@
   private void addByUrgency(TransactionDraft draft) {
     SteadyTime now = clock.now();
     Map<Urgency, List<Job>> ready =
-        ledger.readyToWrite(now.plusSeconds(-BATCH_S), now.plusSeconds(-LATE_S));
+        ledger.readyToWrite(now.plusSeconds(-BATCH_S), now.plusSeconds(-OVERDUE_S));
     for (Urgency urgency : Urgency.values()) {
-      // The provision requests and releases among the auxiliary writes go before starts of lower
-      // priority.
+      // Auxiliary writes include provision requests and machine releases, which precede starts of
+      // less than production priority.
       if (urgency == Urgency.HIGH_PRIORITY_STARTS && !auxiliaryWrites.addTo(draft)) {
         return;
       }
@@ -76,7 +74,7 @@
     }
   }
 
-  /** Adds what jobs have to write; false when the transaction is full. */
+  /** Adds the pending writes of jobs; returns false if the transaction is full. */
   private boolean addAll(TransactionDraft draft, List<Job> jobs) {
     for (Job job : jobs) {
       if (!jobWrites.add(draft, job)) {
--- a/src/main/java/org/ternhinge/ledger/TransactionDraft.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionDraft.java
@@ -12,16 +12,17 @@
 import org.ternhinge.store.KeyCondition;
 
 /**
- * A transaction that is being put together. It is conditional on the term from the start, and with
- * every change on the version that its key is known to have.
+ * A transaction under construction. It is conditional on the term and on the expected revision of
+ * each key that it changes.
  */
 final class TransactionDraft {
   /**
-   * Segments in one transaction, in bytes: well inside the key-value store's 64 KiB for all of it.
+   * Maximum total bytes of segments in a transaction, well below the key-value store's limit of 64
+   * KiB for the whole request.
    */
   private static final int MAX_SEGMENT_BYTES = 48 * 1024;
 
-  /** Bytes of a change in a request beside its key and its value: its condition and field names. */
+  /** Bytes of a change in a request besides its key and value: its condition and field names. */
   private static final int CHANGE_OVERHEAD_BYTES = 80;
 
   private final Map<String, Revision> conditions = new LinkedHashMap<>();
@@ -34,8 +35,8 @@
   /**
    * Creates an empty draft.
    *
-   * @param termRevision version of the term's key under which the transaction is valid
-   * @param maxChanges changes that it may carry
+   * @param termRevision revision of the term's key under which the transaction is valid
+   * @param maxChanges maximum number of changes in the transaction
    */
   TransactionDraft(Revision termRevision, int maxChanges) {
     this.maxChanges = maxChanges;
@@ -46,7 +47,7 @@
     return changes.isEmpty();
   }
 
-  /** How many more changes it may carry. */
+  /** Number of changes that can still be added. */
   int freeChanges() {
     return maxChanges - changes.size();
   }
@@ -55,12 +56,12 @@
     return freeChanges() <= 0;
   }
 
-  /** Whether a segment may join the others; the first one always may. */
+  /** Whether there is space for a segment; always true for the first one. */
   boolean hasBytesFor(String key, int valueBytes) {
     return isEmpty() || segmentBytes + requestBytes(key, valueBytes) <= MAX_SEGMENT_BYTES;
   }
 
-  /** Sets a segment's key and counts its bytes. */
+  /** Sets the key of a segment and adds its bytes to the total. */
   void putSegment(String key, JsonNode value, int valueBytes, Revision expected) {
     segmentBytes += requestBytes(key, valueBytes);
     put(key, value, expected);
@@ -69,20 +70,20 @@
   /**
    * Sets a key.
    *
-   * @param expected the key's version, without which the whole transaction is not applied
+   * @param expected the key's expected revision; otherwise the whole transaction is not applied
    */
   void put(String key, JsonNode value, Revision expected) {
     conditions.put(key, expected);
     changes.add(new Change.Put(key, value, 0));
   }
 
-  /** Removes a key, on the same condition as in {@link #put}. */
+  /** Deletes a key, under the same condition as {@link #put}. */
   void delete(String key, Revision expected) {
     conditions.put(key, expected);
     changes.add(new Change.Delete(key));
   }
 
-  /** Adds what follows for a job once the changes are durable. */
+  /** Adds the record write that a change belongs to. */
   void add(RecordWrite write) {
     recordWrites.add(write);
   }
@@ -92,7 +93,7 @@
     auxiliaryWrites.add(write);
   }
 
-  /** The finished transaction, or nothing where no change was added. */
+  /** Returns the transaction, or empty if no change was added. */
   Optional<LedgerTransaction> build() {
     return isEmpty()
         ? Optional.empty()
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 import org.ternhinge.model.Revision;
 
-/** Brings the ledger up to date once the key-value store holds a transaction. */
+/** Updates the ledger after a transaction was applied. */
 final class TransactionSettlement {
   private final Ledger ledger;
   private final AuxiliaryWrites auxiliaryWrites;
   private final Consumer<List<Attempt>> onDurable;
 
   /**
-   * Creates a settlement of a ledger's transactions.
+   * Creates an instance for the transactions of a ledger.
    *
-   * @param onDurable receives after every transaction the attempts that may be started now, also
-   *     where there are none
+   * @param onDurable receives the attempts that may be started now after every transaction, even if
+   *     there are none
    */
   TransactionSettlement(
       Ledger ledger, AuxiliaryWrites auxiliaryWrites, Consumer<List<Attempt>> onDurable) {
@@ -24,25 +24,25 @@
     this.onDurable = onDurable;
   }
 
-  /** A transaction was applied, which gave the keys that it set this version. */
+  /** Handles a transaction that was applied at a revision, which is now that of the keys set. */
   void applied(LedgerTransaction transaction, Revision revision) {
     List<Attempt> durable = new ArrayList<>();
     for (RecordWrite write : transaction.recordWrites()) {
       if (write instanceof RecordWrite.Segment segment) {
-        segmentApplied(segment, revision);
+        handleSegment(segment, revision);
         durable.addAll(markDurable(segment));
       } else if (write instanceof RecordWrite.SegmentRemoval removal) {
         removal.job().record().inFlight().clear(removal.index());
         removal.job().record().revision(removal.index(), Revision.NONE);
       } else if (write instanceof RecordWrite.End end) {
-        endApplied(end.job());
+        handleFinalRecord(end.job());
       }
     }
     auxiliaryWrites.applied(transaction.auxiliaryWrites(), revision);
     onDurable.accept(durable);
   }
 
-  private void segmentApplied(RecordWrite.Segment write, Revision revision) {
+  private void handleSegment(RecordWrite.Segment write, Revision revision) {
     Job job = write.job();
     job.record().inFlight().clear(write.index());
     job.record().revision(write.index(), revision);
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Marks the attempts that a write opened, but for those that were closed in the meantime. */
+  /** Marks the attempts of a write as durable, except those that have been closed meanwhile. */
   private static List<Attempt> markDurable(RecordWrite.Segment write) {
     List<Attempt> open =
         write.opens().stream()
@@ -61,7 +61,7 @@
     return open;
   }
 
-  private void endApplied(Job job) {
+  private void handleFinalRecord(Job job) {
     job.record().inFlight().clear(0);
     job.markFinalDurable();
     ledger.markEnded(job);
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -12,24 +12,24 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * Finds out by reading back whether an earlier copy of a transaction was applied, where its answer
- * was lost and a later copy met a conflict.
+ * Determines by reading back whether an earlier copy of a transaction was applied, when its response
+ * was lost and a later copy conflicted.
  *
- * <p>The term is read first, and only under this leadership's own term an equal value proves
- * anything: another leader may have written the same value, a cancellation say, without whatever
- * else the transaction was to make durable.
+ * <p>The term is read first, since an equal value is evidence only while the term is unchanged:
+ * another leader may have written the same value, such as a cancellation, without the other changes
+ * of the transaction.
  */
 final class TransactionVerifier {
-  /** Seconds until a read that failed is tried again. */
+  /** Seconds before a failed read is retried. */
   private static final double RETRY_S = 0.2;
 
-  /** What the key-value store shows of a transaction. */
+  /** Result of the verification. */
   sealed interface Verdict {}
 
-  /** An earlier copy was applied at this version. */
+  /** An earlier copy was applied at this revision. */
   record WasApplied(Revision revision) implements Verdict {}
 
-  /** No copy was or will be applied: another leader has written meanwhile. */
+  /** No copy was or will be applied, because another leader has written in the meantime. */
   record Overtaken(LeadershipLoss.WriteOvertaken loss) implements Verdict {}
 
   private final KeyValueStore store;
@@ -46,20 +46,20 @@
     this.locked = locked;
   }
 
-  /** Gives no verdict from now on. */
+  /** Stops the verification; no more verdicts are delivered. */
   void stop() {
     stopped = true;
   }
 
-  /** Reads until the key-value store has answered, then gives the verdict once, under the lock. */
+  /** Reads back with retries, and then delivers the verdict once, under the lock. */
   void verify(LedgerTransaction transaction, Consumer<Verdict> onVerdict) {
-    read(Keys.TERM, transaction, onVerdict, term -> termRead(transaction, term, onVerdict));
+    read(Keys.TERM, transaction, onVerdict, term -> handleTerm(transaction, term, onVerdict));
   }
 
-  private void termRead(
+  private void handleTerm(
       LedgerTransaction transaction, Optional<Entry> term, Consumer<Verdict> onVerdict) {
     if (transaction.changes(Keys.TERM)) {
-      // A raised term differs from every claimed one, which names its node's process.
+      // A raised term differs from every claimed term, which includes the claiming process.
       onVerdict.accept(compare(transaction.changeOf(Keys.TERM), term));
     } else if (term.map(Entry::revision).filter(authority.termRevision()::equals).isPresent()) {
       Change probe = transaction.probe();
@@ -79,7 +79,7 @@
         : new Overtaken(new LeadershipLoss.WriteOvertaken(false));
   }
 
-  /** Reads a key; a read that fails starts the verification again, since the term may change. */
+  /** Reads a key; a failed read restarts the verification, since the term may have changed. */
   private void read(
       String key,
       LedgerTransaction transaction,
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -9,22 +9,22 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-/** Jobs with something to write, and how urgent it is. */
+/** Queue of the jobs with pending writes, which are ordered by urgency. */
 final class WriteQueue {
 
-  /** What a job has to write, the most urgent first. */
+  /** Urgency classes of pending writes, most urgent first. */
   enum Urgency {
     /** Cancellations, which users wait for. */
     CANCELLATIONS,
-    /** Attempts of jobs of production priority. */
+    /** Opened attempts of jobs with production priority. */
     PRODUCTION_STARTS,
     /** Final records of jobs. */
     JOB_ENDS,
-    /** Attempts of jobs of high priority. */
+    /** Opened attempts of jobs with high priority. */
     HIGH_PRIORITY_STARTS,
-    /** Attempts of all other jobs, and ends of tasks that are overdue. */
+    /** Opened attempts of all other jobs, and overdue ends of tasks. */
     STARTS,
-    /** Ends of tasks, which are batched for a moment. */
+    /** Ends of tasks, which are batched for a short time. */
     TASK_ENDS
   }
 
@@ -39,7 +39,7 @@
     return jobs.isEmpty();
   }
 
-  /** Adds a job; one that is queued already keeps its place and its time. */
+  /** Adds a job; a job that is already queued keeps its position and time. */
   void add(Job job) {
     if (jobs.add(job)) {
       job.record().dirtySince(clock.now());
@@ -51,10 +51,10 @@
   }
 
   /**
-   * The jobs that may be written, by urgency, those that have waited longest first.
+   * Returns the jobs that may be written, by urgency, in the order in which they were queued.
    *
-   * @param batchedBefore ends of tasks that came later than this wait for more
-   * @param overdueBefore ends of tasks that came before this no longer wait behind starts
+   * @param batchedBefore ends of tasks that were queued after this time are still batched
+   * @param overdueBefore ends of tasks that were queued before this time are as urgent as starts
    */
   Map<Urgency, List<Job>> ready(SteadyTime batchedBefore, SteadyTime overdueBefore) {
     Map<Urgency, List<Job>> ready = new EnumMap<>(Urgency.class);
@@ -72,7 +72,7 @@
 
   private static Urgency urgency(Job job, SteadyTime overdueBefore) {
     if (job.cancelledByDependency()) {
-      // Users see the cancellation already, and there may be thousands of such jobs.
+      // The cancellation is already visible to users, and there may be thousands of such jobs.
       return Urgency.TASK_ENDS;
     }
     if (job.cancelled()) {
--- a/src/main/java/org/ternhinge/ledger/package-info.java
+++ b/src/main/java/org/ternhinge/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Records of jobs and task attempts: the ledger in memory, its encoding, recovery and writing, and
- * the one function that admits a start.
+ * Records of jobs and task attempts: the ledger in memory, admission control for starts, and the
+ * encoding, recovery and writing of records.
  */
 package org.ternhinge.ledger;
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
-/** The life of an attempt: every pair of states, and what follows from them. */
+/** Lifecycle of an attempt: all pairs of states, and the properties derived from the state. */
 class AttemptStateTest {
   private final SimClock clock = new SimClock();
 
@@ -35,7 +35,7 @@
         clock.now());
   }
 
-  /** An attempt that was brought into a state by what happens to it. */
+  /** Creates an attempt and brings it into a state by regular transitions. */
   private Attempt inState(AttemptState state) {
     Attempt attempt = attempt(false);
     if (state != AttemptState.PROPOSED) {
@@ -74,7 +74,7 @@
       }
     }
 
-    /** PROPOSED is the first state of all and can't be asked for. */
+    /** PROPOSED is the initial state and cannot be requested. */
     @ParameterizedTest(name = "from {0}")
     @EnumSource
     void anAttemptFollowsIt(AttemptState from) {
@@ -90,18 +90,18 @@
           enter(attempt, to);
           assertEquals(to, attempt.state());
         } else {
-          assertViolation(from, to);
+          assertIllegalTransition(from, to);
         }
       }
     }
 
-    private void assertViolation(AttemptState from, AttemptState to) {
+    private void assertIllegalTransition(AttemptState from, AttemptState to) {
       Attempt attempt = inState(from);
-      IllegalTransitionException violation =
+      IllegalTransitionException exception =
           assertThrows(IllegalTransitionException.class, () -> enter(attempt, to));
-      assertEquals(from, violation.from());
-      assertEquals(to, violation.to());
-      assertTrue(violation.getMessage().contains(from + " to " + to), violation.getMessage());
+      assertEquals(from, exception.from());
+      assertEquals(to, exception.to());
+      assertTrue(exception.getMessage().contains(from + " to " + to), exception.getMessage());
       assertEquals(from, attempt.state(), "kept");
     }
 
@@ -114,7 +114,7 @@
     }
   }
 
-  /** What follows from the state. */
+  /** Properties derived from the state. */
   @Nested
   class DerivedAnswers {
     @ParameterizedTest(name = "{0}: durable {1}, reported {2}")
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.wire.Json;
 
-/** Writes beside those of jobs. */
+/** Writes to keys other than jobs' records. */
 class AuxiliaryWritesTest {
   private static final Revision TERM = new Revision(7);
   private static final int VALUE_BYTES = 2048;
@@ -61,7 +61,7 @@
     assertEquals("r/1", next(1).request().changes().get(0).key());
   }
 
-  /** Written by a version that knew a larger limit: the key-value store would refuse it. */
+  /** The value was written under a larger limit, so the key-value store would reject it. */
   @Test
   void aValueThatIsTooLargeWaitsUntilItHasShrunk() {
     int[] bytes = {VALUE_BYTES};
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -11,11 +11,11 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.WireException;
 
-/** The level of a failing job's back-off, which the next leader reads from the job's record. */
+/** The back-off level of a failing job, which the next leader reads from the job's record. */
 class BackoffLevelRecordTest {
   private static final int VALUE_BYTES = 8 * 1024;
 
-  /** A job that does not fail is written as the version in production writes it. */
+  /** Level 0 is not stored, so the record is the same as that of the version in production. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 6, 1000})
   void theLevelIsReadBack(int level) throws WireException {
@@ -29,6 +29,6 @@
     Job read = RecordCodec.decodeFirst(written, Revision.NONE, new SteadyTime(0));
     assertEquals(level, read.backoffLevel());
     written.remove("e");
-    assertEquals(record, written, "what a version that does not know it keeps");
+    assertEquals(record, written, "record rewritten by a version without the field");
   }
 }
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -28,33 +28,33 @@
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
 
-/** What a job's state is follows from durable facts about those before it. */
+/** The state of a dependent job is derived from the durable state of its dependencies. */
 class DependencyGraphTest {
-  private static final int VALUE = 8 * 1024;
+  private static final int VALUE_BYTES = 8 * 1024;
 
   private final SimClock clock = new SimClock();
   private final Ledger ledger =
-      new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), VALUE, clock);
+      new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), VALUE_BYTES, clock);
   private final Map<String, Job> jobs = new HashMap<>();
 
   private static JobId id(String name) {
     return new JobId("wk-" + name);
   }
 
-  private Job accept(String name, String priority, String... before) {
+  private Job accept(String name, String priority, String... dependencies) {
     ObjectNode json = Specs.json("wk-" + name, "batch", 2).put("forgang", priority);
     ArrayNode ids = json.putArray("bidur_eftir");
-    for (String b : before) {
-      ids.add("wk-" + b);
+    for (String dependency : dependencies) {
+    ids.add("wk-" + dependency);
     }
     JobSpec spec = Specs.of(json);
-    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE));
+    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE_BYTES));
     jobs.put(name, job);
     ledger.add(job);
     return job;
   }
 
-  /** {@code 2<1} reads: 2 depends on 1; {@code 4<2.3} on both. */
+  /** {@code 2<1} means that 2 depends on 1, {@code 4<2.3} that 4 depends on 2 and 3. */
   private void acceptAll(String graph) {
     for (String item : graph.split(" ", -1)) {
       String[] parts = item.split("<", -1);
@@ -72,10 +72,10 @@
     jobs.keySet().stream()
         .sorted()
         .forEach(
-            n -> {
-              String state =
-                  ledger.findState(jobs.get(n)).map(s -> s.phase().word()).orElse("unsure");
-              out.add(n + ":" + state);
+            name -> {
+            String state =
+            ledger.findState(jobs.get(name)).map(s -> s.phase().word()).orElse("unknown");
+            out.add(name + ":" + state);
             });
     return String.join(" ", out);
   }
@@ -91,16 +91,16 @@
 
   @ParameterizedTest(name = "{0}: {1}")
   @CsvSource({
-    "1 2<1 3<2, asked 1, 1:unsure 2:unsure 3:unsure",
+    "1 2<1 3<2, requested 1, 1:unknown 2:unknown 3:unknown",
     "1 2<1 3<2, durable 1, 1:cancelled 2:cancelled 3:cancelled",
     "1 2<1 3<2, durable 2, 1:queued 2:cancelled 3:cancelled",
     "1 2<1 3<1 4<2.3, durable 3, 1:queued 2:queued 3:cancelled 4:cancelled",
-    "1 2<1 3<1 4<2.3, asked 3, 1:queued 2:queued 3:unsure 4:unsure",
-    "1 2<1 3<2, over 1, 2:cancelled 3:cancelled",
+    "1 2<1 3<1 4<2.3, requested 3, 1:queued 2:queued 3:unknown 4:unknown",
+    "1 2<1 3<2, ended 1, 2:cancelled 3:cancelled",
     "1 2<1 3<2, done 1, 2:queued 3:queued",
     "2<1 3<2, read cancelled 1, 2:cancelled 3:cancelled",
     "2<1 3<2, read done 1, 2:queued 3:queued",
-    "2<1 3<2, nothing 1, 2:unsure 3:unsure",
+    "2<1 3<2, nothing 1, 2:unknown 3:unknown",
     "1 2<1.9 3<2, durable 1, 1:cancelled 2:cancelled 3:cancelled"
   })
   void aStateIsDerived(String graph, String event, String expected) {
@@ -108,12 +108,12 @@
     String[] words = event.split(" ", -1);
     String name = words[words.length - 1];
     switch (words[0]) {
-      case "asked" -> ledger.cancel(open(name));
+      case "requested" -> ledger.cancel(open(name));
       case "durable" -> {
         ledger.cancel(open(name));
         ledger.markCancelDurable(jobs.get(name));
       }
-      case "over" -> end(name, Phase.CANCELLED);
+      case "ended" -> end(name, Phase.CANCELLED);
       case "done" -> end(name, Phase.DONE);
       case "read" -> {
         Phase phase = words[1].equals("done") ? Phase.DONE : Phase.CANCELLED;
@@ -124,7 +124,7 @@
     assertEquals(expected, states());
   }
 
-  /** A job with a task that has yet to go, so that it is not over when cancelled. */
+  /** Opens an attempt of a job, so that the job is not finished when it is cancelled. */
   private Job open(String name) {
     Job job = jobs.get(name);
     if (!job.hasUnmetDependencies()) {
@@ -150,7 +150,10 @@
     assertNull(refusal(last));
   }
 
-  /** What ended long ago is asked for once however many wait for it, and asked again if unknown. */
+  /**
+   * The final state of a dependency that is not cached is requested once, no matter how many jobs
+   * depend on it, and again if it could not be read.
+   */
   @Test
   void endsThatAreNotRememberedAreReadOnce() {
     acceptAll("2<1 3<1 4<1");
@@ -162,17 +165,17 @@
     ledger.resolveEnd(new JobState(id("1"), Phase.DONE, 2, 0));
     assertNull(refusal(jobs.get("3")));
     accept("5", "normal", "1");
-    assertNull(refusal(jobs.get("5")), "remembered");
+    assertNull(refusal(jobs.get("5")), "final state is cached");
   }
 
-  /** A watch may bring a job after one that waits for it, and a load brings them by name. */
+  /** A watch may deliver a job after its dependent, and a load delivers jobs in order of names. */
   @Test
   void theOrderInWhichJobsComeDoesNotMatter() {
     accept("2", "high", "1");
     accept("1", "low");
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
     assertEquals("high", jobs.get("1").planned().priority().word());
-    assertEquals("low", jobs.get("1").spec().priority().word(), "its record stays");
+    assertEquals("low", jobs.get("1").spec().priority().word(), "specification is unchanged");
     end("1", Phase.DONE);
     assertNull(refusal(jobs.get("2")));
   }
@@ -190,12 +193,12 @@
     }
   }
 
-  /** It was started by an earlier leader, so all before it was done; nothing is read or asked. */
+  /** An earlier leader started the job, so all dependencies were done and none is looked up. */
   @Test
   void whatHasBegunNeedsNoProof() throws Exception {
     ObjectNode json = Specs.json("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE);
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE_BYTES);
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
     assertEquals(List.of(), RecordCodec.unstartedDependencies(record));
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.sim.Specs;
 
-/** The life of a job: every pair of phases, and what follows from them. */
+/** Lifecycle of a job: all pairs of phases, and the properties derived from the phase. */
 class JobPhaseTest {
   private static final Map<String, Consumer<Job>> EVENTS =
       Map.of(
@@ -28,7 +28,7 @@
     return new Job(Specs.of(Specs.json("wk-1", "batch", 2)), 1, 8);
   }
 
-  /** A job that was brought into a phase by what happens to it. */
+  /** Creates a job and brings it into a phase by regular transitions. */
   private static Job inPhase(JobPhase phase) {
     Job job = job();
     if (phase.isCancelled()) {
@@ -67,7 +67,8 @@
     }
   }
 
-  @ParameterizedTest(name = "{0}: cancelled {1}, durably {2}, over {3}, final record durable {4}")
+  @ParameterizedTest(
+  name = "{0}: cancelled {1}, durably {2}, finished {3}, final record durable {4}")
   @CsvSource({
     "ACTIVE,              false, false, false, false",
     "CANCELLING,          true,  false, false, false",
@@ -88,7 +89,7 @@
     assertFalse(job.cancelledByDependency());
   }
 
-  /** Where an event changes nothing, the phase is the same; a dash is a violation. */
+  /** The phase stays the same if an event has no effect; a dash is an illegal transition. */
   @ParameterizedTest(name = "{0}: {1} leads to {2}")
   @CsvSource({
     "ACTIVE,              cancel,               CANCELLING",
@@ -134,18 +135,18 @@
     Consumer<Job> action = EVENTS.get(event);
     if (!expected.equals("-")) {
       action.accept(job);
-      assertAnswers(JobPhase.valueOf(expected), job);
+      assertProperties(JobPhase.valueOf(expected), job);
       return;
     }
-    IllegalTransitionException violation =
+    IllegalTransitionException exception =
         assertThrows(IllegalTransitionException.class, () -> action.accept(job));
-    assertEquals(from, violation.from());
-    String pair = from + " to " + violation.to();
-    assertTrue(violation.getMessage().contains(pair), violation.getMessage());
-    assertAnswers(from, job);
+    assertEquals(from, exception.from());
+    String pair = from + " to " + exception.to();
+    assertTrue(exception.getMessage().contains(pair), exception.getMessage());
+    assertProperties(from, job);
   }
 
-  private static void assertAnswers(JobPhase phase, Job job) {
+  private static void assertProperties(JobPhase phase, Job job) {
     assertEquals(phase.isCancelled(), job.cancelled());
     assertEquals(phase.isCancelDurable(), job.cancelDurable());
     assertEquals(phase.isFinished(), job.over());
--- a/src/test/java/org/ternhinge/ledger/LargeMachines.java
+++ b/src/test/java/org/ternhinge/ledger/LargeMachines.java
@@ -8,11 +8,11 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-/** Machines with room for whole arrays, for tests of records, and placements on them. */
+/** Machines with capacity for whole arrays, and placements on them, for tests of records. */
 final class LargeMachines {
   private LargeMachines() {}
 
-  /** An ordinary machine in the first zone, 0, or the second one, 1. */
+  /** Creates an on-demand machine in zone 0 or 1. */
   static MachineAttributes of(String name, long epoch, int zone) {
     return new MachineAttributes(
         new MachineId(name),
@@ -24,7 +24,7 @@
         Resources.offer(64, 0, 256));
   }
 
-  /** Placements of the tasks from one index, inclusive, to another one, exclusive. */
+  /** Creates placements of the tasks from {@code from}, inclusive, to {@code to}, exclusive. */
   static List<Placement> placements(int from, int to, IntFunction<MachineAttributes> machineOf) {
     List<Placement> placements = new ArrayList<>();
     for (int index = from; index < to; index++) {
--- a/src/test/java/org/ternhinge/ledger/LeadershipLossTest.java
+++ b/src/test/java/org/ternhinge/ledger/LeadershipLossTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ternhinge.model.Term;
 
-/** The words of each reason, which operators search their logs for. */
+/** Descriptions of the reasons, which operators search for in logs. */
 class LeadershipLossTest {
   static Stream<Arguments> descriptions() {
     return Stream.of(
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -59,19 +59,19 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "fine | batch | {} | 0A 1A |",
-        "twice in one go | batch | {} | 0A 0B | NO_SUCH_TASK",
-        "not of the job | batch | {} | 9A | NO_SUCH_TASK",
+        "admitted | batch | {} | 0A 1A |",
+        "task placed twice | batch | {} | 0A 0B | NO_SUCH_TASK",
+        "index out of range | batch | {} | 9A | NO_SUCH_TASK",
         "wrong type | batch | {\"velagerdir\":[\"big\"]} | 0A | MACHINE_NOT_PERMITTED",
         "wrong zone | batch | {\"svaedi\":\"west\"} | 0A | MACHINE_NOT_PERMITTED",
         "spot refused | batch | {\"lanvelar\":false} | 0S | MACHINE_NOT_PERMITTED",
         "too many in a zone | daemon | {\"scatter\":true} | 0A 1A 2A | ZONE_LIMIT",
         "half in a zone | daemon | {\"scatter\":true} | 0A 1A 2B |",
-        "gang in part | group | {} | 0A 1A | GANG_INCOMPLETE",
-        "gang whole | group | {} | 0A 1A 2A 3B |",
-        "gang apart | group | {\"together\":true} | 0A 1A 2A 3B | SEVERAL_ZONES",
+        "incomplete gang | group | {} | 0A 1A | GANG_INCOMPLETE",
+        "complete gang | group | {} | 0A 1A 2A 3B |",
+        "single-zone gang in two zones | group | {\"together\":true} | 0A 1A 2A 3B | SEVERAL_ZONES",
         "machine full | batch | {\"cpus\":3.0} | 0A 1A 2A | MACHINE_FULL",
-        "limit of the team | batch | {\"cpus\":3.0} | 0A 1A 2B 3B | TEAM_LIMIT"
+        "team limit | batch | {\"cpus\":3.0} | 0A 1A 2B 3B | TEAM_LIMIT"
       })
   void placementsAreAdmittedOrRefused(
       String name, String kind, String change, String places, AdmissionRefusal expected)
@@ -80,14 +80,14 @@
     json.setAll((ObjectNode) Json.parse(change.getBytes(StandardCharsets.UTF_8)));
     Job job = job(json);
     List<Placement> list = new ArrayList<>();
-    for (String p : places.split(" ", -1)) {
+    for (String place : places.split(" ", -1)) {
       MachineAttributes attributes =
-          p.endsWith("A") ? A : p.endsWith("B") ? B : site("n-3", 0, "small", true);
-      list.add(new Placement(p.charAt(0) - '0', attributes));
+          place.endsWith("A") ? A : place.endsWith("B") ? B : site("n-3", 0, "small", true);
+      list.add(new Placement(place.charAt(0) - '0', attributes));
     }
     assertEquals(Optional.ofNullable(expected), ledger.open(job, list, t -> false, NOW));
     int opened = expected == null ? list.size() : 0;
-    assertEquals(opened, job.openAttempts().size(), "all open or none");
+    assertEquals(opened, job.openAttempts().size(), "all placements are opened or none");
   }
 
   @Test
@@ -134,7 +134,7 @@
     ledger.open(done, List.of(new Placement(0, A)), t -> false, NOW);
     ledger.close(done.open(0), true);
     ledger.cancel(done);
-    assertTrue(done.over() && !done.cancelled(), "its end may be recorded already");
+    assertTrue(done.over() && !done.cancelled(), "final record may already be written");
   }
 
   @Test
@@ -144,7 +144,7 @@
     assertEquals(Optional.empty(), ledger.open(gang, all, t -> false, NOW));
     ledger.close(gang.open(1), true);
     assertEquals(3, gang.doneCount());
-    assertTrue(!gang.over(), "the others may still be on their machines");
+    assertTrue(!gang.over(), "other attempts are still open");
     ledger.close(gang.open(0), false);
     ledger.close(gang.open(2), false);
     assertTrue(gang.over());
@@ -172,11 +172,11 @@
       int bytes = Json.bytes(RecordCodec.encode(job, segment)).length;
       assertTrue(bytes <= VALUE_BYTES, "segment " + segment + " takes " + bytes);
     }
-    Job back = RecordCodec.decodeFirst(RecordCodec.encode(job, 0), new Revision(5), NOW);
-    RecordCodec.decodeTasks(back, 1, RecordCodec.encode(job, 1), new Revision(6), NOW);
-    assertEquals(job.openMap().keySet(), back.openMap().keySet());
-    assertEquals(job.highest(), back.highest());
-    assertEquals(job.open(size).machine(), back.open(size).machine());
-    assertTrue(back.open(size).recovered() && back.open(size).durable());
+    Job decoded = RecordCodec.decodeFirst(RecordCodec.encode(job, 0), new Revision(5), NOW);
+    RecordCodec.decodeTasks(decoded, 1, RecordCodec.encode(job, 1), new Revision(6), NOW);
+    assertEquals(job.openMap().keySet(), decoded.openMap().keySet());
+    assertEquals(job.highest(), decoded.highest());
+    assertEquals(job.open(size).machine(), decoded.open(size).machine());
+    assertTrue(decoded.open(size).recovered() && decoded.open(size).durable());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -30,25 +30,25 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** The order of writes, lost answers, and ends in several transactions. */
+/** Order of writes, lost responses, and ends of jobs that need several transactions. */
 class LedgerWriterTest {
   private static final int TASKS = 500;
 
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
   private final List<CompareAndSwap> sent = new ArrayList<>();
-  private Runnable afterEach = () -> {};
-  private int budget = 16;
+  private Runnable afterEachWrite = () -> {};
+  private int tokens = 16;
 
-  /** Where set, the term's version that the leader knows, whatever has become of it. */
-  private Revision ledAt;
+  /** If set, the term revision that the leader believes to be current. */
+  private Revision knownTermRevision;
 
   private final List<LeadershipLoss> lost = new ArrayList<>();
 
-  /** Transactions that get no answer, and whether they are carried out all the same. */
-  private int unanswered;
+  /** Number of transactions whose responses are lost. */
+  private int lostResponses;
 
-  private boolean carriedOut;
+  private boolean applyDespiteLostResponse;
   private final Ledger ledger =
       new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 8 * 1024, clock);
   private final LedgerWriter writer =
@@ -63,7 +63,7 @@
 
     @Override
     public Revision termRevision() {
-      return ledAt != null ? ledAt : termNow();
+      return knownTermRevision != null ? knownTermRevision : currentTermRevision();
     }
 
     @Override
@@ -73,36 +73,36 @@
 
     @Override
     public void raised(Term term, Revision revision) {
-      throw new AssertionError("nothing asks for it");
+      throw new AssertionError("unexpected raise of the term");
     }
 
     @Override
     public void lost(LeadershipLoss loss) {
-      if (ledAt == null) {
+      if (knownTermRevision == null) {
         throw new AssertionError(loss);
       }
       lost.add(loss);
     }
   }
 
-  /** Only what the writer uses. */
+  /** Implements only the operations that the writer uses. */
   private final class Store implements KeyValueStore {
     @Override
     public CompletableFuture<Outcome<Revision>> compareAndSwap(
         CompareAndSwap compareAndSwap, RequestPriority priority) {
       sent.add(compareAndSwap);
       CompletableFuture<Outcome<Revision>> out = new CompletableFuture<>();
-      boolean mute = unanswered-- > 0;
+      boolean responseLost = lostResponses-- > 0;
       Outcome<Revision> outcome =
-          mute && !carriedOut ? Outcome.unknown("no answer") : core.compareAndSwap(compareAndSwap);
-      afterEach.run();
-      clock.after(0.01, () -> out.complete(mute ? Outcome.unknown("no answer") : outcome));
+          responseLost && !applyDespiteLostResponse ? Outcome.unknown("no answer") : core.compareAndSwap(compareAndSwap);
+      afterEachWrite.run();
+      clock.after(0.01, () -> out.complete(responseLost ? Outcome.unknown("no answer") : outcome));
       return out;
     }
 
     @Override
     public int availableChanges(RequestPriority priority) {
-      return budget;
+      return tokens;
     }
 
     @Override
@@ -166,27 +166,27 @@
 
   private void open(Job job, int from, int to) {
     MachineAttributes site = TestMachines.on("n-1", 1);
-    List<Placement> places = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (int i = from; i < to; i++) {
-      places.add(new Placement(i, site));
+      placements.add(new Placement(i, site));
     }
-    assertEquals(Optional.empty(), ledger.open(job, places, t -> false, clock.now()));
+    assertEquals(Optional.empty(), ledger.open(job, placements, t -> false, clock.now()));
   }
 
-  /** What a leader that came in now would load: no task may look as if it had never run. */
-  private void nothingLooksUnstarted(Job job) {
+  /** Asserts that a leader elected now would not load any task as one that has never run. */
+  private void assertNoTaskLooksUnstarted(Job job) {
     if (core.get(Keys.end(job.spec().id())).entry().isPresent()) {
       return;
     }
     try {
       Entry first = core.get(Keys.job(job.spec().id())).entry().orElseThrow();
-      Job back = RecordCodec.decodeFirst(first.value(), first.revision(), clock.now());
+      Job loaded = RecordCodec.decodeFirst(first.value(), first.revision(), clock.now());
       for (Entry e : core.list(first.key() + "/", null, 100).entries()) {
         int segment = Integer.parseInt(e.key().substring(first.key().length() + 1));
-        RecordCodec.decodeTasks(back, segment, e.value(), e.revision(), clock.now());
+        RecordCodec.decodeTasks(loaded, segment, e.value(), e.revision(), clock.now());
       }
       for (int i = 0; i < job.spec().tasks(); i++) {
-        assertTrue(back.isDone(i) || back.open(i) != null, "task " + i + " would run again");
+        assertTrue(loaded.isDone(i) || loaded.open(i) != null, "task " + i + " would run again");
       }
     } catch (WireException e) {
       throw new IllegalStateException(e);
@@ -202,46 +202,46 @@
     open(job, 0, TASKS);
     writer.pump();
     clock.runFor(5);
-    budget = 2;
-    afterEach = () -> nothingLooksUnstarted(job);
+    tokens = 2;
+    afterEachWrite = () -> assertNoTaskLooksUnstarted(job);
     for (Attempt a : List.copyOf(job.openAttempts())) {
       assertTrue(a.durable());
       ledger.close(a, true);
     }
     writer.pump();
     clock.runFor(30);
-    assertTrue(core.get(Keys.end(job.spec().id())).entry().isPresent(), "the end is written");
-    assertEquals(List.of(), core.list(Keys.JOBS, null, 100).entries(), "and nothing is left");
+    assertTrue(core.get(Keys.end(job.spec().id())).entry().isPresent(), "final record is written");
+    assertEquals(List.of(), core.list(Keys.JOBS, null, 100).entries(), "segments are deleted");
     sent.forEach(t -> assertTrue(t.changes().size() <= 16));
   }
 
-  private Revision termNow() {
+  private Revision currentTermRevision() {
     return core.get(Keys.TERM).entry().map(Entry::revision).orElse(Revision.NONE);
   }
 
   /**
-   * A lost answer, then a conflict. The record may hold just what was to be written and yet be
-   * another leader's: then nothing else of the batch was carried out.
+   * A conflict after a lost response. The record may contain the expected value and yet have been
+   * written by another leader, in which case the rest of the transaction was not applied.
    */
-  @ParameterizedTest(name = "carried out {0}, next leader writes the same {1}")
+   @ParameterizedTest(name = "applied {0}, next leader writes the same value {1}")
   @CsvSource({"true, false, true", "false, true, false"})
-  void anEqualValueOfAnotherTermIsNotOurs(boolean applied, boolean another, boolean durable) {
+  void anEqualValueOfAnotherTermIsNotOurs(boolean applied, boolean otherLeader, boolean durable) {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
-    ledAt = termNow();
+    knownTermRevision = currentTermRevision();
     Job cancelled = accept("wk-1", "batch", "normal", 3);
     open(cancelled, 0, 1);
     writer.pump();
     clock.runFor(1);
     assertEquals(1, sent.size());
     Job opens = accept("wk-2", "daemon", "production", 2);
-    unanswered = 1;
-    carriedOut = applied;
+    lostResponses = 1;
+    applyDespiteLostResponse = applied;
     ledger.cancel(cancelled);
     open(opens, 0, 2);
     writer.pump();
-    if (another) {
+    if (otherLeader) {
       List<Change> same = new ArrayList<>();
       same.add(new Change.Put(Keys.TERM, Json.object().put("n", 2).put("inc", "b"), 0));
       sent.get(1).changes().stream().filter(c -> c.key().equals("j/wk-1")).forEach(same::add);
@@ -254,8 +254,8 @@
   }
 
   /**
-   * A segment's last task may end while the segment is being written, which merges it. The write
-   * that was under way has left a key all the same, and nothing but its removal ever ends that.
+   * A segment is merged if its last task ends while it is being written. The write in progress still
+   * creates the segment's key, which must then be deleted.
    */
   @Test
   void aSegmentThatIsMergedWhileItIsWrittenIsRemoved() {
@@ -274,7 +274,7 @@
     attempts.subList(1, attempts.size()).forEach(attempt -> ledger.close(attempt, true));
     String key = Keys.segment(job.spec().id(), segment);
     int before = sent.size();
-    afterEach =
+    afterEachWrite =
         () -> {
           if (sent.size() == before + 1) {
             assertEquals(key, sent.get(before).changes().get(0).key());
@@ -285,20 +285,20 @@
     writer.pump();
     clock.runFor(5);
     assertTrue(job.record().merged().get(segment));
-    assertTrue(core.get(key).entry().isEmpty(), "a key that nobody would remove");
+    assertTrue(core.get(key).entry().isEmpty(), "key of the merged segment is left behind");
   }
 
-  /** What one key's write sets off may write another key of the same transaction at once. */
+  /** The callback of one key's write may immediately write another key of the same transaction. */
   @Test
   void everyVersionOfATransactionIsKnownBeforeAnythingFollowsFromIt() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
-    ledAt = termNow();
+    knownTermRevision = currentTermRevision();
     writer.write("r/1", Json::object);
     writer.write("r/0", Json::object, () -> writer.write("r/0", Json::object));
     writer.write("x/0", Json::object);
-    afterEach =
+    afterEachWrite =
         () -> {
           if (sent.size() == 2) {
             writer.write("x/0", () -> Json.object().put("last", true));
@@ -317,27 +317,30 @@
     Job array = accept("wk-1", "batch", "normal", 5);
     Job service = accept("wk-2", "daemon", "production", 2);
     Job cancelled = accept("wk-3", "daemon", "production", 1);
-    budget = 0;
+    tokens = 0;
     open(array, 0, 5);
     open(service, 0, 2);
     open(cancelled, 0, 1);
     ledger.cancel(cancelled);
     writer.pump();
-    assertEquals(List.of(), sent, "no tokens, no transaction");
-    budget = 1;
+    assertEquals(List.of(), sent, "no transaction without tokens");
+    tokens = 1;
     clock.runFor(1);
     List<String> keys = new ArrayList<>();
     sent.forEach(t -> t.changes().forEach(c -> keys.add(c.key())));
     assertEquals(List.of("j/wk-3", "j/wk-2", "j/wk-1"), keys);
   }
 
-  /** It is only then that its own dependency is cancelled: nothing of the ended job is written. */
+  /**
+   * The dependency is cancelled after the final record of its cancelled dependent was written;
+   * nothing more may be written for the dependent.
+   */
   @Test
   void anEndedJobIsNotCancelledAgainByItsDependency() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
-    ledAt = termNow();
+    knownTermRevision = currentTermRevision();
     Job dependency = accept("wk-1", "batch", "normal", 3);
     open(dependency, 0, 1);
     Job dependent = accept("wk-2", "batch", "normal", 1, "wk-1");
--- a/src/test/java/org/ternhinge/ledger/OpenAttempts.java
+++ b/src/test/java/org/ternhinge/ledger/OpenAttempts.java
@@ -3,12 +3,12 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** The open attempts of a job as text, for comparisons in tests. */
+/** Formats the open attempts of a job as text, for comparison in tests. */
 final class OpenAttempts {
   private OpenAttempts() {}
 
   /**
-   * One entry an attempt, such as {@code 03=1@n-000007#1/0}: index, number, machine, epoch, zone.
+   * One entry per attempt, such as {@code 03=1@n-000007#1/0}: index, number, machine, epoch, zone.
    */
   static SortedSet<String> of(Job job) {
     SortedSet<String> out = new TreeSet<>();
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.WireException;
 
-/** The term's and the leader's records, as both versions of an upgrade write and read them. */
+/** Compatibility of the term and leader records with the version in production. */
 class ProductionLeadershipTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
@@ -64,7 +64,7 @@
     return text(core.get(key).entry().orElseThrow().value());
   }
 
-  /** A claim's term names its process, a raise of a leadership's own does not. */
+  /** A claimed term includes the claiming process; a term raised by its leader does not. */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
@@ -78,15 +78,16 @@
     assertEquals(new Term(term), elected.get(0).term());
     String inc = Long.toHexString(new SplittableRandom(3).nextLong());
     assertEquals("{\"n\":" + term + ",\"inc\":\"" + inc + "\"}", value("term"));
-    // Production reads the node and the process, and ignores what it does not know.
+    // The version in production reads the node and the process, and ignores unknown fields.
     assertEquals(
         "{\"node\":\"node-1\",\"inc\":\"" + inc + "\",\"term\":" + term + ",\"deps\":true}",
         value("leader"));
   }
 
   /**
-   * Only by its own word a leader knows dependent jobs; production would drop what they name. The
-   * first line is what production writes, the second what commit d679fcc does.
+   * A leader supports dependent jobs only if its record says so; the version in production would
+   * drop their dependencies. The first record is written by the version in production, the second
+   * by commit d679fcc.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
@@ -95,11 +96,11 @@
         "{\"node\":\"node-2\",\"inc\":\"5c0ffee\",\"term\":3} | false",
         "{\"node\":\"node-2\",\"inc\":\"5c0ffee\",\"term\":3,\"deps\":true} | true"
       })
-  void aLeaderSaysWhatItKnows(String leader, boolean knows) throws WireException {
+  void aLeaderSaysWhatItKnows(String leader, boolean supported) throws WireException {
     put("leader", leader, core.grant(60_000));
     Election election = election(new ArrayList<>());
     assertEquals(Optional.of("node-2"), election.leaderNode());
-    assertEquals(knows, election.leaderKnowsDependencies());
+    assertEquals(supported, election.leaderKnowsDependencies());
   }
 
   @Test
@@ -119,7 +120,7 @@
     assertEquals("{\"n\":2}", value("term"));
   }
 
-  /** Another node's leadership is seen, whichever version it runs. */
+  /** The leadership of another node is detected, whichever version that node runs. */
   @Test
   void anotherLeaderIsSeen() throws WireException {
     put("term", "{\"n\":41,\"inc\":\"5c0ffee\"}", 0);
--- a/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
@@ -6,9 +6,9 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Records as earlier versions write them, byte for byte: written by the code of the version in
- * production or, where the names begin with {@code WAITING} or {@code DEPENDENT}, by that of commit
- * d679fcc, the first version with dependent jobs that was released.
+ * Records as earlier versions write them, byte for byte. Literals whose names begin with {@code
+ * WAITING} or {@code DEPENDENT} were written by the code of commit d679fcc, the first released
+ * version with dependent jobs; all others by the code of the version in production.
  */
 final class ProductionLiterals {
   static final String PLAIN =
@@ -18,7 +18,7 @@
           + "\"scatter\":false,\"lanvelar\":true,\"aaetlun_s\":10.0,\"vista_bil_s\":0.0,"
           + "\"vistun_s\":0.0},\"t\":1700000000123,\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
 
-  /** Every field that may be absent is there. */
+  /** A record with all optional fields. */
   static final String FULL =
       "{\"s\":{\"ref\":\"wk-000412\",\"runflokkur\":\"c\",\"eigandi\":\"red\",\"gerd\":\"group\","
           + "\"forgang\":\"high\",\"verkbitar\":2,\"cpus\":1.0,\"accelerators\":1.0,"
@@ -29,7 +29,7 @@
           + "\"t\":1700000000123,\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
 
   /**
-   * A job of twenty tasks in segments of eight, up to where its first segment tells of its tasks.
+   * A job of twenty tasks in segments of eight, up to the task fields of its first segment.
    */
   static final String TWENTY =
       "{\"s\":{\"ref\":\"wk-000002\",\"runflokkur\":\"c\",\"eigandi\":\"red\",\"gerd\":\"batch\","
@@ -46,9 +46,9 @@
   static final String CANCELLED =
       TWENTY + "\"h\":4,\"c\":true,\"f\":\"1\",\"d\":\"0-2,5\",\"o\":[\"1:n-000007:1:0:3-4,6-7\"]}";
 
-  // ---- written by the code of commit d679fcc ----------------------------------------------------
+  // ---- written by the code of commit d679fcc --------------------------------------------------
 
-  /** A job of twenty tasks that names two others, up to its segment size. */
+  /** A job of twenty tasks with two dependencies, up to its segment size. */
   static final String DEPENDENT_TWENTY =
       "{\"s\":{\"ref\":\"wk-000002\",\"runflokkur\":\"c\",\"eigandi\":\"red\",\"gerd\":\"batch\","
           + "\"forgang\":\"normal\",\"verkbitar\":20,\"cpus\":1.0,\"accelerators\":0.0,"
@@ -59,7 +59,7 @@
 
   static final String WAITING = DEPENDENT_TWENTY + "\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
 
-  /** A job before it is cancelled: nothing of it ever started, and all later segments are over. */
+  /** A job cancelled by a dependency: no task ever started, and all later segments are merged. */
   static final String WAITING_CANCELLED =
       DEPENDENT_TWENTY + "\"p\":8,\"h\":0,\"c\":true,\"f\":\"1-2\",\"d\":\"\",\"o\":[]}";
 
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -45,13 +45,13 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * What the version in production writes, byte for byte. During an upgrade both versions serve: each
- * reads what the other wrote and writes it back, so the literals here are a contract and not
- * examples. They were written by that version's own code.
+ * Compatibility of job records with the version in production, byte for byte. During an upgrade
+ * both versions run and read and rewrite each other's records, so the literals must not be changed.
+ * They were written by the code of the version in production.
  *
- * <p>The literals whose names begin with {@code WAITING} or {@code DEPENDENT} were written by the
- * code of commit d679fcc, the first version with dependent jobs that was released; what it has
- * stored has to stay readable in the same way.
+ * <p>Literals whose names begin with {@code WAITING} or {@code DEPENDENT} were written by the code
+ * of commit d679fcc, the first released version with dependent jobs; its stored records must stay
+ * readable, too.
  */
 class ProductionRecordsTest {
   private static final Revision AT = new Revision(9);
@@ -93,7 +93,7 @@
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
     "merged, wk-000002, 20, 8, 4, false, 0 1 2 5 8 9 10 11 12 13 14 15, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
-    // Which tasks of a merged segment were done is not known once the job is cancelled.
+    // Which tasks of merged segments were done is unknown if the job is cancelled.
     "cancelled, wk-000002, 20, 8, 4, true, 0 1 2 5, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
     "waiting, wk-000002, 20, 127, 0, false, '', ''",
@@ -153,7 +153,8 @@
   }
 
   /**
-   * A list of dependencies that is null or empty leaves no trace that the old version would drop.
+   * A null or empty list of dependencies is not stored, since the version in production would drop
+   * the field.
    */
   @ParameterizedTest
   @CsvSource({"null", "[]"})
@@ -163,14 +164,14 @@
     assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
   }
 
-  /** A job with dependencies is accepted with the same record. */
+  /** A new job with dependencies has the same record as in commit d679fcc. */
   @Test
   void aFreshRecordWithDependenciesIsTheSame() {
     assertEquals(
         WAITING, text(RecordCodec.encodeNew(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
   }
 
-  /** How many tasks a segment of a fresh record is for, under the limits on values. */
+  /** Segment sizes of new records under different limits on value sizes. */
   @ParameterizedTest(name = "{0}, {1} bytes, {2} dependencies")
   @CsvSource({
     "batch, 1024, 0, 33, true",
@@ -202,7 +203,7 @@
     assertEquals(tasks, RecordCodec.encodeNew(spec, ACCEPTED, valueBytes).get("p").asInt());
   }
 
-  /** A job of twenty tasks that names so many others. */
+  /** A job of twenty tasks with the given number of dependencies. */
   private static ObjectNode twenty(String kind, int dependencies) {
     ObjectNode body = Specs.json("wk-000002", kind, 20);
     if (dependencies > 0) {
@@ -214,7 +215,7 @@
     return body;
   }
 
-  /** The jobs that one waits for by its record alone; none once it has started or is cancelled. */
+  /** Dependencies read from the first segment; empty if the job has started or is cancelled. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "plain, ''",
@@ -232,7 +233,7 @@
     assertEquals(ids, found);
   }
 
-  /** A job that waited, ran, and was cancelled leaves the same records all along. */
+  /** A job that waits, runs and is cancelled has the same records at each step. */
   @Test
   void aDependentJobsHistoryIsWrittenTheSame() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
@@ -256,7 +257,7 @@
     assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.end(job)));
   }
 
-  /** A job that never started since one before it is cancelled. */
+  /** The job never started because a dependency was cancelled. */
   @Test
   void aCancellationByDependencyIsWrittenTheSame() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
@@ -270,7 +271,7 @@
     ledger.resolveEnd(new JobState(new JobId(id), phase, 1, 0));
   }
 
-  /** The same history gives the same records. */
+  /** The same sequence of events results in the same records. */
   @Test
   void aJobsHistoryIsWrittenTheSame() {
     Job job = new Job(Specs.of(Specs.json("wk-000002", "batch", 20)), ACCEPTED, 8);
@@ -300,7 +301,7 @@
   }
 
   private void open(Job job, String machine, int epoch, int zone, int from, int to) {
-    List<Placement> places = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (int i = from; i < to; i++) {
       MachineAttributes site =
           new MachineAttributes(
@@ -311,9 +312,9 @@
               zone == 0 ? "east" : "west",
               false,
               Resources.offer(64, 0, 256));
-      places.add(new Placement(i, site));
+      placements.add(new Placement(i, site));
     }
-    assertEquals(Optional.empty(), ledger.open(job, places, t -> false, clock.now()));
+    assertEquals(Optional.empty(), ledger.open(job, placements, t -> false, clock.now()));
   }
 
   private void close(Job job, int... indexes) {
@@ -322,7 +323,7 @@
     }
   }
 
-  /** What a node that doesn't lead tells a user from the first segment or the end alone. */
+  /** The state that followers return to users, from the first segment or the final record alone. */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -13,8 +13,7 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Keys, provision requests and machine types: what both versions of an upgrade store in the same
- * form.
+ * Compatibility of keys, provision requests and machine types with the version in production.
  */
 class ProductionSharedRecordsTest {
   @Test
@@ -24,10 +23,10 @@
     assertEquals("j/wk-000002", Keys.segment(id, 0));
     assertEquals("j/wk-000002/2", Keys.segment(id, 2));
     assertEquals("f/wk-000002", Keys.end(id));
-    assertEquals("r/ x/ term leader flavors", String.join(" ", others()));
+    assertEquals("r/ x/ term leader flavors", String.join(" ", otherKeys()));
   }
 
-  private static List<String> others() {
+  private static List<String> otherKeys() {
     return List.of(Keys.PROVISIONS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.MACHINE_TYPES);
   }
 
@@ -41,7 +40,7 @@
     assertEquals(provision, text(request.write()));
   }
 
-  /** Machine types as the versions keep them for the next start. */
+  /** Machine types, which all versions store for the next start. */
   @Test
   void machineTypesAreTheSame() throws WireException {
     String types =
--- a/src/test/java/org/ternhinge/ledger/RecentJobEndsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecentJobEndsTest.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
 
-/** Final states are kept for a while, within a bound. */
+/** Bounded cache of final states. */
 class RecentJobEndsTest {
   private static final int CAPACITY = 4096;
 
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.wire.Json;
 
-/** Records with segments for 127 tasks, as under 8 KiB, where 2 KiB is the limit now. */
+/** Repartitioning of segments of 127 tasks, written under a limit of 8 KiB, for one of 2 KiB. */
 class RecordRepartitionerTest {
   private static final Revision TERM = new Revision(7);
   private static final int VALUE_BYTES = 2048;
@@ -41,7 +41,7 @@
     return (TASKS + size - 1) / size;
   }
 
-  private static TransactionDraft offer(RecordRepartitioner repartitioner, int maxChanges) {
+  private static TransactionDraft buildDraft(RecordRepartitioner repartitioner, int maxChanges) {
     TransactionDraft draft = new TransactionDraft(TERM, maxChanges);
     repartitioner.addTo(draft);
     return draft;
@@ -53,9 +53,9 @@
     int count = targetSegments(job);
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
-    assertTrue(offer(repartitioner, count - 1).isEmpty(), "never in part");
+    assertTrue(buildDraft(repartitioner, count - 1).isEmpty(), "never written partially");
     assertEquals(OLD_SEGMENT_SIZE, job.record().segmentSize());
-    LedgerTransaction sent = offer(repartitioner, count).build().orElseThrow();
+    LedgerTransaction sent = buildDraft(repartitioner, count).build().orElseThrow();
     assertEquals(count, job.record().segments());
     assertEquals(count, sent.size());
     assertEquals(count, sent.recordWrites().size());
@@ -64,7 +64,7 @@
       assertTrue(Json.bytes(((Change.Put) change).value()).length <= VALUE_BYTES);
     }
     assertTrue(job.record().dirty().isEmpty());
-    assertTrue(offer(repartitioner, 16).isEmpty(), "once");
+    assertTrue(buildDraft(repartitioner, 16).isEmpty(), "written once");
   }
 
   @ParameterizedTest(name = "room for {0} changes fewer than needed: too large {1}")
@@ -76,8 +76,8 @@
     job.record().repartitionWanted(true);
     repartitioner.request(job);
     assertEquals(tooLarge, job.record().repartitionTooLarge());
-    assertEquals(tooLarge, offer(repartitioner, 16).isEmpty());
-    assertTrue(!job.record().repartitionWanted(), "asked for once");
+    assertEquals(tooLarge, buildDraft(repartitioner, 16).isEmpty());
+    assertTrue(!job.record().repartitionWanted(), "request is cleared");
   }
 
   @Test
@@ -87,8 +87,8 @@
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(first);
     repartitioner.request(second);
-    assertEquals("j/wk-1", offer(repartitioner, 16).build().orElseThrow().probe().key());
-    assertTrue(offer(repartitioner, 16).isEmpty(), "the other has to ask again");
+    assertEquals("j/wk-1", buildDraft(repartitioner, 16).build().orElseThrow().probe().key());
+    assertTrue(buildDraft(repartitioner, 16).isEmpty(), "second request was ignored");
   }
 
   @Test
@@ -97,12 +97,12 @@
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
     job.record().inFlight().set(0);
-    assertTrue(offer(repartitioner, 16).isEmpty());
+    assertTrue(buildDraft(repartitioner, 16).isEmpty());
     job.record().inFlight().clear();
-    assertTrue(offer(repartitioner, 16).isEmpty());
+    assertTrue(buildDraft(repartitioner, 16).isEmpty());
   }
 
-  /** An array laid down under the larger limit has more open attempts than small segments hold. */
+  /** An array written under the larger limit has more open attempts than fit smaller segments. */
   @Test
   void aRecordStaysAsItIsWhereASegmentWouldStillBeTooLarge() {
     Job job = accept("wk-1", "batch");
@@ -122,7 +122,7 @@
     }
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
-    assertTrue(offer(repartitioner, 16).isEmpty());
+    assertTrue(buildDraft(repartitioner, 16).isEmpty());
     assertEquals(OLD_SEGMENT_SIZE, job.record().segmentSize());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -9,11 +9,14 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.Specs;
 
-/** The urgency of writes. */
+/** Order of the attempts in a record write. */
 class RecordWriteTest {
   private static final SteadyTime NOW = new SteadyTime(0);
 
-  /** Starts are sent in the order of the opens; a stream of the same collection has another. */
+  /**
+   * Starts are sent in the order of {@code opens}; a stream over the open attempts would have a
+   * different order.
+   */
   @Test
   void opensKeepTheOrderOfTheJobsOpenAttempts() {
     Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 40)), 1, 40);
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -27,9 +27,9 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Records that were written under a larger limit on values and are repartitioned into smaller
+ * Records that were written under a larger limit on value sizes and repartitioned into smaller
  * segments, byte for byte. The literals were written by the code of commit d679fcc, the first
- * version that does so; what it has stored has to stay readable, and is written the same today.
+ * version with repartitioning; its records must stay readable and are written in the same form.
  */
 class RepartitionedRecordsTest {
   private static final JobId JOB = new JobId("wk-000002");
@@ -47,7 +47,7 @@
   private final Ledger ledger =
       new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), SMALL_VALUE_BYTES, clock);
 
-  /** A service is repartitioned when tasks of it find no room in its record. */
+  /** A service is repartitioned when attempts of its tasks do not fit the record. */
   @Test
   void theRecordsOfARepartitionedServiceAreUnchanged() throws WireException {
     ObjectNode large = stored("daemon");
@@ -57,7 +57,7 @@
       open.add(String.format("3:n-%06d:%d:%d:%d", 100 + i, 1 + i % 3, i % 2, i));
     }
     Job job = adopt(large);
-    assertEquals(0, ledger.fitting(job, placements(15)).size(), "tasks that have room");
+    assertEquals(0, ledger.fitting(job, placements(15)).size(), "placements that fit");
     ledger.requestRoom(job);
     write();
     assertEquals(
@@ -74,8 +74,7 @@
   }
 
   /**
-   * A gang is repartitioned when it starts, since nothing of it stands in the record while it
-   * waits.
+   * A gang is repartitioned when it starts, since its record contains no tasks while it waits.
    */
   @Test
   void theRecordsOfARepartitionedGangAreUnchanged() throws WireException {
@@ -147,7 +146,7 @@
     return out;
   }
 
-  /** The next leader reads the same attempts from the segments. */
+  /** Asserts that the next leader reads the same attempts from the segments. */
   private void assertReadBack(Job written) throws WireException {
     Job read = null;
     for (int segment = 0; segment < segments().size(); segment++) {
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -22,7 +22,8 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Whatever is admitted fits the key-value store's limit on values, and goes on fitting as it ends.
+ * Records of admitted attempts fit the key-value store's limit on value sizes, also while the
+ * attempts end.
  */
 class SegmentCapacityTest {
   private static final SteadyTime NOW = new SteadyTime(0);
@@ -35,14 +36,14 @@
     return TestMachines.on(String.format("n-%06d", 990_000 + machine), 1234);
   }
 
-  private static void allFit(Job job, int valueBytes) {
-    for (int p = 0; p < job.record().segments(); p++) {
-      int bytes = Json.bytes(RecordCodec.encode(job, p)).length;
-      assertTrue(bytes <= valueBytes, "segment " + p + " takes " + bytes);
+  private static void assertSegmentsFit(Job job, int valueBytes) {
+    for (int segment = 0; segment < job.record().segments(); segment++) {
+      int bytes = Json.bytes(RecordCodec.encode(job, segment)).length;
+      assertTrue(bytes <= valueBytes, "segment " + segment + " takes " + bytes);
     }
   }
 
-  @ParameterizedTest(name = "{0} of {1} tasks, {2} KiB, {3} a machine")
+  @ParameterizedTest(name = "{0} of {1} tasks, {2} KiB, {3} per machine")
   @CsvSource({
     "batch, 300, 2, 1",
     "batch, 300, 2, 3",
@@ -53,45 +54,45 @@
     "daemon, 60, 2, 1",
     "group, 100, 2, 1"
   })
-  void whatIsAdmittedFits(String kind, int tasks, int kb, int share) {
-    int value = kb * 1024;
-    Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), value, new SimClock());
+  void whatIsAdmittedFits(String kind, int tasks, int valueKb, int tasksPerMachine) {
+    int valueBytes = valueKb * 1024;
+    Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), valueBytes, new SimClock());
     JobSpec spec = Specs.of(json(kind, tasks));
-    assertTrue(RecordSize.fits(spec, value));
-    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, value));
+    assertTrue(RecordSize.fits(spec, valueBytes));
+    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, valueBytes));
     ledger.add(job);
     SplittableRandom random = new SplittableRandom(tasks);
     int machine = 0;
-    int most = Math.min(tasks, 900);
+    int maxTasks = Math.min(tasks, 900);
     for (int round = 0; round < 40; round++) {
       List<Placement> wanted = new ArrayList<>();
-      for (int i = job.nextWaiting(0); i >= 0 && i < most; i = job.nextWaiting(i + 1)) {
+      for (int i = job.nextWaiting(0); i >= 0 && i < maxTasks; i = job.nextWaiting(i + 1)) {
         if (spec.isGang() || random.nextInt(3) > 0) {
-          wanted.add(new Placement(i, site(machine++ / share)));
+          wanted.add(new Placement(i, site(machine++ / tasksPerMachine)));
         }
       }
-      List<Placement> fits = ledger.fitting(job, wanted);
-      assertTrue(!spec.isGang() || fits.size() == wanted.size(), "a gang starts whole");
-      if (!fits.isEmpty()) {
-        assertEquals(Optional.empty(), ledger.open(job, fits, t -> false, NOW));
+      List<Placement> fitting = ledger.fitting(job, wanted);
+      assertTrue(!spec.isGang() || fitting.size() == wanted.size(), "all tasks of a gang must fit");
+      if (!fitting.isEmpty()) {
+        assertEquals(Optional.empty(), ledger.open(job, fitting, t -> false, NOW));
       }
-      allFit(job, value);
+      assertSegmentsFit(job, valueBytes);
       for (Attempt a : List.copyOf(job.openAttempts())) {
         if (!spec.isGang() && random.nextInt(2) == 0) {
           ledger.close(a, random.nextInt(4) > 0);
         }
       }
-      allFit(job, value);
+      assertSegmentsFit(job, valueBytes);
       if (spec.isGang()) {
         List.copyOf(job.openAttempts()).forEach(a -> ledger.close(a, false));
       }
     }
-    assertTrue(kind.equals("group") || job.doneCount() > most / 2, job.doneCount() + " done");
+    assertTrue(kind.equals("group") || job.doneCount() > maxTasks / 2, job.doneCount() + " done");
   }
 
   /**
-   * Segments of 127 tasks, as under 8 KiB, and then 2 KiB: a gang is repartitioned, an array holds
-   * back.
+   * Segments of 127 tasks, written under a limit of 8 KiB, after the limit was lowered to 2 KiB: a
+   * gang is repartitioned, an array opens fewer attempts.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({"group, 110", "batch, 200"})
@@ -103,15 +104,15 @@
     for (int i = 0; i < tasks; i++) {
       all.add(new Placement(i, site(i)));
     }
-    List<Placement> fits = kind.equals("group") ? all : ledger.fitting(job, all);
-    assertEquals(Optional.empty(), ledger.open(job, fits, t -> false, NOW));
-    assertTrue(fits.size() >= 50, "only " + fits.size());
-    allFit(job, 2048);
+    List<Placement> fitting = kind.equals("group") ? all : ledger.fitting(job, all);
+    assertEquals(Optional.empty(), ledger.open(job, fitting, t -> false, NOW));
+    assertTrue(fitting.size() >= 50, "only " + fitting.size());
+    assertSegmentsFit(job, 2048);
   }
 
   /**
-   * Tasks without room ask for a repartitioned record only where that helps: a write in each round
-   * for nothing would take the changes that others wait for.
+   * Repartitioning is requested only where it helps: a useless write in each scheduling round would
+   * consume changes that other jobs need.
    */
   @ParameterizedTest(name = "{0} of {1} tasks: {2}")
   @CsvSource({"daemon, 140, true", "batch, 1800, false", "batch, 140, false"})
@@ -126,14 +127,14 @@
     assertTrue(ledger.fitting(job, all).size() < all.size());
     assertEquals(Optional.of(AdmissionRefusal.RECORD_FULL), ledger.admit(job, all, t -> false));
     assertFalse(
-        ledger.hasDirty() || job.record().repartitionWanted(), "a question changes nothing");
+        ledger.hasDirty() || job.record().repartitionWanted(), "checks have no side effects");
     ledger.requestRoom(job);
     assertEquals(asks, ledger.hasDirty());
     assertEquals(asks, job.record().repartitionWanted());
     job.record().markRepartitionTooLarge();
     job.record().repartitionWanted(false);
     ledger.requestRoom(job);
-    assertFalse(job.record().repartitionWanted(), "nor where it can't be");
+    assertFalse(job.record().repartitionWanted(), "not requested if it cannot be repartitioned");
   }
 
   @Test
--- a/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
@@ -13,11 +13,11 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
-/** Segments that are over are merged into the first, as far as its list of ranges has room. */
+/** Finished segments are merged into the first one as far as its list of ranges has space. */
 class SegmentMergerTest {
   private static final int SEGMENT_SIZE = 2;
 
-  /** The list of merged segments may hold one range in 100 bytes of this limit. */
+  /** Limit on value sizes; allows one range of merged segments per 100 bytes. */
   private static final int VALUE_BYTES = 200;
 
   private final SegmentMerger merger = new SegmentMerger(VALUE_BYTES);
@@ -49,7 +49,7 @@
   }
 
   /** At most two ranges fit; a segment that extends one of them always does. */
-  @ParameterizedTest(name = "over {0}: merged {1}")
+  @ParameterizedTest(name = "finished {0}: merged {1}")
   @CsvSource({
     "0, {}",
     "1, {1}",
--- a/src/test/java/org/ternhinge/ledger/TestMachines.java
+++ b/src/test/java/org/ternhinge/ledger/TestMachines.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 
-/** Where tests place tasks: a small ordinary machine in the first zone. */
+/** Small on-demand machines in the first zone, for tests. */
 final class TestMachines {
   private TestMachines() {}
 
--- a/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.wire.Json;
 
-/** How much fits into one transaction. */
+/** Conditions and limits of a transaction. */
 class TransactionDraftTest {
   private static final Revision TERM = new Revision(7);
   private static final ObjectNode VALUE = Json.object();
@@ -52,7 +52,7 @@
     assertTrue(draft.isFull());
   }
 
-  /** A request may take 64 KiB; a value that is too large by itself is nobody's but its own. */
+  /** A request is limited to 64 KiB; an oversized segment goes into a transaction of its own. */
   @ParameterizedTest(name = "{1} bytes after {0}: {2}")
   @CsvSource({
     "-1, 60000, true",
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -22,7 +22,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What reading back proves of a transaction whose answer was lost. */
+/** Reading back the outcome of a transaction whose response was lost. */
 class TransactionVerifierTest {
   private static final ObjectNode OURS = Json.object().put("value", "ours");
 
@@ -30,7 +30,7 @@
   private final StoreCore core = new StoreCore(clock);
   private final List<TransactionVerifier.Verdict> verdicts = new ArrayList<>();
 
-  /** Reads that fail before one is answered. */
+  /** Number of reads that fail before one succeeds. */
   private int failures;
 
   private int reads;
@@ -62,12 +62,12 @@
 
     @Override
     public void raised(Term term, Revision revision) {
-      throw new AssertionError("a verifier only reads");
-    }
-
-    @Override
-    public void lost(LeadershipLoss loss) {
-      throw new AssertionError("a verifier only reads");
+      throw new AssertionError("verifier must only read");
+      }
+      
+      @Override
+      public void lost(LeadershipLoss loss) {
+      throw new AssertionError("verifier must only read");
     }
   }
 
@@ -96,7 +96,7 @@
         : "applied";
   }
 
-  /** The removal of {@code j/b} tells nothing where {@code j/a} is set. */
+  /** {@code j/a} is read back, since the deletion of {@code j/b} is weaker evidence. */
   @ParameterizedTest(name = "term {0}, j/a holds {1}")
   @CsvSource({
     "ours, ours, applied",
@@ -129,7 +129,7 @@
     assertEquals(expected, verdict());
   }
 
-  /** The raise itself changed the term's version, so its value is what counts. */
+  /** The raise itself changes the term's revision, so the value is compared instead. */
   @ParameterizedTest(name = "the term holds {0}")
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -14,10 +14,10 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
-/** The queue of jobs with something to write. */
+/** Queue of the jobs with pending writes. */
 class WriteQueueTest {
-  private static final double GATHER_S = 1;
-  private static final double LATE_S = 5;
+  private static final double BATCH_S = 1;
+  private static final double OVERDUE_S = 5;
 
   private final SimClock clock = new SimClock();
   private final WriteQueue queue = new WriteQueue(clock);
@@ -29,10 +29,10 @@
 
   private Map<Urgency, List<Job>> ready() {
     SteadyTime now = clock.now();
-    return queue.ready(now.plusSeconds(-GATHER_S), now.plusSeconds(-LATE_S));
+    return queue.ready(now.plusSeconds(-BATCH_S), now.plusSeconds(-OVERDUE_S));
   }
 
-  /** Ends of tasks are gathered, but wait behind others' starts for a while only. */
+  /** Ends of tasks are batched, and become as urgent as starts once they are overdue. */
   @ParameterizedTest(name = "{0}, {1}, waiting {2} s: {3}")
   @CsvSource({
     "cancelled, low, 0, CANCELLATIONS",
