--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -31,7 +31,7 @@
       return Optional.of(SubmissionRejection.NO_MACHINE_TYPE);
     }
     int tasksAtOnce = tasksAtOnce(spec);
-    if (!Ledger.within(team, spec.need().times(tasksAtOnce))) {
+    if (!Ledger.isWithinLimits(team, spec.need().times(tasksAtOnce))) {
       return Optional.of(SubmissionRejection.ABOVE_TEAM_LIMIT);
     }
     if (spec.dependencies().contains(spec.id())) {
--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -69,7 +69,8 @@
   private List<Attempt> absentAttempts(Machine machine, Heartbeat status) {
     List<Attempt> absent = List.of();
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
-      if (attempt.shownIn() != machine.tasksRevision() && attempt.epoch().equals(status.epoch())) {
+      if (attempt.lastReportedRevision() != machine.tasksRevision()
+          && attempt.epoch().equals(status.epoch())) {
         // Most heartbeats show all attempts, and this runs for all of them.
         absent = absent.isEmpty() ? new ArrayList<>() : absent;
         absent.add(attempt);
@@ -79,40 +80,41 @@
   }
 
   private boolean isLeftByEarlierLeader(Attempt attempt, Heartbeat status) {
-    return attempt.durable()
-        && attempt.recovered()
+    return attempt.isDurable()
+        && attempt.isRecovered()
         && status.fencingToken().compareTo(authority.term()) >= 0;
   }
 
   private static boolean hasVanished(Attempt attempt) {
-    return !attempt.recovered() && attempt.isReported();
+    return !attempt.isRecovered() && attempt.isReported();
   }
 
   private static boolean isStoppedBeforeStart(
       Machine machine, Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverShown(attempt)
-        && attempt.stopping()
+        && attempt.isStopRequested()
         && (!wasStartInAnswer(attempt) || isAnswerSettled(attempt, status, origin))
         && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
   }
 
   private static boolean hasMissedAnswer(Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverShown(attempt)
-        && !attempt.stopping()
+        && !attempt.isStopRequested()
         && wasStartInAnswer(attempt)
         && isAnswerSettled(attempt, status, origin);
   }
 
   private static boolean isNeverShown(Attempt attempt) {
-    return !attempt.recovered() && attempt.state() == AttemptState.STARTING;
+    return !attempt.isRecovered() && attempt.state() == AttemptState.STARTING;
   }
 
   private static boolean wasStartInAnswer(Attempt attempt) {
-    return attempt.startAnswered() >= 0;
+    return attempt.startHeartbeatSequence() >= 0;
   }
 
   /** Whether a heartbeat has come that is later than the one whose answer carried the start. */
   private static boolean isAnswerSettled(Attempt attempt, Heartbeat status, MessageOrigin origin) {
-    return origin == MessageOrigin.HEARTBEAT && status.sequence() > attempt.startAnswered();
+    return origin == MessageOrigin.HEARTBEAT
+        && status.sequence() > attempt.startHeartbeatSequence();
   }
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptLifecycle.java
@@ -62,7 +62,7 @@
       if (machine == null || !attempt.epoch().equals(machine.agent().epoch())) {
         continue;
       }
-      if (attempt.stopping() || attempt.job().cancelled()) {
+      if (attempt.isStopRequested() || attempt.job().isCancelled()) {
         stopBeforeStart(attempt, machine);
       } else {
         machine.outbox().add(new Command(Command.Op.START, attempt.task(), attempt.number(), 0));
@@ -73,7 +73,7 @@
   }
 
   private void stopBeforeStart(Attempt attempt, Machine machine) {
-    attempt.stop(0, clock.now());
+    attempt.requestStop(0, clock.now());
     machine.invalidateView();
     closeIfNeverSent(attempt);
   }
@@ -86,7 +86,7 @@
   public void close(Attempt attempt, ClosingEvidence evidence) {
     Job job = attempt.job();
     boolean done = evidence.isTaskDone();
-    if (job.open(attempt.task().index()) != attempt) {
+    if (job.openAttempt(attempt.task().index()) != attempt) {
       return;
     }
     ledger.close(attempt, done);
@@ -98,10 +98,10 @@
         attempt.number(),
         attempt.machine(),
         evidence.text());
-    if (!done && job.spec().isGang() && !job.cancelled()) {
+    if (!done && job.spec().isGang() && !job.isCancelled()) {
       stopRestOfGang(job);
     }
-    writer.pump();
+    writer.sendNext();
     rounds.requestRound();
   }
 
@@ -121,7 +121,7 @@
    */
   private void stopRestOfGang(Job job) {
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
-      if (!attempt.stopping()) {
+      if (!attempt.isStopRequested()) {
         stop(attempt, 0);
       }
     }
@@ -133,10 +133,10 @@
    * @param graceS seconds that the task may take to save its progress
    */
   public void stop(Attempt attempt, double graceS) {
-    if (attempt.stopping() && attempt.stopGraceS() <= graceS) {
+    if (attempt.isStopRequested() && attempt.stopGraceS() <= graceS) {
       return;
     }
-    attempt.stop(graceS, clock.now());
+    attempt.requestStop(graceS, clock.now());
     Machine machine = machines.find(attempt.machine()).orElse(null);
     if (machine == null) {
       return;
@@ -165,7 +165,7 @@
       stop(attempt, 0);
     }
     for (Attempt attempt : List.copyOf(job.openAttempts())) {
-      if (attempt.stopping()) {
+      if (attempt.isStopRequested()) {
         closeIfNeverSent(attempt);
       }
     }
@@ -178,9 +178,9 @@
    * one.
    */
   public void closeIfNeverSent(Attempt attempt) {
-    if (!attempt.recovered()
+    if (!attempt.isRecovered()
         && !attempt.isReported()
-        && attempt.startAnswered() < 0
+        && attempt.startHeartbeatSequence() < 0
         && !isDirectStartOutstanding(attempt)) {
       close(attempt, ClosingEvidence.NEVER_SENT);
     }
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -49,9 +49,9 @@
   public void observeAll(Machine machine, Heartbeat status, SteadyTime now) {
     for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
-      Attempt attempt = job == null ? null : job.open(task.task().index());
+      Attempt attempt = job == null ? null : job.openAttempt(task.task().index());
       if (attempt != null && isStatusOf(attempt, task, machine, status)) {
-        attempt.shownIn(machine.tasksRevision());
+        attempt.setLastReportedRevision(machine.tasksRevision());
         observe(machine, attempt, task, now);
       }
     }
@@ -79,7 +79,7 @@
     if (state != AttemptState.FETCHING || machine.hasImage(spec.image())) {
       useImage(machine, spec);
     }
-    if (attempt.recovered()) {
+    if (attempt.isRecovered()) {
       return;
     }
     if (before == AttemptState.STARTING) {
--- a/src/main/java/org/ternhinge/attempt/Cancellations.java
+++ b/src/main/java/org/ternhinge/attempt/Cancellations.java
@@ -40,7 +40,7 @@
     pending.computeIfAbsent(job, key -> new ArrayList<>()).add(listener);
     ledger.cancel(job);
     attempts.stopAll(job);
-    writer.pump();
+    writer.sendNext();
     answerDurable();
   }
 
@@ -59,10 +59,10 @@
   }
 
   private static boolean isEndDurable(Job job) {
-    return job.cancelDurable() || job.finalDurable();
+    return job.isCancellationDurable() || job.isFinalRecordDurable();
   }
 
   private JobState durableState(Job job) {
-    return ledger.findEnd(job.spec().id()).orElseGet(job::state);
+    return ledger.findFinalState(job.spec().id()).orElseGet(job::state);
   }
 }
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -100,7 +100,7 @@
    * occupy all slots until they time out.
    */
   private boolean acceptsDirectCommands(Machine machine, SteadyTime now) {
-    if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
+    if (!authority.isValid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
       return false;
     }
     double maxSilentS = MAX_MISSED_HEARTBEATS * workerSettings.heartbeatIntervalS();
--- a/src/main/java/org/ternhinge/attempt/CommandSelector.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSelector.java
@@ -41,11 +41,11 @@
 
   private boolean isStartWanted(Command start, Machine machine) {
     Job job = ledger.job(start.task().job());
-    Attempt attempt = job == null ? null : job.open(start.task().index());
+    Attempt attempt = job == null ? null : job.openAttempt(start.task().index());
     return attempt != null
         && attempt.number().equals(start.attempt())
-        && !attempt.stopping()
-        && attempt.durable()
+        && !attempt.isStopRequested()
+        && attempt.isDurable()
         && attempt.epoch().equals(machine.agent().epoch());
   }
 }
--- a/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
+++ b/src/main/java/org/ternhinge/attempt/HigherTermCheck.java
@@ -25,7 +25,7 @@
     if (status.fencingToken().compareTo(authority.term()) <= 0) {
       return false;
     }
-    authority.lost(new LeadershipLoss.HigherTermSeen(status.fencingToken()));
+    authority.onLost(new LeadershipLoss.HigherTermSeen(status.fencingToken()));
     return true;
   }
 }
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -69,7 +69,7 @@
   }
 
   private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int attemptsLeft) {
-    if (authority.valid()) {
+    if (authority.isValid()) {
       dispatcher.announceTerm(
           endpoint, epoch, outcome -> answered(machine, endpoint, outcome, attemptsLeft));
     }
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -55,9 +55,9 @@
   /** Whether a stopped attempt stays open only because a start of it may still arrive unfenced. */
   public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
     OutstandingStarts starts = machine.outstandingStarts();
-    return attempt.stopping()
+    return attempt.isStopRequested()
         && !attempt.isReported()
-        && now.secondsSince(attempt.stopRequest().orElseThrow().at()) > FENCE_AFTER_S
+        && now.secondsSince(attempt.stopRequest().orElseThrow().requestedAt()) > FENCE_AFTER_S
         && starts.mayArrive(attempt.task(), attempt.number())
         && !starts.isFenced(attempt.task(), attempt.number());
   }
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -126,7 +126,7 @@
 
   /** Whether this node leads and its leadership certainly holds. */
   public boolean valid() {
-    return own != null && own.valid();
+    return own != null && own.isValid();
   }
 
   /**
@@ -270,7 +270,7 @@
     @Override
     public void leaseEnded() {
       if (own != null && own.leaseEnded()) {
-        own.lost(new LeadershipLoss.LeaseExpired());
+        own.onLost(new LeadershipLoss.LeaseExpired());
       }
     }
   }
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/OwnLeadership.java
@@ -46,18 +46,18 @@
   }
 
   @Override
-  public void raised(Term to, Revision revision) {
+  public void onTermRaised(Term to, Revision revision) {
     term = to;
     termRevision = revision;
   }
 
   @Override
-  public boolean valid() {
+  public boolean isValid() {
     return !over && clock.now().isBefore(lease.validUntil());
   }
 
   @Override
-  public void lost(LeadershipLoss loss) {
+  public void onLost(LeadershipLoss loss) {
     if (!over) {
       over = true;
       onLost.accept(loss);
--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -42,7 +42,7 @@
   private void recoverZone(String zone, SteadyTime lostAt, SteadyTime now) {
     long lostMillis = clock.wallMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
     for (Job job : ledger.jobs()) {
-      if (job.highest().value() > 0
+      if (job.highestAttempt().value() > 0
           && !FleetView.isOver(job)
           && job.acceptedMillis() < lostMillis) {
         reportWaitingTasks(job, zone, now);
@@ -53,7 +53,7 @@
   private void reportWaitingTasks(Job job, String zone, SteadyTime now) {
     int task = job.nextWaiting(0);
     for (int i = 0; i < Snapshot.JobView.MAX_PENDING && task >= 0; i++) {
-      failover.attemptLost(job.planned(), task, UNKNOWN_ATTEMPT, zone, now);
+      failover.attemptLost(job.plannedSpec(), task, UNKNOWN_ATTEMPT, zone, now);
       task = job.nextWaiting(task + 1);
     }
   }
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -138,7 +138,7 @@
     if (job == null || FleetView.isOver(job) || job.isDone(task)) {
       return TaskState.ENDED;
     }
-    return job.open(task) == null ? TaskState.PENDING : TaskState.PLACED;
+    return job.openAttempt(task) == null ? TaskState.PENDING : TaskState.PLACED;
   }
 
   @Override
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -42,7 +42,7 @@
 
   /** Whether no task of a job is to be started any more. */
   static boolean isOver(Job job) {
-    return job.cancelled() || job.over();
+    return job.isCancelled() || job.isFinished();
   }
 
   @Override
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -85,7 +85,7 @@
 
   private FleetObservations observations(SteadyTime now) {
     return new FleetObservations(
-        context, machines, failures, fleet, job -> failover.tierOf(job.planned()), now);
+        context, machines, failures, fleet, job -> failover.tierOf(job.plannedSpec()), now);
   }
 
   @Override
@@ -95,7 +95,7 @@
       return;
     }
     failover.attemptLost(
-        job.planned(),
+        job.plannedSpec(),
         attempt.task().index(),
         attempt.number().value(),
         zones.get(attempt.zone()),
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatCommands.java
@@ -42,7 +42,7 @@
   List<Command> commands(Machine machine, Heartbeat heartbeat) {
     CommandList commands = new CommandList();
     for (TaskStatus task : heartbeat.tasks()) {
-      if (!ledger.holds(task, machine.id())) {
+      if (!ledger.hasOpenAttempt(task, machine.id())) {
         addForTaskWithoutAttempt(machine, task, commands);
       }
     }
@@ -78,18 +78,18 @@
     if (isStopDue(attempt)) {
       commands.addStop(attempt.task(), attempt.number(), attempt.stopGraceS());
     } else if (isStartDue(attempt) && !commands.isFull()) {
-      attempt.startAnswered(heartbeat.sequence());
+      attempt.setStartHeartbeatSequence(heartbeat.sequence());
       commands.addStart(attempt);
     }
   }
 
   private boolean isEndRecorded(TaskStatus task) {
     Job job = ledger.job(task.task().job());
-    return job == null || job.recorded(task.task().index());
+    return job == null || job.isRecorded(task.task().index());
   }
 
   private static boolean isStopDue(Attempt attempt) {
-    return attempt.stopping() && attempt.isReported() && !isSavingWithinGrace(attempt);
+    return attempt.isStopRequested() && attempt.isReported() && !isSavingWithinGrace(attempt);
   }
 
   private static boolean isSavingWithinGrace(Attempt attempt) {
@@ -97,6 +97,8 @@
   }
 
   private static boolean isStartDue(Attempt attempt) {
-    return !attempt.stopping() && attempt.state() == AttemptState.STARTING && !attempt.recovered();
+    return !attempt.isStopRequested()
+        && attempt.state() == AttemptState.STARTING
+        && !attempt.isRecovered();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -72,7 +72,7 @@
 
   private boolean hasAttemptToStop(Heartbeat heartbeat) {
     for (Attempt attempt : ledger.attemptsOn(heartbeat.machine())) {
-      if (attempt.stopping() || attempt.job().cancelled()) {
+      if (attempt.isStopRequested() || attempt.job().isCancelled()) {
         return true;
       }
     }
@@ -81,7 +81,7 @@
 
   private boolean showsTaskWithoutAttempt(Heartbeat heartbeat) {
     for (TaskStatus task : heartbeat.tasks()) {
-      if (!task.ended() && !ledger.holds(task, heartbeat.machine())) {
+      if (!task.ended() && !ledger.hasOpenAttempt(task, heartbeat.machine())) {
         return true;
       }
     }
@@ -150,7 +150,7 @@
   private static List<Attempt> stoppingAttempts(Collection<Attempt> open) {
     List<Attempt> stopping = List.of();
     for (Attempt attempt : open) {
-      if (attempt.stopping()) {
+      if (attempt.isStopRequested()) {
         // Most machines have none, and this runs for all of them.
         stopping = stopping.isEmpty() ? new ArrayList<>() : stopping;
         stopping.add(attempt);
@@ -175,6 +175,6 @@
     double allowedS =
         attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
     return attempt.stopGraceS() > 0
-        && now.secondsSince(attempt.stopRequest().orElseThrow().at()) > allowedS;
+        && now.secondsSince(attempt.stopRequest().orElseThrow().requestedAt()) > allowedS;
   }
 }
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -59,7 +59,8 @@
       JobId id = unresolved.get();
       runningReads++;
       executor.whenAnswered(
-          store.get(Keys.end(id), RequestPriority.ENDING), outcome -> answered(id, outcome));
+          store.get(Keys.finalRecord(id), RequestPriority.ENDING),
+          outcome -> answered(id, outcome));
     }
   }
 
@@ -70,7 +71,7 @@
             : Optional.empty();
     if (end.isPresent()) {
       runningReads--;
-      ledger.resolveEnd(RecordCodec.decodeEnd(id, end.get().value()));
+      ledger.resolveEnd(RecordCodec.decodeFinalRecord(id, end.get().value()));
       onResolved.run();
       pump();
     } else {
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -47,7 +47,7 @@
 
   /** Whether the ledger holds this job or remembers its end. */
   boolean isKnown(JobId id) {
-    return ledger.job(id) != null || ledger.findEnd(id).isPresent();
+    return ledger.job(id) != null || ledger.findFinalState(id).isPresent();
   }
 
   /**
@@ -66,7 +66,7 @@
     arrivalRates.recordArrival(job.spec(), now);
     refreshRaisedPriorities(now);
     dependencyResolver.pump();
-    context.writer().pump();
+    context.writer().sendNext();
     context.rounds().requestRound();
   }
 
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -64,7 +64,7 @@
       watch();
     } else if (outcome.isBecause(Reason.TOO_OLD) || outcome.isBecause(Reason.TOO_LARGE)) {
       // The next leadership's recovery reads all that was missed, page by page.
-      authority.lost(new LeadershipLoss.WatchFellBehind());
+      authority.onLost(new LeadershipLoss.WatchFellBehind());
     } else {
       executor.later(RETRY_S, this::watch);
     }
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -120,7 +120,7 @@
     scaling.inventory.list();
     fleet.machineTypes.refresh();
     dependencyResolver.pump();
-    writer.pump();
+    writer.sendNext();
     periodicChecks.start();
   }
 
@@ -162,7 +162,7 @@
   /** The end of a job that others depend on has become known. */
   private void dependencyResolved() {
     requestRoundForReadyJobs();
-    writer.pump();
+    writer.sendNext();
   }
 
   private void requestRoundForReadyJobs() {
@@ -199,7 +199,7 @@
    */
   public Optional<JobState> stateOf(JobId id) {
     Job job = ledger.job(id);
-    return job == null ? ledger.findEnd(id) : ledger.findState(job);
+    return job == null ? ledger.findFinalState(id) : ledger.findState(job);
   }
 
   /**
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -52,7 +52,7 @@
             });
   }
 
-  private void restore(LedgerLoader.Loaded loaded, SteadyTime now) {
+  private void restore(LedgerLoader.LoadedState loaded, SteadyTime now) {
     for (Job job : loaded.jobs()) {
       ledger.add(job);
     }
@@ -72,9 +72,9 @@
   /** An earlier leader may have ended before it had stopped all tasks of a cancelled job. */
   private void stopCancelledJobs(SteadyTime now) {
     for (Job job : ledger.jobs()) {
-      if (job.cancelled()) {
+      if (job.isCancelled()) {
         for (Attempt attempt : job.openAttempts()) {
-          attempt.stop(0, now);
+          attempt.requestStop(0, now);
         }
       }
     }
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -40,7 +40,7 @@
   }
 
   private void checkLeases() {
-    if (context.authority().valid()) {
+    if (context.authority().isValid()) {
       SteadyTime now = clock.now();
       workers.leaseMonitor.check(now);
       scaling.unusableMachines.check(now);
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/AdmissionControl.java
@@ -19,7 +19,7 @@
  * duplicate starts, complete gangs, permitted machine types, zones and spot machines, free machine
  * resources, the team's limit and space in the job's record. It has no side effects.
  */
-final class Admission {
+final class AdmissionControl {
   private final Map<String, Team> teams;
   private final int valueBytes;
   private final ResourceUsage usage;
@@ -29,7 +29,7 @@
    *
    * @param valueBytes maximum size of a value in the key-value store
    */
-  Admission(Map<String, Team> teams, int valueBytes, ResourceUsage usage) {
+  AdmissionControl(Map<String, Team> teams, int valueBytes, ResourceUsage usage) {
     this.teams = teams;
     this.valueBytes = valueBytes;
     this.usage = usage;
@@ -61,13 +61,14 @@
     if (placements.isEmpty()) {
       return Optional.of(AdmissionRefusal.NOTHING_TO_PLACE);
     }
-    if (job.cancelled() || job.over()) {
-      return Optional.of(AdmissionRefusal.JOB_OVER);
+    if (job.isCancelled() || job.isFinished()) {
+      return Optional.of(AdmissionRefusal.JOB_NOT_ACTIVE);
     }
     if (job.hasUnmetDependencies()) {
-      return Optional.of(AdmissionRefusal.WAITS_FOR_JOBS);
+      return Optional.of(AdmissionRefusal.UNMET_DEPENDENCIES);
     }
-    if (spec.isGang() && (placements.size() != spec.tasks() || !job.openMap().isEmpty())) {
+    if (spec.isGang()
+        && (placements.size() != spec.tasks() || !job.openAttemptsByTask().isEmpty())) {
       return Optional.of(AdmissionRefusal.GANG_INCOMPLETE);
     }
     return refuseIf(!teams.containsKey(spec.team()), AdmissionRefusal.UNKNOWN_TEAM);
@@ -75,16 +76,17 @@
 
   private Optional<AdmissionRefusal> checkTeamLimit(JobSpec spec, int tasks) {
     Resources used = usage.ofTeam(spec.team()).plus(spec.need().times(tasks));
-    return refuseIf(!Ledger.within(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
+    return refuseIf(
+        !Ledger.isWithinLimits(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
   }
 
   private Optional<AdmissionRefusal> checkRecordCapacity(Job job, List<Placement> placements) {
     return refuseIf(
-        fitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
+        filterFitting(job, placements).size() < placements.size(), AdmissionRefusal.RECORD_FULL);
   }
 
   /** Returns the placements whose attempts fit the job's record. */
-  List<Placement> fitting(Job job, List<Placement> placements) {
+  List<Placement> filterFitting(Job job, List<Placement> placements) {
     if (SegmentCapacity.isUnlimited(job, valueBytes)) {
       return placements;
     }
@@ -94,9 +96,9 @@
             placement ->
                 capacity.reserve(
                     placement.index(),
-                    job.highest().next(),
-                    placement.site().machine(),
-                    placement.site().epoch()))
+                    job.highestAttempt().next(),
+                    placement.machine().id(),
+                    placement.machine().epoch()))
         .toList();
   }
 
@@ -123,7 +125,7 @@
     }
 
     Optional<AdmissionRefusal> next(Placement placement) {
-      MachineAttributes machine = placement.site();
+      MachineAttributes machine = placement.machine();
       return checkTask(placement.index())
           .or(() -> refuseIf(!permits(machine), AdmissionRefusal.MACHINE_NOT_PERMITTED))
           .or(() -> checkZone(machine.zone()))
@@ -137,11 +139,11 @@
       if (job.isDone(index)) {
         return Optional.of(AdmissionRefusal.TASK_DONE);
       }
-      if (job.open(index) != null) {
+      if (job.openAttempt(index) != null) {
         return Optional.of(AdmissionRefusal.TASK_OPEN);
       }
       return refuseIf(
-          stillReported.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_SHOWN);
+          stillReported.test(new TaskId(spec.id(), index)), AdmissionRefusal.TASK_STILL_REPORTED);
     }
 
     private boolean permits(MachineAttributes machine) {
@@ -161,10 +163,9 @@
     private Optional<AdmissionRefusal> checkMachineCapacity(MachineAttributes machine) {
       Resources free =
           freeByMachine
-              .computeIfAbsent(
-                  machine.machine(), id -> machine.capacity().minus(usage.ofMachine(id)))
+              .computeIfAbsent(machine.id(), id -> machine.capacity().minus(usage.ofMachine(id)))
               .minus(spec.need());
-      freeByMachine.put(machine.machine(), free);
+      freeByMachine.put(machine.id(), free);
       boolean full = free.cpus() < 0 || free.gpus() < 0 || free.memory() < 0;
       return refuseIf(full, AdmissionRefusal.MACHINE_FULL);
     }
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -32,8 +32,8 @@
   /** The stop request with the shortest grace period so far, or null. */
   private StopRequest stopRequest;
 
-  private long startAnswered = -1;
-  private long shownIn = -1;
+  private long startHeartbeatSequence = -1;
+  private long lastReportedRevision = -1;
 
   Attempt(
       Job job,
@@ -86,7 +86,7 @@
   }
 
   /** Whether the attempt was opened by an earlier leader. */
-  public boolean recovered() {
+  public boolean isRecovered() {
     return recovered;
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Whether the attempt is durable in the key-value store; until then no start may be sent. */
-  public boolean durable() {
+  public boolean isDurable() {
     return state.isDurable();
   }
 
@@ -154,7 +154,7 @@
   }
 
   /** Whether a stop was requested. */
-  public boolean stopping() {
+  public boolean isStopRequested() {
     return stopRequest != null;
   }
 
@@ -169,30 +169,30 @@
   }
 
   /** Requests a stop; replaces an earlier request only if the grace period is shorter. */
-  public void stop(double graceS, SteadyTime at) {
+  public void requestStop(double graceS, SteadyTime at) {
     if (stopRequest == null || graceS < stopRequest.graceS()) {
       stopRequest = new StopRequest(graceS, at);
     }
   }
 
   /** This leader's latest revision of the machine's task list that contained the attempt, or -1. */
-  public long shownIn() {
-    return shownIn;
+  public long lastReportedRevision() {
+    return lastReportedRevision;
   }
 
   /** Records the revision of the machine's task list that contains the attempt. */
-  public void shownIn(long tasksRevision) {
-    shownIn = tasksRevision;
+  public void setLastReportedRevision(long tasksRevision) {
+    lastReportedRevision = tasksRevision;
   }
 
   /** Sequence number of the heartbeat whose response carried the start command, or -1. */
-  public long startAnswered() {
-    return startAnswered;
+  public long startHeartbeatSequence() {
+    return startHeartbeatSequence;
   }
 
   /** Records the sequence number of the heartbeat whose response carried the start command. */
-  public void startAnswered(long sequence) {
-    startAnswered = sequence;
+  public void setStartHeartbeatSequence(long sequence) {
+    startHeartbeatSequence = sequence;
   }
 
   /** Returns task, attempt number and machine, for log and error messages. */
--- a/src/main/java/org/ternhinge/ledger/AttemptState.java
+++ b/src/main/java/org/ternhinge/ledger/AttemptState.java
@@ -26,8 +26,8 @@
 
   /**
    * The permitted transitions. States reported by a worker may follow each other in any order and
-   * may repeat: the leader does not see every step, and a status report must not be rejected because
-   * of its order.
+   * may repeat: the leader does not see every step, and a status report must not be rejected
+   * because of its order.
    */
   private static Map<AttemptState, Set<AttemptState>> transitions() {
     Set<AttemptState> reportedOrClosed =
--- a/src/main/java/org/ternhinge/ledger/Authority.java
+++ b/src/main/java/org/ternhinge/ledger/Authority.java
@@ -12,11 +12,11 @@
   Revision termRevision();
 
   /** Whether the leadership is certain to be still held, from local state alone. */
-  boolean valid();
+  boolean isValid();
 
   /** Called after this leadership raised its own term, which fences its delayed commands. */
-  void raised(Term term, Revision revision);
+  void onTermRaised(Term term, Revision revision);
 
   /** Called when the leadership is found to have ended. */
-  void lost(LeadershipLoss loss);
+  void onLost(LeadershipLoss loss);
 }
--- a/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
+++ b/src/main/java/org/ternhinge/ledger/AuxiliaryWrites.java
@@ -72,10 +72,10 @@
    * runs: a callback may write immediately, and an outdated revision would make its transaction
    * conflict, which ends the leadership.
    */
-  void applied(List<AuxiliaryWrite> writes, Revision revision) {
+  void onApplied(List<AuxiliaryWrite> writes, Revision revision) {
     for (AuxiliaryWrite write : writes) {
       if (write.key().equals(Keys.TERM)) {
-        authority.raised(authority.term().next(), revision);
+        authority.onTermRaised(authority.term().next(), revision);
       }
       revisions.put(write.key(), revision);
     }
--- a/src/main/java/org/ternhinge/ledger/DependencyGraph.java
+++ b/src/main/java/org/ternhinge/ledger/DependencyGraph.java
@@ -19,9 +19,9 @@
 
 /**
  * The graph of dependencies between jobs. The state of a dependent job is derived from durable
- * records alone: it is cancelled as soon as the cancellation of a direct or transitive dependency is
- * durable, and it may start once the completion of all its dependencies is durable. Its own record
- * is written later, as the write limits allow; a new leader derives the same state.
+ * records alone: it is cancelled as soon as the cancellation of a direct or transitive dependency
+ * is durable, and it may start once the completion of all its dependencies is durable. Its own
+ * record is written later, as the write limits allow; a new leader derives the same state.
  */
 public final class DependencyGraph {
   private final Ledger ledger;
@@ -50,13 +50,13 @@
   void add(Job job) {
     JobId id = job.spec().id();
     unresolved.remove(id);
-    if (!job.spec().dependencies().isEmpty() && !job.started() && !job.cancelled()) {
+    if (!job.spec().dependencies().isEmpty() && !job.hasStarted() && !job.isCancelled()) {
       linkDependencies(job);
     }
     for (Job dependent : dependents.getOrDefault(id, Set.of())) {
-      raisePriority(job, dependent.planned().priority());
+      raisePriority(job, dependent.plannedSpec().priority());
     }
-    if (job.cancelDurable()) {
+    if (job.isCancellationDurable()) {
       cancelDependents(id);
     }
   }
@@ -66,12 +66,12 @@
     for (JobId id : job.spec().dependencies()) {
       Job dependency = ledger.job(id);
       if (dependency != null) {
-        cancelled |= dependency.cancelDurable();
+        cancelled |= dependency.isCancellationDurable();
         link(job, id);
-        raisePriority(dependency, job.planned().priority());
+        raisePriority(dependency, job.plannedSpec().priority());
         continue;
       }
-      Optional<JobState> end = ledger.findEnd(id);
+      Optional<JobState> end = ledger.findFinalState(id);
       if (end.isPresent()) {
         cancelled |= end.get().phase() == JobState.Phase.CANCELLED;
       } else {
@@ -106,7 +106,7 @@
     Deque<Job> pending = new ArrayDeque<>(List.of(job));
     while (!pending.isEmpty()) {
       Job next = pending.poll();
-      if (next.inherit(priority)) {
+      if (next.raisePriority(priority)) {
         raised.add(next);
         for (JobId id : next.unmetDependencies()) {
           Job dependency = ledger.job(id);
@@ -129,11 +129,11 @@
     Deque<Job> pending = new ArrayDeque<>(jobs);
     while (!pending.isEmpty()) {
       Job job = pending.poll();
-      if (job.cancelledByDependency() || job.started()) {
+      if (job.isCancelledByDependency() || job.hasStarted()) {
         continue;
       }
       unlink(job);
-      if (!job.cancelDurable()) {
+      if (!job.isCancellationDurable()) {
         ledger.cancelByDependency(job);
       }
       pending.addAll(dependents.getOrDefault(job.spec().id(), Set.of()));
@@ -154,7 +154,7 @@
     for (Job job : waiting) {
       job.unmetDependencies().remove(state.id());
       if (!job.hasUnmetDependencies()) {
-        job.readyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
+        job.setReadyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
         jobBecameReady = true;
       }
     }
@@ -189,7 +189,9 @@
 
   /** Re-queues a dependency whose final state could not be read, if it is still needed. */
   public void retryUnresolved(JobId id) {
-    if (dependents.containsKey(id) && ledger.job(id) == null && ledger.findEnd(id).isEmpty()) {
+    if (dependents.containsKey(id)
+        && ledger.job(id) == null
+        && ledger.findFinalState(id).isEmpty()) {
       unresolved.add(id);
     }
   }
@@ -208,7 +210,8 @@
     while (!pending.isEmpty()) {
       for (JobId id : pending.poll().unmetDependencies()) {
         Job dependency = ledger.job(id);
-        if (dependency == null || (dependency.cancelled() && !dependency.cancelDurable())) {
+        if (dependency == null
+            || (dependency.isCancelled() && !dependency.isCancellationDurable())) {
           return false;
         }
         if (dependency.hasUnmetDependencies() && seen.add(dependency)) {
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -13,8 +13,8 @@
 
 /**
  * An unfinished job with its done tasks and open attempts. Its phase changes as {@link JobPhase}
- * permits; {@link JobRecordState} tracks which parts of its record must be written. Modified only by
- * the {@link Ledger} and its helpers in this package; guarded by the controller's lock.
+ * permits; {@link JobRecordState} tracks which parts of its record must be written. Modified only
+ * by the {@link Ledger} and its helpers in this package; guarded by the controller's lock.
  */
 public final class Job {
   private final JobSpec spec;
@@ -55,34 +55,34 @@
   }
 
   /** Whether the current state of a task is durable in the key-value store. */
-  public boolean recorded(int index) {
+  public boolean isRecorded(int index) {
     return record.isWritten(index);
   }
 
   // ---- phase ----------------------------------------------------------------------------------
 
   /** Whether the job is cancelled. */
-  public boolean cancelled() {
+  public boolean isCancelled() {
     return phase.isCancelled();
   }
 
   /** Whether the cancellation is durable in the key-value store, so that users may see it. */
-  public boolean cancelDurable() {
-    return phase.isCancelDurable();
+  public boolean isCancellationDurable() {
+    return phase.isCancellationDurable();
   }
 
   /** Whether the job has no open attempts and needs no more starts. */
-  public boolean over() {
+  public boolean isFinished() {
     return phase.isFinished();
   }
 
   /** Whether the final record is durable in the key-value store. */
-  public boolean finalDurable() {
+  public boolean isFinalRecordDurable() {
     return phase.isEnded();
   }
 
   /** Whether the job is cancelled because of a cancelled dependency, whatever its record says. */
-  public boolean cancelledByDependency() {
+  public boolean isCancelledByDependency() {
     return cancelledByDependency;
   }
 
@@ -92,28 +92,28 @@
   }
 
   /** Marks the cancellation as durable in the key-value store; idempotent. */
-  void markCancelDurable() {
-    if (!phase.isCancelDurable()) {
+  void markCancellationDurable() {
+    if (!phase.isCancellationDurable()) {
       transition(phase.withDurableCancellation());
     }
   }
 
   /** Marks the job as durably cancelled because a dependency is. */
   void cancelByDependency() {
-    markCancelDurable();
+    markCancellationDurable();
     cancelledByDependency = true;
     unmetDependencies.clear();
   }
 
   /** Marks the job as finished; idempotent. */
-  void markOver() {
+  void markFinished() {
     if (!phase.isFinished()) {
       transition(phase.finished());
     }
   }
 
   /** Marks the final record as durable in the key-value store. */
-  void markFinalDurable() {
+  void markFinalRecordDurable() {
     transition(phase.ended());
   }
 
@@ -127,7 +127,7 @@
   /** The state that is visible to users. */
   public JobState state() {
     JobId id = spec.id();
-    if (cancelDurable()) {
+    if (isCancellationDurable()) {
       return new JobState(id, JobState.Phase.CANCELLED, doneCount(), 0);
     }
     int running = runningCount();
@@ -138,12 +138,12 @@
   // ---- dependencies and priority --------------------------------------------------------------
 
   /** The specification for the planner, with the highest priority among the job's dependents. */
-  public JobSpec planned() {
+  public JobSpec plannedSpec() {
     return planned;
   }
 
   /** Raises the planned priority; returns false if it is already as high. */
-  boolean inherit(Priority priority) {
+  boolean raisePriority(Priority priority) {
     if (priority.compareTo(planned.priority()) >= 0) {
       return false;
     }
@@ -166,14 +166,14 @@
     return readyMillis;
   }
 
-  void readyMillis(long at) {
+  void setReadyMillis(long at) {
     readyMillis = at;
   }
 
   // ---- tasks and attempts ---------------------------------------------------------------------
 
   /** Whether an attempt was ever opened, which implies that all dependencies were done. */
-  boolean started() {
+  boolean hasStarted() {
     return highest.value() > 0 || !done.isEmpty() || !open.isEmpty();
   }
 
@@ -187,12 +187,12 @@
     return done.cardinality();
   }
 
-  BitSet done() {
+  BitSet doneTasks() {
     return done;
   }
 
   /** The open attempt of a task, or null. */
-  public Attempt open(int index) {
+  public Attempt openAttempt(int index) {
     return open.get(index);
   }
 
@@ -201,7 +201,7 @@
     return open.values();
   }
 
-  Int2ObjectOpenHashMap<Attempt> openMap() {
+  Int2ObjectOpenHashMap<Attempt> openAttemptsByTask() {
     return open;
   }
 
@@ -237,9 +237,9 @@
   }
 
   /** Whether a segment's tasks have no open attempts and need no more starts. */
-  boolean isSegmentOver(int segment) {
+  boolean isSegmentFinished(int segment) {
     int firstTask = record.firstTask(segment);
-    if (!cancelled() && done.nextClearBit(firstTask) < record.endOfTasks(segment)) {
+    if (!isCancelled() && done.nextClearBit(firstTask) < record.endTask(segment)) {
       return false;
     }
     for (Attempt attempt : open.values()) {
@@ -251,11 +251,11 @@
   }
 
   /** The highest attempt number used so far. */
-  public AttemptNumber highest() {
+  public AttemptNumber highestAttempt() {
     return highest;
   }
 
-  void highest(AttemptNumber number) {
+  void setHighestAttempt(AttemptNumber number) {
     highest = number;
   }
 
@@ -264,7 +264,7 @@
     return backoffLevel;
   }
 
-  void backoffLevel(int level) {
+  void setBackoffLevel(int level) {
     backoffLevel = level;
   }
 }
--- a/src/main/java/org/ternhinge/ledger/JobPhase.java
+++ b/src/main/java/org/ternhinge/ledger/JobPhase.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Lifecycle of a job in the ledger. A job is finished once it has no open attempts and needs no more
- * starts, and ended once its final record is durable in the key-value store.
+ * Lifecycle of a job in the ledger. A job is finished once it has no open attempts and needs no
+ * more starts, and ended once its final record is durable in the key-value store.
  */
 enum JobPhase {
   /** Tasks are waiting or have open attempts. */
@@ -62,7 +62,7 @@
   }
 
   /** Whether the cancellation is durable in the key-value store. */
-  boolean isCancelDurable() {
+  boolean isCancellationDurable() {
     return DURABLY_CANCELLED.contains(this);
   }
 
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -7,9 +7,9 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * State of a job's record in the key-value store: its division into segments, and which of them must
- * be written. A segment covers a fixed number of tasks, so that large arrays fit the limit on value
- * sizes; only changed segments are written.
+ * State of a job's record in the key-value store: its division into segments, and which of them
+ * must be written. A segment covers a fixed number of tasks, so that large arrays fit the limit on
+ * value sizes; only changed segments are written.
  */
 final class JobRecordState {
   private final JobSpec spec;
@@ -30,9 +30,9 @@
   /** Revisions of the segments that have a key. */
   private final Int2LongOpenHashMap revisions = new Int2LongOpenHashMap();
 
-  private boolean opensAttempts;
+  private boolean unsentAttempts;
   private SteadyTime dirtySince;
-  private boolean repartitionWanted;
+  private boolean repartitionRequested;
   private boolean repartitionTooLarge;
 
   JobRecordState(JobSpec spec, int segmentSize) {
@@ -63,7 +63,7 @@
   }
 
   /** Index after that of a segment's last task. */
-  int endOfTasks(int segment) {
+  int endTask(int segment) {
     return Math.min(spec.tasks(), firstTask(segment) + segmentSize);
   }
 
@@ -106,12 +106,12 @@
   }
 
   /** Whether attempts were opened that are not in a transaction yet. */
-  boolean opensAttempts() {
-    return opensAttempts;
+  boolean hasUnsentAttempts() {
+    return unsentAttempts;
   }
 
-  void opensAttempts(boolean value) {
-    opensAttempts = value;
+  void setHasUnsentAttempts(boolean value) {
+    unsentAttempts = value;
   }
 
   /** When the job was added to the write queue. */
@@ -119,7 +119,7 @@
     return dirtySince;
   }
 
-  void dirtySince(SteadyTime at) {
+  void setDirtySince(SteadyTime at) {
     dirtySince = at;
   }
 
@@ -128,7 +128,7 @@
     return new Revision(revisions.get(segment));
   }
 
-  void revision(int segment, Revision revision) {
+  void setRevision(int segment, Revision revision) {
     if (revision.equals(Revision.NONE)) {
       revisions.remove(segment);
     } else {
@@ -137,32 +137,34 @@
   }
 
   /** Segments after the first that have their own key. */
-  BitSet liveSegments() {
-    BitSet live = new BitSet();
-    revisions.keySet().forEach(live::set);
-    live.clear(0);
-    return live;
+  BitSet storedLaterSegments() {
+    BitSet stored = new BitSet();
+    revisions.keySet().forEach(stored::set);
+    stored.clear(0);
+    return stored;
   }
 
   // ---- repartitioning -------------------------------------------------------------------------
 
-  /** Changes the segment size; unless the record is empty, the next write must include all of it. */
+  /**
+   * Changes the segment size; unless the record is empty, the next write must include all of it.
+   */
   void repartition(int size) {
     segmentSize = size;
-    repartitionWanted = false;
+    repartitionRequested = false;
   }
 
   /** Whether tasks are waiting for the record to be repartitioned. */
-  boolean repartitionWanted() {
-    return repartitionWanted;
+  boolean isRepartitionRequested() {
+    return repartitionRequested;
   }
 
-  void repartitionWanted(boolean wanted) {
-    repartitionWanted = wanted;
+  void setRepartitionRequested(boolean requested) {
+    repartitionRequested = requested;
   }
 
   /** Whether the repartitioned record would not fit one transaction. */
-  boolean repartitionTooLarge() {
+  boolean isRepartitionTooLarge() {
     return repartitionTooLarge;
   }
 
--- a/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordWrites.java
@@ -33,11 +33,11 @@
    * @return false if the transaction is full
    */
   boolean add(TransactionDraft draft, Job job) {
-    return job.over() ? addFinalRecord(draft, job) : addChangedSegments(draft, job);
+    return job.isFinished() ? addFinalRecord(draft, job) : addChangedSegments(draft, job);
   }
 
   private boolean addChangedSegments(TransactionDraft draft, Job job) {
-    if (job.record().repartitionWanted()) {
+    if (job.record().isRepartitionRequested()) {
       repartitioner.request(job);
     }
     BitSet dirty = job.record().dirty();
@@ -90,7 +90,7 @@
 
   private static void delete(TransactionDraft draft, Job job, int segment) {
     draft.delete(Keys.segment(job.spec().id(), segment), job.record().revision(segment));
-    markInFlight(draft, new RecordWrite.SegmentRemoval(job, segment), segment);
+    markInFlight(draft, new RecordWrite.SegmentDeletion(job, segment), segment);
   }
 
   private static void markInFlight(TransactionDraft draft, RecordWrite write, int segment) {
@@ -100,30 +100,30 @@
   }
 
   private boolean addFinalRecord(TransactionDraft draft, Job job) {
-    BitSet live = job.record().liveSegments();
-    if (live.cardinality() + FINAL_RECORD_CHANGES > draft.freeChanges()) {
-      return addPartialEnd(draft, job, live);
+    BitSet stored = job.record().storedLaterSegments();
+    if (stored.cardinality() + FINAL_RECORD_CHANGES > draft.freeChanges()) {
+      return addPartialEnd(draft, job, stored);
     }
     JobId id = job.spec().id();
-    draft.put(Keys.end(id), RecordCodec.end(job), Revision.NONE);
+    draft.put(Keys.finalRecord(id), RecordCodec.encodeFinalRecord(job), Revision.NONE);
     draft.delete(Keys.job(id), job.record().revision(0));
-    for (int s = live.nextSetBit(0); s >= 0; s = live.nextSetBit(s + 1)) {
+    for (int s = stored.nextSetBit(0); s >= 0; s = stored.nextSetBit(s + 1)) {
       draft.delete(Keys.segment(id, s), job.record().revision(s));
     }
-    draft.add(new RecordWrite.End(job));
+    draft.add(new RecordWrite.FinalRecord(job));
     job.record().inFlight().set(0, job.record().segments());
     ledger.removeFromWriteQueue(job);
     return true;
   }
 
   /**
-   * Writes part of an end that needs several transactions: each deletes as many segments as fit, and
-   * the last one writes the final record. The first segment must list the others as merged before
-   * they are deleted: otherwise a leader elected in between would assume that their tasks never ran
-   * and run them again.
+   * Writes part of an end that needs several transactions: each deletes as many segments as fit,
+   * and the last one writes the final record. The first segment must list the others as merged
+   * before they are deleted: otherwise a leader elected in between would assume that their tasks
+   * never ran and run them again.
    */
-  private boolean addPartialEnd(TransactionDraft draft, Job job, BitSet live) {
-    if (live.isEmpty() || draft.isFull()) {
+  private boolean addPartialEnd(TransactionDraft draft, Job job, BitSet stored) {
+    if (stored.isEmpty() || draft.isFull()) {
       return false;
     }
     JobId id = job.spec().id();
@@ -131,7 +131,7 @@
       draft.put(Keys.job(id), RecordCodec.encode(job, 0), job.record().revision(0));
       markInFlight(draft, RecordWrite.Segment.of(job, 0), 0);
     }
-    for (int s = live.nextSetBit(0); s >= 0 && !draft.isFull(); s = live.nextSetBit(s + 1)) {
+    for (int s = stored.nextSetBit(0); s >= 0 && !draft.isFull(); s = stored.nextSetBit(s + 1)) {
       job.record().merged().set(s);
       delete(draft, job, s);
     }
--- a/src/main/java/org/ternhinge/ledger/Keys.java
+++ b/src/main/java/org/ternhinge/ledger/Keys.java
@@ -17,7 +17,7 @@
   public static final String JOBS = "j/";
 
   /** Prefix of the final records of ended jobs, which are never deleted. */
-  public static final String JOB_ENDS = "f/";
+  public static final String FINAL_RECORDS = "f/";
 
   /** Prefix of the records of provision requests in progress. */
   public static final String PROVISIONS = "r/";
@@ -38,7 +38,7 @@
   }
 
   /** Key of a job's final record. */
-  public static String end(JobId id) {
-    return JOB_ENDS + id.value();
+  public static String finalRecord(JobId id) {
+    return FINAL_RECORDS + id.value();
   }
 }
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -21,7 +21,7 @@
 
 /**
  * The unfinished jobs and their attempts; attempts are opened and closed only here. Every start is
- * subject to {@link Admission}, which counts all attempts that may still exist.
+ * subject to {@link AdmissionControl}, which counts all attempts that may still exist.
  *
  * <p>Not thread-safe; guarded by the controller's lock.
  */
@@ -32,14 +32,14 @@
    *
    * @param index the task's index in its job
    */
-  public record Placement(int index, MachineAttributes site) {}
+  public record Placement(int index, MachineAttributes machine) {}
 
   private final int valueBytes;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
   private final ResourceUsage usage = new ResourceUsage();
-  private final RecentJobEnds recentlyEnded = new RecentJobEnds();
-  private final Admission admission;
+  private final RecentlyEndedJobs recentlyEnded = new RecentlyEndedJobs();
+  private final AdmissionControl admission;
   private final SegmentMerger segmentMerger;
   private final WriteQueue writeQueue;
   private final DependencyGraph dependencies;
@@ -52,7 +52,7 @@
    */
   public Ledger(Map<String, Team> teams, int valueBytes, Clock clock) {
     this.valueBytes = valueBytes;
-    this.admission = new Admission(teams, valueBytes, usage);
+    this.admission = new AdmissionControl(teams, valueBytes, usage);
     this.segmentMerger = new SegmentMerger(valueBytes);
     this.writeQueue = new WriteQueue(clock);
     this.dependencies = new DependencyGraph(this, clock);
@@ -84,17 +84,17 @@
   }
 
   /** The final state of a job that ended recently. */
-  public Optional<JobState> findEnd(JobId id) {
+  public Optional<JobState> findFinalState(JobId id) {
     return recentlyEnded.find(id);
   }
 
   /** Resources used by a team's open attempts. */
-  public Resources teamUse(String team) {
+  public Resources teamUsage(String team) {
     return usage.ofTeam(team);
   }
 
   /** Resources of a machine that are used by open attempts. */
-  public Resources machineUse(MachineId machine) {
+  public Resources machineUsage(MachineId machine) {
     return usage.ofMachine(machine);
   }
 
@@ -104,11 +104,11 @@
   }
 
   /** Whether a task reported by a machine belongs to an open attempt on that machine. */
-  public boolean holds(TaskStatus shown, MachineId machine) {
-    Job job = jobs.get(shown.task().job());
-    Attempt attempt = job == null ? null : job.open(shown.task().index());
+  public boolean hasOpenAttempt(TaskStatus reported, MachineId machine) {
+    Job job = jobs.get(reported.task().job());
+    Attempt attempt = job == null ? null : job.openAttempt(reported.task().index());
     return attempt != null
-        && attempt.number().equals(shown.attempt())
+        && attempt.number().equals(reported.attempt())
         && attempt.machine().equals(machine);
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Whether a usage is within a team's limits; 0 means unlimited. */
-  public static boolean within(Team team, Resources use) {
+  public static boolean isWithinLimits(Team team, Resources use) {
     return (team.cpusMax() == 0 || use.cpus() <= team.cpusMax())
         && (team.gpusMax() == 0 || use.gpus() <= team.gpusMax());
   }
@@ -128,10 +128,10 @@
    * cancellation of the job or of a dependency is in progress, since it may already be durable.
    */
   public Optional<JobState> findState(Job job) {
-    if (job.cancelDurable()) {
+    if (job.isCancellationDurable()) {
       return Optional.of(job.state());
     }
-    return job.over() || job.cancelled() || !dependencies.isCertain(job)
+    return job.isFinished() || job.isCancelled() || !dependencies.isCertain(job)
         ? Optional.empty()
         : Optional.of(job.state());
   }
@@ -153,13 +153,15 @@
    * since its final record may already have been sent to the key-value store.
    */
   public void cancel(Job job) {
-    if (!job.cancelled() && !job.over()) {
+    if (!job.isCancelled() && !job.isFinished()) {
       job.cancel();
       afterCancellation(job);
     }
   }
 
-  /** Cancels a job whose dependency is durably cancelled; this counts before its record is written. */
+  /**
+   * Cancels a job whose dependency is durably cancelled; this counts before its record is written.
+   */
   void cancelByDependency(Job job) {
     job.cancelByDependency();
     afterCancellation(job);
@@ -172,24 +174,24 @@
   }
 
   /** Marks a job's cancellation as durable and cancels the jobs that depend on it. */
-  void markCancelDurable(Job job) {
-    job.markCancelDurable();
+  void markCancellationDurable(Job job) {
+    job.markCancellationDurable();
     dependencies.cancelDependents(job.spec().id());
   }
 
   /**
-   * Sets the back-off level of a job whose tasks fail on every machine. The level is stored with the
-   * next write of the record, so that a retry does not cost an additional change.
+   * Sets the back-off level of a job whose tasks fail on every machine. The level is stored with
+   * the next write of the record, so that a retry does not cost an additional change.
    */
   public void setBackoffLevel(Job job, int level) {
-    job.backoffLevel(level);
+    job.setBackoffLevel(level);
   }
 
   /** Removes a job whose final record is durable. */
   void markEnded(Job job) {
     jobs.remove(job.spec().id());
     writeQueue.remove(job);
-    JobState.Phase phase = job.cancelled() ? JobState.Phase.CANCELLED : JobState.Phase.DONE;
+    JobState.Phase phase = job.isCancelled() ? JobState.Phase.CANCELLED : JobState.Phase.DONE;
     JobState state = new JobState(job.spec().id(), phase, job.doneCount(), 0);
     recentlyEnded.add(state);
     dependencies.markEnded(state);
@@ -204,19 +206,19 @@
   // ---- attempts -------------------------------------------------------------------------------
 
   /** Returns the placements whose attempts fit the job's record. */
-  public List<Placement> fitting(Job job, List<Placement> placements) {
-    return admission.fitting(job, placements);
+  public List<Placement> filterFitting(Job job, List<Placement> placements) {
+    return admission.filterFitting(job, placements);
   }
 
   /**
-   * Requests more space in a job's record when placements do not {@linkplain #fitting fit}. Only the
-   * record of a service is repartitioned: its tasks do not end by themselves, so a large segment
-   * might never have space again. Tasks of an array end, and writing its first segment in every
-   * scheduling round would only consume changes.
+   * Requests more space in a job's record when placements do not {@linkplain #filterFitting fit}.
+   * Only the record of a service is repartitioned: its tasks do not end by themselves, so a large
+   * segment might never have space again. Tasks of an array end, and writing its first segment in
+   * every scheduling round would only consume changes.
    */
-  public void requestRoom(Job job) {
+  public void requestRecordSpace(Job job) {
     if (job.spec().isService() && RepartitionPolicy.permits(job, valueBytes)) {
-      job.record().repartitionWanted(true);
+      job.record().setRepartitionRequested(true);
       job.record().dirty().set(0);
       writeQueue.add(job);
     }
@@ -239,23 +241,24 @@
     return refusal;
   }
 
-  /** Checks by {@link Admission} whether attempts may be opened, without opening them. */
+  /** Checks by {@link AdmissionControl} whether attempts may be opened, without opening them. */
   Optional<AdmissionRefusal> admit(
       Job job, List<Placement> placements, Predicate<TaskId> stillReported) {
     return admission.check(job, placements, stillReported);
   }
 
   private void openAll(Job job, List<Placement> placements, SteadyTime now) {
-    AttemptNumber number = job.highest().next();
-    job.highest(number);
-    job.record().opensAttempts(true);
+    AttemptNumber number = job.highestAttempt().next();
+    job.setHighestAttempt(number);
+    job.record().setHasUnsentAttempts(true);
     job.record().dirty().set(0);
     for (Placement placement : placements) {
       int index = placement.index();
-      MachineAttributes site = placement.site();
+      MachineAttributes machine = placement.machine();
       Attempt attempt =
-          new Attempt(job, index, number, site.machine(), site.epoch(), site.zone(), false, now);
-      job.openMap().put(index, attempt);
+          new Attempt(
+              job, index, number, machine.id(), machine.epoch(), machine.zone(), false, now);
+      job.openAttemptsByTask().put(index, attempt);
       job.record().markTaskDirty(index);
       usage.add(attempt);
     }
@@ -271,17 +274,17 @@
   public void close(Attempt attempt, boolean done) {
     Job job = attempt.job();
     int index = attempt.task().index();
-    if (!job.openMap().remove(index, attempt)) {
+    if (!job.openAttemptsByTask().remove(index, attempt)) {
       return;
     }
     attempt.close();
     usage.remove(attempt);
     job.record().markTaskDirty(index);
     if (done && job.spec().isGang()) {
-      job.done().set(0, job.spec().tasks());
+      job.doneTasks().set(0, job.spec().tasks());
       job.record().dirty().set(0, job.record().segments());
     } else if (done) {
-      job.done().set(index);
+      job.doneTasks().set(index);
     }
     writeQueue.add(job);
     mergeAndFinish(job);
@@ -293,8 +296,8 @@
       writeQueue.add(job);
     }
     boolean complete = job.doneCount() == job.spec().tasks();
-    if (job.openMap().isEmpty() && (complete || job.cancelled())) {
-      job.markOver();
+    if (job.openAttemptsByTask().isEmpty() && (complete || job.isCancelled())) {
+      job.markFinished();
       writeQueue.add(job);
     }
   }
@@ -308,13 +311,13 @@
   }
 
   /** Whether a job has pending writes. */
-  boolean hasDirty() {
+  boolean hasPendingWrites() {
     return !writeQueue.isEmpty();
   }
 
   /** Removes a job all of whose pending writes are in a transaction. */
   void removeFromWriteQueue(Job job) {
     writeQueue.remove(job);
-    job.record().opensAttempts(false);
+    job.record().setHasUnsentAttempts(false);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -41,7 +41,7 @@
    *
    * @param revision revision after which changes must be read by a watch
    */
-  public record Loaded(
+  public record LoadedState(
       List<Job> jobs, List<Entry> provisions, List<Entry> releases, Revision revision) {}
 
   /** The entries with a prefix that have been read so far. */
@@ -79,7 +79,7 @@
   }
 
   /** Reads all records, retrying without limit, and then invokes the callback under the lock. */
-  public void load(Consumer<Loaded> onLoaded) {
+  public void load(Consumer<LoadedState> onLoaded) {
     if (unreadRanges.isEmpty()) {
       onLoaded.accept(finish());
       return;
@@ -91,7 +91,7 @@
   }
 
   private void handlePage(
-      Range range, Outcome<KeyValueStore.Page> outcome, Consumer<Loaded> onLoaded) {
+      Range range, Outcome<KeyValueStore.Page> outcome, Consumer<LoadedState> onLoaded) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.Page> applied) {
       addPage(range, applied.value());
       load(onLoaded);
@@ -110,7 +110,7 @@
     }
   }
 
-  private Loaded finish() {
+  private LoadedState finish() {
     Map<JobId, Job> jobsById = new TreeMap<>();
     SteadyTime now = clock.now();
     for (Entry entry : jobs.entries()) {
@@ -120,7 +120,7 @@
         LOG.error("skipping unreadable job record {}: {}", entry.key(), e.toString());
       }
     }
-    return new Loaded(
+    return new LoadedState(
         new ArrayList<>(jobsById.values()), provisions.entries(), releases.entries(), revision);
   }
 
--- a/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerTransaction.java
@@ -17,11 +17,11 @@
   }
 
   /** Whether the transaction changes the given key. */
-  boolean changes(String key) {
+  boolean changesKey(String key) {
     return request.changes().stream().anyMatch(change -> change.key().equals(key));
   }
 
-  /** Returns the change of a key that the transaction {@linkplain #changes changes}. */
+  /** Returns the change of a key that the transaction {@linkplain #changesKey changes}. */
   Change changeOf(String key) {
     return request.changes().stream()
         .filter(change -> change.key().equals(key))
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -30,7 +30,7 @@
  *       TransactionVerifier}); any other conflict ends the leadership.
  * </ul>
  *
- * <p>{@link TransactionAssembler} selects what to write and when; {@link TransactionSettlement}
+ * <p>{@link TransactionAssembler} selects what to write and when; {@link TransactionCompletion}
  * updates the ledger after a transaction was applied. All methods are called under the lock.
  */
 public final class LedgerWriter {
@@ -57,7 +57,7 @@
   private final AuxiliaryWrites auxiliaryWrites;
   private final TransactionAssembler assembler;
   private final TransactionVerifier verifier;
-  private final TransactionSettlement settlement;
+  private final TransactionCompletion completion;
 
   /** The transaction that is in progress or waiting to be sent again, or null. */
   private LedgerTransaction pending;
@@ -98,7 +98,7 @@
         new TransactionAssembler(
             ledger, authority, clock, auxiliaryWrites, new RecordRepartitioner(ledger, maxChanges));
     this.verifier = new TransactionVerifier(store, authority, clock, locked);
-    this.settlement = new TransactionSettlement(ledger, auxiliaryWrites, onDurable);
+    this.completion = new TransactionCompletion(ledger, auxiliaryWrites, onDurable);
   }
 
   /** Stops writing; later responses are ignored. */
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Sets a key other than a job's record. Several calls for a key before it is written result in one
-   * change.
+   * Sets a key other than a job's record. Several calls for a key before it is written result in
+   * one change.
    *
    * @param value supplies the value when the transaction is built
    */
@@ -129,7 +129,7 @@
    */
   public void write(String key, Supplier<JsonNode> value, Runnable onDurable) {
     auxiliaryWrites.request(key, value, onDurable);
-    pump();
+    sendNext();
   }
 
   /**
@@ -141,12 +141,12 @@
   }
 
   /** Whether no write is pending or in progress. */
-  public boolean idle() {
-    return pending == null && auxiliaryWrites.isEmpty() && !ledger.hasDirty();
+  public boolean isIdle() {
+    return pending == null && auxiliaryWrites.isEmpty() && !ledger.hasPendingWrites();
   }
 
   /** Sends the next transaction if there is one and none is in progress; called on every change. */
-  public void pump() {
+  public void sendNext() {
     if (awaitingCallback || stopped) {
       return;
     }
@@ -156,7 +156,7 @@
     }
     if (pending != null) {
       sendWhenAllowed();
-    } else if (!idle()) {
+    } else if (!isIdle()) {
       schedulePoll();
     }
   }
@@ -168,7 +168,7 @@
   }
 
   private void sendWhenAllowed() {
-    if (!authority.valid()) {
+    if (!authority.isValid()) {
       retryAfter(RETRY_S);
       return;
     }
@@ -192,7 +192,7 @@
 
   private void poll() {
     pollScheduled = false;
-    pump();
+    sendNext();
   }
 
   private void retryAfter(double seconds) {
@@ -202,7 +202,7 @@
 
   private void retry() {
     awaitingCallback = false;
-    pump();
+    sendNext();
   }
 
   private void handleAnswer(Outcome<Revision> outcome) {
@@ -222,8 +222,8 @@
   private void complete(Revision revision) {
     LedgerTransaction done = pending;
     pending = null;
-    settlement.applied(done, revision);
-    pump();
+    completion.onApplied(done, revision);
+    sendNext();
   }
 
   private void handleRefusal(Outcome.NotApplied<Revision> refusal) {
@@ -231,10 +231,10 @@
       awaitingCallback = true;
       verifier.verify(pending, this::handleVerdict);
     } else if (refusal.reason() == Reason.CONFLICT) {
-      authority.lost(new LeadershipLoss.WriteConflict(refusal.detail()));
+      authority.onLost(new LeadershipLoss.WriteConflict(refusal.detail()));
     } else if (refusal.reason() == Reason.INVALID) {
       LOG.error("key-value store rejected a transaction as invalid: {}", refusal.detail());
-      authority.lost(new LeadershipLoss.InvalidTransaction());
+      authority.onLost(new LeadershipLoss.InvalidTransaction());
     } else {
       retryAfter(RETRY_S);
     }
@@ -250,7 +250,7 @@
     if (verdict instanceof TransactionVerifier.WasApplied applied) {
       complete(applied.revision());
     } else if (verdict instanceof TransactionVerifier.Overtaken overtaken) {
-      authority.lost(overtaken.loss());
+      authority.onLost(overtaken.loss());
     }
   }
 }
--- a/src/main/java/org/ternhinge/ledger/MachineAttributes.java
+++ b/src/main/java/org/ternhinge/ledger/MachineAttributes.java
@@ -15,7 +15,7 @@
  * @param capacity total resources for tasks, whether free or used
  */
 public record MachineAttributes(
-    MachineId machine,
+    MachineId id,
     AgentEpoch epoch,
     String type,
     int zone,
--- a/src/main/java/org/ternhinge/ledger/RecentJobEnds.java
+++ b/src/main/java/org/ternhinge/ledger/RecentlyEndedJobs.java
@@ -5,8 +5,10 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
 
-/** Cache of the final states of recently ended jobs, for users who query them shortly afterwards. */
-final class RecentJobEnds {
+/**
+ * Cache of the final states of recently ended jobs, for users who query them shortly afterwards.
+ */
+final class RecentlyEndedJobs {
   /** Maximum number of states; the oldest are evicted. */
   private static final int CAPACITY = 4096;
 
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -20,8 +20,8 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Encoding of records in the key-value store. Other versions read and write the same records, so the
- * field names must not change; they are short because the size of values is limited.
+ * Encoding of records in the key-value store. Other versions read and write the same records, so
+ * the field names must not change; they are short because the size of values is limited.
  *
  * <p>The first segment of a record contains the job specification; every segment, including the
  * first, lists the done tasks and open attempts of its range of tasks.
@@ -104,11 +104,11 @@
     out.set(SPEC, job.spec().write());
     out.put(ACCEPTED, job.acceptedMillis());
     out.put(SEGMENT_SIZE, job.record().segmentSize());
-    out.put(HIGHEST_ATTEMPT, job.highest().value());
+    out.put(HIGHEST_ATTEMPT, job.highestAttempt().value());
     if (job.backoffLevel() > 0) {
       out.put(BACKOFF_LEVEL, job.backoffLevel());
     }
-    if (job.cancelled()) {
+    if (job.isCancelled()) {
       out.put(CANCELLED, true);
     }
     if (!job.record().merged().isEmpty()) {
@@ -119,8 +119,8 @@
 
   private static ObjectNode encodeTasks(Job job, int segment, ObjectNode out) {
     int from = job.record().firstTask(segment);
-    int to = job.record().endOfTasks(segment);
-    out.put(DONE, TaskRanges.encode(job.done(), from, to));
+    int to = job.record().endTask(segment);
+    out.put(DONE, TaskRanges.encode(job.doneTasks(), from, to));
     ArrayNode open = out.putArray(OPEN);
     tasksByAttempt(job, from, to)
         .forEach((prefix, tasks) -> open.add(prefix + TaskRanges.encode(tasks, from, to)));
@@ -131,7 +131,7 @@
   private static Map<String, BitSet> tasksByAttempt(Job job, int from, int to) {
     Map<String, BitSet> tasks = new LinkedHashMap<>();
     for (int i = from; i < to; i++) {
-      Attempt attempt = job.open(i);
+      Attempt attempt = job.openAttempt(i);
       if (attempt != null) {
         tasks.computeIfAbsent(attemptPrefix(attempt), prefix -> new BitSet()).set(i);
       }
@@ -161,16 +161,16 @@
       throw new WireException(SEGMENT_SIZE + ": out of range");
     }
     Job job = new Job(JobSpec.read(spec), Json.count(value, ACCEPTED), segmentSize);
-    job.highest(new AttemptNumber(Json.count(value, HIGHEST_ATTEMPT)));
-    job.backoffLevel(value.path(BACKOFF_LEVEL).asInt());
+    job.setHighestAttempt(new AttemptNumber(Json.count(value, HIGHEST_ATTEMPT)));
+    job.setBackoffLevel(value.path(BACKOFF_LEVEL).asInt());
     if (value.path(CANCELLED).asBoolean()) {
-      job.markCancelDurable();
+      job.markCancellationDurable();
     }
     for (int segment : TaskRanges.decode(value.path(MERGED).asText(""))) {
       job.record().merged().set(segment);
-      if (!job.cancelled()) {
+      if (!job.isCancelled()) {
         // Which tasks of merged segments were done is unknown if the job is cancelled.
-        job.done().set(job.record().firstTask(segment), job.record().endOfTasks(segment));
+        job.doneTasks().set(job.record().firstTask(segment), job.record().endTask(segment));
       }
     }
     decodeTasks(job, 0, value, revision, now);
@@ -180,12 +180,12 @@
   /** Decodes a segment's done tasks and open attempts into the job. */
   static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, SteadyTime now)
       throws WireException {
-    job.record().revision(segment, revision);
+    job.record().setRevision(segment, revision);
     if (job.record().merged().get(segment)) {
       return;
     }
     for (int i : TaskRanges.decode(Json.text(value, DONE))) {
-      job.done().set(i);
+      job.doneTasks().set(i);
     }
     for (JsonNode item : Json.list(value, OPEN)) {
       decodeAttempts(job, item.asText(), now);
@@ -202,18 +202,18 @@
     AgentEpoch epoch = new AgentEpoch(Long.parseLong(fields[2]));
     int zone = Integer.parseInt(fields[3]);
     for (int i : TaskRanges.decode(fields[4])) {
-      job.openMap().put(i, new Attempt(job, i, number, machine, epoch, zone, true, now));
+      job.openAttemptsByTask().put(i, new Attempt(job, i, number, machine, epoch, zone, true, now));
     }
   }
 
   /** Encodes the final record of a finished job. */
-  static ObjectNode end(Job job) {
-    String state = job.cancelled() ? END_STATE_CANCELLED : END_STATE_DONE;
+  static ObjectNode encodeFinalRecord(Job job) {
+    String state = job.isCancelled() ? END_STATE_CANCELLED : END_STATE_DONE;
     return Json.object().put(END_STATE, state).put(END_DONE, job.doneCount());
   }
 
   /** Decodes a job's final record. */
-  public static JobState decodeEnd(JobId id, JsonNode value) {
+  public static JobState decodeFinalRecord(JobId id, JsonNode value) {
     boolean cancelled = value.path(END_STATE).asText().equals(END_STATE_CANCELLED);
     JobState.Phase phase = cancelled ? JobState.Phase.CANCELLED : JobState.Phase.DONE;
     return new JobState(id, phase, value.path(END_DONE).asInt(), 0);
--- a/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
+++ b/src/main/java/org/ternhinge/ledger/RecordRepartitioner.java
@@ -29,7 +29,7 @@
 
   /** Requests that a record be repartitioned; ignored while another job's request is pending. */
   void request(Job job) {
-    job.record().repartitionWanted(false);
+    job.record().setRepartitionRequested(false);
     if (job.record().segmentCount(targetSize(job)) > maxChanges) {
       job.record().markRepartitionTooLarge();
     } else if (requested == null && RepartitionPolicy.permits(job, ledger.valueBytes())) {
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Adds the requested record to an empty transaction. The request stays pending while the available
-   * tokens do not suffice for the whole record.
+   * Adds the requested record to an empty transaction. The request stays pending while the
+   * available tokens do not suffice for the whole record.
    */
   void addTo(TransactionDraft draft) {
     if (requested == null) {
--- a/src/main/java/org/ternhinge/ledger/RecordSize.java
+++ b/src/main/java/org/ternhinge/ledger/RecordSize.java
@@ -22,7 +22,7 @@
   private static final int RANGE_BYTES = 10;
 
   /** Maximum bytes of an attempt with a single task on its machine, including the task's index. */
-  static final int BYTES_ALONE = 36;
+  static final int UNSHARED_TASK_BYTES = 36;
 
   /** Average bytes of an array's task if several tasks share an attempt number and machine. */
   private static final double SHARED_TASK_BYTES = 14.5;
@@ -45,7 +45,7 @@
 
   /** Whether a job specification leaves enough space for tasks in the first segment. */
   public static boolean fits(JobSpec spec, int valueBytes) {
-    int required = Math.min(spec.tasks(), MIN_TASKS) * BYTES_ALONE;
+    int required = Math.min(spec.tasks(), MIN_TASKS) * UNSHARED_TASK_BYTES;
     return spaceForTasks(specBytes(spec), valueBytes) >= required;
   }
 
@@ -63,7 +63,7 @@
   }
 
   private static int segmentSize(JobKind kind, int specBytes, int valueBytes) {
-    double bytesPerTask = kind == JobKind.ARRAY ? SHARED_TASK_BYTES : BYTES_ALONE;
+    double bytesPerTask = kind == JobKind.ARRAY ? SHARED_TASK_BYTES : UNSHARED_TASK_BYTES;
     int tasks = (int) (spaceForTasks(specBytes, valueBytes) / bytesPerTask);
     return Math.max(MIN_TASKS, Math.min(MAX_TASKS, tasks));
   }
@@ -74,21 +74,22 @@
   }
 
   /** Maximum number of ranges of merged segments in the first segment. */
-  static int mergedRanges(int valueBytes) {
+  static int maxMergedRanges(int valueBytes) {
     return valueBytes / MERGED_LIST_DIVISOR / RANGE_BYTES;
   }
 
   /** Maximum bytes of a segment for any set of done tasks, without the prefixes of its attempts. */
   static int baseBytes(Job job, int segment, int valueBytes) {
     int from = job.record().firstTask(segment);
-    int to = job.record().endOfTasks(segment);
+    int to = job.record().endTask(segment);
     int digits = Integer.toString(to).length();
-    int firstSegmentBytes = segment == 0 ? job.record().specBytes() + valueBytes / MERGED_LIST_DIVISOR : 0;
+    int firstSegmentBytes =
+        segment == 0 ? job.record().specBytes() + valueBytes / MERGED_LIST_DIVISOR : 0;
     return FIXED_BYTES + firstSegmentBytes + (to - from) * (digits + 1);
   }
 
   /** Bytes of the prefix that precedes an open attempt's tasks, once per attempt and machine. */
-  static int headBytes(AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+  static int prefixBytes(AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     return machine.value().length()
         + Long.toString(number.value()).length()
         + Long.toString(epoch.value()).length()
--- a/src/main/java/org/ternhinge/ledger/RecordWrite.java
+++ b/src/main/java/org/ternhinge/ledger/RecordWrite.java
@@ -12,31 +12,33 @@
   /**
    * Sets a segment.
    *
-   * @param cancels whether the write makes the job's cancellation durable
-   * @param opens attempts that become durable by the write, so that their tasks may be started
+   * @param makesCancellationDurable whether the write makes the job's cancellation durable
+   * @param openedAttempts attempts that become durable by the write, so that their tasks may be
+   *     started
    */
-  record Segment(Job job, int index, boolean cancels, List<Attempt> opens) implements RecordWrite {
+  record Segment(Job job, int index, boolean makesCancellationDurable, List<Attempt> openedAttempts)
+      implements RecordWrite {
 
     /** Creates the write of a segment from the job's current state. */
     static Segment of(Job job, int index) {
       // Uses the iterator, since a stream visits this map in a different order: starts are sent
       // in the order of this list.
-      List<Attempt> opens = new ArrayList<>();
+      List<Attempt> openedAttempts = new ArrayList<>();
       for (Attempt attempt : job.openAttempts()) {
-        if (!attempt.durable() && job.record().segmentOf(attempt.task().index()) == index) {
-          opens.add(attempt);
+        if (!attempt.isDurable() && job.record().segmentOf(attempt.task().index()) == index) {
+          openedAttempts.add(attempt);
         }
       }
-      return new Segment(job, index, index == 0 && job.cancelled(), opens);
+      return new Segment(job, index, index == 0 && job.isCancelled(), openedAttempts);
     }
   }
 
   /**
-   * Deletes a segment that was merged into the first one. Whether a write is a deletion is fixed when
-   * it is built: a segment that is merged while being written has a key afterwards.
+   * Deletes a segment that was merged into the first one. Whether a write is a deletion is fixed
+   * when it is built: a segment that is merged while being written has a key afterwards.
    */
-  record SegmentRemoval(Job job, int index) implements RecordWrite {}
+  record SegmentDeletion(Job job, int index) implements RecordWrite {}
 
   /** Replaces the remaining segments by the final record. */
-  record End(Job job) implements RecordWrite {}
+  record FinalRecord(Job job) implements RecordWrite {}
 }
--- a/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
+++ b/src/main/java/org/ternhinge/ledger/RepartitionPolicy.java
@@ -17,19 +17,19 @@
     return RecordSize.segmentSize(job, valueBytes) < record.segmentSize()
         && record.merged().isEmpty()
         && record.inFlight().isEmpty()
-        && !record.repartitionTooLarge()
-        && !job.over();
+        && !record.isRepartitionTooLarge()
+        && !job.isFinished();
   }
 
   /**
-   * Repartitions the record of a waiting gang whose attempts might not fit the current segments. Only
-   * the first segment has a key at that time, so writing that segment is sufficient.
+   * Repartitions the record of a waiting gang whose attempts might not fit the current segments.
+   * Only the first segment has a key at that time, so writing that segment is sufficient.
    */
   static void repartitionWaitingGang(Job job, int valueBytes) {
     if (job.spec().isGang()
         && permits(job, valueBytes)
-        && job.openMap().isEmpty()
-        && job.record().liveSegments().isEmpty()
+        && job.openAttemptsByTask().isEmpty()
+        && job.record().storedLaterSegments().isEmpty()
         && !SegmentCapacity.isUnlimited(job, valueBytes)) {
       job.record().repartition(RecordSize.segmentSize(job, valueBytes));
       job.record().dirty().clear();
--- a/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentCapacity.java
@@ -15,9 +15,10 @@
  */
 final class SegmentCapacity {
   /** The prefix that a segment's tasks share in the record if attempt and machine are the same. */
-  private record AttemptPrefix(int segment, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+  private record AttemptPrefix(
+      int segment, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     int bytes() {
-      return RecordSize.headBytes(number, machine, epoch);
+      return RecordSize.prefixBytes(number, machine, epoch);
     }
   }
 
@@ -38,7 +39,8 @@
   /** Whether every segment has space for all its tasks on different machines. */
   static boolean isUnlimited(Job job, int valueBytes) {
     int tasks = Math.min(job.spec().tasks(), job.record().segmentSize());
-    return RecordSize.baseBytes(job, 0, valueBytes) + tasks * RecordSize.BYTES_ALONE <= valueBytes;
+    return RecordSize.baseBytes(job, 0, valueBytes) + tasks * RecordSize.UNSHARED_TASK_BYTES
+        <= valueBytes;
   }
 
   /** Reserves space for an attempt; returns false if its segment has none. */
@@ -48,7 +50,8 @@
       return true;
     }
     int used =
-        RecordSize.baseBytes(job, prefix.segment, valueBytes) + prefixBytesBySegment.get(prefix.segment);
+        RecordSize.baseBytes(job, prefix.segment, valueBytes)
+            + prefixBytesBySegment.get(prefix.segment);
     if (used + prefix.bytes() > valueBytes) {
       return false;
     }
@@ -62,7 +65,8 @@
     }
   }
 
-  private AttemptPrefix prefix(int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
+  private AttemptPrefix prefix(
+      int index, AttemptNumber number, MachineId machine, AgentEpoch epoch) {
     return new AttemptPrefix(job.record().segmentOf(index), number, machine, epoch);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/SegmentMerger.java
+++ b/src/main/java/org/ternhinge/ledger/SegmentMerger.java
@@ -15,7 +15,7 @@
    * @param valueBytes maximum size of a value in the key-value store
    */
   SegmentMerger(int valueBytes) {
-    this.maxRanges = RecordSize.mergedRanges(valueBytes);
+    this.maxRanges = RecordSize.maxMergedRanges(valueBytes);
   }
 
   /** Merges all finished segments as far as possible; returns whether any was merged. */
@@ -34,7 +34,7 @@
 
   private boolean isMergeable(Job job, int segment) {
     BitSet merged = job.record().merged();
-    return !merged.get(segment) && job.isSegmentOver(segment) && fitsRanges(merged, segment);
+    return !merged.get(segment) && job.isSegmentFinished(segment) && fitsRanges(merged, segment);
   }
 
   /** Whether a segment extends an existing range or the list has space for another one. */
--- a/src/main/java/org/ternhinge/ledger/StopRequest.java
+++ b/src/main/java/org/ternhinge/ledger/StopRequest.java
@@ -6,6 +6,6 @@
  * A request to stop an attempt.
  *
  * @param graceS seconds for a checkpoint, counted from when the task receives the stop command
- * @param at when the request was made
+ * @param requestedAt when the request was made
  */
-public record StopRequest(double graceS, SteadyTime at) {}
+public record StopRequest(double graceS, SteadyTime requestedAt) {}
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -9,13 +9,13 @@
 
 /**
  * Selects the writes of the next transaction. While tokens are scarce, cancellations go first, then
- * other writes in order of urgency to users. Ends of tasks are batched for a short time, so that one
- * change includes many of them.
+ * other writes in order of urgency to users. Ends of tasks are batched for a short time, so that
+ * one change includes many of them.
  */
 final class TransactionAssembler {
   /**
-   * Seconds for which ends of tasks are batched before they are written: short compared to the delay
-   * that users notice, and long enough to batch the ends of many tasks in a segment.
+   * Seconds for which ends of tasks are batched before they are written: short compared to the
+   * delay that users notice, and long enough to batch the ends of many tasks in a segment.
    */
   private static final double BATCH_S = 0.4;
 
--- a/src/main/java/org/ternhinge/ledger/TransactionSettlement.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionCompletion.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Revision;
 
 /** Updates the ledger after a transaction was applied. */
-final class TransactionSettlement {
+final class TransactionCompletion {
   private final Ledger ledger;
   private final AuxiliaryWrites auxiliaryWrites;
   private final Consumer<List<Attempt>> onDurable;
@@ -17,7 +17,7 @@
    * @param onDurable receives the attempts that may be started now after every transaction, even if
    *     there are none
    */
-  TransactionSettlement(
+  TransactionCompletion(
       Ledger ledger, AuxiliaryWrites auxiliaryWrites, Consumer<List<Attempt>> onDurable) {
     this.ledger = ledger;
     this.auxiliaryWrites = auxiliaryWrites;
@@ -25,37 +25,37 @@
   }
 
   /** Handles a transaction that was applied at a revision, which is now that of the keys set. */
-  void applied(LedgerTransaction transaction, Revision revision) {
+  void onApplied(LedgerTransaction transaction, Revision revision) {
     List<Attempt> durable = new ArrayList<>();
     for (RecordWrite write : transaction.recordWrites()) {
       if (write instanceof RecordWrite.Segment segment) {
         handleSegment(segment, revision);
         durable.addAll(markDurable(segment));
-      } else if (write instanceof RecordWrite.SegmentRemoval removal) {
+      } else if (write instanceof RecordWrite.SegmentDeletion removal) {
         removal.job().record().inFlight().clear(removal.index());
-        removal.job().record().revision(removal.index(), Revision.NONE);
-      } else if (write instanceof RecordWrite.End end) {
+        removal.job().record().setRevision(removal.index(), Revision.NONE);
+      } else if (write instanceof RecordWrite.FinalRecord end) {
         handleFinalRecord(end.job());
       }
     }
-    auxiliaryWrites.applied(transaction.auxiliaryWrites(), revision);
+    auxiliaryWrites.onApplied(transaction.auxiliaryWrites(), revision);
     onDurable.accept(durable);
   }
 
   private void handleSegment(RecordWrite.Segment write, Revision revision) {
     Job job = write.job();
     job.record().inFlight().clear(write.index());
-    job.record().revision(write.index(), revision);
-    if (write.cancels()) {
-      ledger.markCancelDurable(job);
+    job.record().setRevision(write.index(), revision);
+    if (write.makesCancellationDurable()) {
+      ledger.markCancellationDurable(job);
     }
   }
 
   /** Marks the attempts of a write as durable, except those that have been closed meanwhile. */
   private static List<Attempt> markDurable(RecordWrite.Segment write) {
     List<Attempt> open =
-        write.opens().stream()
-            .filter(attempt -> write.job().open(attempt.task().index()) == attempt)
+        write.openedAttempts().stream()
+            .filter(attempt -> write.job().openAttempt(attempt.task().index()) == attempt)
             .toList();
     open.forEach(Attempt::markDurable);
     return open;
@@ -63,7 +63,7 @@
 
   private void handleFinalRecord(Job job) {
     job.record().inFlight().clear(0);
-    job.markFinalDurable();
+    job.markFinalRecordDurable();
     ledger.markEnded(job);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -12,8 +12,8 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * Determines by reading back whether an earlier copy of a transaction was applied, when its response
- * was lost and a later copy conflicted.
+ * Determines by reading back whether an earlier copy of a transaction was applied, when its
+ * response was lost and a later copy conflicted.
  *
  * <p>The term is read first, since an equal value is evidence only while the term is unchanged:
  * another leader may have written the same value, such as a cancellation, without the other changes
@@ -58,7 +58,7 @@
 
   private void handleTerm(
       LedgerTransaction transaction, Optional<Entry> term, Consumer<Verdict> onVerdict) {
-    if (transaction.changes(Keys.TERM)) {
+    if (transaction.changesKey(Keys.TERM)) {
       // A raised term differs from every claimed term, which includes the claiming process.
       onVerdict.accept(compare(transaction.changeOf(Keys.TERM), term));
     } else if (term.map(Entry::revision).filter(authority.termRevision()::equals).isPresent()) {
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -42,7 +42,7 @@
   /** Adds a job; a job that is already queued keeps its position and time. */
   void add(Job job) {
     if (jobs.add(job)) {
-      job.record().dirtySince(clock.now());
+      job.record().setDirtySince(clock.now());
     }
   }
 
@@ -71,20 +71,20 @@
   }
 
   private static Urgency urgency(Job job, SteadyTime overdueBefore) {
-    if (job.cancelledByDependency()) {
+    if (job.isCancelledByDependency()) {
       // The cancellation is already visible to users, and there may be thousands of such jobs.
       return Urgency.TASK_ENDS;
     }
-    if (job.cancelled()) {
+    if (job.isCancelled()) {
       return Urgency.CANCELLATIONS;
     }
-    if (job.over()) {
+    if (job.isFinished()) {
       return Urgency.JOB_ENDS;
     }
-    if (!job.record().opensAttempts()) {
+    if (!job.record().hasUnsentAttempts()) {
       return job.record().dirtySince().isBefore(overdueBefore) ? Urgency.STARTS : Urgency.TASK_ENDS;
     }
-    return switch (job.planned().priority()) {
+    return switch (job.plannedSpec().priority()) {
       case PRODUCTION -> Urgency.PRODUCTION_STARTS;
       case HIGH -> Urgency.HIGH_PRIORITY_STARTS;
       default -> Urgency.STARTS;
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -136,7 +136,11 @@
           Keys.job(job),
           entry -> present.accept(fromRecord(job, entry)),
           () ->
-              readEntry(job, Keys.end(job), entry -> present.accept(fromEnd(job, entry)), absent));
+              readEntry(
+                  job,
+                  Keys.finalRecord(job),
+                  entry -> present.accept(fromEnd(job, entry)),
+                  absent));
     }
 
     private void readEntry(JobId job, String key, Consumer<Entry> present, Runnable absent) {
@@ -166,6 +170,7 @@
   }
 
   private static StoredJob fromEnd(JobId id, Entry entry) {
-    return new StoredJob(new Found(RecordCodec.decodeEnd(id, entry.value()), false), List.of());
+    return new StoredJob(
+        new Found(RecordCodec.decodeFinalRecord(id, entry.value()), false), List.of());
   }
 }
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -144,7 +144,7 @@
     void attempt() {
       attemptsLeft--;
       List<KeyCondition> absent =
-          List.of(KeyCondition.absent(Keys.job(id)), KeyCondition.absent(Keys.end(id)));
+          List.of(KeyCondition.absent(Keys.job(id)), KeyCondition.absent(Keys.finalRecord(id)));
       Change put = new Change.Put(Keys.job(id), record, 0);
       locked.whenAnswered(
           store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT),
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -55,7 +55,7 @@
     Map<String, Resources> requestedByTeam = new HashMap<>();
     List<Snapshot.JobView> views = new ArrayList<>();
     for (Job job : unfinished()) {
-      JobSpec spec = job.planned();
+      JobSpec spec = job.plannedSpec();
       Team team = settings.teams().get(spec.team());
       if (team == null) {
         continue;
@@ -78,7 +78,7 @@
   Set<JobId> lateStartedJobs(SteadyTime now) {
     Set<JobId> jobs = new HashSet<>();
     for (Job job : ledger.jobs()) {
-      if (!job.spec().isService() && !job.cancelled() && hasStartedLate(job, now)) {
+      if (!job.spec().isService() && !job.isCancelled() && hasStartedLate(job, now)) {
         jobs.add(job.spec().id());
       }
     }
@@ -100,7 +100,7 @@
   private List<Job> unfinished() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : ledger.jobs()) {
-      if (!job.hasUnmetDependencies() && !job.cancelled() && !job.over()) {
+      if (!job.hasUnmetDependencies() && !job.isCancelled() && !job.isFinished()) {
         jobs.add(job);
       }
     }
@@ -115,7 +115,7 @@
 
   private Snapshot.JobView view(
       Job job, boolean withinGuarantee, int reservedTasks, SteadyTime now) {
-    JobSpec spec = job.planned();
+    JobSpec spec = job.plannedSpec();
     JobRanking.Progress progress = progress(job);
     int maxStarts = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
     return new Snapshot.JobView(
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -116,7 +116,7 @@
         machine.description().zone(),
         machine.description().zoneName(),
         machine.description().spot(),
-        machineType.capacity().minus(ledger.machineUse(machine.id())),
+        machineType.capacity().minus(ledger.machineUsage(machine.id())),
         ready,
         machine.images(),
         machine.idleSince(),
@@ -130,9 +130,9 @@
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       attempts.add(
           new Snapshot.AttemptView(
-              attempt.job().planned(),
+              attempt.job().plannedSpec(),
               attempt.task().index(),
-              attempt.stopping(),
+              attempt.isStopRequested(),
               attempt.runningSince()));
     }
     return attempts;
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -83,7 +83,7 @@
     for (Plan.Preemption preemption : plan.preemptions()) {
       preempt(preemption, now);
     }
-    writer.pump();
+    writer.sendNext();
     for (Plan.ScaleOut scaleOut : plan.scaleOuts()) {
       provisioner.provision(scaleOut);
     }
@@ -110,7 +110,7 @@
     }
     LOG.debug("placed {} ({}) on {}", planned.job(), job.spec().jobClass(), planned.machines());
     for (Ledger.Placement placement : placements) {
-      placed(job, machines.find(placement.site().machine()).orElseThrow());
+      placed(job, machines.find(placement.machine().id()).orElseThrow());
     }
   }
 
@@ -119,9 +119,9 @@
     if (job.spec().isGang()) {
       return placements;
     }
-    List<Ledger.Placement> fitting = ledger.fitting(job, placements);
+    List<Ledger.Placement> fitting = ledger.filterFitting(job, placements);
     if (fitting.size() < placements.size()) {
-      ledger.requestRoom(job);
+      ledger.requestRecordSpace(job);
     }
     return fitting;
   }
@@ -180,7 +180,7 @@
 
   private void stop(Plan.Victim victim, JobId forJob) {
     Job job = ledger.job(victim.job());
-    Attempt attempt = job == null ? null : job.open(victim.index());
+    Attempt attempt = job == null ? null : job.openAttempt(victim.index());
     if (attempt == null) {
       return;
     }
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -107,7 +107,7 @@
         return Optional.empty();
       }
       lastStart = clock.now();
-      if (!authority.valid() || machineTypes.isEmpty()) {
+      if (!authority.isValid() || machineTypes.isEmpty()) {
         return Optional.empty();
       }
       running = true;
@@ -131,7 +131,7 @@
     lock.lock();
     try {
       running = false;
-      if (!executor.stopped() && plan.isPresent() && authority.valid()) {
+      if (!executor.stopped() && plan.isPresent() && authority.isValid()) {
         planExecutor.execute(zones.limit(plan.get()));
       }
       lastDurationS = clock.now().secondsSince(lastStart);
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -73,7 +73,7 @@
 
   private Map<String, Resources> teamUse() {
     Map<String, Resources> use = new HashMap<>();
-    settings.teams().keySet().forEach(team -> use.put(team, ledger.teamUse(team)));
+    settings.teams().keySet().forEach(team -> use.put(team, ledger.teamUsage(team)));
     return use;
   }
 
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -112,7 +112,7 @@
   }
 
   private void send(OpenProvision provision) {
-    if (!authority.valid()) {
+    if (!authority.isValid()) {
       sendAfter(retryPolicy.failedDelayS(), provision);
       return;
     }
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -87,7 +87,7 @@
       return;
     }
     requestPending = true;
-    if (!authority.valid()) {
+    if (!authority.isValid()) {
       retryAfter(retryPolicy.failedDelayS());
       return;
     }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -61,9 +61,9 @@
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
     }
-    attempt.startAnswered(startAnswered);
+    attempt.setStartHeartbeatSequence(startAnswered);
     if (stopping) {
-      attempt.stop(0, fixture.now());
+      attempt.requestStop(0, fixture.now());
     }
     if (!startOutstanding) {
       machine.outstandingStarts().settled(attempt.task(), attempt.number());
@@ -72,7 +72,7 @@
         reconciler.reconcile(
             machine, fixture.heartbeat(machine).sequence(sequence).build(), origin);
     assertEquals(finding, found);
-    assertEquals(closed ? null : attempt, job.open(0));
+    assertEquals(closed ? null : attempt, job.openAttempt(0));
   }
 
   /** Its start is sent only after this, so no status proves that it is over. */
@@ -80,9 +80,9 @@
   void anAttemptThatIsNotDurableStaysOpen() {
     fixture.store.pauseWrites();
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.stop(0, fixture.now());
+    attempt.requestStop(0, fixture.now());
     reconciler.reconcile(machine, fixture.heartbeat(machine).build(), MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   @Test
@@ -91,19 +91,19 @@
     attempt.observe(AttemptState.RUNNING, fixture.now());
     reconciler.reconcile(
         machine, fixture.heartbeat(machine).epoch(2).build(), MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   @Test
   void anAttemptThatIsShownStaysOpen() {
     Attempt attempt = fixture.open(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
-    attempt.shownIn(machine.tasksRevision());
+    attempt.setLastReportedRevision(machine.tasksRevision());
     reconciler.reconcile(
         machine,
         fixture.heartbeat(machine).showing(attempt, TaskState.RUNNING).build(),
         MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   /** Starts of an earlier leader are refused only by a worker that has seen this term. */
@@ -125,6 +125,6 @@
             sameMachine,
             next.heartbeat(sameMachine).fencingToken(token).build(),
             MessageOrigin.HEARTBEAT);
-    assertEquals(closed ? null : open.get(0), recovered.open(0));
+    assertEquals(closed ? null : open.get(0), recovered.openAttempt(0));
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -38,11 +38,11 @@
   void anAttemptUnwantedByThenIsClosedInstead() {
     fixture.store.pauseWrites();
     Attempt attempt = fixture.open(job, 0, machine);
-    attempt.stop(5, fixture.now());
+    attempt.requestStop(5, fixture.now());
     fixture.store.resume();
     fixture.clock.runFor(1);
     assertEquals(0, fixture.sent.size());
-    assertNull(job.open(0));
+    assertNull(job.openAttempt(0));
   }
 
   /** A later stop may only shorten the time that an earlier one left. */
@@ -63,7 +63,7 @@
     Attempt second = fixture.open(job, 0, machine);
     assertEquals(1, fixture.roundsRequested);
     fixture.attempts.close(first, ClosingEvidence.VANISHED);
-    assertEquals(second, job.open(0));
+    assertEquals(second, job.openAttempt(0));
     assertEquals(1, fixture.roundsRequested);
   }
 
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -60,8 +60,8 @@
     machine.outbox().markLanded();
     fixture.sent.clear();
     cancellations.cancel(job, state -> {});
-    assertTrue(attempt.stopping());
-    assertEquals(open, job.open(0) == attempt);
+    assertTrue(attempt.isStopRequested());
+    assertEquals(open, job.openAttempt(0) == attempt);
     long sentStops = fixture.sent.stream().filter(c -> c.op() == Command.Op.STOP).count();
     assertEquals(stops, sentStops);
   }
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -84,7 +84,7 @@
     void startsThatBecameObsoleteWhileTheyWaitedAreDropped() {
       fixture.open(job, 0, machine);
       Attempt stopped = fixture.open(job, 1, machine);
-      stopped.stop(0, fixture.now());
+      stopped.requestStop(0, fixture.now());
       messages().get(0).execute(status());
       assertEquals(1, messages().size());
       assertFalse(isOutstanding(stopped));
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -42,7 +42,7 @@
       int fenced,
       boolean needed) {
     if (stopping) {
-      attempt.stop(0, fixture.now());
+      attempt.requestStop(0, fixture.now());
     }
     if (seen.isReported()) {
       attempt.observe(seen, fixture.now());
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -118,7 +118,7 @@
               RecordCodec.encodeNew(SubmissionBuilder.job(JOB.value(), "batch", 1).spec(), 1, 8192),
               0));
     } else if (!stored.equals("absent")) {
-      put(new Change.Put(Keys.end(JOB), Json.object().put("s", stored).put("n", 1), 0));
+      put(new Change.Put(Keys.finalRecord(JOB), Json.object().put("s", stored).put("n", 1), 0));
     }
   }
 
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -104,27 +104,27 @@
 
     @Test
     void holdsWhileItsLeaseIsRenewed() {
-      assertTrue(won.valid());
+      assertTrue(won.isValid());
       clock.runFor(60);
-      assertTrue(won.valid());
+      assertTrue(won.isValid());
       assertEquals(0, leasesEnded);
     }
 
     @Test
     void followsARaisedTerm() {
-      won.raised(new Term(2), new Revision(99));
+      won.onTermRaised(new Term(2), new Revision(99));
       assertEquals(new Term(2), won.term());
       assertEquals(new Revision(99), won.termRevision());
-      assertTrue(won.valid());
+      assertTrue(won.isValid());
     }
 
     @Test
     void isLostOnce() {
       LeadershipLoss loss = new LeadershipLoss.WatchFellBehind();
-      won.lost(loss);
-      won.lost(new LeadershipLoss.LeaseExpired());
+      won.onLost(loss);
+      won.onLost(new LeadershipLoss.LeaseExpired());
       assertEquals(List.of(loss), losses);
-      assertFalse(won.valid());
+      assertFalse(won.isValid());
     }
 
     @Test
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -69,7 +69,7 @@
             .build();
     assertEquals(List.of(), commands.commands(machine, heartbeat));
     fixture.store.resume();
-    fixture.writer.pump();
+    fixture.writer.sendNext();
     fixture.clock.runFor(1);
     assertEquals(
         command(Command.Op.FORGET, attempt.task(), attempt.number()),
@@ -93,7 +93,7 @@
       attempt.observe(state, fixture.now());
     }
     if (stopGraceS != null) {
-      attempt.stop(stopGraceS, fixture.now());
+      attempt.requestStop(stopGraceS, fixture.now());
     }
     double graceS = stopGraceS == null ? 0 : stopGraceS;
     assertEquals(
@@ -101,17 +101,17 @@
             ? List.of()
             : List.of(new Command(expected, attempt.task(), attempt.number(), graceS)),
         commands.commands(machine, fixture.heartbeat(machine).epoch(epoch).sequence(4).build()));
-    assertEquals(expected == Command.Op.START ? 4 : -1, attempt.startAnswered());
+    assertEquals(expected == Command.Op.START ? 4 : -1, attempt.startHeartbeatSequence());
   }
 
   @Test
   void theStopsOfAMachineDoNotDependOnAHeartbeat() {
     Attempt stopped = fixture.open(job, 0, machine);
     stopped.observe(AttemptState.RUNNING, fixture.now());
-    stopped.stop(0, fixture.now());
+    stopped.requestStop(0, fixture.now());
     Attempt starting = fixture.open(job, 1, machine);
     assertEquals(
         command(Command.Op.STOP, stopped.task(), stopped.number()), commands.stops(machine));
-    assertEquals(-1, starting.startAnswered());
+    assertEquals(-1, starting.startHeartbeatSequence());
   }
 }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -150,13 +150,13 @@
       Attempt attempt = fixture.open(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(5).showing(attempt, TaskState.RUNNING).build());
       SteadyTime received = fixture.now();
-      attempt.stop(0, received);
+      attempt.requestStop(0, received);
       fixture.clock.runFor(1);
       Heartbeat outdated = fixture.heartbeat(machine).sequence(4).build();
       assertEquals(
           List.of(new Command(Command.Op.STOP, attempt.task(), attempt.number(), 0)),
           commands(outdated));
-      assertEquals(attempt, job.open(0));
+      assertEquals(attempt, job.openAttempt(0));
       assertEquals(received, machine.agent().lastHeartbeat());
       assertEquals(received.plusSeconds(LEASE_S), machine.agent().leaseExpiry());
     }
@@ -170,7 +170,7 @@
       Attempt attempt = fixture.open(job, 0, machine);
       assertTrue(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
       process(fixture.heartbeat(machine).epoch(2).build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertEquals(new AgentEpoch(2), machine.agent().epoch());
       assertFalse(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
     }
@@ -228,7 +228,7 @@
     void aTaskThatCanNotSaveRunsOn() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
       notice(attempt, 1, 30);
-      assertFalse(attempt.stopping());
+      assertFalse(attempt.isStopRequested());
     }
 
     @Test
@@ -253,7 +253,7 @@
               .heartbeat(machine)
               .showingEnd(attempt.task(), attempt.number(), EndReason.DONE)
               .build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertTrue(job.isDone(0));
     }
 
@@ -261,9 +261,9 @@
     void anAttemptThatIsNoLongerShownIsClosed() {
       Attempt attempt = fixture.open(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(1).showing(attempt, TaskState.RUNNING).build());
-      assertEquals(attempt, job.open(0));
+      assertEquals(attempt, job.openAttempt(0));
       process(fixture.heartbeat(machine).sequence(2).build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertFalse(job.isDone(0));
     }
   }
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -65,7 +65,7 @@
     reportedTasks.show(machine, List.of(running(attempt.task(), attempt.number())));
     fixture.clock.runFor(silentForS);
     monitor.check(fixture.now());
-    assertEquals(open ? attempt : null, job.open(0));
+    assertEquals(open ? attempt : null, job.openAttempt(0));
     assertEquals(open, reportedTasks.isShown(attempt.task()));
     assertEquals(open ? AgentEpoch.NONE : new AgentEpoch(1), machine.agent().lastEndedEpoch());
   }
@@ -105,7 +105,7 @@
       String name, String unwanted, boolean unknownTask, boolean mayRenew) {
     Attempt attempt = fixture.open(job, 0, machine);
     if (unwanted.equals("stop")) {
-      attempt.stop(0, fixture.now());
+      attempt.requestStop(0, fixture.now());
     } else if (unwanted.equals("cancel")) {
       fixture.ledger.cancel(job);
     }
@@ -121,6 +121,6 @@
     fixture.clock.runFor(60);
     monitor.check(fixture.now());
     assertEquals(AgentEpoch.NONE, machine.agent().lastEndedEpoch());
-    assertNull(job.open(0));
+    assertNull(job.openAttempt(0));
   }
 }
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -190,8 +190,8 @@
             false,
             Resources.offer(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
-    writer.pump();
-    return job.open(index);
+    writer.sendNext();
+    return job.openAttempt(index);
   }
 
   /** Builds a heartbeat of a machine. */
--- a/src/test/java/org/ternhinge/leadership/TestAuthority.java
+++ b/src/test/java/org/ternhinge/leadership/TestAuthority.java
@@ -28,18 +28,18 @@
   }
 
   @Override
-  public boolean valid() {
+  public boolean isValid() {
     return lossReason == null;
   }
 
   @Override
-  public void raised(Term to, Revision at) {
+  public void onTermRaised(Term to, Revision at) {
     term = to;
     revision = at;
   }
 
   @Override
-  public void lost(LeadershipLoss loss) {
+  public void onLost(LeadershipLoss loss) {
     if (!lossExpected) {
       throw new AssertionError(loss.toString());
     }
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -25,14 +25,7 @@
     Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 1)), 1, 8);
     MachineAttributes site = TestMachines.on("n-1", 1);
     return new Attempt(
-        job,
-        0,
-        new AttemptNumber(1),
-        site.machine(),
-        site.epoch(),
-        site.zone(),
-        recovered,
-        clock.now());
+        job, 0, new AttemptNumber(1), site.id(), site.epoch(), site.zone(), recovered, clock.now());
   }
 
   /** Creates an attempt and brings it into a state by regular transitions. */
@@ -53,7 +46,7 @@
 
   /** The table of permitted transitions. */
   @Nested
-  class Table {
+  class TransitionTable {
     /** One row for each state; {@code x} is a permitted transition, in the order of the enum. */
     @ParameterizedTest(name = "from {0}: {1}")
     @CsvSource({
@@ -65,7 +58,7 @@
       "CHECKPOINTING, . . x x x x x",
       "CLOSED,        . . . . . . ."
     })
-    void permitsExactlyThese(AttemptState from, String row) {
+    void permitsExactlyListedTransitions(AttemptState from, String row) {
       List<String> marks = List.of(row.split(" ", -1));
       AttemptState[] all = AttemptState.values();
       assertEquals(all.length, marks.size());
@@ -77,7 +70,7 @@
     /** PROPOSED is the initial state and cannot be requested. */
     @ParameterizedTest(name = "from {0}")
     @EnumSource
-    void anAttemptFollowsIt(AttemptState from) {
+    void attemptFollowsTable(AttemptState from) {
       for (AttemptState to : AttemptState.values()) {
         if (to == AttemptState.PROPOSED) {
           assertFalse(from.permits(to));
@@ -116,7 +109,7 @@
 
   /** Properties derived from the state. */
   @Nested
-  class DerivedAnswers {
+  class DerivedProperties {
     @ParameterizedTest(name = "{0}: durable {1}, reported {2}")
     @CsvSource({
       "PROPOSED, false, false",
@@ -127,19 +120,19 @@
       "CHECKPOINTING, true, true",
       "CLOSED, true, false"
     })
-    void followFromTheState(AttemptState state, boolean durable, boolean reported) {
-      assertEquals(durable, inState(state).durable());
+    void propertiesFollowFromState(AttemptState state, boolean durable, boolean reported) {
+      assertEquals(durable, inState(state).isDurable());
       assertEquals(reported, inState(state).isReported());
     }
 
     @Test
-    void aRecoveredAttemptIsDurableFromTheStart() {
+    void recoveredAttemptIsInitiallyDurable() {
       assertEquals(AttemptState.STARTING, attempt(true).state());
-      assertTrue(attempt(true).durable());
+      assertTrue(attempt(true).isDurable());
     }
 
     @Test
-    void aStatusMustBeOneThatAWorkerShows() {
+    void observedStateMustBeReportable() {
       Attempt attempt = inState(AttemptState.RUNNING);
       assertThrows(
           IllegalTransitionException.class,
@@ -151,7 +144,7 @@
     }
 
     @Test
-    void theRunningTimeBeginsWithTheFirstOfRepeatedStatuses() {
+    void runningSinceIsTimeOfFirstRunningStatus() {
       Attempt attempt = inState(AttemptState.FETCHING);
       SteadyTime first = clock.now();
       attempt.observe(AttemptState.RUNNING, first);
@@ -162,23 +155,23 @@
 
   /** Requests to stop. */
   @Nested
-  class Stops {
+  class StopRequests {
     @Test
-    void anAttemptHasNoStopRequestAtFirst() {
+    void newAttemptHasNoStopRequest() {
       Attempt attempt = attempt(false);
-      assertFalse(attempt.stopping());
+      assertFalse(attempt.isStopRequested());
       assertEquals(Optional.empty(), attempt.stopRequest());
       assertEquals(0, attempt.stopGraceS());
     }
 
     @ParameterizedTest(name = "{0} s, then {1} s: the request for {2} s made at {3} s")
     @CsvSource({"5, 3, 3, 1", "5, 5, 5, 0", "3, 5, 3, 0", "0, 0, 0, 0"})
-    void aLaterRequestCountsOnlyIfItsGraceIsShorter(
+    void laterRequestCountsOnlyWithShorterGracePeriod(
         double firstS, double secondS, double expectedS, double expectedAtS) {
       Attempt attempt = attempt(false);
       SteadyTime start = clock.now();
-      attempt.stop(firstS, start);
-      attempt.stop(secondS, start.plusSeconds(1));
+      attempt.requestStop(firstS, start);
+      attempt.requestStop(secondS, start.plusSeconds(1));
       StopRequest expected = new StopRequest(expectedS, start.plusSeconds(expectedAtS));
       assertEquals(Optional.of(expected), attempt.stopRequest());
       assertEquals(expectedS, attempt.stopGraceS());
@@ -186,10 +179,10 @@
 
     @ParameterizedTest(name = "in {0}")
     @EnumSource
-    void areIndependentOfTheState(AttemptState state) {
+    void stopRequestIsIndependentOfState(AttemptState state) {
       Attempt attempt = inState(state);
-      attempt.stop(2, clock.now());
-      assertTrue(attempt.stopping());
+      attempt.requestStop(2, clock.now());
+      assertTrue(attempt.isStopRequested());
       assertEquals(state, attempt.state());
     }
   }
--- a/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
+++ b/src/test/java/org/ternhinge/ledger/AuxiliaryWritesTest.java
@@ -29,20 +29,20 @@
   }
 
   @Test
-  void requestsForAKeyJoinUntilItIsWritten() {
+  void requestsForSameKeyAreMergedUntilWritten() {
     writes.request("r/0", () -> Json.object().put("n", 1), () -> durable.add("first"));
     writes.request("r/0", () -> Json.object().put("n", 1), () -> durable.add("second"));
     LedgerTransaction sent = next(16);
     assertEquals(1, sent.size());
     assertTrue(writes.isEmpty());
-    writes.applied(sent.auxiliaryWrites(), new Revision(9));
+    writes.onApplied(sent.auxiliaryWrites(), new Revision(9));
     assertEquals(List.of("first", "second"), durable);
     writes.request("r/0", Json::object, () -> {});
     assertEquals(new KeyCondition("r/0", new Revision(9)), next(16).request().conditions().get(1));
   }
 
   @Test
-  void aKeyOfAnEarlierLeaderIsWrittenOverItsVersion() {
+  void keyOfEarlierLeaderIsConditionalOnItsRevision() {
     writes.setRevision("r/1", new Revision(5));
     writes.request("r/1", Json::object, () -> {});
     writes.request("r/2", Json::object, () -> {});
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void whatFindsNoRoomWaitsForTheNextTransaction() {
+  void writeThatDoesNotFitStaysPending() {
     writes.request("r/0", Json::object, () -> {});
     writes.request("r/1", Json::object, () -> {});
     TransactionDraft draft = new TransactionDraft(TERM, 1);
@@ -63,7 +63,7 @@
 
   /** The value was written under a larger limit, so the key-value store would reject it. */
   @Test
-  void aValueThatIsTooLargeWaitsUntilItHasShrunk() {
+  void oversizedValueStaysPendingUntilItFits() {
     int[] bytes = {VALUE_BYTES};
     writes.request("r/0", () -> Json.object().put("n", "x".repeat(bytes[0])), () -> {});
     writes.request("r/1", Json::object, () -> {});
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -18,12 +18,12 @@
   /** Level 0 is not stored, so the record is the same as that of the version in production. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 6, 1000})
-  void theLevelIsReadBack(int level) throws WireException {
+  void backoffLevelIsReadBack(int level) throws WireException {
     ObjectNode record =
         RecordCodec.encodeNew(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
     assertFalse(record.has("e"));
     Job job = RecordCodec.decodeFirst(record, Revision.NONE, new SteadyTime(0));
-    job.backoffLevel(level);
+    job.setBackoffLevel(level);
     ObjectNode written = RecordCodec.encode(job, 0);
     assertEquals(level > 0, written.has("e"));
     Job read = RecordCodec.decodeFirst(written, Revision.NONE, new SteadyTime(0));
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -45,7 +45,7 @@
     ObjectNode json = Specs.json("wk-" + name, "batch", 2).put("forgang", priority);
     ArrayNode ids = json.putArray("bidur_eftir");
     for (String dependency : dependencies) {
-    ids.add("wk-" + dependency);
+      ids.add("wk-" + dependency);
     }
     JobSpec spec = Specs.of(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE_BYTES));
@@ -73,9 +73,9 @@
         .sorted()
         .forEach(
             name -> {
-            String state =
-            ledger.findState(jobs.get(name)).map(s -> s.phase().word()).orElse("unknown");
-            out.add(name + ":" + state);
+              String state =
+                  ledger.findState(jobs.get(name)).map(s -> s.phase().word()).orElse("unknown");
+              out.add(name + ":" + state);
             });
     return String.join(" ", out);
   }
@@ -103,7 +103,7 @@
     "2<1 3<2, nothing 1, 2:unknown 3:unknown",
     "1 2<1.9 3<2, durable 1, 1:cancelled 2:cancelled 3:cancelled"
   })
-  void aStateIsDerived(String graph, String event, String expected) {
+  void stateIsDerivedFromDependencies(String graph, String event, String expected) {
     acceptAll(graph);
     String[] words = event.split(" ", -1);
     String name = words[words.length - 1];
@@ -111,7 +111,7 @@
       case "requested" -> ledger.cancel(open(name));
       case "durable" -> {
         ledger.cancel(open(name));
-        ledger.markCancelDurable(jobs.get(name));
+        ledger.markCancellationDurable(jobs.get(name));
       }
       case "ended" -> end(name, Phase.CANCELLED);
       case "done" -> end(name, Phase.DONE);
@@ -128,22 +128,22 @@
   private Job open(String name) {
     Job job = jobs.get(name);
     if (!job.hasUnmetDependencies()) {
-      AttemptNumber number = job.highest().next();
-      job.highest(number);
+      AttemptNumber number = job.highestAttempt().next();
+      job.setHighestAttempt(number);
       MachineId machine = new MachineId("n-7");
-      job.openMap()
+      job.openAttemptsByTask()
           .put(0, new Attempt(job, 0, number, machine, new AgentEpoch(1), 0, true, clock.now()));
     }
     return job;
   }
 
   @Test
-  void aStartWaitsForTheDurableEndOfAllBefore() {
+  void startRequiresDurableEndOfAllDependencies() {
     acceptAll("1 2 3<1.2");
     Job last = jobs.get("3");
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(last));
     end("1", Phase.DONE);
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(last));
     assertFalse(ledger.dependencies().drainReady());
     end("2", Phase.DONE);
     assertTrue(ledger.dependencies().drainReady());
@@ -155,11 +155,11 @@
    * depend on it, and again if it could not be read.
    */
   @Test
-  void endsThatAreNotRememberedAreReadOnce() {
+  void uncachedFinalStateIsRequestedOnce() {
     acceptAll("2<1 3<1 4<1");
     assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(jobs.get("3")));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(jobs.get("3")));
     ledger.dependencies().retryUnresolved(id("1"));
     assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
     ledger.resolveEnd(new JobState(id("1"), Phase.DONE, 2, 0));
@@ -170,32 +170,32 @@
 
   /** A watch may deliver a job after its dependent, and a load delivers jobs in order of names. */
   @Test
-  void theOrderInWhichJobsComeDoesNotMatter() {
+  void resultDoesNotDependOnOrderOfAddition() {
     accept("2", "high", "1");
     accept("1", "low");
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals("high", jobs.get("1").planned().priority().word());
+    assertEquals("high", jobs.get("1").plannedSpec().priority().word());
     assertEquals("low", jobs.get("1").spec().priority().word(), "specification is unchanged");
     end("1", Phase.DONE);
     assertNull(refusal(jobs.get("2")));
   }
 
   @Test
-  void priorityIsInheritedThroughOthersAndNeverLowered() {
+  void priorityIsInheritedTransitivelyAndNeverLowered() {
     accept("1", "low");
     accept("2", "normal", "1");
     accept("3", "low", "2");
-    assertEquals("normal", jobs.get("1").planned().priority().word());
-    assertEquals("normal", jobs.get("2").planned().priority().word());
+    assertEquals("normal", jobs.get("1").plannedSpec().priority().word());
+    assertEquals("normal", jobs.get("2").plannedSpec().priority().word());
     accept("4", "high", "3");
     for (String name : List.of("1", "2", "3")) {
-      assertEquals("high", jobs.get(name).planned().priority().word());
+      assertEquals("high", jobs.get(name).plannedSpec().priority().word());
     }
   }
 
   /** An earlier leader started the job, so all dependencies were done and none is looked up. */
   @Test
-  void whatHasBegunNeedsNoProof() throws Exception {
+  void startedJobHasNoUnmetDependencies() throws Exception {
     ObjectNode json = Specs.json("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
     ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE_BYTES);
@@ -208,13 +208,13 @@
   }
 
   @Test
-  void thousandsAfterOneAreCancelledAtOnce() {
+  void thousandsOfDependentsAreCancelledImmediately() {
     accept("0", "normal");
     for (int i = 1; i <= 3000; i++) {
       accept(String.valueOf(i), "normal", String.valueOf(i % 3 == 0 ? i - 1 : 0));
     }
     ledger.cancel(open("0"));
-    ledger.markCancelDurable(jobs.get("0"));
+    ledger.markCancellationDurable(jobs.get("0"));
     jobs.values()
         .forEach(j -> assertEquals(Phase.CANCELLED, ledger.findState(j).orElseThrow().phase()));
   }
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -19,10 +19,10 @@
   private static final Map<String, Consumer<Job>> EVENTS =
       Map.of(
           "cancel", Job::cancel,
-          "cancel durable", Job::markCancelDurable,
+          "cancel durable", Job::markCancellationDurable,
           "dependency cancelled", Job::cancelByDependency,
-          "over", Job::markOver,
-          "final durable", Job::markFinalDurable);
+          "over", Job::markFinished,
+          "final durable", Job::markFinalRecordDurable);
 
   private static Job job() {
     return new Job(Specs.of(Specs.json("wk-1", "batch", 2)), 1, 8);
@@ -34,14 +34,14 @@
     if (phase.isCancelled()) {
       job.cancel();
     }
-    if (phase.isCancelDurable()) {
-      job.markCancelDurable();
+    if (phase.isCancellationDurable()) {
+      job.markCancellationDurable();
     }
     if (phase.isFinished()) {
-      job.markOver();
+      job.markFinished();
     }
     if (phase.isEnded()) {
-      job.markFinalDurable();
+      job.markFinalRecordDurable();
     }
     return job;
   }
@@ -58,7 +58,7 @@
     "ENDED_CANCELLED,     . . . . . . . .",
     "ENDED_COMPLETED,     . . . . . . . ."
   })
-  void theTablePermitsExactlyThese(JobPhase from, String row) {
+  void permitsExactlyListedTransitions(JobPhase from, String row) {
     List<String> marks = List.of(row.split(" ", -1));
     JobPhase[] all = JobPhase.values();
     assertEquals(all.length, marks.size());
@@ -68,7 +68,7 @@
   }
 
   @ParameterizedTest(
-  name = "{0}: cancelled {1}, durably {2}, finished {3}, final record durable {4}")
+      name = "{0}: cancelled {1}, durably {2}, finished {3}, final record durable {4}")
   @CsvSource({
     "ACTIVE,              false, false, false, false",
     "CANCELLING,          true,  false, false, false",
@@ -79,14 +79,14 @@
     "ENDED_CANCELLED,     true,  true,  true,  true",
     "ENDED_COMPLETED,     false, false, true,  true"
   })
-  void theAnswersFollowFromThePhase(
+  void propertiesFollowFromPhase(
       JobPhase phase, boolean cancelled, boolean durable, boolean over, boolean finalDurable) {
     Job job = inPhase(phase);
-    assertEquals(cancelled, job.cancelled());
-    assertEquals(durable, job.cancelDurable());
-    assertEquals(over, job.over());
-    assertEquals(finalDurable, job.finalDurable());
-    assertFalse(job.cancelledByDependency());
+    assertEquals(cancelled, job.isCancelled());
+    assertEquals(durable, job.isCancellationDurable());
+    assertEquals(over, job.isFinished());
+    assertEquals(finalDurable, job.isFinalRecordDurable());
+    assertFalse(job.isCancelledByDependency());
   }
 
   /** The phase stays the same if an event has no effect; a dash is an illegal transition. */
@@ -130,7 +130,7 @@
     "ENDED_COMPLETED,     over,                 ENDED_COMPLETED",
     "ENDED_COMPLETED,     final durable,        -"
   })
-  void anEventLeadsToAPhaseOrIsAViolation(JobPhase from, String event, String expected) {
+  void eventLeadsToExpectedPhaseOrIsRejected(JobPhase from, String event, String expected) {
     Job job = inPhase(from);
     Consumer<Job> action = EVENTS.get(event);
     if (!expected.equals("-")) {
@@ -147,23 +147,23 @@
   }
 
   private static void assertProperties(JobPhase phase, Job job) {
-    assertEquals(phase.isCancelled(), job.cancelled());
-    assertEquals(phase.isCancelDurable(), job.cancelDurable());
-    assertEquals(phase.isFinished(), job.over());
-    assertEquals(phase.isEnded(), job.finalDurable());
+    assertEquals(phase.isCancelled(), job.isCancelled());
+    assertEquals(phase.isCancellationDurable(), job.isCancellationDurable());
+    assertEquals(phase.isFinished(), job.isFinished());
+    assertEquals(phase.isEnded(), job.isFinalRecordDurable());
   }
 
   @ParameterizedTest(name = "{0}")
   @EnumSource(names = {"ACTIVE", "CANCELLING", "CANCELLING_FINISHED"})
-  void aCancelledDependencyIsRememberedAsTheCause(JobPhase from) {
+  void cancellationByDependencyIsRecorded(JobPhase from) {
     Job job = inPhase(from);
     job.cancelByDependency();
-    assertTrue(job.cancelledByDependency());
-    assertTrue(job.cancelDurable());
+    assertTrue(job.isCancelledByDependency());
+    assertTrue(job.isCancellationDurable());
   }
 
   @Test
-  void aViolationNamesTheJob() {
+  void illegalTransitionMessageNamesJob() {
     Job job = inPhase(JobPhase.COMPLETED);
     String message = assertThrows(IllegalTransitionException.class, job::cancel).getMessage();
     assertEquals("job wk-1: no transition from COMPLETED to CANCELLING", message);
--- a/src/test/java/org/ternhinge/ledger/LeadershipLossTest.java
+++ b/src/test/java/org/ternhinge/ledger/LeadershipLossTest.java
@@ -25,7 +25,7 @@
 
   @ParameterizedTest(name = "{1}")
   @MethodSource("descriptions")
-  void areThoseOfTheLog(LeadershipLoss loss, String description) {
+  void descriptionMatchesLogMessage(LeadershipLoss loss, String description) {
     assertEquals(description, loss.description());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -103,55 +103,55 @@
   }
 
   @Test
-  void anOpenAttemptBlocksItsTaskAndNumbersNeverRepeat() {
+  void openAttemptBlocksTaskAndAttemptNumbersIncrease() {
     Job job = job(Specs.json("wk-1", "batch", 2));
     assertEquals(Optional.empty(), ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
-    Attempt first = job.open(0);
+    Attempt first = job.openAttempt(0);
     assertEquals(
         Optional.of(AdmissionRefusal.TASK_OPEN),
         ledger.open(job, List.of(new Placement(0, B)), t -> false, NOW));
     ledger.close(first, false);
     assertEquals(
-        Optional.of(AdmissionRefusal.TASK_STILL_SHOWN),
+        Optional.of(AdmissionRefusal.TASK_STILL_REPORTED),
         ledger.open(job, List.of(new Placement(0, B)), t -> t.toString().equals("wk-1/0"), NOW));
     assertEquals(Optional.empty(), ledger.open(job, List.of(new Placement(0, B)), t -> false, NOW));
-    assertTrue(job.open(0).number().compareTo(first.number()) > 0);
-    ledger.close(job.open(0), true);
+    assertTrue(job.openAttempt(0).number().compareTo(first.number()) > 0);
+    ledger.close(job.openAttempt(0), true);
     assertEquals(
         Optional.of(AdmissionRefusal.TASK_DONE),
         ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
-    assertEquals(Resources.ZERO, ledger.teamUse("red"));
+    assertEquals(Resources.ZERO, ledger.teamUsage("red"));
   }
 
   @Test
-  void aCancelledJobIsRefusedAndADoneJobIsNotCancelled() {
+  void cancelledJobIsRefusedAndDoneJobIsNotCancelled() {
     Job job = job(Specs.json("wk-1", "batch", 2));
     ledger.cancel(job);
     assertEquals(
-        Optional.of(AdmissionRefusal.JOB_OVER),
+        Optional.of(AdmissionRefusal.JOB_NOT_ACTIVE),
         ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
     Job done = job(Specs.json("wk-2", "batch", 1));
     ledger.open(done, List.of(new Placement(0, A)), t -> false, NOW);
-    ledger.close(done.open(0), true);
+    ledger.close(done.openAttempt(0), true);
     ledger.cancel(done);
-    assertTrue(done.over() && !done.cancelled(), "final record may already be written");
+    assertTrue(done.isFinished() && !done.isCancelled(), "final record may already be written");
   }
 
   @Test
-  void oneFinishedTaskFinishesItsGang() {
+  void doneTaskCompletesItsGang() {
     Job gang = job(Specs.json("wk-1", "group", 3));
     List<Placement> all = List.of(new Placement(0, A), new Placement(1, A), new Placement(2, B));
     assertEquals(Optional.empty(), ledger.open(gang, all, t -> false, NOW));
-    ledger.close(gang.open(1), true);
+    ledger.close(gang.openAttempt(1), true);
     assertEquals(3, gang.doneCount());
-    assertTrue(!gang.over(), "other attempts are still open");
-    ledger.close(gang.open(0), false);
-    ledger.close(gang.open(2), false);
-    assertTrue(gang.over());
+    assertTrue(!gang.isFinished(), "other attempts are still open");
+    ledger.close(gang.openAttempt(0), false);
+    ledger.close(gang.openAttempt(2), false);
+    assertTrue(gang.isFinished());
   }
 
   @Test
-  void segmentsOfTheLargestArrayFitTheLimitAndAreReadBack() throws Exception {
+  void segmentsOfLargestArrayFitLimitAndAreReadBack() throws Exception {
     String longest = "x".repeat(128);
     String[] types = Collections.nCopies(16, longest).toArray(String[]::new);
     JobSpec spec =
@@ -165,18 +165,19 @@
     for (int i = 0; i < 2 * size; i++) {
       MachineId machine = new MachineId(String.format("n-%06d", 990_000 + i));
       var number = new AttemptNumber(12_345 + i);
-      job.openMap().put(i, new Attempt(job, i, number, machine, new AgentEpoch(12), 1, false, NOW));
+      job.openAttemptsByTask()
+          .put(i, new Attempt(job, i, number, machine, new AgentEpoch(12), 1, false, NOW));
     }
-    job.highest(new AttemptNumber(99_999));
+    job.setHighestAttempt(new AttemptNumber(99_999));
     for (int segment = 0; segment < 2; segment++) {
       int bytes = Json.bytes(RecordCodec.encode(job, segment)).length;
       assertTrue(bytes <= VALUE_BYTES, "segment " + segment + " takes " + bytes);
     }
     Job decoded = RecordCodec.decodeFirst(RecordCodec.encode(job, 0), new Revision(5), NOW);
     RecordCodec.decodeTasks(decoded, 1, RecordCodec.encode(job, 1), new Revision(6), NOW);
-    assertEquals(job.openMap().keySet(), decoded.openMap().keySet());
-    assertEquals(job.highest(), decoded.highest());
-    assertEquals(job.open(size).machine(), decoded.open(size).machine());
-    assertTrue(decoded.open(size).recovered() && decoded.open(size).durable());
+    assertEquals(job.openAttemptsByTask().keySet(), decoded.openAttemptsByTask().keySet());
+    assertEquals(job.highestAttempt(), decoded.highestAttempt());
+    assertEquals(job.openAttempt(size).machine(), decoded.openAttempt(size).machine());
+    assertTrue(decoded.openAttempt(size).isRecovered() && decoded.openAttempt(size).isDurable());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -67,17 +67,17 @@
     }
 
     @Override
-    public boolean valid() {
+    public boolean isValid() {
       return true;
     }
 
     @Override
-    public void raised(Term term, Revision revision) {
+    public void onTermRaised(Term term, Revision revision) {
       throw new AssertionError("unexpected raise of the term");
     }
 
     @Override
-    public void lost(LeadershipLoss loss) {
+    public void onLost(LeadershipLoss loss) {
       if (knownTermRevision == null) {
         throw new AssertionError(loss);
       }
@@ -94,7 +94,9 @@
       CompletableFuture<Outcome<Revision>> out = new CompletableFuture<>();
       boolean responseLost = lostResponses-- > 0;
       Outcome<Revision> outcome =
-          responseLost && !applyDespiteLostResponse ? Outcome.unknown("no answer") : core.compareAndSwap(compareAndSwap);
+          responseLost && !applyDespiteLostResponse
+              ? Outcome.unknown("no answer")
+              : core.compareAndSwap(compareAndSwap);
       afterEachWrite.run();
       clock.after(0.01, () -> out.complete(responseLost ? Outcome.unknown("no answer") : outcome));
       return out;
@@ -175,7 +177,7 @@
 
   /** Asserts that a leader elected now would not load any task as one that has never run. */
   private void assertNoTaskLooksUnstarted(Job job) {
-    if (core.get(Keys.end(job.spec().id())).entry().isPresent()) {
+    if (core.get(Keys.finalRecord(job.spec().id())).entry().isPresent()) {
       return;
     }
     try {
@@ -186,7 +188,8 @@
         RecordCodec.decodeTasks(loaded, segment, e.value(), e.revision(), clock.now());
       }
       for (int i = 0; i < job.spec().tasks(); i++) {
-        assertTrue(loaded.isDone(i) || loaded.open(i) != null, "task " + i + " would run again");
+        assertTrue(
+            loaded.isDone(i) || loaded.openAttempt(i) != null, "task " + i + " would run again");
       }
     } catch (WireException e) {
       throw new IllegalStateException(e);
@@ -194,23 +197,24 @@
   }
 
   @Test
-  void theEndOfALargeArrayIsSafeAtEveryStep() {
+  void endOfLargeArrayIsConsistentAfterEveryTransaction() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(5);
     tokens = 2;
     afterEachWrite = () -> assertNoTaskLooksUnstarted(job);
     for (Attempt a : List.copyOf(job.openAttempts())) {
-      assertTrue(a.durable());
+      assertTrue(a.isDurable());
       ledger.close(a, true);
     }
-    writer.pump();
+    writer.sendNext();
     clock.runFor(30);
-    assertTrue(core.get(Keys.end(job.spec().id())).entry().isPresent(), "final record is written");
+    assertTrue(
+        core.get(Keys.finalRecord(job.spec().id())).entry().isPresent(), "final record is written");
     assertEquals(List.of(), core.list(Keys.JOBS, null, 100).entries(), "segments are deleted");
     sent.forEach(t -> assertTrue(t.changes().size() <= 16));
   }
@@ -223,24 +227,25 @@
    * A conflict after a lost response. The record may contain the expected value and yet have been
    * written by another leader, in which case the rest of the transaction was not applied.
    */
-   @ParameterizedTest(name = "applied {0}, next leader writes the same value {1}")
+  @ParameterizedTest(name = "applied {0}, next leader writes the same value {1}")
   @CsvSource({"true, false, true", "false, true, false"})
-  void anEqualValueOfAnotherTermIsNotOurs(boolean applied, boolean otherLeader, boolean durable) {
+  void equalValueOfAnotherTermIsNotTakenAsApplied(
+      boolean applied, boolean otherLeader, boolean durable) {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     knownTermRevision = currentTermRevision();
     Job cancelled = accept("wk-1", "batch", "normal", 3);
     open(cancelled, 0, 1);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(1);
     assertEquals(1, sent.size());
-    Job opens = accept("wk-2", "daemon", "production", 2);
+    Job opened = accept("wk-2", "daemon", "production", 2);
     lostResponses = 1;
     applyDespiteLostResponse = applied;
     ledger.cancel(cancelled);
-    open(opens, 0, 2);
-    writer.pump();
+    open(opened, 0, 2);
+    writer.sendNext();
     if (otherLeader) {
       List<Change> same = new ArrayList<>();
       same.add(new Change.Put(Keys.TERM, Json.object().put("n", 2).put("inc", "b"), 0));
@@ -249,22 +254,22 @@
     }
     clock.runFor(5);
     assertEquals(durable ? 0 : 1, lost.size());
-    opens.openAttempts().forEach(a -> assertEquals(durable, a.durable()));
-    assertEquals(durable, cancelled.cancelDurable());
+    opened.openAttempts().forEach(a -> assertEquals(durable, a.isDurable()));
+    assertEquals(durable, cancelled.isCancellationDurable());
   }
 
   /**
-   * A segment is merged if its last task ends while it is being written. The write in progress still
-   * creates the segment's key, which must then be deleted.
+   * A segment is merged if its last task ends while it is being written. The write in progress
+   * still creates the segment's key, which must then be deleted.
    */
   @Test
-  void aSegmentThatIsMergedWhileItIsWrittenIsRemoved() {
+  void segmentMergedWhileBeingWrittenIsDeleted() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
     Job job = accept("wk-1", "batch", "normal", TASKS);
     open(job, 0, TASKS);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(5);
     int segment = 1;
     List<Attempt> attempts =
@@ -282,7 +287,7 @@
           }
         };
     clock.runFor(1);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(5);
     assertTrue(job.record().merged().get(segment));
     assertTrue(core.get(key).entry().isEmpty(), "key of the merged segment is left behind");
@@ -290,7 +295,7 @@
 
   /** The callback of one key's write may immediately write another key of the same transaction. */
   @Test
-  void everyVersionOfATransactionIsKnownBeforeAnythingFollowsFromIt() {
+  void revisionsAreRecordedBeforeCallbacksRun() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
@@ -310,7 +315,7 @@
   }
 
   @Test
-  void whatUsersWaitForMostIsWrittenFirst() {
+  void mostUrgentWritesGoFirst() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
@@ -322,7 +327,7 @@
     open(service, 0, 2);
     open(cancelled, 0, 1);
     ledger.cancel(cancelled);
-    writer.pump();
+    writer.sendNext();
     assertEquals(List.of(), sent, "no transaction without tokens");
     tokens = 1;
     clock.runFor(1);
@@ -336,7 +341,7 @@
    * nothing more may be written for the dependent.
    */
   @Test
-  void anEndedJobIsNotCancelledAgainByItsDependency() {
+  void endedJobIsNotCancelledByItsDependency() {
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put(Keys.TERM, Json.object().put("n", 1), 0))));
@@ -345,14 +350,14 @@
     open(dependency, 0, 1);
     Job dependent = accept("wk-2", "batch", "normal", 1, "wk-1");
     ledger.cancel(dependent);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(2);
-    assertTrue(core.get(Keys.end(dependent.spec().id())).entry().isPresent());
+    assertTrue(core.get(Keys.finalRecord(dependent.spec().id())).entry().isPresent());
     ledger.cancel(dependency);
-    writer.pump();
+    writer.sendNext();
     clock.runFor(5);
-    assertTrue(dependency.cancelDurable());
+    assertTrue(dependency.isCancellationDurable());
     assertEquals(List.of(), lost);
-    assertTrue(writer.idle());
+    assertTrue(writer.isIdle());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -69,7 +69,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"| 1", "{\"n\":41,\"inc\":\"5c0ffee\"} | 42", "{\"n\":7} | 8"})
-  void aTermIsTakenOver(String before, long term) throws WireException {
+  void termIsIncrementedByElection(String before, long term) throws WireException {
     if (before != null) {
       put("term", before, 0);
     }
@@ -96,7 +96,7 @@
         "{\"node\":\"node-2\",\"inc\":\"5c0ffee\",\"term\":3} | false",
         "{\"node\":\"node-2\",\"inc\":\"5c0ffee\",\"term\":3,\"deps\":true} | true"
       })
-  void aLeaderSaysWhatItKnows(String leader, boolean supported) throws WireException {
+  void leaderRecordStatesDependencySupport(String leader, boolean supported) throws WireException {
     put("leader", leader, core.grant(60_000));
     Election election = election(new ArrayList<>());
     assertEquals(Optional.of("node-2"), election.leaderNode());
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void aTermIsRaisedTheSame() throws WireException {
+  void raisedTermIsWrittenUnchanged() throws WireException {
     List<Authority> elected = new ArrayList<>();
     election(elected);
     LedgerWriter writer =
@@ -122,7 +122,7 @@
 
   /** The leadership of another node is detected, whichever version that node runs. */
   @Test
-  void anotherLeaderIsSeen() throws WireException {
+  void otherLeaderIsDetected() throws WireException {
     put("term", "{\"n\":41,\"inc\":\"5c0ffee\"}", 0);
     String leader = "{\"node\":\"node-0\",\"inc\":\"5c0ffee\",\"term\":41}";
     put("leader", leader, core.grant(600_000));
--- a/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLiterals.java
@@ -28,9 +28,7 @@
           + "\"vistun_s\":4.0,\"skiladagur_s\":900.0},"
           + "\"t\":1700000000123,\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
 
-  /**
-   * A job of twenty tasks in segments of eight, up to the task fields of its first segment.
-   */
+  /** A job of twenty tasks in segments of eight, up to the task fields of its first segment. */
   static final String TWENTY =
       "{\"s\":{\"ref\":\"wk-000002\",\"runflokkur\":\"c\",\"eigandi\":\"red\",\"gerd\":\"batch\","
           + "\"forgang\":\"normal\",\"verkbitar\":20,\"cpus\":1.0,\"accelerators\":0.0,"
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -80,7 +80,7 @@
       out.add(
           String.format(
               "%02d=%s@%s#%s/%d", a.task().index(), a.number(), a.machine(), a.epoch(), a.zone()));
-      assertTrue(a.durable() && a.recovered());
+      assertTrue(a.isDurable() && a.isRecovered());
     }
     return String.join(" ", out);
   }
@@ -105,7 +105,7 @@
     "'dependent, cancelled', wk-000002, 20, 8, 4, true, 0 1 2 5, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0"
   })
-  void aFirstSegmentIsReadAndWrittenBack(
+  void firstSegmentIsReadAndWrittenBackUnchanged(
       String name,
       String id,
       int tasks,
@@ -120,9 +120,9 @@
     assertEquals(tasks, job.spec().tasks());
     assertEquals(segment, job.record().segmentSize());
     assertEquals(ACCEPTED, job.acceptedMillis());
-    assertEquals(highest, job.highest().value());
-    assertEquals(cancelled, job.cancelled());
-    assertEquals(cancelled, job.cancelDurable());
+    assertEquals(highest, job.highestAttempt().value());
+    assertEquals(cancelled, job.isCancelled());
+    assertEquals(cancelled, job.isCancellationDurable());
     assertEquals(done, done(job));
     assertEquals(open, open(job));
     assertEquals(AT, job.record().revision(0));
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void laterSegmentsAreReadAndWrittenBack() throws WireException {
+  void laterSegmentsAreReadAndWrittenBackUnchanged() throws WireException {
     Job job = read(OPEN);
     RecordCodec.decodeTasks(job, 1, json(SECOND), AT, clock.now());
     RecordCodec.decodeTasks(job, 2, json(THIRD), AT, clock.now());
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void freshRecordsAreTheSame() {
+  void newRecordsAreUnchanged() {
     var plain = Specs.json("wk-000001", "batch", 3);
     assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
     var full = Specs.json("wk-000412", "group", 2).put("forgang", "high").put("svaedi", "east");
@@ -158,7 +158,7 @@
    */
   @ParameterizedTest
   @CsvSource({"null", "[]"})
-  void noDependenciesLeaveNoTrace(String none) throws WireException {
+  void emptyDependencyListIsNotStored(String none) throws WireException {
     var plain = Specs.json("wk-000001", "batch", 3);
     plain.set("bidur_eftir", json("{\"x\":" + none + "}").get("x"));
     assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
@@ -166,7 +166,7 @@
 
   /** A new job with dependencies has the same record as in commit d679fcc. */
   @Test
-  void aFreshRecordWithDependenciesIsTheSame() {
+  void newRecordWithDependenciesIsUnchanged() {
     assertEquals(
         WAITING, text(RecordCodec.encodeNew(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
   }
@@ -195,7 +195,7 @@
     "daemon, 3072, 0, 64, true",
     "daemon, 8192, 0, 127, true"
   })
-  void aSegmentIsForAsManyTasks(
+  void segmentSizeDependsOnKindAndLimit(
       String kind, int valueBytes, int dependencies, int tasks, boolean fits) {
     JobSpec spec = Specs.of(twenty(kind, dependencies));
     assertEquals(tasks, RecordSize.segmentSize(spec, valueBytes));
@@ -225,7 +225,7 @@
     "'dependent, merged', ''",
     "'dependent, cancelled', ''"
   })
-  void whatARecordWaitsFor(String name, String ids) throws WireException {
+  void unstartedDependenciesAreReadFromRecord(String name, String ids) throws WireException {
     String found =
         RecordCodec.unstartedDependencies(json(literal(name))).stream()
             .map(JobId::value)
@@ -235,7 +235,7 @@
 
   /** A job that waits, runs and is cancelled has the same records at each step. */
   @Test
-  void aDependentJobsHistoryIsWrittenTheSame() {
+  void historyOfDependentJobIsWrittenUnchanged() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     assertTrue(job.hasUnmetDependencies());
@@ -254,17 +254,17 @@
     assertEquals(DEPENDENT_MERGED, text(RecordCodec.encode(job, 0)));
     ledger.cancel(job);
     assertEquals(DEPENDENT_CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   /** The job never started because a dependency was cancelled. */
   @Test
-  void aCancellationByDependencyIsWrittenTheSame() {
+  void cancellationByDependencyIsWrittenUnchanged() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     endOfDependency("wk-000398", JobState.Phase.CANCELLED);
     assertEquals(WAITING_CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":0}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":0}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   private void endOfDependency(String id, JobState.Phase phase) {
@@ -273,7 +273,7 @@
 
   /** The same sequence of events results in the same records. */
   @Test
-  void aJobsHistoryIsWrittenTheSame() {
+  void historyOfJobIsWrittenUnchanged() {
     Job job = new Job(Specs.of(Specs.json("wk-000002", "batch", 20)), ACCEPTED, 8);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 8);
@@ -288,16 +288,16 @@
     assertEquals(MERGED, text(RecordCodec.encode(job, 0)));
     ledger.cancel(job);
     assertEquals(CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   @Test
-  void aDoneJobsEndIsTheSame() {
+  void finalRecordOfDoneJobIsUnchanged() {
     Job job = new Job(Specs.of(Specs.json("wk-000003", "batch", 2)), ACCEPTED, 127);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 2);
     close(job, 0, 1);
-    assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   private void open(Job job, String machine, int epoch, int zone, int from, int to) {
@@ -319,7 +319,7 @@
 
   private void close(Job job, int... indexes) {
     for (int i : indexes) {
-      ledger.close(job.open(i), true);
+      ledger.close(job.openAttempt(i), true);
     }
   }
 
@@ -340,12 +340,12 @@
         "{\"s\":\"done\",\"n\":2} | DONE | 2 | 0",
         "{\"s\":\"cancelled\",\"n\":12} | CANCELLED | 12 | 0"
       })
-  void whatUsersAreTold(String record, JobState.Phase phase, int done, int running)
+  void stateVisibleToUsersIsDecoded(String record, JobState.Phase phase, int done, int running)
       throws WireException {
     JobId id = new JobId("wk-000002");
     JobState state =
         record.startsWith("{")
-            ? RecordCodec.decodeEnd(id, json(record))
+            ? RecordCodec.decodeFinalRecord(id, json(record))
             : RecordCodec.decodeState(id, json(literal(record)));
     assertEquals(new JobState(id, phase, done, running), state);
   }
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -12,17 +12,15 @@
 import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
-/**
- * Compatibility of keys, provision requests and machine types with the version in production.
- */
+/** Compatibility of keys, provision requests and machine types with the version in production. */
 class ProductionSharedRecordsTest {
   @Test
-  void keysAreTheSame() {
+  void keysAreUnchanged() {
     JobId id = new JobId("wk-000002");
     assertEquals("j/wk-000002", Keys.job(id));
     assertEquals("j/wk-000002", Keys.segment(id, 0));
     assertEquals("j/wk-000002/2", Keys.segment(id, 2));
-    assertEquals("f/wk-000002", Keys.end(id));
+    assertEquals("f/wk-000002", Keys.finalRecord(id));
     assertEquals("r/ x/ term leader flavors", String.join(" ", otherKeys()));
   }
 
@@ -31,7 +29,7 @@
   }
 
   @Test
-  void aProvisionRequestIsTheSame() throws WireException {
+  void provisionRequestIsUnchanged() throws WireException {
     String provision =
         "{\"leigubeidni\":\"t5-3\",\"velagerd\":\"small\",\"svaedi\":\"east\",\"lanvelar\":true,"
             + "\"count\":12}";
@@ -42,7 +40,7 @@
 
   /** Machine types, which all versions store for the next start. */
   @Test
-  void machineTypesAreTheSame() throws WireException {
+  void machineTypesAreUnchanged() throws WireException {
     String types =
         "{\"velagerdir\":[{\"name\":\"small\",\"cpus\":4.0,\"accelerators\":0.0,"
             + "\"memory_gb\":16.0,\"cache_gb\":50.0,\"pull_gb_per_s\":1.0,\"hourly\":0.2,"
--- a/src/test/java/org/ternhinge/ledger/RecentJobEndsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecentlyEndedJobsTest.java
@@ -8,10 +8,10 @@
 import org.ternhinge.wire.JobState;
 
 /** Bounded cache of final states. */
-class RecentJobEndsTest {
+class RecentlyEndedJobsTest {
   private static final int CAPACITY = 4096;
 
-  private final RecentJobEnds ends = new RecentJobEnds();
+  private final RecentlyEndedJobs ends = new RecentlyEndedJobs();
 
   private static JobState end(int number) {
     return new JobState(new JobId("wk-" + number), JobState.Phase.DONE, number, 0);
@@ -22,12 +22,12 @@
   }
 
   @Test
-  void aJobThatHasNotEndedIsNotFound() {
+  void unendedJobIsNotFound() {
     assertEquals(Optional.empty(), find(1));
   }
 
   @Test
-  void theOldestIsDroppedFirst() {
+  void oldestStateIsEvictedFirst() {
     for (int i = 0; i <= CAPACITY; i++) {
       ends.add(end(i));
     }
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void anEndThatIsAddedAgainCountsAsRecent() {
+  void stateAddedAgainIsMostRecent() {
     for (int i = 0; i < CAPACITY; i++) {
       ends.add(end(i));
     }
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -31,7 +31,7 @@
   private Job accept(String id, String kind) {
     ObjectNode json = Specs.json(id, kind, TASKS).put("cpus", 0.001).put("memory_gb", 0.001);
     Job job = new Job(Specs.of(json), 1, OLD_SEGMENT_SIZE);
-    job.record().revision(0, new Revision(3));
+    job.record().setRevision(0, new Revision(3));
     ledger.add(job);
     return job;
   }
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void aRecordIsWrittenAsAWholeOnceTheTokensAreThere() {
+  void recordIsWrittenAsAWholeOnceTokensSuffice() {
     Job job = accept("wk-1", "daemon");
     int count = targetSegments(job);
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
@@ -69,19 +69,19 @@
 
   @ParameterizedTest(name = "room for {0} changes fewer than needed: too large {1}")
   @CsvSource({"0, false", "1, true"})
-  void aRecordOfMoreSegmentsThanATransactionHoldsIsLeftAlone(int missing, boolean tooLarge) {
+  void recordWithTooManySegmentsIsLeftUnchanged(int missing, boolean tooLarge) {
     Job job = accept("wk-1", "daemon");
     RecordRepartitioner repartitioner =
         new RecordRepartitioner(ledger, targetSegments(job) - missing);
-    job.record().repartitionWanted(true);
+    job.record().setRepartitionRequested(true);
     repartitioner.request(job);
-    assertEquals(tooLarge, job.record().repartitionTooLarge());
+    assertEquals(tooLarge, job.record().isRepartitionTooLarge());
     assertEquals(tooLarge, buildDraft(repartitioner, 16).isEmpty());
-    assertTrue(!job.record().repartitionWanted(), "request is cleared");
+    assertTrue(!job.record().isRepartitionRequested(), "request is cleared");
   }
 
   @Test
-  void oneJobAtATimeKeepsItsTurn() {
+  void requestIsIgnoredWhileAnotherIsPending() {
     Job first = accept("wk-1", "daemon");
     Job second = accept("wk-2", "daemon");
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void aRecordThatMayNoLongerBeRepartitionedLosesItsTurn() {
+  void requestIsDroppedOnceRepartitioningIsNotPermitted() {
     Job job = accept("wk-1", "daemon");
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
@@ -104,21 +104,14 @@
 
   /** An array written under the larger limit has more open attempts than fit smaller segments. */
   @Test
-  void aRecordStaysAsItIsWhereASegmentWouldStillBeTooLarge() {
+  void recordIsUnchangedIfSegmentWouldStillBeTooLarge() {
     Job job = accept("wk-1", "batch");
     for (int i = 0; i < TASKS; i++) {
       MachineAttributes machine = TestMachines.on(String.format("n-%06d", i), 1234);
       Attempt attempt =
           new Attempt(
-              job,
-              i,
-              new AttemptNumber(1),
-              machine.machine(),
-              machine.epoch(),
-              0,
-              true,
-              clock.now());
-      job.openMap().put(i, attempt);
+              job, i, new AttemptNumber(1), machine.id(), machine.epoch(), 0, true, clock.now());
+      job.openAttemptsByTask().put(i, attempt);
     }
     RecordRepartitioner repartitioner = new RecordRepartitioner(ledger, 16);
     repartitioner.request(job);
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -14,23 +14,22 @@
   private static final SteadyTime NOW = new SteadyTime(0);
 
   /**
-   * Starts are sent in the order of {@code opens}; a stream over the open attempts would have a
-   * different order.
+   * Starts are sent in the order of {@code openedAttempts}; a stream over the open attempts would
+   * have a different order.
    */
   @Test
-  void opensKeepTheOrderOfTheJobsOpenAttempts() {
+  void openedAttemptsKeepOrderOfOpenAttempts() {
     Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 40)), 1, 40);
     MachineAttributes machine = TestMachines.on("n-1", 1);
     for (int i = 0; i < 40; i++) {
       Attempt attempt =
-          new Attempt(
-              job, i, new AttemptNumber(1), machine.machine(), machine.epoch(), 0, false, NOW);
-      job.openMap().put(i, attempt);
+          new Attempt(job, i, new AttemptNumber(1), machine.id(), machine.epoch(), 0, false, NOW);
+      job.openAttemptsByTask().put(i, attempt);
     }
     List<Attempt> expected = new ArrayList<>();
     for (Attempt attempt : job.openAttempts()) {
       expected.add(attempt);
     }
-    assertEquals(expected, RecordWrite.Segment.of(job, 0).opens());
+    assertEquals(expected, RecordWrite.Segment.of(job, 0).openedAttempts());
   }
 }
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -49,7 +49,7 @@
 
   /** A service is repartitioned when attempts of its tasks do not fit the record. */
   @Test
-  void theRecordsOfARepartitionedServiceAreUnchanged() throws WireException {
+  void recordsOfRepartitionedServiceAreUnchanged() throws WireException {
     ObjectNode large = stored("daemon");
     large.put("h", 3);
     ArrayNode open = (ArrayNode) large.get("o");
@@ -57,8 +57,8 @@
       open.add(String.format("3:n-%06d:%d:%d:%d", 100 + i, 1 + i % 3, i % 2, i));
     }
     Job job = adopt(large);
-    assertEquals(0, ledger.fitting(job, placements(15)).size(), "placements that fit");
-    ledger.requestRoom(job);
+    assertEquals(0, ledger.filterFitting(job, placements(15)).size(), "placements that fit");
+    ledger.requestRecordSpace(job);
     write();
     assertEquals(
         List.of(
@@ -73,11 +73,9 @@
     assertReadBack(job);
   }
 
-  /**
-   * A gang is repartitioned when it starts, since its record contains no tasks while it waits.
-   */
+  /** A gang is repartitioned when it starts, since its record contains no tasks while it waits. */
   @Test
-  void theRecordsOfARepartitionedGangAreUnchanged() throws WireException {
+  void recordsOfRepartitionedGangAreUnchanged() throws WireException {
     Job job = adopt(stored("group"));
     assertEquals(Optional.empty(), ledger.open(job, placements(0), task -> false, clock.now()));
     write();
@@ -134,7 +132,7 @@
             new ReentrantLock(),
             16,
             opened -> {});
-    writer.pump();
+    writer.sendNext();
     clock.runFor(3);
   }
 
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -54,9 +54,10 @@
     "daemon, 60, 2, 1",
     "group, 100, 2, 1"
   })
-  void whatIsAdmittedFits(String kind, int tasks, int valueKb, int tasksPerMachine) {
+  void admittedAttemptsFitValueLimit(String kind, int tasks, int valueKb, int tasksPerMachine) {
     int valueBytes = valueKb * 1024;
-    Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), valueBytes, new SimClock());
+    Ledger ledger =
+        new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), valueBytes, new SimClock());
     JobSpec spec = Specs.of(json(kind, tasks));
     assertTrue(RecordSize.fits(spec, valueBytes));
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, valueBytes));
@@ -71,7 +72,7 @@
           wanted.add(new Placement(i, site(machine++ / tasksPerMachine)));
         }
       }
-      List<Placement> fitting = ledger.fitting(job, wanted);
+      List<Placement> fitting = ledger.filterFitting(job, wanted);
       assertTrue(!spec.isGang() || fitting.size() == wanted.size(), "all tasks of a gang must fit");
       if (!fitting.isEmpty()) {
         assertEquals(Optional.empty(), ledger.open(job, fitting, t -> false, NOW));
@@ -96,7 +97,7 @@
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource({"group, 110", "batch, 200"})
-  void largeSegmentsOfBeforeUnderASmallerLimit(String kind, int tasks) {
+  void attemptsInSegmentsOfLargerLimitFitSmallerLimit(String kind, int tasks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
     Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
     ledger.add(job);
@@ -104,7 +105,7 @@
     for (int i = 0; i < tasks; i++) {
       all.add(new Placement(i, site(i)));
     }
-    List<Placement> fitting = kind.equals("group") ? all : ledger.fitting(job, all);
+    List<Placement> fitting = kind.equals("group") ? all : ledger.filterFitting(job, all);
     assertEquals(Optional.empty(), ledger.open(job, fitting, t -> false, NOW));
     assertTrue(fitting.size() >= 50, "only " + fitting.size());
     assertSegmentsFit(job, 2048);
@@ -116,7 +117,7 @@
    */
   @ParameterizedTest(name = "{0} of {1} tasks: {2}")
   @CsvSource({"daemon, 140, true", "batch, 1800, false", "batch, 140, false"})
-  void onlyAServiceAsksForItsRecordToBeRepartitioned(String kind, int tasks, boolean asks) {
+  void onlyServiceRequestsRepartitioning(String kind, int tasks, boolean asks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
     Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
     ledger.add(job);
@@ -124,21 +125,23 @@
     for (int i = 0; i < 120; i++) {
       all.add(new Placement(i, site(i)));
     }
-    assertTrue(ledger.fitting(job, all).size() < all.size());
+    assertTrue(ledger.filterFitting(job, all).size() < all.size());
     assertEquals(Optional.of(AdmissionRefusal.RECORD_FULL), ledger.admit(job, all, t -> false));
     assertFalse(
-        ledger.hasDirty() || job.record().repartitionWanted(), "checks have no side effects");
-    ledger.requestRoom(job);
-    assertEquals(asks, ledger.hasDirty());
-    assertEquals(asks, job.record().repartitionWanted());
+        ledger.hasPendingWrites() || job.record().isRepartitionRequested(),
+        "checks have no side effects");
+    ledger.requestRecordSpace(job);
+    assertEquals(asks, ledger.hasPendingWrites());
+    assertEquals(asks, job.record().isRepartitionRequested());
     job.record().markRepartitionTooLarge();
-    job.record().repartitionWanted(false);
-    ledger.requestRoom(job);
-    assertFalse(job.record().repartitionWanted(), "not requested if it cannot be repartitioned");
+    job.record().setRepartitionRequested(false);
+    ledger.requestRecordSpace(job);
+    assertFalse(
+        job.record().isRepartitionRequested(), "not requested if it cannot be repartitioned");
   }
 
   @Test
-  void aDescriptionThatLeavesNoRoomIsRefused() {
+  void specificationWithoutSpaceForTasksDoesNotFit() {
     ObjectNode json = json("batch", 100);
     assertTrue(RecordSize.fits(Specs.of(json), 2048));
     var ids = json.putArray("bidur_eftir");
--- a/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
@@ -27,7 +27,7 @@
   }
 
   private static void finish(Job job, int segment) {
-    job.done().set(segment * SEGMENT_SIZE, (segment + 1) * SEGMENT_SIZE);
+    job.doneTasks().set(segment * SEGMENT_SIZE, (segment + 1) * SEGMENT_SIZE);
   }
 
   private static Job finished(int segments, String... over) {
@@ -42,10 +42,10 @@
     SteadyTime now = new SimClock().now();
     MachineAttributes site = TestMachines.on("n-1", 1);
     AttemptNumber number = new AttemptNumber(1);
-    job.openMap()
+    job.openAttemptsByTask()
         .put(
             index,
-            new Attempt(job, index, number, site.machine(), site.epoch(), site.zone(), true, now));
+            new Attempt(job, index, number, site.id(), site.epoch(), site.zone(), true, now));
   }
 
   /** At most two ranges fit; a segment that extends one of them always does. */
@@ -58,7 +58,7 @@
     "1 3 5, '{1, 3}'",
     "1 3 4 6, '{1, 3, 4}'"
   })
-  void segmentsThatAreOverAreMergedWithinTheLimit(String over, String merged) {
+  void finishedSegmentsAreMergedWithinLimit(String over, String merged) {
     Job job = finished(8, over.split(" ", -1));
     assertEquals(!merged.equals("{}"), merger.merge(job));
     assertEquals(merged, job.record().merged().toString());
@@ -68,14 +68,14 @@
   }
 
   @Test
-  void aSegmentIsMergedOnce() {
+  void segmentIsMergedOnce() {
     Job job = finished(3, "1");
     assertTrue(merger.merge(job));
     assertFalse(merger.merge(job));
   }
 
   @Test
-  void aSegmentWithAnOpenAttemptStays() {
+  void segmentWithOpenAttemptIsNotMerged() {
     Job job = finished(3, "1", "2");
     open(job, SEGMENT_SIZE);
     merger.merge(job);
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void ofACancelledJobOnlySegmentsWithOpenAttemptsStay() {
+  void cancelledJobKeepsOnlySegmentsWithOpenAttempts() {
     Job job = job(4);
     open(job, SEGMENT_SIZE);
     job.cancel();
--- a/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
@@ -21,7 +21,7 @@
   private static final ObjectNode VALUE = Json.object();
 
   @Test
-  void everyChangeIsConditionalOnTheTermAndItsKeysVersion() {
+  void changesAreConditionalOnTermAndKeyRevisions() {
     TransactionDraft draft = new TransactionDraft(TERM, 3);
     draft.put("j/a", VALUE, new Revision(3));
     draft.delete("j/b", new Revision(4));
@@ -38,12 +38,12 @@
   }
 
   @Test
-  void aDraftWithoutChangesIsNoTransaction() {
+  void emptyDraftBuildsNoTransaction() {
     assertEquals(Optional.empty(), new TransactionDraft(TERM, 3).build());
   }
 
   @Test
-  void itIsFullAtItsLimitOfChanges() {
+  void draftIsFullAtMaxChanges() {
     TransactionDraft draft = new TransactionDraft(TERM, 2);
     draft.put("j/a", VALUE, Revision.NONE);
     assertEquals(1, draft.freeChanges());
@@ -61,7 +61,7 @@
     "30000, 20000, false",
     "49000, 1, false"
   })
-  void segmentsLeaveRoomForTheRestOfTheRequest(int before, int bytes, boolean fits) {
+  void totalBytesOfSegmentsAreLimited(int before, int bytes, boolean fits) {
     TransactionDraft draft = new TransactionDraft(TERM, 16);
     if (before >= 0) {
       draft.putSegment("j/a", VALUE, before, Revision.NONE);
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -56,17 +56,17 @@
     }
 
     @Override
-    public boolean valid() {
+    public boolean isValid() {
       return true;
     }
 
     @Override
-    public void raised(Term term, Revision revision) {
+    public void onTermRaised(Term term, Revision revision) {
       throw new AssertionError("verifier must only read");
-      }
-      
-      @Override
-      public void lost(LeadershipLoss loss) {
+    }
+
+    @Override
+    public void onLost(LeadershipLoss loss) {
       throw new AssertionError("verifier must only read");
     }
   }
@@ -105,7 +105,7 @@
     "theirs, ours, a write of ours was overtaken by another term",
     "absent, ours, a write of ours was overtaken by another term"
   })
-  void aValueProvesSomethingUnderOurOwnTermOnly(String term, String value, String expected) {
+  void equalValueIsEvidenceUnderOwnTermOnly(String term, String value, String expected) {
     if (!value.equals("nothing")) {
       put("j/a", Json.object().put("value", value));
     }
@@ -120,7 +120,7 @@
 
   @ParameterizedTest(name = "the removed key is there: {0}")
   @CsvSource({"false, applied", "true, a write of ours was overtaken"})
-  void aTransactionOfRemovalsIsProvenByAnAbsentKey(boolean there, String expected) {
+  void absentKeyProvesTransactionOfDeletions(boolean there, String expected) {
     if (there) {
       put("j/a", OURS);
     }
@@ -134,7 +134,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"2 | | applied", "2 | b | a write of ours was overtaken"})
-  void aRaisedTermIsKnownByItsValue(int number, String process, String expected) {
+  void raisedTermIsRecognizedByItsValue(int number, String process, String expected) {
     Revision before = put("term", Json.object().put("n", 1));
     ObjectNode now = Json.object().put("n", number);
     put("term", process == null ? now : now.put("inc", process));
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aFailedReadIsRepeatedFromTheTermOn() {
+  void failedReadRestartsVerificationFromTerm() {
     put("j/a", OURS);
     Revision term = put("term", Json.object());
     failures = 2;
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void noVerdictIsGivenOnceStopped() {
+  void noVerdictIsDeliveredAfterStop() {
     put("j/a", OURS);
     TransactionVerifier verifier = verifier(put("term", Json.object()));
     verifier.stop();
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -47,13 +47,13 @@
     "cancelled by dependency, production, 0.5, ",
     "cancelled by dependency, production, 5.5, TASK_ENDS"
   })
-  void urgencyFollowsFromTheJob(String state, String priority, double waiting, Urgency expected) {
+  void urgencyDependsOnJobState(String state, String priority, double waiting, Urgency expected) {
     Job job = job("wk-1", priority);
     switch (state) {
       case "cancelled" -> job.cancel();
       case "cancelled by dependency" -> job.cancelByDependency();
-      case "over" -> job.markOver();
-      case "opening" -> job.record().opensAttempts(true);
+      case "over" -> job.markFinished();
+      case "opening" -> job.record().setHasUnsentAttempts(true);
       default -> {}
     }
     queue.add(job);
@@ -64,11 +64,11 @@
   }
 
   @Test
-  void aJobKeepsItsPlaceUntilItIsRemoved() {
+  void jobKeepsPositionUntilRemoved() {
     Job first = job("wk-1", "normal");
     Job second = job("wk-2", "normal");
-    first.record().opensAttempts(true);
-    second.record().opensAttempts(true);
+    first.record().setHasUnsentAttempts(true);
+    second.record().setHasUnsentAttempts(true);
     queue.add(first);
     queue.add(second);
     queue.add(first);
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -48,7 +48,7 @@
       String[] fixture = job.split("[:<]");
       JobId id = new JobId("wk-" + fixture[0]);
       if (fixture[1].equals("done") || fixture[1].equals("cancelled")) {
-        put(Keys.end(id), Json.object().put("s", fixture[1]).put("n", 1));
+        put(Keys.finalRecord(id), Json.object().put("s", fixture[1]).put("n", 1));
       } else {
         put(Keys.job(id), record(id, fixture));
       }
--- a/src/test/java/org/ternhinge/sim/SteadyAuthority.java
+++ b/src/test/java/org/ternhinge/sim/SteadyAuthority.java
@@ -13,15 +13,15 @@
   }
 
   @Override
-  public boolean valid() {
+  public boolean isValid() {
     return true;
   }
 
   @Override
-  public void raised(Term term, Revision revision) {}
+  public void onTermRaised(Term term, Revision revision) {}
 
   @Override
-  public void lost(LeadershipLoss loss) {
+  public void onLost(LeadershipLoss loss) {
     throw new AssertionError(loss);
   }
 }
