--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -70,10 +70,7 @@
     return dependencies;
   }
 
-  /**
-   * Returns an unfinished job, or null. Called for each task of each heartbeat, so it does not
-   * allocate an {@code Optional}.
-   */
+  /** An unfinished job, or null to avoid an allocation for each task of each heartbeat. */
   public Job job(JobId id) {
     return jobs.get(id);
   }
@@ -159,9 +156,7 @@
     }
   }
 
-  /**
-   * Cancels a job whose dependency is durably cancelled; this counts before its record is written.
-   */
+  /** Cancels a job whose dependency is durably cancelled, before its own record is written. */
   void cancelByDependency(Job job) {
     job.cancelByDependency();
     afterCancellation(job);
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -336,10 +336,7 @@
     assertEquals(List.of("j/wk-3", "j/wk-2", "j/wk-1"), keys);
   }
 
-  /**
-   * The dependency is cancelled after the final record of its cancelled dependent was written;
-   * nothing more may be written for the dependent.
-   */
+  /** Nothing more is written for a dependent whose final record was already written. */
   @Test
   void endedJobIsNotCancelledByItsDependency() {
     core.compareAndSwap(
