--- a/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
+++ b/src/main/java/org/ternhinge/attempt/AbsentAttemptReconciler.java
@@ -70,7 +70,8 @@
   private List<Attempt> absentAttempts(Machine machine, Heartbeat status) {
     List<Attempt> absent = List.of();
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
-      if (attempt.shownIn() != machine.tasksRevision() && attempt.epoch().equals(status.epoch())) {
+      if (attempt.lastReportedRevision() != machine.tasksRevision()
+          && attempt.epoch().equals(status.epoch())) {
         // Allocated on demand: this runs for every heartbeat, and most report all attempts.
         absent = absent.isEmpty() ? new ArrayList<>() : absent;
         absent.add(attempt);
@@ -80,19 +81,19 @@
   }
 
   private boolean isAbsentAfterFailover(Attempt attempt, Heartbeat status) {
-    return attempt.durable()
-        && attempt.recovered()
+    return attempt.isDurable()
+        && attempt.isRecovered()
         && status.fencingToken().compareTo(authority.term()) >= 0;
   }
 
   private static boolean isNoLongerReported(Attempt attempt) {
-    return !attempt.recovered() && attempt.isReported();
+    return !attempt.isRecovered() && attempt.isReported();
   }
 
   private static boolean isStoppedBeforeStart(
       Machine machine, Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverReported(attempt)
-        && attempt.stopping()
+        && attempt.isStopRequested()
         && (!wasStartInHeartbeatResponse(attempt)
             || isHeartbeatResponseSettled(attempt, status, origin))
         && !machine.outstandingStarts().mayArrive(attempt.task(), attempt.number());
@@ -101,22 +102,23 @@
   private static boolean hasMissedResponse(
       Attempt attempt, Heartbeat status, MessageOrigin origin) {
     return isNeverReported(attempt)
-        && !attempt.stopping()
+        && !attempt.isStopRequested()
         && wasStartInHeartbeatResponse(attempt)
         && isHeartbeatResponseSettled(attempt, status, origin);
   }
 
   private static boolean isNeverReported(Attempt attempt) {
-    return !attempt.recovered() && attempt.state() == AttemptState.STARTING;
+    return !attempt.isRecovered() && attempt.state() == AttemptState.STARTING;
   }
 
   private static boolean wasStartInHeartbeatResponse(Attempt attempt) {
-    return attempt.startAnswered() >= 0;
+    return attempt.startHeartbeatSequence() >= 0;
   }
 
   /** Whether this heartbeat is later than the one whose response contained the start. */
   private static boolean isHeartbeatResponseSettled(
       Attempt attempt, Heartbeat status, MessageOrigin origin) {
-    return origin == MessageOrigin.HEARTBEAT && status.sequence() > attempt.startAnswered();
+    return origin == MessageOrigin.HEARTBEAT
+        && status.sequence() > attempt.startHeartbeatSequence();
   }
 }
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -70,7 +70,7 @@
   }
 
   private void send(Machine machine, Endpoint endpoint, AgentEpoch epoch, int attemptsLeft) {
-    if (authority.valid()) {
+    if (authority.isValid()) {
       dispatcher.announceTerm(
           endpoint, epoch, outcome -> handleResponse(machine, endpoint, outcome, attemptsLeft));
     }
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -60,7 +60,7 @@
       JobId id = unresolved.get();
       runningReads++;
       executor.whenAnswered(
-          store.get(Keys.end(id), RequestPriority.ENDING),
+          store.get(Keys.finalRecord(id), RequestPriority.ENDING),
           outcome -> handleReadResult(id, outcome));
     }
   }
@@ -72,7 +72,7 @@
             : Optional.empty();
     if (end.isPresent()) {
       runningReads--;
-      ledger.resolveEnd(RecordCodec.decodeEnd(id, end.get().value()));
+      ledger.resolveEnd(RecordCodec.decodeFinalRecord(id, end.get().value()));
       onResolved.run();
       resolvePending();
     } else {
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -120,7 +120,7 @@
     scaling.inventory.start();
     fleet.machineTypes.refresh();
     dependencyResolver.resolvePending();
-    writer.pump();
+    writer.sendNext();
     periodicChecks.start();
   }
 
@@ -162,7 +162,7 @@
   /** Called when the final state of a dependency has been read. */
   private void dependencyResolved() {
     requestRoundForReadyJobs();
-    writer.pump();
+    writer.sendNext();
   }
 
   private void requestRoundForReadyJobs() {
@@ -200,7 +200,7 @@
    */
   public Optional<JobState> findState(JobId id) {
     Job job = ledger.job(id);
-    return job == null ? ledger.findEnd(id) : ledger.findState(job);
+    return job == null ? ledger.findFinalState(id) : ledger.findState(job);
   }
 
   /**
--- a/src/main/java/org/ternhinge/ledger/Job.java
+++ b/src/main/java/org/ternhinge/ledger/Job.java
@@ -12,9 +12,9 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * An unfinished job with its done tasks and its open attempts. Its phase follows the table of
- * {@link JobPhase}; how its record is written is the concern of {@link JobRecordState}. Only the
- * {@link Ledger} and its helpers in this package change it; the controller's lock guards it.
+ * An unfinished job with its done tasks and open attempts. Its phase changes as {@link JobPhase}
+ * permits; {@link JobRecordState} tracks which parts of its record must be written. Modified only
+ * by the {@link Ledger} and its helpers in this package; guarded by the controller's lock.
  */
 public final class Job {
   private final JobSpec spec;
@@ -39,12 +39,12 @@
     this.readyMillis = acceptedMillis;
   }
 
-  /** The job as it was submitted. */
+  /** The job specification as submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** When the submission was accepted, in milliseconds of wall time. */
+  /** Wall-clock time in milliseconds at which the submission was accepted. */
   public long acceptedMillis() {
     return acceptedMillis;
   }
@@ -54,66 +54,66 @@
     return record;
   }
 
-  /** Whether the key-value store holds what is known of a task. */
-  public boolean recorded(int index) {
+  /** Whether the current state of a task is durable in the key-value store. */
+  public boolean isRecorded(int index) {
     return record.isWritten(index);
   }
 
   // ---- phase ----------------------------------------------------------------------------------
 
   /** Whether the job is cancelled. */
-  public boolean cancelled() {
+  public boolean isCancelled() {
     return phase.isCancelled();
   }
 
-  /** Whether the key-value store holds the cancellation, so that users may see it. */
-  public boolean cancelDurable() {
-    return phase.isCancelDurable();
+  /** Whether the cancellation is durable in the key-value store, so that users may see it. */
+  public boolean isCancellationDurable() {
+    return phase.isCancellationDurable();
   }
 
-  /** Whether nothing more is to be done for the job. */
-  public boolean over() {
+  /** Whether the job has no open attempts and needs no more starts. */
+  public boolean isFinished() {
     return phase.isFinished();
   }
 
-  /** Whether the key-value store holds the final record. */
-  public boolean finalDurable() {
+  /** Whether the final record is durable in the key-value store. */
+  public boolean isFinalRecordDurable() {
     return phase.isEnded();
   }
 
-  /** Whether the job is cancelled because one that it depends on is, whatever its record says. */
-  public boolean cancelledByDependency() {
+  /** Whether the job is cancelled because of a cancelled dependency, whatever its record says. */
+  public boolean isCancelledByDependency() {
     return cancelledByDependency;
   }
 
-  /** A user cancels the job. */
+  /** Cancels the job at a user's request. */
   void cancel() {
     transition(JobPhase.CANCELLING);
   }
 
-  /** The key-value store holds the cancellation; has no effect where that is known already. */
-  void markCancelDurable() {
-    if (!phase.isCancelDurable()) {
+  /** Marks the cancellation as durable in the key-value store; idempotent. */
+  void markCancellationDurable() {
+    if (!phase.isCancellationDurable()) {
       transition(phase.withDurableCancellation());
     }
   }
 
-  /** A job that this one depends on is durably cancelled, and so is this one. */
+  /** Marks the job as durably cancelled because a dependency is. */
   void cancelByDependency() {
-    markCancelDurable();
+    markCancellationDurable();
     cancelledByDependency = true;
     unmetDependencies.clear();
   }
 
-  /** Nothing more is to be done for the job; has no effect where that is known already. */
-  void markOver() {
+  /** Marks the job as finished; idempotent. */
+  void markFinished() {
     if (!phase.isFinished()) {
       transition(phase.finished());
     }
   }
 
-  /** The key-value store holds the final record. */
-  void markFinalDurable() {
+  /** Marks the final record as durable in the key-value store. */
+  void markFinalRecordDurable() {
     transition(phase.ended());
   }
 
@@ -124,10 +124,10 @@
     phase = next;
   }
 
-  /** The state that the job's user may see. */
+  /** The state that is visible to users. */
   public JobState state() {
     JobId id = spec.id();
-    if (cancelDurable()) {
+    if (isCancellationDurable()) {
       return new JobState(id, JobState.Phase.CANCELLED, doneCount(), 0);
     }
     int running = runningCount();
@@ -137,13 +137,13 @@
 
   // ---- dependencies and priority --------------------------------------------------------------
 
-  /** The job as the planner is to see it, with the highest priority of those that depend on it. */
-  public JobSpec planned() {
+  /** The specification for the planner, with the highest priority among the job's dependents. */
+  public JobSpec plannedSpec() {
     return planned;
   }
 
-  /** Raises the planned priority; false if it is as high already. */
-  boolean inherit(Priority priority) {
+  /** Raises the planned priority; returns false if it is already as high. */
+  boolean raisePriority(Priority priority) {
     if (priority.compareTo(planned.priority()) >= 0) {
       return false;
     }
@@ -151,29 +151,29 @@
     return true;
   }
 
-  /** Jobs that this one depends on and that are not known to be durably done. */
+  /** Dependencies that are not known to be durably done. */
   Set<JobId> unmetDependencies() {
     return unmetDependencies;
   }
 
-  /** Whether a dependency is not known to be durably done: no task may start. */
+  /** Whether a dependency is not known to be durably done, so that no task may start. */
   public boolean hasUnmetDependencies() {
     return !unmetDependencies.isEmpty();
   }
 
-  /** Wall time in milliseconds from which the job's delays count, except for its deadline. */
+  /** Wall-clock time in milliseconds from which the job's delays count, except for its deadline. */
   public long readyMillis() {
     return readyMillis;
   }
 
-  void readyMillis(long at) {
+  void setReadyMillis(long at) {
     readyMillis = at;
   }
 
   // ---- tasks and attempts ---------------------------------------------------------------------
 
-  /** Whether an attempt was ever opened; then all dependencies were done. */
-  boolean started() {
+  /** Whether an attempt was ever opened, which implies that all dependencies were done. */
+  boolean hasStarted() {
     return highest.value() > 0 || !done.isEmpty() || !open.isEmpty();
   }
 
@@ -187,12 +187,12 @@
     return done.cardinality();
   }
 
-  BitSet done() {
+  BitSet doneTasks() {
     return done;
   }
 
   /** The open attempt of a task, or null. */
-  public Attempt open(int index) {
+  public Attempt openAttempt(int index) {
     return open.get(index);
   }
 
@@ -201,7 +201,7 @@
     return open.values();
   }
 
-  Int2ObjectOpenHashMap<Attempt> openMap() {
+  Int2ObjectOpenHashMap<Attempt> openAttemptsByTask() {
     return open;
   }
 
@@ -214,7 +214,7 @@
     return spec.tasks() - done - open.size();
   }
 
-  /** The first task from a number on that is not done and has no open attempt, or -1. */
+  /** The first task at or after an index that is not done and has no open attempt, or -1. */
   public int nextWaiting(int from) {
     for (int i = done.nextClearBit(from); i < spec.tasks(); i = done.nextClearBit(i + 1)) {
       if (!open.containsKey(i)) {
@@ -224,7 +224,7 @@
     return -1;
   }
 
-  /** How many tasks run or write a checkpoint by their workers' latest status. */
+  /** Number of tasks that run or write a checkpoint, from their workers' latest status. */
   public int runningCount() {
     int count = 0;
     for (Attempt attempt : open.values()) {
@@ -236,10 +236,10 @@
     return count;
   }
 
-  /** Whether nothing more is to be done for the tasks of a segment. */
-  boolean isSegmentOver(int segment) {
+  /** Whether a segment's tasks have no open attempts and need no more starts. */
+  boolean isSegmentFinished(int segment) {
     int firstTask = record.firstTask(segment);
-    if (!cancelled() && done.nextClearBit(firstTask) < record.endOfTasks(segment)) {
+    if (!isCancelled() && done.nextClearBit(firstTask) < record.endTask(segment)) {
       return false;
     }
     for (Attempt attempt : open.values()) {
@@ -250,21 +250,21 @@
     return true;
   }
 
-  /** The highest attempt number so far. */
-  public AttemptNumber highest() {
+  /** The highest attempt number used so far. */
+  public AttemptNumber highestAttempt() {
     return highest;
   }
 
-  void highest(AttemptNumber number) {
+  void setHighestAttempt(AttemptNumber number) {
     highest = number;
   }
 
-  /** How often the back-off has grown since a task was last done; 0 without recent failures. */
+  /** Number of back-off increases since a task last completed; 0 without recent failures. */
   public int backoffLevel() {
     return backoffLevel;
   }
 
-  void backoffLevel(int level) {
+  void setBackoffLevel(int level) {
     backoffLevel = level;
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -61,9 +61,9 @@
     if (state.isReported()) {
       attempt.observe(state, fixture.now());
     }
-    attempt.startAnswered(startAnswered);
+    attempt.setStartHeartbeatSequence(startAnswered);
     if (stopping) {
-      attempt.stop(0, fixture.now());
+      attempt.requestStop(0, fixture.now());
     }
     if (!startOutstanding) {
       machine.outstandingStarts().settle(attempt.task(), attempt.number());
@@ -72,7 +72,7 @@
         reconciler.reconcile(
             machine, fixture.heartbeat(machine).sequence(sequence).build(), origin);
     assertEquals(expectedFinding, finding);
-    assertEquals(closed ? null : attempt, job.open(0));
+    assertEquals(closed ? null : attempt, job.openAttempt(0));
   }
 
   /** The start of such an attempt has yet to be sent, so no report proves that it has ended. */
@@ -80,9 +80,9 @@
   void attemptWithoutDurableRecordStaysOpen() {
     fixture.store.pauseWrites();
     Attempt attempt = fixture.openAttempt(job, 0, machine);
-    attempt.stop(0, fixture.now());
+    attempt.requestStop(0, fixture.now());
     reconciler.reconcile(machine, fixture.heartbeat(machine).build(), MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   @Test
@@ -91,19 +91,19 @@
     attempt.observe(AttemptState.RUNNING, fixture.now());
     reconciler.reconcile(
         machine, fixture.heartbeat(machine).epoch(2).build(), MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   @Test
   void reportedAttemptStaysOpen() {
     Attempt attempt = fixture.openAttempt(job, 0, machine);
     attempt.observe(AttemptState.RUNNING, fixture.now());
-    attempt.shownIn(machine.tasksRevision());
+    attempt.setLastReportedRevision(machine.tasksRevision());
     reconciler.reconcile(
         machine,
         fixture.heartbeat(machine).withTask(attempt, TaskState.RUNNING).build(),
         MessageOrigin.HEARTBEAT);
-    assertEquals(attempt, job.open(0));
+    assertEquals(attempt, job.openAttempt(0));
   }
 
   /** Only a worker that has seen this term rejects start commands of an earlier leader. */
@@ -125,6 +125,6 @@
             sameMachine,
             next.heartbeat(sameMachine).fencingToken(token).build(),
             MessageOrigin.HEARTBEAT);
-    assertEquals(closed ? null : open.get(0), recovered.open(0));
+    assertEquals(closed ? null : open.get(0), recovered.openAttempt(0));
   }
 }
--- a/src/test/java/org/ternhinge/attempt/JobCancellerTest.java
+++ b/src/test/java/org/ternhinge/attempt/JobCancellerTest.java
@@ -61,8 +61,8 @@
     machine.outbox().markCompleted();
     fixture.sentCommands.clear();
     jobCanceller.cancel(job, state -> {});
-    assertTrue(attempt.stopping());
-    assertEquals(open, job.open(0) == attempt);
+    assertTrue(attempt.isStopRequested());
+    assertEquals(open, job.openAttempt(0) == attempt);
     long sentStops = fixture.sentCommands.stream().filter(c -> c.op() == Command.Op.STOP).count();
     assertEquals(stops, sentStops);
   }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -149,13 +149,13 @@
       Attempt attempt = fixture.openAttempt(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(5).withTask(attempt, TaskState.RUNNING).build());
       SteadyTime received = fixture.now();
-      attempt.stop(0, received);
+      attempt.requestStop(0, received);
       fixture.clock.runFor(1);
       Heartbeat outdated = fixture.heartbeat(machine).sequence(4).build();
       assertEquals(
           List.of(new Command(Command.Op.STOP, attempt.task(), attempt.number(), 0)),
           commands(outdated));
-      assertEquals(attempt, job.open(0));
+      assertEquals(attempt, job.openAttempt(0));
       assertEquals(received, machine.agent().lastMessageAt());
       assertEquals(received.plusSeconds(LEASE_S), machine.agent().leaseExpiry());
     }
@@ -169,7 +169,7 @@
       Attempt attempt = fixture.openAttempt(job, 0, machine);
       assertTrue(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
       process(fixture.heartbeat(machine).epoch(2).build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertEquals(new AgentEpoch(2), machine.agent().epoch());
       assertFalse(machine.outstandingStarts().mayArrive(attempt.task(), attempt.number()));
     }
@@ -227,7 +227,7 @@
     void taskWithoutCheckpointsKeepsRunning() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
       sendNotice(attempt, 1, 30);
-      assertFalse(attempt.stopping());
+      assertFalse(attempt.isStopRequested());
     }
 
     @Test
@@ -252,7 +252,7 @@
               .heartbeat(machine)
               .withEndedTask(attempt.task(), attempt.number(), EndReason.DONE)
               .build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertTrue(job.isDone(0));
     }
 
@@ -260,9 +260,9 @@
     void attemptNoLongerReportedIsClosed() {
       Attempt attempt = fixture.openAttempt(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(1).withTask(attempt, TaskState.RUNNING).build());
-      assertEquals(attempt, job.open(0));
+      assertEquals(attempt, job.openAttempt(0));
       process(fixture.heartbeat(machine).sequence(2).build());
-      assertNull(job.open(0));
+      assertNull(job.openAttempt(0));
       assertFalse(job.isDone(0));
     }
   }
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -191,8 +191,8 @@
             false,
             Resources.offer(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, attributes)), task -> false, clock.now());
-    writer.pump();
-    return job.open(index);
+    writer.sendNext();
+    return job.openAttempt(index);
   }
 
   /** Returns a builder for a heartbeat of a machine. */
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
-/** The life of an attempt: every pair of states, and what follows from them. */
+/** Lifecycle of an attempt: all pairs of states, and the properties derived from the state. */
 class AttemptStateTest {
   private final SimClock clock = new SimClock();
 
@@ -25,17 +25,10 @@
     Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 1)), 1, 8);
     MachineAttributes site = TestMachines.on("n-1", 1);
     return new Attempt(
-        job,
-        0,
-        new AttemptNumber(1),
-        site.machine(),
-        site.epoch(),
-        site.zone(),
-        recovered,
-        clock.now());
+        job, 0, new AttemptNumber(1), site.id(), site.epoch(), site.zone(), recovered, clock.now());
   }
 
-  /** An attempt that was brought into a state by what happens to it. */
+  /** Creates an attempt and brings it into a state by regular transitions. */
   private Attempt inState(AttemptState state) {
     Attempt attempt = attempt(false);
     if (state != AttemptState.PROPOSED) {
@@ -53,7 +46,7 @@
 
   /** The table of permitted transitions. */
   @Nested
-  class Table {
+  class TransitionTable {
     /** One row for each state; {@code x} is a permitted transition, in the order of the enum. */
     @ParameterizedTest(name = "from {0}: {1}")
     @CsvSource({
@@ -65,7 +58,7 @@
       "CHECKPOINTING, . . x x x x x",
       "CLOSED,        . . . . . . ."
     })
-    void permitsExactlyThese(AttemptState from, String row) {
+    void permitsExactlyListedTransitions(AttemptState from, String row) {
       List<String> marks = List.of(row.split(" ", -1));
       AttemptState[] all = AttemptState.values();
       assertEquals(all.length, marks.size());
@@ -74,10 +67,10 @@
       }
     }
 
-    /** PROPOSED is the first state of all and can't be asked for. */
+    /** PROPOSED is the initial state and cannot be requested. */
     @ParameterizedTest(name = "from {0}")
     @EnumSource
-    void anAttemptFollowsIt(AttemptState from) {
+    void attemptFollowsTable(AttemptState from) {
       for (AttemptState to : AttemptState.values()) {
         if (to == AttemptState.PROPOSED) {
           assertFalse(from.permits(to));
@@ -90,18 +83,18 @@
           enter(attempt, to);
           assertEquals(to, attempt.state());
         } else {
-          assertViolation(from, to);
+          assertIllegalTransition(from, to);
         }
       }
     }
 
-    private void assertViolation(AttemptState from, AttemptState to) {
+    private void assertIllegalTransition(AttemptState from, AttemptState to) {
       Attempt attempt = inState(from);
-      IllegalTransitionException violation =
+      IllegalTransitionException exception =
           assertThrows(IllegalTransitionException.class, () -> enter(attempt, to));
-      assertEquals(from, violation.from());
-      assertEquals(to, violation.to());
-      assertTrue(violation.getMessage().contains(from + " to " + to), violation.getMessage());
+      assertEquals(from, exception.from());
+      assertEquals(to, exception.to());
+      assertTrue(exception.getMessage().contains(from + " to " + to), exception.getMessage());
       assertEquals(from, attempt.state(), "kept");
     }
 
@@ -114,9 +107,9 @@
     }
   }
 
-  /** What follows from the state. */
+  /** Properties derived from the state. */
   @Nested
-  class DerivedAnswers {
+  class DerivedProperties {
     @ParameterizedTest(name = "{0}: durable {1}, reported {2}")
     @CsvSource({
       "PROPOSED, false, false",
@@ -127,19 +120,19 @@
       "CHECKPOINTING, true, true",
       "CLOSED, true, false"
     })
-    void followFromTheState(AttemptState state, boolean durable, boolean reported) {
-      assertEquals(durable, inState(state).durable());
+    void propertiesFollowFromState(AttemptState state, boolean durable, boolean reported) {
+      assertEquals(durable, inState(state).isDurable());
       assertEquals(reported, inState(state).isReported());
     }
 
     @Test
-    void aRecoveredAttemptIsDurableFromTheStart() {
+    void recoveredAttemptIsInitiallyDurable() {
       assertEquals(AttemptState.STARTING, attempt(true).state());
-      assertTrue(attempt(true).durable());
+      assertTrue(attempt(true).isDurable());
     }
 
     @Test
-    void aStatusMustBeOneThatAWorkerShows() {
+    void observedStateMustBeReportable() {
       Attempt attempt = inState(AttemptState.RUNNING);
       assertThrows(
           IllegalTransitionException.class,
@@ -151,7 +144,7 @@
     }
 
     @Test
-    void theRunningTimeBeginsWithTheFirstOfRepeatedStatuses() {
+    void runningSinceIsTimeOfFirstRunningStatus() {
       Attempt attempt = inState(AttemptState.FETCHING);
       SteadyTime first = clock.now();
       attempt.observe(AttemptState.RUNNING, first);
@@ -162,23 +155,23 @@
 
   /** Requests to stop. */
   @Nested
-  class Stops {
+  class StopRequests {
     @Test
-    void anAttemptHasNoStopRequestAtFirst() {
+    void newAttemptHasNoStopRequest() {
       Attempt attempt = attempt(false);
-      assertFalse(attempt.stopping());
+      assertFalse(attempt.isStopRequested());
       assertEquals(Optional.empty(), attempt.stopRequest());
       assertEquals(0, attempt.stopGraceS());
     }
 
     @ParameterizedTest(name = "{0} s, then {1} s: the request for {2} s made at {3} s")
     @CsvSource({"5, 3, 3, 1", "5, 5, 5, 0", "3, 5, 3, 0", "0, 0, 0, 0"})
-    void aLaterRequestCountsOnlyIfItsGraceIsShorter(
+    void laterRequestCountsOnlyWithShorterGracePeriod(
         double firstS, double secondS, double expectedS, double expectedAtS) {
       Attempt attempt = attempt(false);
       SteadyTime start = clock.now();
-      attempt.stop(firstS, start);
-      attempt.stop(secondS, start.plusSeconds(1));
+      attempt.requestStop(firstS, start);
+      attempt.requestStop(secondS, start.plusSeconds(1));
       StopRequest expected = new StopRequest(expectedS, start.plusSeconds(expectedAtS));
       assertEquals(Optional.of(expected), attempt.stopRequest());
       assertEquals(expectedS, attempt.stopGraceS());
@@ -186,10 +179,10 @@
 
     @ParameterizedTest(name = "in {0}")
     @EnumSource
-    void areIndependentOfTheState(AttemptState state) {
+    void stopRequestIsIndependentOfState(AttemptState state) {
       Attempt attempt = inState(state);
-      attempt.stop(2, clock.now());
-      assertTrue(attempt.stopping());
+      attempt.requestStop(2, clock.now());
+      assertTrue(attempt.isStopRequested());
       assertEquals(state, attempt.state());
     }
   }
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -11,24 +11,24 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.WireException;
 
-/** The level of a failing job's back-off, which the next leader reads from the job's record. */
+/** The back-off level of a failing job, which the next leader reads from the job's record. */
 class BackoffLevelRecordTest {
   private static final int VALUE_BYTES = 8 * 1024;
 
-  /** A job that does not fail is written as the version in production writes it. */
+  /** Level 0 is not stored, so the record is the same as that of the version in production. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 6, 1000})
-  void theLevelIsReadBack(int level) throws WireException {
+  void backoffLevelIsReadBack(int level) throws WireException {
     ObjectNode record =
         RecordCodec.encodeNew(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
     assertFalse(record.has("e"));
     Job job = RecordCodec.decodeFirst(record, Revision.NONE, new SteadyTime(0));
-    job.backoffLevel(level);
+    job.setBackoffLevel(level);
     ObjectNode written = RecordCodec.encode(job, 0);
     assertEquals(level > 0, written.has("e"));
     Job read = RecordCodec.decodeFirst(written, Revision.NONE, new SteadyTime(0));
     assertEquals(level, read.backoffLevel());
     written.remove("e");
-    assertEquals(record, written, "what a version that does not know it keeps");
+    assertEquals(record, written, "record rewritten by a version without the field");
   }
 }
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -28,33 +28,33 @@
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
 
-/** What a job's state is follows from durable facts about those before it. */
+/** The state of a dependent job is derived from the durable state of its dependencies. */
 class DependencyGraphTest {
-  private static final int VALUE = 8 * 1024;
+  private static final int VALUE_BYTES = 8 * 1024;
 
   private final SimClock clock = new SimClock();
   private final Ledger ledger =
-      new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), VALUE, clock);
+      new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), VALUE_BYTES, clock);
   private final Map<String, Job> jobs = new HashMap<>();
 
   private static JobId id(String name) {
     return new JobId("wk-" + name);
   }
 
-  private Job accept(String name, String priority, String... before) {
+  private Job accept(String name, String priority, String... dependencies) {
     ObjectNode json = Specs.json("wk-" + name, "batch", 2).put("forgang", priority);
     ArrayNode ids = json.putArray("bidur_eftir");
-    for (String b : before) {
-      ids.add("wk-" + b);
+    for (String dependency : dependencies) {
+      ids.add("wk-" + dependency);
     }
     JobSpec spec = Specs.of(json);
-    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE));
+    Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE_BYTES));
     jobs.put(name, job);
     ledger.add(job);
     return job;
   }
 
-  /** {@code 2<1} reads: 2 depends on 1; {@code 4<2.3} on both. */
+  /** {@code 2<1} means that 2 depends on 1, {@code 4<2.3} that 4 depends on 2 and 3. */
   private void acceptAll(String graph) {
     for (String item : graph.split(" ", -1)) {
       String[] parts = item.split("<", -1);
@@ -72,10 +72,10 @@
     jobs.keySet().stream()
         .sorted()
         .forEach(
-            n -> {
+            name -> {
               String state =
-                  ledger.findState(jobs.get(n)).map(s -> s.phase().word()).orElse("unsure");
-              out.add(n + ":" + state);
+                  ledger.findState(jobs.get(name)).map(s -> s.phase().word()).orElse("unknown");
+              out.add(name + ":" + state);
             });
     return String.join(" ", out);
   }
@@ -91,29 +91,29 @@
 
   @ParameterizedTest(name = "{0}: {1}")
   @CsvSource({
-    "1 2<1 3<2, asked 1, 1:unsure 2:unsure 3:unsure",
+    "1 2<1 3<2, requested 1, 1:unknown 2:unknown 3:unknown",
     "1 2<1 3<2, durable 1, 1:cancelled 2:cancelled 3:cancelled",
     "1 2<1 3<2, durable 2, 1:queued 2:cancelled 3:cancelled",
     "1 2<1 3<1 4<2.3, durable 3, 1:queued 2:queued 3:cancelled 4:cancelled",
-    "1 2<1 3<1 4<2.3, asked 3, 1:queued 2:queued 3:unsure 4:unsure",
-    "1 2<1 3<2, over 1, 2:cancelled 3:cancelled",
+    "1 2<1 3<1 4<2.3, requested 3, 1:queued 2:queued 3:unknown 4:unknown",
+    "1 2<1 3<2, ended 1, 2:cancelled 3:cancelled",
     "1 2<1 3<2, done 1, 2:queued 3:queued",
     "2<1 3<2, read cancelled 1, 2:cancelled 3:cancelled",
     "2<1 3<2, read done 1, 2:queued 3:queued",
-    "2<1 3<2, nothing 1, 2:unsure 3:unsure",
+    "2<1 3<2, nothing 1, 2:unknown 3:unknown",
     "1 2<1.9 3<2, durable 1, 1:cancelled 2:cancelled 3:cancelled"
   })
-  void aStateIsDerived(String graph, String event, String expected) {
+  void stateIsDerivedFromDependencies(String graph, String event, String expected) {
     acceptAll(graph);
     String[] words = event.split(" ", -1);
     String name = words[words.length - 1];
     switch (words[0]) {
-      case "asked" -> ledger.cancel(open(name));
+      case "requested" -> ledger.cancel(open(name));
       case "durable" -> {
         ledger.cancel(open(name));
-        ledger.markCancelDurable(jobs.get(name));
+        ledger.markCancellationDurable(jobs.get(name));
       }
-      case "over" -> end(name, Phase.CANCELLED);
+      case "ended" -> end(name, Phase.CANCELLED);
       case "done" -> end(name, Phase.DONE);
       case "read" -> {
         Phase phase = words[1].equals("done") ? Phase.DONE : Phase.CANCELLED;
@@ -124,78 +124,81 @@
     assertEquals(expected, states());
   }
 
-  /** A job with a task that has yet to go, so that it is not over when cancelled. */
+  /** Opens an attempt of a job, so that the job is not finished when it is cancelled. */
   private Job open(String name) {
     Job job = jobs.get(name);
     if (!job.hasUnmetDependencies()) {
-      AttemptNumber number = job.highest().next();
-      job.highest(number);
+      AttemptNumber number = job.highestAttempt().next();
+      job.setHighestAttempt(number);
       MachineId machine = new MachineId("n-7");
-      job.openMap()
+      job.openAttemptsByTask()
           .put(0, new Attempt(job, 0, number, machine, new AgentEpoch(1), 0, true, clock.now()));
     }
     return job;
   }
 
   @Test
-  void aStartWaitsForTheDurableEndOfAllBefore() {
+  void startRequiresDurableEndOfAllDependencies() {
     acceptAll("1 2 3<1.2");
     Job last = jobs.get("3");
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(last));
     end("1", Phase.DONE);
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(last));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(last));
     assertFalse(ledger.dependencies().drainReady());
     end("2", Phase.DONE);
     assertTrue(ledger.dependencies().drainReady());
     assertNull(refusal(last));
   }
 
-  /** What ended long ago is asked for once however many wait for it, and asked again if unknown. */
+  /**
+   * The final state of a dependency that is not cached is requested once, no matter how many jobs
+   * depend on it, and again if it could not be read.
+   */
   @Test
-  void endsThatAreNotRememberedAreReadOnce() {
+  void uncachedFinalStateIsRequestedOnce() {
     acceptAll("2<1 3<1 4<1");
     assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals(AdmissionRefusal.WAITS_FOR_JOBS, refusal(jobs.get("3")));
+    assertEquals(AdmissionRefusal.UNMET_DEPENDENCIES, refusal(jobs.get("3")));
     ledger.dependencies().retryUnresolved(id("1"));
     assertEquals(Optional.of(id("1")), ledger.dependencies().pollUnresolved());
     ledger.resolveEnd(new JobState(id("1"), Phase.DONE, 2, 0));
     assertNull(refusal(jobs.get("3")));
     accept("5", "normal", "1");
-    assertNull(refusal(jobs.get("5")), "remembered");
+    assertNull(refusal(jobs.get("5")), "final state is cached");
   }
 
-  /** A watch may bring a job after one that waits for it, and a load brings them by name. */
+  /** A watch may deliver a job after its dependent, and a load delivers jobs in order of names. */
   @Test
-  void theOrderInWhichJobsComeDoesNotMatter() {
+  void resultDoesNotDependOnOrderOfAddition() {
     accept("2", "high", "1");
     accept("1", "low");
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals("high", jobs.get("1").planned().priority().word());
-    assertEquals("low", jobs.get("1").spec().priority().word(), "its record stays");
+    assertEquals("high", jobs.get("1").plannedSpec().priority().word());
+    assertEquals("low", jobs.get("1").spec().priority().word(), "specification is unchanged");
     end("1", Phase.DONE);
     assertNull(refusal(jobs.get("2")));
   }
 
   @Test
-  void priorityIsInheritedThroughOthersAndNeverLowered() {
+  void priorityIsInheritedTransitivelyAndNeverLowered() {
     accept("1", "low");
     accept("2", "normal", "1");
     accept("3", "low", "2");
-    assertEquals("normal", jobs.get("1").planned().priority().word());
-    assertEquals("normal", jobs.get("2").planned().priority().word());
+    assertEquals("normal", jobs.get("1").plannedSpec().priority().word());
+    assertEquals("normal", jobs.get("2").plannedSpec().priority().word());
     accept("4", "high", "3");
     for (String name : List.of("1", "2", "3")) {
-      assertEquals("high", jobs.get(name).planned().priority().word());
+      assertEquals("high", jobs.get(name).plannedSpec().priority().word());
     }
   }
 
-  /** It was started by an earlier leader, so all before it was done; nothing is read or asked. */
+  /** An earlier leader started the job, so all dependencies were done and none is looked up. */
   @Test
-  void whatHasBegunNeedsNoProof() throws Exception {
+  void startedJobHasNoUnmetDependencies() throws Exception {
     ObjectNode json = Specs.json("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE);
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE_BYTES);
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
     assertEquals(List.of(), RecordCodec.unstartedDependencies(record));
@@ -205,13 +208,13 @@
   }
 
   @Test
-  void thousandsAfterOneAreCancelledAtOnce() {
+  void thousandsOfDependentsAreCancelledImmediately() {
     accept("0", "normal");
     for (int i = 1; i <= 3000; i++) {
       accept(String.valueOf(i), "normal", String.valueOf(i % 3 == 0 ? i - 1 : 0));
     }
     ledger.cancel(open("0"));
-    ledger.markCancelDurable(jobs.get("0"));
+    ledger.markCancellationDurable(jobs.get("0"));
     jobs.values()
         .forEach(j -> assertEquals(Phase.CANCELLED, ledger.findState(j).orElseThrow().phase()));
   }
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -14,34 +14,34 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.sim.Specs;
 
-/** The life of a job: every pair of phases, and what follows from them. */
+/** Lifecycle of a job: all pairs of phases, and the properties derived from the phase. */
 class JobPhaseTest {
   private static final Map<String, Consumer<Job>> EVENTS =
       Map.of(
           "cancel", Job::cancel,
-          "cancel durable", Job::markCancelDurable,
+          "cancel durable", Job::markCancellationDurable,
           "dependency cancelled", Job::cancelByDependency,
-          "over", Job::markOver,
-          "final durable", Job::markFinalDurable);
+          "over", Job::markFinished,
+          "final durable", Job::markFinalRecordDurable);
 
   private static Job job() {
     return new Job(Specs.of(Specs.json("wk-1", "batch", 2)), 1, 8);
   }
 
-  /** A job that was brought into a phase by what happens to it. */
+  /** Creates a job and brings it into a phase by regular transitions. */
   private static Job inPhase(JobPhase phase) {
     Job job = job();
     if (phase.isCancelled()) {
       job.cancel();
     }
-    if (phase.isCancelDurable()) {
-      job.markCancelDurable();
+    if (phase.isCancellationDurable()) {
+      job.markCancellationDurable();
     }
     if (phase.isFinished()) {
-      job.markOver();
+      job.markFinished();
     }
     if (phase.isEnded()) {
-      job.markFinalDurable();
+      job.markFinalRecordDurable();
     }
     return job;
   }
@@ -58,7 +58,7 @@
     "ENDED_CANCELLED,     . . . . . . . .",
     "ENDED_COMPLETED,     . . . . . . . ."
   })
-  void theTablePermitsExactlyThese(JobPhase from, String row) {
+  void permitsExactlyListedTransitions(JobPhase from, String row) {
     List<String> marks = List.of(row.split(" ", -1));
     JobPhase[] all = JobPhase.values();
     assertEquals(all.length, marks.size());
@@ -67,7 +67,8 @@
     }
   }
 
-  @ParameterizedTest(name = "{0}: cancelled {1}, durably {2}, over {3}, final record durable {4}")
+  @ParameterizedTest(
+      name = "{0}: cancelled {1}, durably {2}, finished {3}, final record durable {4}")
   @CsvSource({
     "ACTIVE,              false, false, false, false",
     "CANCELLING,          true,  false, false, false",
@@ -78,17 +79,17 @@
     "ENDED_CANCELLED,     true,  true,  true,  true",
     "ENDED_COMPLETED,     false, false, true,  true"
   })
-  void theAnswersFollowFromThePhase(
+  void propertiesFollowFromPhase(
       JobPhase phase, boolean cancelled, boolean durable, boolean over, boolean finalDurable) {
     Job job = inPhase(phase);
-    assertEquals(cancelled, job.cancelled());
-    assertEquals(durable, job.cancelDurable());
-    assertEquals(over, job.over());
-    assertEquals(finalDurable, job.finalDurable());
-    assertFalse(job.cancelledByDependency());
+    assertEquals(cancelled, job.isCancelled());
+    assertEquals(durable, job.isCancellationDurable());
+    assertEquals(over, job.isFinished());
+    assertEquals(finalDurable, job.isFinalRecordDurable());
+    assertFalse(job.isCancelledByDependency());
   }
 
-  /** Where an event changes nothing, the phase is the same; a dash is a violation. */
+  /** The phase stays the same if an event has no effect; a dash is an illegal transition. */
   @ParameterizedTest(name = "{0}: {1} leads to {2}")
   @CsvSource({
     "ACTIVE,              cancel,               CANCELLING",
@@ -129,40 +130,40 @@
     "ENDED_COMPLETED,     over,                 ENDED_COMPLETED",
     "ENDED_COMPLETED,     final durable,        -"
   })
-  void anEventLeadsToAPhaseOrIsAViolation(JobPhase from, String event, String expected) {
+  void eventLeadsToExpectedPhaseOrIsRejected(JobPhase from, String event, String expected) {
     Job job = inPhase(from);
     Consumer<Job> action = EVENTS.get(event);
     if (!expected.equals("-")) {
       action.accept(job);
-      assertAnswers(JobPhase.valueOf(expected), job);
+      assertProperties(JobPhase.valueOf(expected), job);
       return;
     }
-    IllegalTransitionException violation =
+    IllegalTransitionException exception =
         assertThrows(IllegalTransitionException.class, () -> action.accept(job));
-    assertEquals(from, violation.from());
-    String pair = from + " to " + violation.to();
-    assertTrue(violation.getMessage().contains(pair), violation.getMessage());
-    assertAnswers(from, job);
+    assertEquals(from, exception.from());
+    String pair = from + " to " + exception.to();
+    assertTrue(exception.getMessage().contains(pair), exception.getMessage());
+    assertProperties(from, job);
   }
 
-  private static void assertAnswers(JobPhase phase, Job job) {
-    assertEquals(phase.isCancelled(), job.cancelled());
-    assertEquals(phase.isCancelDurable(), job.cancelDurable());
-    assertEquals(phase.isFinished(), job.over());
-    assertEquals(phase.isEnded(), job.finalDurable());
+  private static void assertProperties(JobPhase phase, Job job) {
+    assertEquals(phase.isCancelled(), job.isCancelled());
+    assertEquals(phase.isCancellationDurable(), job.isCancellationDurable());
+    assertEquals(phase.isFinished(), job.isFinished());
+    assertEquals(phase.isEnded(), job.isFinalRecordDurable());
   }
 
   @ParameterizedTest(name = "{0}")
   @EnumSource(names = {"ACTIVE", "CANCELLING", "CANCELLING_FINISHED"})
-  void aCancelledDependencyIsRememberedAsTheCause(JobPhase from) {
+  void cancellationByDependencyIsRecorded(JobPhase from) {
     Job job = inPhase(from);
     job.cancelByDependency();
-    assertTrue(job.cancelledByDependency());
-    assertTrue(job.cancelDurable());
+    assertTrue(job.isCancelledByDependency());
+    assertTrue(job.isCancellationDurable());
   }
 
   @Test
-  void aViolationNamesTheJob() {
+  void illegalTransitionMessageNamesJob() {
     Job job = inPhase(JobPhase.COMPLETED);
     String message = assertThrows(IllegalTransitionException.class, job::cancel).getMessage();
     assertEquals("job wk-1: no transition from COMPLETED to CANCELLING", message);
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -45,13 +45,13 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * What the version in production writes, byte for byte. During an upgrade both versions serve: each
- * reads what the other wrote and writes it back, so the literals here are a contract and not
- * examples. They were written by that version's own code.
+ * Compatibility of job records with the version in production, byte for byte. During an upgrade
+ * both versions run and read and rewrite each other's records, so the literals must not be changed.
+ * They were written by the code of the version in production.
  *
- * <p>The literals whose names begin with {@code WAITING} or {@code DEPENDENT} were written by the
- * code of commit d679fcc, the first version with dependent jobs that was released; what it has
- * stored has to stay readable in the same way.
+ * <p>Literals whose names begin with {@code WAITING} or {@code DEPENDENT} were written by the code
+ * of commit d679fcc, the first released version with dependent jobs; its stored records must stay
+ * readable, too.
  */
 class ProductionRecordsTest {
   private static final Revision AT = new Revision(9);
@@ -80,7 +80,7 @@
       out.add(
           String.format(
               "%02d=%s@%s#%s/%d", a.task().index(), a.number(), a.machine(), a.epoch(), a.zone()));
-      assertTrue(a.durable() && a.recovered());
+      assertTrue(a.isDurable() && a.isRecovered());
     }
     return String.join(" ", out);
   }
@@ -93,7 +93,7 @@
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
     "merged, wk-000002, 20, 8, 4, false, 0 1 2 5 8 9 10 11 12 13 14 15, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
-    // Which tasks of a merged segment were done is not known once the job is cancelled.
+    // Which tasks of merged segments were done is unknown if the job is cancelled.
     "cancelled, wk-000002, 20, 8, 4, true, 0 1 2 5, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0",
     "waiting, wk-000002, 20, 127, 0, false, '', ''",
@@ -105,7 +105,7 @@
     "'dependent, cancelled', wk-000002, 20, 8, 4, true, 0 1 2 5, "
         + "03=1@n-000007#1/0 04=1@n-000007#1/0 06=1@n-000007#1/0 07=1@n-000007#1/0"
   })
-  void aFirstSegmentIsReadAndWrittenBack(
+  void firstSegmentIsReadAndWrittenBackUnchanged(
       String name,
       String id,
       int tasks,
@@ -120,9 +120,9 @@
     assertEquals(tasks, job.spec().tasks());
     assertEquals(segment, job.record().segmentSize());
     assertEquals(ACCEPTED, job.acceptedMillis());
-    assertEquals(highest, job.highest().value());
-    assertEquals(cancelled, job.cancelled());
-    assertEquals(cancelled, job.cancelDurable());
+    assertEquals(highest, job.highestAttempt().value());
+    assertEquals(cancelled, job.isCancelled());
+    assertEquals(cancelled, job.isCancellationDurable());
     assertEquals(done, done(job));
     assertEquals(open, open(job));
     assertEquals(AT, job.record().revision(0));
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void laterSegmentsAreReadAndWrittenBack() throws WireException {
+  void laterSegmentsAreReadAndWrittenBackUnchanged() throws WireException {
     Job job = read(OPEN);
     RecordCodec.decodeTasks(job, 1, json(SECOND), AT, clock.now());
     RecordCodec.decodeTasks(job, 2, json(THIRD), AT, clock.now());
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void freshRecordsAreTheSame() {
+  void newRecordsAreUnchanged() {
     var plain = Specs.json("wk-000001", "batch", 3);
     assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
     var full = Specs.json("wk-000412", "group", 2).put("forgang", "high").put("svaedi", "east");
@@ -153,24 +153,25 @@
   }
 
   /**
-   * A list of dependencies that is null or empty leaves no trace that the old version would drop.
+   * A null or empty list of dependencies is not stored, since the version in production would drop
+   * the field.
    */
   @ParameterizedTest
   @CsvSource({"null", "[]"})
-  void noDependenciesLeaveNoTrace(String none) throws WireException {
+  void emptyDependencyListIsNotStored(String none) throws WireException {
     var plain = Specs.json("wk-000001", "batch", 3);
     plain.set("bidur_eftir", json("{\"x\":" + none + "}").get("x"));
     assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
   }
 
-  /** A job with dependencies is accepted with the same record. */
+  /** A new job with dependencies has the same record as in commit d679fcc. */
   @Test
-  void aFreshRecordWithDependenciesIsTheSame() {
+  void newRecordWithDependenciesIsUnchanged() {
     assertEquals(
         WAITING, text(RecordCodec.encodeNew(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
   }
 
-  /** How many tasks a segment of a fresh record is for, under the limits on values. */
+  /** Segment sizes of new records under different limits on value sizes. */
   @ParameterizedTest(name = "{0}, {1} bytes, {2} dependencies")
   @CsvSource({
     "batch, 1024, 0, 33, true",
@@ -194,7 +195,7 @@
     "daemon, 3072, 0, 64, true",
     "daemon, 8192, 0, 127, true"
   })
-  void aSegmentIsForAsManyTasks(
+  void segmentSizeDependsOnKindAndLimit(
       String kind, int valueBytes, int dependencies, int tasks, boolean fits) {
     JobSpec spec = Specs.of(twenty(kind, dependencies));
     assertEquals(tasks, RecordSize.segmentSize(spec, valueBytes));
@@ -202,7 +203,7 @@
     assertEquals(tasks, RecordCodec.encodeNew(spec, ACCEPTED, valueBytes).get("p").asInt());
   }
 
-  /** A job of twenty tasks that names so many others. */
+  /** A job of twenty tasks with the given number of dependencies. */
   private static ObjectNode twenty(String kind, int dependencies) {
     ObjectNode body = Specs.json("wk-000002", kind, 20);
     if (dependencies > 0) {
@@ -214,7 +215,7 @@
     return body;
   }
 
-  /** The jobs that one waits for by its record alone; none once it has started or is cancelled. */
+  /** Dependencies read from the first segment; empty if the job has started or is cancelled. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "plain, ''",
@@ -224,7 +225,7 @@
     "'dependent, merged', ''",
     "'dependent, cancelled', ''"
   })
-  void whatARecordWaitsFor(String name, String ids) throws WireException {
+  void unstartedDependenciesAreReadFromRecord(String name, String ids) throws WireException {
     String found =
         RecordCodec.unstartedDependencies(json(literal(name))).stream()
             .map(JobId::value)
@@ -232,9 +233,9 @@
     assertEquals(ids, found);
   }
 
-  /** A job that waited, ran, and was cancelled leaves the same records all along. */
+  /** A job that waits, runs and is cancelled has the same records at each step. */
   @Test
-  void aDependentJobsHistoryIsWrittenTheSame() {
+  void historyOfDependentJobIsWrittenUnchanged() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     assertTrue(job.hasUnmetDependencies());
@@ -253,26 +254,26 @@
     assertEquals(DEPENDENT_MERGED, text(RecordCodec.encode(job, 0)));
     ledger.cancel(job);
     assertEquals(DEPENDENT_CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
-  /** A job that never started since one before it is cancelled. */
+  /** The job never started because a dependency was cancelled. */
   @Test
-  void aCancellationByDependencyIsWrittenTheSame() {
+  void cancellationByDependencyIsWrittenUnchanged() {
     Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     endOfDependency("wk-000398", JobState.Phase.CANCELLED);
     assertEquals(WAITING_CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":0}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":0}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   private void endOfDependency(String id, JobState.Phase phase) {
     ledger.resolveEnd(new JobState(new JobId(id), phase, 1, 0));
   }
 
-  /** The same history gives the same records. */
+  /** The same sequence of events results in the same records. */
   @Test
-  void aJobsHistoryIsWrittenTheSame() {
+  void historyOfJobIsWrittenUnchanged() {
     Job job = new Job(Specs.of(Specs.json("wk-000002", "batch", 20)), ACCEPTED, 8);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 8);
@@ -287,20 +288,20 @@
     assertEquals(MERGED, text(RecordCodec.encode(job, 0)));
     ledger.cancel(job);
     assertEquals(CANCELLED, text(RecordCodec.encode(job, 0)));
-    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"cancelled\",\"n\":12}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   @Test
-  void aDoneJobsEndIsTheSame() {
+  void finalRecordOfDoneJobIsUnchanged() {
     Job job = new Job(Specs.of(Specs.json("wk-000003", "batch", 2)), ACCEPTED, 127);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 2);
     close(job, 0, 1);
-    assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.end(job)));
+    assertEquals("{\"s\":\"done\",\"n\":2}", text(RecordCodec.encodeFinalRecord(job)));
   }
 
   private void open(Job job, String machine, int epoch, int zone, int from, int to) {
-    List<Placement> places = new ArrayList<>();
+    List<Placement> placements = new ArrayList<>();
     for (int i = from; i < to; i++) {
       MachineAttributes site =
           new MachineAttributes(
@@ -311,18 +312,18 @@
               zone == 0 ? "east" : "west",
               false,
               Resources.offer(64, 0, 256));
-      places.add(new Placement(i, site));
+      placements.add(new Placement(i, site));
     }
-    assertEquals(Optional.empty(), ledger.open(job, places, t -> false, clock.now()));
+    assertEquals(Optional.empty(), ledger.open(job, placements, t -> false, clock.now()));
   }
 
   private void close(Job job, int... indexes) {
     for (int i : indexes) {
-      ledger.close(job.open(i), true);
+      ledger.close(job.openAttempt(i), true);
     }
   }
 
-  /** What a node that doesn't lead tells a user from the first segment or the end alone. */
+  /** The state that followers return to users, from the first segment or the final record alone. */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '|',
@@ -339,12 +340,12 @@
         "{\"s\":\"done\",\"n\":2} | DONE | 2 | 0",
         "{\"s\":\"cancelled\",\"n\":12} | CANCELLED | 12 | 0"
       })
-  void whatUsersAreTold(String record, JobState.Phase phase, int done, int running)
+  void stateVisibleToUsersIsDecoded(String record, JobState.Phase phase, int done, int running)
       throws WireException {
     JobId id = new JobId("wk-000002");
     JobState state =
         record.startsWith("{")
-            ? RecordCodec.decodeEnd(id, json(record))
+            ? RecordCodec.decodeFinalRecord(id, json(record))
             : RecordCodec.decodeState(id, json(literal(record)));
     assertEquals(new JobState(id, phase, done, running), state);
   }
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -12,27 +12,24 @@
 import org.ternhinge.wire.ProvisionRequest;
 import org.ternhinge.wire.WireException;
 
-/**
- * Keys, provision requests and machine types: what both versions of an upgrade store in the same
- * form.
- */
+/** Compatibility of keys, provision requests and machine types with the version in production. */
 class ProductionSharedRecordsTest {
   @Test
-  void keysAreTheSame() {
+  void keysAreUnchanged() {
     JobId id = new JobId("wk-000002");
     assertEquals("j/wk-000002", Keys.job(id));
     assertEquals("j/wk-000002", Keys.segment(id, 0));
     assertEquals("j/wk-000002/2", Keys.segment(id, 2));
-    assertEquals("f/wk-000002", Keys.end(id));
-    assertEquals("r/ x/ term leader flavors", String.join(" ", others()));
+    assertEquals("f/wk-000002", Keys.finalRecord(id));
+    assertEquals("r/ x/ term leader flavors", String.join(" ", otherKeys()));
   }
 
-  private static List<String> others() {
+  private static List<String> otherKeys() {
     return List.of(Keys.PROVISIONS, Keys.RELEASES, Keys.TERM, Keys.LEADER, Keys.MACHINE_TYPES);
   }
 
   @Test
-  void aProvisionRequestIsTheSame() throws WireException {
+  void provisionRequestIsUnchanged() throws WireException {
     String provision =
         "{\"leigubeidni\":\"t5-3\",\"velagerd\":\"small\",\"svaedi\":\"east\",\"lanvelar\":true,"
             + "\"count\":12}";
@@ -41,9 +38,9 @@
     assertEquals(provision, text(request.write()));
   }
 
-  /** Machine types as the versions keep them for the next start. */
+  /** Machine types, which all versions store for the next start. */
   @Test
-  void machineTypesAreTheSame() throws WireException {
+  void machineTypesAreUnchanged() throws WireException {
     String types =
         "{\"velagerdir\":[{\"name\":\"small\",\"cpus\":4.0,\"accelerators\":0.0,"
             + "\"memory_gb\":16.0,\"cache_gb\":50.0,\"pull_gb_per_s\":1.0,\"hourly\":0.2,"
--- a/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionDraftTest.java
@@ -15,13 +15,13 @@
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.wire.Json;
 
-/** How much fits into one transaction. */
+/** Conditions and limits of a transaction. */
 class TransactionDraftTest {
   private static final Revision TERM = new Revision(7);
   private static final ObjectNode VALUE = Json.object();
 
   @Test
-  void everyChangeIsConditionalOnTheTermAndItsKeysVersion() {
+  void changesAreConditionalOnTermAndKeyRevisions() {
     TransactionDraft draft = new TransactionDraft(TERM, 3);
     draft.put("j/a", VALUE, new Revision(3));
     draft.delete("j/b", new Revision(4));
@@ -38,12 +38,12 @@
   }
 
   @Test
-  void aDraftWithoutChangesIsNoTransaction() {
+  void emptyDraftBuildsNoTransaction() {
     assertEquals(Optional.empty(), new TransactionDraft(TERM, 3).build());
   }
 
   @Test
-  void itIsFullAtItsLimitOfChanges() {
+  void draftIsFullAtMaxChanges() {
     TransactionDraft draft = new TransactionDraft(TERM, 2);
     draft.put("j/a", VALUE, Revision.NONE);
     assertEquals(1, draft.freeChanges());
@@ -52,7 +52,7 @@
     assertTrue(draft.isFull());
   }
 
-  /** A request may take 64 KiB; a value that is too large by itself is nobody's but its own. */
+  /** A request is limited to 64 KiB; an oversized segment goes into a transaction of its own. */
   @ParameterizedTest(name = "{1} bytes after {0}: {2}")
   @CsvSource({
     "-1, 60000, true",
@@ -61,7 +61,7 @@
     "30000, 20000, false",
     "49000, 1, false"
   })
-  void segmentsLeaveRoomForTheRestOfTheRequest(int before, int bytes, boolean fits) {
+  void totalBytesOfSegmentsAreLimited(int before, int bytes, boolean fits) {
     TransactionDraft draft = new TransactionDraft(TERM, 16);
     if (before >= 0) {
       draft.putSegment("j/a", VALUE, before, Revision.NONE);
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -22,7 +22,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What reading back proves of a transaction whose answer was lost. */
+/** Reading back the outcome of a transaction whose response was lost. */
 class TransactionVerifierTest {
   private static final ObjectNode OURS = Json.object().put("value", "ours");
 
@@ -30,7 +30,7 @@
   private final StoreCore core = new StoreCore(clock);
   private final List<TransactionVerifier.Verdict> verdicts = new ArrayList<>();
 
-  /** Reads that fail before one is answered. */
+  /** Number of reads that fail before one succeeds. */
   private int failures;
 
   private int reads;
@@ -56,18 +56,18 @@
     }
 
     @Override
-    public boolean valid() {
+    public boolean isValid() {
       return true;
     }
 
     @Override
-    public void raised(Term term, Revision revision) {
-      throw new AssertionError("a verifier only reads");
+    public void onTermRaised(Term term, Revision revision) {
+      throw new AssertionError("verifier must only read");
     }
 
     @Override
-    public void lost(LeadershipLoss loss) {
-      throw new AssertionError("a verifier only reads");
+    public void onLost(LeadershipLoss loss) {
+      throw new AssertionError("verifier must only read");
     }
   }
 
@@ -96,7 +96,7 @@
         : "applied";
   }
 
-  /** The removal of {@code j/b} tells nothing where {@code j/a} is set. */
+  /** {@code j/a} is read back, since the deletion of {@code j/b} is weaker evidence. */
   @ParameterizedTest(name = "term {0}, j/a holds {1}")
   @CsvSource({
     "ours, ours, applied",
@@ -105,7 +105,7 @@
     "theirs, ours, a write of ours was overtaken by another term",
     "absent, ours, a write of ours was overtaken by another term"
   })
-  void aValueProvesSomethingUnderOurOwnTermOnly(String term, String value, String expected) {
+  void equalValueIsEvidenceUnderOwnTermOnly(String term, String value, String expected) {
     if (!value.equals("nothing")) {
       put("j/a", Json.object().put("value", value));
     }
@@ -120,7 +120,7 @@
 
   @ParameterizedTest(name = "the removed key is there: {0}")
   @CsvSource({"false, applied", "true, a write of ours was overtaken"})
-  void aTransactionOfRemovalsIsProvenByAnAbsentKey(boolean there, String expected) {
+  void absentKeyProvesTransactionOfDeletions(boolean there, String expected) {
     if (there) {
       put("j/a", OURS);
     }
@@ -129,12 +129,12 @@
     assertEquals(expected, verdict());
   }
 
-  /** The raise itself changed the term's version, so its value is what counts. */
+  /** The raise itself changes the term's revision, so the value is compared instead. */
   @ParameterizedTest(name = "the term holds {0}")
   @CsvSource(
       delimiter = '|',
       value = {"2 | | applied", "2 | b | a write of ours was overtaken"})
-  void aRaisedTermIsKnownByItsValue(int number, String process, String expected) {
+  void raisedTermIsRecognizedByItsValue(int number, String process, String expected) {
     Revision before = put("term", Json.object().put("n", 1));
     ObjectNode now = Json.object().put("n", number);
     put("term", process == null ? now : now.put("inc", process));
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aFailedReadIsRepeatedFromTheTermOn() {
+  void failedReadRestartsVerificationFromTerm() {
     put("j/a", OURS);
     Revision term = put("term", Json.object());
     failures = 2;
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void noVerdictIsGivenOnceStopped() {
+  void noVerdictIsDeliveredAfterStop() {
     put("j/a", OURS);
     TransactionVerifier verifier = verifier(put("term", Json.object()));
     verifier.stop();
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -14,10 +14,10 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
-/** The queue of jobs with something to write. */
+/** Queue of the jobs with pending writes. */
 class WriteQueueTest {
-  private static final double GATHER_S = 1;
-  private static final double LATE_S = 5;
+  private static final double BATCH_S = 1;
+  private static final double OVERDUE_S = 5;
 
   private final SimClock clock = new SimClock();
   private final WriteQueue queue = new WriteQueue(clock);
@@ -29,10 +29,10 @@
 
   private Map<Urgency, List<Job>> ready() {
     SteadyTime now = clock.now();
-    return queue.ready(now.plusSeconds(-GATHER_S), now.plusSeconds(-LATE_S));
+    return queue.ready(now.plusSeconds(-BATCH_S), now.plusSeconds(-OVERDUE_S));
   }
 
-  /** Ends of tasks are gathered, but wait behind others' starts for a while only. */
+  /** Ends of tasks are batched, and become as urgent as starts once they are overdue. */
   @ParameterizedTest(name = "{0}, {1}, waiting {2} s: {3}")
   @CsvSource({
     "cancelled, low, 0, CANCELLATIONS",
@@ -47,13 +47,13 @@
     "cancelled by dependency, production, 0.5, ",
     "cancelled by dependency, production, 5.5, TASK_ENDS"
   })
-  void urgencyFollowsFromTheJob(String state, String priority, double waiting, Urgency expected) {
+  void urgencyDependsOnJobState(String state, String priority, double waiting, Urgency expected) {
     Job job = job("wk-1", priority);
     switch (state) {
       case "cancelled" -> job.cancel();
       case "cancelled by dependency" -> job.cancelByDependency();
-      case "over" -> job.markOver();
-      case "opening" -> job.record().opensAttempts(true);
+      case "over" -> job.markFinished();
+      case "opening" -> job.record().setHasUnsentAttempts(true);
       default -> {}
     }
     queue.add(job);
@@ -64,11 +64,11 @@
   }
 
   @Test
-  void aJobKeepsItsPlaceUntilItIsRemoved() {
+  void jobKeepsPositionUntilRemoved() {
     Job first = job("wk-1", "normal");
     Job second = job("wk-2", "normal");
-    first.record().opensAttempts(true);
-    second.record().opensAttempts(true);
+    first.record().setHasUnsentAttempts(true);
+    second.record().setHasUnsentAttempts(true);
     queue.add(first);
     queue.add(second);
     queue.add(first);
