--- a/src/main/java/org/ternhinge/election/Candidate.java
+++ b/src/main/java/org/ternhinge/election/Candidate.java
@@ -6,10 +6,10 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * A process that stands for election, and what it needs for that.
+ * The identity of a process in leader elections and the services that it uses for them.
  *
- * @param node the name of its node
- * @param incarnation tells it from other processes of the same node
+ * @param node name of the node that the process runs on
+ * @param incarnation identifies the process among successive processes of the same node
  * @param locked runs all actions under the controller's lock
  */
 record Candidate(
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -21,40 +21,35 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * Elects one leader among the nodes, by the key-value store. The leader's key hangs on a lease; the
- * term's key does not, and grows with every failover, so that anything sent under an older term is
- * refused wherever it arrives. Whether the leadership holds is judged from the sending of the last
- * renewal that succeeded, never from a refusal: a node can't tell an outage from its own exclusion.
+ * Elects one leader among the nodes through the key-value store. The leader's key is attached to a lease. The term's key is not, and its number increases with every failover, so that receivers reject anything sent under an older term. The validity of a leadership is measured from the time at which the last successful renewal was sent. A refused call does not end it, since a node can't distinguish an outage of the store from being cut off alone.
  *
- * <p>A node reads the leader's key and watches it while another leads. Once it is gone, the node
- * makes a {@link LeadershipClaim}. All state is guarded by the lock, which the caller of a public
- * method holds, {@link #start} excepted.
+ * <p>A node reads the leader's key and watches it while another node leads. When the key is removed, the node makes a {@link LeadershipClaim}. All state is guarded by the lock, which callers of public methods must hold, except for {@link #start}.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
   private static final double DRIFT = Settings.DRIFT;
 
-  /** Seconds until the next try after a call that failed. */
+  /** Delay in seconds before the next attempt after a failed call. */
   private static final double RETRY_S = 0.5;
 
-  /** Seconds until the next try after another node has claimed the leadership first. */
+  /** Delay in seconds before the next attempt after another node won the claim. */
   private static final double LOST_RACE_S = 0.05;
 
-  /** Seconds until the next try after an own leadership has ended. */
+  /** Delay in seconds before the next attempt after this node lost its leadership. */
   private static final double DEPOSED_S = 0.2;
 
-  /** Nodes that see the leader's key vanish together claim it up to so many seconds apart. */
+  /** Upper bound in seconds of the random delay before a claim, so that nodes that observe the removal of the leader's key at the same time do not all claim it at once. */
   private static final double SPREAD_S = 0.1;
 
-  /** Seconds for which a watch of the leader's key lasts. */
+  /** Longest wait of one watch of the leader's key, in seconds. */
   private static final double WATCH_S = 15;
 
-  /** Hears of this node's leaderships; called under the lock. */
+  /** Receives the start and the end of this node's leaderships; called under the lock. */
   public interface Listener {
-    /** This node leads now. */
+    /** This node has become the leader. */
     void elected(Authority authority);
 
-    /** This node leads no more. */
+    /** This node is no longer the leader. */
     void deposed(LeadershipLoss loss);
   }
 
@@ -67,23 +62,22 @@
   private final ClaimOutcome claimOutcome = new ClaimOutcome();
   private Listener listener;
 
-  /** The other node that leads; null where none is known. */
+  /** The record of another node that leads; null if none is known. */
   private LeaderRecord leader;
 
-  /** Whether the last leader that was seen accepts dependent jobs. */
+  /** Whether the last known leader accepts dependent jobs. */
   private boolean leaderKnowsDependencies;
 
-  /** This node's own leadership; null while it does not lead. */
+  /** This node's leadership; null while it does not lead. */
   private OwnLeadership own;
 
   /**
-   * Creates a candidate that does not take part yet.
+   * Creates an election in which this node does not take part until {@link #start}.
    *
    * @param node this node's name
-   * @param graceS seconds for which heartbeats may be answered past the end of validity, by {@link
-   *     #grace}
-   * @param lock taken whenever an answer comes
-   * @param random spreads the nodes' attempts, and tells this process from others of the same node
+   * @param graceS seconds after the end of validity during which heartbeats may still be answered, from {@link #grace}
+   * @param lock acquired to handle each response and timer
+   * @param random source of the claim delays and of the identifier of this process
    */
   public Election(
       String node,
@@ -102,13 +96,13 @@
     this.candidate = new Candidate(node, incarnation, store, clock, tuning, locked);
   }
 
-  /** Takes part from now on. */
+  /** Starts to take part in elections. */
   public void start(Listener to) {
     listener = to;
     locked.execute(this::readLeader);
   }
 
-  /** The leading node, as far as this one knows. */
+  /** The name of the leading node, if this node knows it. */
   public Optional<String> leaderNode() {
     if (own != null) {
       return Optional.of(candidate.node());
@@ -117,39 +111,30 @@
   }
 
   /**
-   * Whether the leader's version accepts dependent jobs, as its record says; the version before
-   * that would accept one and ignore its dependencies.
+   * Whether the leader's version accepts dependent jobs, according to its record. Older versions accept such a job but ignore its dependencies.
    */
   public boolean leaderKnowsDependencies() {
     return leaderKnowsDependencies;
   }
 
-  /** Whether this node leads and its leadership certainly holds. */
+  /** Whether this node leads and its lease is guaranteed to be in force. */
   public boolean valid() {
     return own != null && own.valid();
   }
 
   /**
-   * Whether a worker's heartbeat may be answered. An outage of the key-value store stops renewals
-   * while nobody else can take over either; answering a while longer keeps running tasks alive. A
-   * new leader adds the same time to its wait for silent workers, and workers that have seen a
-   * higher term drop the answer.
+   * Whether a worker's heartbeat may be answered. During an outage of the key-value store renewals fail, but no other node can take over either; answering heartbeats for a grace period keeps running tasks alive. A new leader waits longer for silent workers by the same period, and workers that have seen a higher term discard the answer.
    */
   public boolean mayAnswer() {
     return own != null && clock.now().isBefore(own.validUntil().plusSeconds(graceS));
   }
 
   /**
-   * Seconds for which heartbeats may be answered past the end of validity. Nobody else can confirm
-   * a cancellation before this leadership's lease has ended in the key-value store, which is after
-   * its validity has ended here; and a worker's tasks end a lease after the sending of the last
-   * heartbeat that was answered. So they are gone in time, whatever happens to the key-value store
-   * in between, if
+   * Seconds after the end of validity during which heartbeats may still be answered. No other node can confirm a cancellation before this leadership's lease has expired in the key-value store, which is later than the end of its validity here. A worker's tasks end one worker lease after the last answered heartbeat was sent. The tasks have therefore ended when a cancellation is confirmed, whatever happens to the key-value store in between, if
    *
-   * <pre>grace + lease, by the slower of two clocks, + margins &lt;= cancel</pre>
+   * <pre>grace + lease, measured by the slower of the two clocks, + margins &lt;= cancel</pre>
    *
-   * <p>A later leadership adds its own grace to its own validity, never to work that it knows to be
-   * cancelled, so several in a row don't add up.
+   * <p>The periods of successive leaderships do not accumulate: a later leadership adds its grace period to its own validity, and never applies it to work that it knows to be cancelled.
    */
   public static double grace(Tuning tuning, Settings.Workers workers) {
     double most = workers.cancelS() - workers.leaseS() * (1 + 2 * DRIFT) - 4 * tuning.marginS();
@@ -191,8 +176,7 @@
   }
 
   /**
-   * The platform runs one process per node and starts the next only after the last has ended, so a
-   * key left by an earlier process of this very node can be claimed at once.
+   * The platform runs one process per node and starts the next one only after the previous one has ended, so a key left by an earlier process of this node can be claimed at once.
    */
   private boolean isOfEarlierProcess(LeaderRecord found) {
     return found.node().equals(candidate.node())
@@ -213,7 +197,7 @@
     new LeadershipClaim(candidate, leaderRevision, claimOutcome).start();
   }
 
-  // ---- while another node leads ---------------------------------------------------------------
+  // ---- watch of another leader ----------------------------------------------------------------
 
   private void watch(Revision from) {
     locked.whenAnswered(
@@ -236,7 +220,7 @@
     }
   }
 
-  /** Follows the changes of the leader's key; returns whether it is gone after the last of them. */
+  /** Applies observed changes of the leader's key; returns whether the key is absent after them. */
   private boolean applyChanges(KeyValueStore.WatchResult changes) {
     boolean gone = false;
     for (Change.Observed change : changes.changes()) {
--- a/src/main/java/org/ternhinge/election/LeaderRecord.java
+++ b/src/main/java/org/ternhinge/election/LeaderRecord.java
@@ -6,14 +6,12 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The leader's record in the key-value store. It hangs on the leader's lease, so that it vanishes
- * with it.
+ * The leader's record in the key-value store. It is attached to the leader's lease and is removed when the lease ends.
  *
  * @param node the leading node
- * @param incarnation the process of that node
- * @param term the term that it leads with
- * @param knowsDependencies whether its version knows dependent jobs; versions that don't neither
- *     write nor read the field
+ * @param incarnation identifies the leading process on that node
+ * @param term the term of the leadership
+ * @param knowsDependencies whether the leader's version supports dependent jobs; versions without that support neither write nor read the field
  */
 record LeaderRecord(String node, String incarnation, Term term, boolean knowsDependencies) {
   private static final String NODE = "node";
--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -14,29 +14,28 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * One attempt of a candidate to become leader: it reads the last term, asks for a lease, and claims
- * the keys of the term and of the leader on condition that neither has changed since it was read.
+ * One attempt of a candidate to become the leader. It reads the last term, requests a lease, and writes the keys of the term and of the leader on condition that neither has changed since it was read.
  */
 final class LeadershipClaim {
   private static final double MILLIS_PER_S = 1000;
 
-  /** Hears of the result; called under the lock. */
+  /** Receives the result; called under the lock. */
   interface Listener {
     /**
-     * The claim was applied while its lease holds.
+     * The claim was applied and its lease is in force.
      *
-     * @param termRevision revision of the term's key
+     * @param termRevision revision of the term's key after the claim
      */
     void won(Term term, Revision termRevision, LeadershipLease lease);
 
     /**
      * The claim was not applied, or its outcome is unknown.
      *
-     * @param lostRace whether another node has claimed the leadership first
+     * @param lostRace whether another node claimed the leadership first
      */
     void failed(boolean lostRace);
 
-    /** The key-value store holds a lease no more that a claim was made with. */
+    /** The key-value store reported that the lease of an earlier claim no longer exists. */
     void leaseEnded();
   }
 
@@ -45,10 +44,9 @@
   private final Listener listener;
 
   /**
-   * Creates a claim that has read nothing yet.
+   * Creates a claim that is not started.
    *
-   * @param leaderRevision revision of the leader's key as it was read, {@link Revision#NONE} where
-   *     it is absent
+   * @param leaderRevision revision of the leader's key when it was read, {@link Revision#NONE} if the key was absent
    */
   LeadershipClaim(Candidate candidate, Revision leaderRevision, Listener listener) {
     this.candidate = candidate;
@@ -56,7 +54,7 @@
     this.listener = listener;
   }
 
-  /** Makes the claim. */
+  /** Starts the claim by reading the last term. */
   void start() {
     candidate
         .locked()
@@ -82,7 +80,7 @@
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
 
-  /** Where the answer was lost, a lease may be left that nobody uses; it ends by itself. */
+  /** If the response was lost, the store may hold a lease that nobody uses; it expires without renewals. */
   private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
@@ -97,8 +95,8 @@
             candidate.tuning(),
             candidate.locked(),
             listener::leaseEnded);
-    // Renewed while the claim is under way: with a slow service its answer would come when the
-    // validity that counts from the request is all but over.
+    // Renew while the claim is in progress: with a slow store, the response to the claim would
+    // arrive when the validity, which counts from the lease request, has almost ended.
     lease.keepAlive();
     claim(lastTerm, lease);
   }
@@ -129,8 +127,8 @@
       listener.won(term, applied.value(), lease);
       return;
     }
-    // Also an unknown outcome ends here: with its lease revoked, a claim that is applied late fails
-    // or leaves a term that nobody uses.
+    // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is applied
+    // late either fails or writes a term that nobody uses.
     lease.release();
     listener.failed(outcome.isBecause(Reason.CONFLICT));
   }
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -10,16 +10,12 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * A lease of the key-value store that is kept alive until it is released or has ended. All methods
- * run under the lock.
+ * A lease of the key-value store that is renewed until it is released or has expired. All methods run under the lock.
  *
- * <p>The next renewal doesn't wait for the answer to the one before: where answers take seconds,
- * one renewal at a time would be answered too late to be followed by another. Validity counts from
- * the <em>sending</em> of the newest renewal that is known to have succeeded, so that a late answer
- * extends it by no more than what is left, and one that comes out of order never shortens it.
+ * <p>A renewal does not wait for the response to the previous one: when responses take seconds, the response to a single outstanding renewal would come too late to send another before the lease expires. Validity counts from the time at which the newest successful renewal was <em>sent</em>. A late response therefore extends it only by the remaining time, and a response that arrives out of order never shortens it.
  */
 final class LeadershipLease {
-  /** Pause after a renewal that failed. */
+  /** Delay in seconds before the next renewal after one has failed. */
   private static final double RETRY_S = 0.4;
 
   private final long id;
@@ -31,21 +27,20 @@
   private SteadyTime lastSent;
   private SteadyTime validUntil;
 
-  /** Counts planned renewals; only the one planned last is sent. */
+  /** Number of renewals scheduled so far; only the one scheduled last is sent. */
   private long planned;
 
-  /** Counts renewals sent; only the newest one's answer plans the next. */
+  /** Number of renewals sent so far; only the response to the newest one schedules the next. */
   private long sent;
 
   private boolean released;
   private boolean ended;
 
   /**
-   * Takes over a lease that was just granted.
+   * Creates the handle of a lease that was just granted.
    *
-   * @param requested when the lease was asked for
-   * @param onEnded runs under the lock when the key-value store holds the lease no more, unless it
-   *     was released before
+   * @param requested when the request for the lease was sent
+   * @param onEnded runs under the lock when the key-value store reports that the lease no longer exists, unless it was released before
    */
   LeadershipLease(
       long id,
@@ -69,22 +64,22 @@
     return id;
   }
 
-  /** Renews the lease from now on. */
+  /** Starts to renew the lease at regular intervals. */
   void keepAlive() {
     planNextRenewal();
   }
 
-  /** Until when the lease certainly holds. */
+  /** The time until which the lease is guaranteed to be in force. */
   SteadyTime validUntil() {
     return validUntil;
   }
 
-  /** Whether the key-value store has said that it holds the lease no more. */
+  /** Whether the key-value store has reported that the lease no longer exists. */
   boolean ended() {
     return ended;
   }
 
-  /** Ends the lease, and with it every key that hangs on it. */
+  /** Revokes the lease, which removes every key that is attached to it, and stops its renewals. */
   void release() {
     released = true;
     AsyncCalls.ignore(store.revokeLease(id));
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/OwnLeadership.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 
-/** A leadership of this node, from a successful claim until it is lost. */
+/** A leadership held by this node, from a successful claim until it is lost. */
 final class OwnLeadership implements Authority {
   private final Clock clock;
   private final LeadershipLease lease;
@@ -18,7 +18,7 @@
   private boolean over;
 
   /**
-   * Creates a leadership that holds.
+   * Creates a leadership that is in force.
    *
    * @param onLost called once, under the lock
    */
@@ -64,17 +64,17 @@
     }
   }
 
-  /** Until when the leadership certainly holds, unless it is lost before. */
+  /** The time until which the leadership is guaranteed to be in force, unless it is lost earlier. */
   SteadyTime validUntil() {
     return lease.validUntil();
   }
 
-  /** Whether the key-value store has said that it holds the lease no more. */
+  /** Whether the key-value store has reported that the lease no longer exists. */
   boolean leaseEnded() {
     return lease.ended();
   }
 
-  /** Revokes the lease, and with it the leader's key. */
+  /** Revokes the lease, which removes the leader's key. */
   void releaseLease() {
     lease.release();
   }
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -8,17 +8,17 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The highest term so far, as the key-value store holds it.
+ * The highest term so far, as stored in the key-value store.
  *
  * @param term 0 before the first leadership
- * @param revision of the record, {@link Revision#NONE} where there is none
+ * @param revision revision of the record, {@link Revision#NONE} if there is none
  */
 record TermRecord(Term term, Revision revision) {
   private static final String NUMBER = "n";
   private static final String INCARNATION = "inc";
   private static final TermRecord NONE = new TermRecord(new Term(0), Revision.NONE);
 
-  /** Reads the term's key, which may be absent. */
+  /** Converts the entry of the term's key, which may be absent. */
   static TermRecord of(Optional<Entry> entry) {
     return entry.map(TermRecord::read).orElse(NONE);
   }
@@ -28,9 +28,9 @@
   }
 
   /**
-   * A claim of a term. It names its process, so that no two claims of one term are equal.
+   * The value that claims a term. It contains the claiming process, so that two claims of the same term are never equal.
    *
-   * @param incarnation the process that claims it
+   * @param incarnation identifies the claiming process
    */
   static ObjectNode claim(Term term, String incarnation) {
     return Json.object().put(NUMBER, term.value()).put(INCARNATION, incarnation);
--- a/src/main/java/org/ternhinge/election/package-info.java
+++ b/src/main/java/org/ternhinge/election/package-info.java
@@ -1,2 +1,2 @@
-/** Elects the one leading controller by the key-value store, and keeps its lease alive. */
+/** Elects the leading controller through the key-value store and renews its lease. */
 package org.ternhinge.election;
--- a/src/main/java/org/ternhinge/request/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/AnswerDeadline.java
@@ -6,24 +6,22 @@
 import org.ternhinge.model.Clock;
 
 /**
- * Answers users before they drop the request, because the time-outs of the key-value store are
- * longer than users wait. Only the first answer is sent. The request itself is not aborted, and a
- * repeated request finds its result.
+ * Sends users a response before they abandon the request, because the time-outs of the key-value store are longer than users wait. Only the first response is sent. The work on the request is not aborted, and a repeated request finds its result.
  */
 public final class AnswerDeadline {
-  /** For submissions and cancellations, in seconds; users drop the answer after 5 s. */
+  /** Deadline in seconds for submissions and cancellations; users abandon the request after 5 s. */
   public static final double WRITE_S = 4.5;
 
-  /** For polls, in seconds; users drop the answer after 2 s. */
+  /** Deadline in seconds for polls; users abandon the request after 2 s. */
   public static final double POLL_S = 1.8;
 
   private AnswerDeadline() {}
 
   /**
-   * Wraps a receiver of an answer.
+   * Wraps a response callback with a deadline.
    *
-   * @param seconds when the receiver gets 503 unless another answer has come before
-   * @param answer gets the first answer only
+   * @param seconds delay after which the callback receives 503, unless it has received another response before
+   * @param answer receives only the first response
    */
   public static Consumer<Response> within(double seconds, Clock clock, Consumer<Response> answer) {
     AtomicReference<Consumer<Response>> pending = new AtomicReference<>(answer);
--- a/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -25,15 +25,12 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The machine types that a node loads once after its start, whether it leads or not. Submissions
- * can't be validated without them, so a copy is stored in the key-value store: a node that starts
- * during an outage of the cloud need not wait for the cloud. A leadership has its own list in
- * {@link MachineTypeCatalog}, which is refreshed. All methods run under the controller's lock.
+ * The machine types that a node loads once after its start, whether it leads or not. Submissions can't be validated without them, so a copy is kept in the key-value store: a node that starts during an outage of the cloud then does not depend on the cloud. A leadership has its own list in {@link MachineTypeCatalog}, which is refreshed. All methods run under the controller's lock.
  */
 public final class BootstrapMachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(BootstrapMachineTypes.class);
 
-  /** Seconds until the next attempt after neither the store nor the cloud had the types. */
+  /** Delay in seconds before the next attempt if neither the store nor the cloud returned the types. */
   private static final double RETRY_S = 1;
 
   private final KeyValueStore store;
@@ -47,7 +44,7 @@
    * Creates an empty set of types.
    *
    * @param lock the controller's lock
-   * @param onLoaded gets the types once they are loaded
+   * @param onLoaded receives the types once they are loaded
    */
   public BootstrapMachineTypes(
       KeyValueStore store,
@@ -62,7 +59,7 @@
     this.onLoaded = onLoaded;
   }
 
-  /** Loads the types from the key-value store or else the cloud, and retries until it has them. */
+  /** Loads the types from the key-value store, or else from the cloud, and retries until successful. */
   public void load() {
     locked.whenAnswered(
         store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
@@ -73,12 +70,12 @@
     return byName.isEmpty();
   }
 
-  /** All types by name, as a live view that can't be changed. */
+  /** All types by name, as an unmodifiable live view. */
   Map<String, MachineType> byName() {
     return Collections.unmodifiableMap(byName);
   }
 
-  /** All types, as a live view that can't be changed. */
+  /** All types, as an unmodifiable live view. */
   public Collection<MachineType> all() {
     return byName().values();
   }
@@ -90,7 +87,7 @@
         loaded(MachineType.readAll(read.value().entry().get().value()));
         return;
       } catch (WireException e) {
-        LOG.warn("stored machine types are unreadable: {}", e.getMessage());
+        LOG.warn("can't decode the machine types in the key-value store, loading them from the cloud: {}", e.getMessage());
       }
     }
     locked.whenAnswered(cloud.machineTypes(), this::cloudAnswered);
@@ -110,7 +107,7 @@
     onLoaded.accept(types);
   }
 
-  /** A failure of the write is ignored: another node may have stored the same copy already. */
+  /** Stores the copy. A failure is ignored, since another node may have stored the same copy already. */
   private void storeCopy(List<MachineType> types) {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
     CompareAndSwap compareAndSwap =
--- a/src/main/java/org/ternhinge/request/ConnectivityProbe.java
+++ b/src/main/java/org/ternhinge/request/ConnectivityProbe.java
@@ -12,11 +12,10 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * Probes the key-value store and the other controllers while neither answers anything by itself, so
- * that {@link NodeConnectivity} is known also on a node without requests.
+ * Probes the key-value store and the other controllers when no recent response to other calls shows that they are reachable, so that {@link NodeConnectivity} is up to date on a node without requests too.
  */
 public final class ConnectivityProbe {
-  /** Seconds between two checks. */
+  /** Interval in seconds of the checks whether a probe is due. */
   static final double CHECK_INTERVAL_S = 1;
 
   private static final double PEER_TIMEOUT_S = 0.8;
@@ -51,7 +50,7 @@
     this.locked = new LockedExecutor(lock);
   }
 
-  /** Begins to check at a fixed interval, for as long as the process runs. */
+  /** Starts the checks at a fixed interval, for the lifetime of the process. */
   public void start() {
     clock.after(CHECK_INTERVAL_S, this::check);
   }
@@ -61,7 +60,7 @@
     clock.after(CHECK_INTERVAL_S, this::check);
   }
 
-  /** Other controllers matter only while the key-value store is quiet. */
+  /** Other controllers are probed only while the key-value store does not respond. */
   private void probeWhatIsQuiet() {
     if (!connectivity.isStoreQuiet()) {
       return;
@@ -74,7 +73,7 @@
   }
 
   private void storeAnswered(Outcome<KeyValueStore.ReadResult> outcome) {
-    // Where our own token bucket withheld the read, other calls of ours are being answered.
+    // If the local token bucket withheld the read, other calls of this node are being answered.
     if (outcome instanceof Outcome.Applied || isRateLimited(outcome)) {
       connectivity.storeAnswered();
     }
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -16,9 +16,7 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Checks the jobs that a submission depends on, each by a read of its current state. Jobs never
- * vanish, so the result still holds when the acceptance is written; a dependency that is cancelled
- * in between cancels the new job by the state of that dependency.
+ * Checks the jobs on which a submission depends by reading the current state of each. Jobs are never deleted, so the result remains valid until the job is written. If a dependency is cancelled in between, the new job counts as cancelled because of the state of that dependency.
  */
 public final class DependencyCheck {
   /** The result of a check. */
@@ -28,13 +26,13 @@
   record Passed(DependencyVerdict verdict) implements Result {}
 
   /**
-   * The job can never run.
+   * The job is rejected, since it could never run.
    *
    * @param reason the message for the user
    */
   record Rejected(String reason) implements Result {}
 
-  /** The state of some dependency can't be read now. */
+  /** The state of a dependency can't be read now. */
   record Unavailable() implements Result {}
 
   private final LeadershipRole role;
@@ -44,7 +42,7 @@
   /**
    * Creates a check.
    *
-   * @param role a valid leadership answers from memory, without reads of the key-value store
+   * @param role provides this node's leadership; while it is valid, states are taken from memory without reads of the key-value store
    * @param lock the controller's lock
    */
   public DependencyCheck(LeadershipRole role, JobLookup lookup, Lock lock) {
@@ -53,7 +51,7 @@
     this.locked = new LockedExecutor(lock);
   }
 
-  /** Checks all of them, one after the other; the result comes under the controller's lock. */
+  /** Checks all dependencies sequentially and passes on the result under the controller's lock. */
   void check(List<JobId> dependencies, Consumer<Result> then) {
     checkNext(new ArrayDeque<>(dependencies), false, then);
   }
--- a/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
+++ b/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
@@ -4,9 +4,7 @@
 import org.ternhinge.wire.DependencyVerdict;
 
 /**
- * The paths by which controllers forward jobs with dependencies to each other. A version that would
- * drop the dependencies does not know these paths and answers 404, so it never accepts such a job.
- * The path also carries the result of the dependency check where the sender has made it.
+ * The paths with which controllers forward jobs with dependencies to each other. A version that would ignore the dependencies does not know these paths and responds with 404, so it never accepts such a job. The path also carries the result of the dependency check if the sender has made it.
  */
 public final class DependentSubmissionPath {
   private static final String UNCHECKED = "/peer/submissions";
@@ -15,19 +13,19 @@
 
   private DependentSubmissionPath() {}
 
-  /** Whether another node forwards a job with dependencies by this path. */
+  /** Whether a request with this path is a job with dependencies that another node forwards. */
   public static boolean matches(String path) {
     return path.equals(UNCHECKED) || verdictIn(path).isPresent();
   }
 
-  /** The path for a job whose dependencies were checked with this result, or were not checked. */
+  /** The path for a job whose dependency check had this result, or for an unchecked job. */
   static String of(Optional<DependencyVerdict> verdict) {
     return verdict
         .map(known -> known.cancelled() ? SOME_CANCELLED : NONE_CANCELLED)
         .orElse(UNCHECKED);
   }
 
-  /** The sender's result of the dependency check, if the path carries one. */
+  /** The result of the sender's dependency check, if the path carries one. */
   static Optional<DependencyVerdict> verdictIn(String path) {
     return switch (path) {
       case NONE_CANCELLED -> Optional.of(new DependencyVerdict(false));
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -14,12 +14,10 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Answers workers' heartbeats. The leader answers them with commands; another node redirects the
- * worker to the leader, or relays for a worker that can't reach the leader. Guarded by the
- * controller's lock.
+ * Handles workers' heartbeats. The leader responds with commands. Other nodes redirect the worker to the leader, or relay the heartbeats of a worker that can't reach the leader. Guarded by the controller's lock.
  */
 public final class HeartbeatHandler {
-  /** Shorter than the time after which a worker drops the answer. */
+  /** Shorter than the time after which a worker discards the response. */
   private static final double RELAY_TIMEOUT_S = 2.5;
 
   private final LeadershipRole role;
@@ -34,7 +32,7 @@
     this.clock = clock;
   }
 
-  /** Answers a heartbeat; one that another node relays is not relayed a second time. */
+  /** Handles a heartbeat; one that another node has relayed is not relayed again. */
   public void handle(Request request, RequestOrigin origin, Consumer<Response> answer) {
     try {
       handle(Heartbeat.read(request.body()), request, origin, answer);
@@ -47,7 +45,8 @@
       Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
     Optional<Leadership> leadership = role.held();
     if (leadership.isPresent() && !leadership.get().ready()) {
-      // Without the ledger a lease must not be renewed: a cancelled task might live on by it.
+      // A lease must not be renewed before the ledger is loaded: that might keep a cancelled task
+      // running.
       leadership.get().whenReady(() -> handle(heartbeat, request, origin, answer));
       return;
     }
@@ -56,7 +55,7 @@
     }
   }
 
-  /** Answers with this leadership's commands; false where it may not, or has just ended. */
+  /** Responds with the commands of this leadership; returns false without a response if the leadership may not respond or has just ended. */
   private boolean answerAsLeader(
       Leadership leadership, Heartbeat heartbeat, Consumer<Response> answer) {
     boolean valid = role.isValid();
@@ -65,7 +64,7 @@
     }
     Optional<List<Command>> commands = leadership.heartbeat(heartbeat, valid);
     if (role.held().isEmpty()) {
-      // The heartbeat carried a higher term, which has ended the leadership.
+      // The heartbeat carried a higher term, which ended the leadership.
       return false;
     }
     answer.accept(
--- a/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
@@ -6,21 +6,18 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Decides which workers' heartbeats this node relays to the leader. A worker that was redirected to
- * the leader and soon comes back could not reach it; its heartbeats are relayed for a while, so
- * that a partition between two zones does not cost it its lease while a third zone can reach both.
- * Then it is redirected again. Guarded by the controller's lock.
+ * Decides which workers' heartbeats this node relays to the leader. If a worker returns shortly after it was redirected, it could not reach the leader. Its heartbeats are then relayed for a limited time, so that the worker does not lose its lease during a partition between two zones as long as a third zone can reach both. Afterwards it is redirected again. Guarded by the controller's lock.
  */
 final class HeartbeatRelayPolicy {
-  /** A worker waits 4 s for an answer and 1 s before it tries the next node, of which few exist. */
+  /** A worker that returns within this time of a redirect could not reach the leader. It waits 4 s for a response and 1 s before it tries the next of a few nodes. */
   private static final double RETURN_S = 12;
 
   private static final double RELAY_S = 30;
 
-  /** Bounds the memory for workers that never come back. */
+  /** Limits the memory used for workers that never return. */
   private static final int MAX_WORKERS = 10_000;
 
-  /** What was last decided for a worker. */
+  /** The last decision for a worker. */
   private sealed interface Decision permits Redirected, Relayed {}
 
   private record Redirected(SteadyTime at) implements Decision {}
@@ -29,7 +26,7 @@
 
   private final Map<MachineId, Decision> decisions = new HashMap<>();
 
-  /** Whether this heartbeat is to be relayed; otherwise the caller redirects the worker. */
+  /** Whether the caller is to relay this heartbeat; otherwise it redirects the worker. */
   boolean shouldRelay(MachineId worker, SteadyTime now) {
     Decision last = decisions.get(worker);
     if (last instanceof Relayed relayed && now.isBefore(relayed.until())) {
--- a/src/main/java/org/ternhinge/request/JobCancellations.java
+++ b/src/main/java/org/ternhinge/request/JobCancellations.java
@@ -11,20 +11,19 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Answers users who cancel a job. Only the leader can cancel, and it confirms once the cancellation
- * is durable; that a job is done or cancelled already can be confirmed by any node.
+ * Handles users' cancellations of jobs. Only the leader can cancel a job, and it responds once the cancellation is durable. Any node can confirm that a job is already done or cancelled.
  */
 public final class JobCancellations implements JobRequestHandler {
-  /** Less than the 5 s that users wait for an answer. */
+  /** Less than the 5 s for which users wait for a response. */
   private static final double LEADER_TIMEOUT_S = 4;
 
-  /** The leader's own limit, which leaves time for its answer to reach the asking node. */
+  /** Deadline of the leader itself, which leaves time for its response to reach the forwarding node. */
   private static final double WRITE_TIMEOUT_S = LEADER_TIMEOUT_S - 0.5;
 
   private final JobLookup lookup;
   private final Clock clock;
 
-  /** Creates the handler; the lookup serves jobs that the leader does not hold. */
+  /** Creates a handler that uses the lookup for jobs that are not in the leader's memory. */
   public JobCancellations(JobLookup lookup, Clock clock) {
     this.lookup = lookup;
     this.clock = clock;
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -19,14 +19,12 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Reads a job's state from the key-value store, which any node may do. A job is cancelled as soon
- * as one of its direct or indirect dependencies is, whatever its own record still says, so the
- * dependencies are read too; where they can't be read, the state is unavailable.
+ * Reads the state of a job from the key-value store, on any node. A job counts as cancelled as soon as one of its direct or indirect dependencies is cancelled, even if its own record does not say so yet. The dependencies are therefore read too; if they can't be read, the state is unavailable.
  */
 public final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /** Dependencies that are read for one lookup; the leader has longer chains in memory. */
+  /** Largest number of dependencies read for one lookup; for longer chains, the leader has the states in memory. */
   private static final int MAX_DEPENDENCY_READS = 64;
 
   /** The result of a lookup. */
@@ -36,33 +34,32 @@
    * The job exists.
    *
    * @param state the state that users see
-   * @param service whether it is known to be a service; the record of an ended job does not say
+   * @param service whether the job is known to be a service; the record of an ended job does not contain this
    */
   record Found(JobState state, boolean service) implements Result {}
 
-  /** No such job was ever accepted. */
+  /** The job was never accepted. */
   record Absent() implements Result {}
 
-  /** The key-value store can't be asked now, or the chain of dependencies is too long to read. */
+  /** The key-value store can't be read now, or the chain of dependencies is too long. */
   record Unavailable() implements Result {}
 
   static final Result ABSENT = new Absent();
   static final Result UNAVAILABLE = new Unavailable();
 
-  /** One job as its record or its end says, regardless of the state of its dependencies. */
+  /** A job according to its record or its end record, regardless of the state of its dependencies. */
   private record StoredJob(Found found, List<JobId> dependencies) {}
 
   private final KeyValueStore store;
   private final SharedLookups shared = new SharedLookups(this::search);
 
-  /** Creates a lookup without running reads. */
+  /** Creates a lookup that reads from the given store. */
   public JobLookup(KeyValueStore store) {
     this.store = store;
   }
 
   /**
-   * Finds a job; the result may come on any thread, without the controller's lock. Concurrent
-   * lookups of the same job share their reads.
+   * Looks up a job. The callback may run on any thread, without the controller's lock. Concurrent lookups of the same job share their reads.
    */
   void find(JobId id, RequestPriority priority, Consumer<Result> then) {
     shared.find(id, priority, then);
@@ -72,7 +69,7 @@
     new Search(id, priority, then).start();
   }
 
-  /** One lookup: the job itself, then its dependencies one after the other. */
+  /** One lookup: reads the job itself, then its dependencies sequentially. */
   private final class Search {
     private final JobId id;
     private final RequestPriority priority;
@@ -111,7 +108,7 @@
       } else if (seen.size() > MAX_DEPENDENCY_READS) {
         then.accept(UNAVAILABLE);
       } else {
-        // A dependency was accepted before the job, so that it is absent can't be the truth.
+        // A dependency was accepted before the job, so a read that finds none is not conclusive.
         read(unread.poll(), this::dependencyRead, () -> then.accept(UNAVAILABLE));
       }
     }
@@ -127,8 +124,7 @@
     }
 
     /**
-     * Reads the record of a job, then its end. A job moves from the one to the other in one
-     * compare-and-swap, so reading in this order can't miss it.
+     * Reads the record of a job, then its end record. When a job ends, one transaction replaces the former by the latter, so reading in this order can't miss the job.
      */
     private void read(JobId job, Consumer<StoredJob> present, Runnable absent) {
       readEntry(
@@ -152,7 +148,7 @@
       if (outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read) {
         read.value().entry().ifPresentOrElse(present, absent);
       } else {
-        LOG.debug("{} can't be looked up: {}", job, outcome);
+        LOG.debug("lookup of job {} failed: {}", job, outcome);
         then.accept(UNAVAILABLE);
       }
     }
--- a/src/main/java/org/ternhinge/request/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueries.java
@@ -8,14 +8,14 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
 
-/** Answers users who poll the state of a job. */
+/** Handles users' queries for the state of a job. */
 public final class JobQueries implements JobRequestHandler {
-  /** Leaves time to read the key-value store within the 2 s that users wait. */
+  /** Leaves time to read the key-value store within the 2 s for which users wait. */
   private static final double LEADER_TIMEOUT_S = 0.8;
 
   private final JobLookup lookup;
 
-  /** Creates the handler; the lookup serves jobs that the leader does not hold. */
+  /** Creates a handler that uses the lookup for jobs that are not in the leader's memory. */
   public JobQueries(JobLookup lookup) {
     this.lookup = lookup;
   }
--- a/src/main/java/org/ternhinge/request/JobRequestHandler.java
+++ b/src/main/java/org/ternhinge/request/JobRequestHandler.java
@@ -6,16 +6,15 @@
 import org.ternhinge.model.JobId;
 
 /**
- * Answers one kind of request about a job, either as the leader or from the key-value store. {@link
- * JobRequestRouter} decides which of the two. Both methods answer exactly once, now or later.
+ * Handles one kind of request about a job, either as the leader or from the key-value store. {@link JobRequestRouter} decides between the two. Both methods call the callback exactly once, immediately or later.
  */
 public interface JobRequestHandler {
-  /** How long another node is waited for that leads, in seconds. */
+  /** Time-out in seconds of a request that is forwarded to the leader. */
   double leaderTimeoutS();
 
-  /** Answers from the state of this node's leadership; called under the controller's lock. */
+  /** Responds from the state of this node's leadership; called under the controller's lock. */
   void answerAsLeader(JobId id, Leadership leadership, Consumer<Response> answer);
 
-  /** Answers without a leader; may be called without the controller's lock. */
+  /** Responds from the key-value store, without the leader; may be called without the controller's lock. */
   void answerFromStore(JobId id, Consumer<Response> answer);
 }
--- a/src/main/java/org/ternhinge/request/JobRequestRouter.java
+++ b/src/main/java/org/ternhinge/request/JobRequestRouter.java
@@ -9,9 +9,7 @@
 import org.ternhinge.model.JobId;
 
 /**
- * Has requests about a job answered by the leader, here or on another node, and otherwise from the
- * key-value store. If neither gives a final answer, all other nodes are asked for the leader.
- * Guarded by the controller's lock.
+ * Routes requests about a job to the leader, on this or another node, and otherwise to the key-value store. If neither gives a final response, the request is sent to all other nodes to find the leader. Guarded by the controller's lock.
  */
 public final class JobRequestRouter {
   private final JobRequestHandler handler;
@@ -20,9 +18,9 @@
   private final LeaderSearch search;
 
   /**
-   * Creates the router of one kind of request.
+   * Creates the router for one kind of request.
    *
-   * @param handler answers as the leader, or from the key-value store
+   * @param handler responds as the leader or from the key-value store
    */
   public JobRequestRouter(
       JobRequestHandler handler, LeadershipRole role, PeerClient peers, LeaderSearch search) {
@@ -32,7 +30,7 @@
     this.search = search;
   }
 
-  /** Answers a request about a job, now or later, exactly once. */
+  /** Handles a request about a job; the callback is called exactly once, immediately or later. */
   public void handle(JobId id, Request request, RequestOrigin origin, Consumer<Response> answer) {
     Optional<Leadership> leadership = role.valid();
     if (leadership.isPresent()) {
@@ -58,10 +56,9 @@
   }
 
   /**
-   * Answers from the key-value store, or by a leader that this node does not know; the one that is
-   * more likely to answer in time comes first.
+   * Responds from the key-value store, or through a leader that this node does not know. The one that is more likely to respond in time is tried first.
    *
-   * @param asked the node that has been asked as the leader already
+   * @param asked the node to which the request was already sent as the leader
    */
   private void answerWithoutLeader(
       JobId id, Request request, Optional<String> asked, Consumer<Response> answer) {
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -12,21 +12,19 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Finds the leader by asking all other controllers. A node that the key-value store refuses, or
- * that is partitioned from it, can't read who leads, and would answer its users 503 for as long as
- * that lasts while the leader could serve them. Guarded by the controller's lock.
+ * Finds the leader by sending a request to all other controllers. A node whose calls the key-value store refuses, or that is partitioned from it, can't read which node leads. Without the search, its users would get 503 for as long as that lasts, although the leader could serve them. Guarded by the controller's lock.
  */
 public final class LeaderSearch {
-  /** Seconds for which a node counts as the leader after it has answered as one. */
+  /** Seconds for which a node counts as the leader after it has responded as the leader. */
   private static final double FOUND_S = 10;
 
-  /** Seconds for which nobody is asked again after no node has answered as the leader. */
+  /** Pause in seconds after a search in which no node has responded as the leader. */
   private static final double BACKOFF_S = 1;
 
   /**
-   * The last node that answered as the leader.
+   * The last node that responded as the leader.
    *
-   * @param storedLeader who led by the key-value store at that time
+   * @param storedLeader the leader according to the key-value store at that time
    */
   private record FoundLeader(String node, SteadyTime at, Optional<String> storedLeader) {}
 
@@ -40,7 +38,7 @@
   private SteadyTime nextSearchAt;
 
   /**
-   * Creates a search that has found no leader yet.
+   * Creates a search without a known leader.
    *
    * @param otherNodes names of all other controllers
    * @param lock the controller's lock
@@ -62,7 +60,7 @@
   }
 
   /**
-   * The other node that leads: the one found lately, else the one that the key-value store names.
+   * The other node that leads: the one found by a recent search, else the one recorded in the key-value store.
    */
   Optional<String> leader() {
     Optional<String> storedLeader = role.otherLeader();
@@ -71,22 +69,21 @@
     return recentlyFound.or(() -> storedLeader);
   }
 
-  /** A change of the stored leader means that the node found before may have lost its term. */
+  /** A found leader is dropped if the stored leader changes, since its term may have ended. */
   private boolean isCurrent(FoundLeader leader, Optional<String> storedLeader) {
     return clock.now().secondsSince(leader.at()) < FOUND_S
         && storedLeader.equals(leader.storedLeader());
   }
 
-  /** Whether to ask the other nodes before the key-value store, which has not answered for long. */
+  /** Whether the key-value store has not responded for so long that the other nodes are to be asked first. */
   boolean isStoreUnresponsive() {
     return connectivity.isStoreUnresponsive();
   }
 
   /**
-   * Asks all other nodes at once; gives the leader's answer, or 503 where none has one. May be
-   * called without the lock.
+   * Sends a request to all other nodes at once; the callback receives the leader's response, or 503 if no node responds as the leader. May be called without the lock.
    *
-   * @param except the node that has been asked already
+   * @param except the node that has already been asked
    */
   void ask(Request request, Optional<String> except, double timeoutS, Consumer<Response> answer) {
     locked.execute(() -> askLocked(request, except, timeoutS, answer));
@@ -103,7 +100,7 @@
     }
   }
 
-  /** One request sent to several nodes, answered by the first final answer. */
+  /** One request sent to several nodes; the first final response is passed on. */
   private final class Broadcast {
     private final List<String> nodes;
     private final Consumer<Response> answer;
--- a/src/main/java/org/ternhinge/request/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/request/NodeConnectivity.java
@@ -4,21 +4,17 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * When the key-value store and the other controllers answered this node last, and what follows from
- * that. A node that reaches neither can only answer 503, and users whose connections it holds would
- * get nothing else for as long as that lasts, so it must not count as healthy. An outage of the
- * key-value store alone is no reason: it affects all nodes, and while all are unhealthy nobody is
- * served. All methods run under the controller's lock.
+ * Records when the key-value store and the other controllers last responded to this node, and derives from that whether the node is isolated. A node that reaches neither can only respond with 503, and users connected to it would get nothing else as long as that lasts, so it must not count as healthy. An outage of the key-value store alone does not make a node unhealthy: it affects all nodes, and if all were unhealthy no user would be served. All methods run under the controller's lock.
  */
 public final class NodeConnectivity {
-  /** Seconds without an answer after which one is asked for. */
+  /** Seconds without a response after which a probe is sent. */
   static final double QUIET_S = 2;
 
-  /** Seconds without any answer after which this node counts as isolated. */
+  /** Seconds without any response after which this node counts as isolated. */
   private static final double ISOLATED_S = 5;
 
   /**
-   * Longer than the time between two answers of a key-value store that is probed once it is quiet.
+   * Longer than the time between two responses of a reachable key-value store, which is probed when it has not responded to other calls.
    */
   private static final double STORE_UNRESPONSIVE_S =
       QUIET_S + ConnectivityProbe.CHECK_INTERVAL_S + 0.5;
@@ -29,9 +25,9 @@
   private SteadyTime peerAnsweredAt;
 
   /**
-   * Creates the state of a node that has just been answered by all.
+   * Creates the state of a node that is regarded as connected until the first time limit passes.
    *
-   * @param hasPeers whether other controllers are configured; a single one is never isolated
+   * @param hasPeers whether other controllers are configured; a single controller is never isolated
    */
   public NodeConnectivity(Clock clock, boolean hasPeers) {
     this.clock = clock;
@@ -40,32 +36,32 @@
     this.peerAnsweredAt = clock.now();
   }
 
-  /** The key-value store has answered something. */
+  /** Records a response of the key-value store. */
   void storeAnswered() {
     storeAnsweredAt = clock.now();
   }
 
-  /** Another controller has answered something. */
+  /** Records a response of another controller. */
   void peerAnswered() {
     peerAnsweredAt = clock.now();
   }
 
-  /** Whether the key-value store has not answered for so long that a probe is due. */
+  /** Whether the key-value store has not responded for so long that a probe is due. */
   boolean isStoreQuiet() {
     return secondsSince(storeAnsweredAt) > QUIET_S;
   }
 
-  /** Whether no other controller has answered for so long that a probe is due. */
+  /** Whether no other controller has responded for so long that a probe is due. */
   boolean arePeersQuiet() {
     return secondsSince(peerAnsweredAt) > QUIET_S;
   }
 
-  /** Whether the key-value store has not answered for longer than it ever takes. */
+  /** Whether the key-value store has not responded for longer than probes of a reachable store allow. */
   boolean isStoreUnresponsive() {
     return secondsSince(storeAnsweredAt) > STORE_UNRESPONSIVE_S;
   }
 
-  /** Whether neither the key-value store nor any other controller has answered for long. */
+  /** Whether neither the key-value store nor any other controller has responded for some time. */
   public boolean isIsolated() {
     return hasPeers
         && secondsSince(storeAnsweredAt) > ISOLATED_S
--- a/src/main/java/org/ternhinge/request/PeerClient.java
+++ b/src/main/java/org/ternhinge/request/PeerClient.java
@@ -8,9 +8,7 @@
 import org.ternhinge.model.LockedExecutor;
 
 /**
- * Asks other controllers. Answers are handed on under the controller's lock. A connection that
- * leaves a request unanswered may be broken and is closed, so that the next request opens a new
- * one.
+ * Sends requests to other controllers and passes on the responses under the controller's lock. If a request is not answered, its connection may be broken and is closed, so that the next request opens a new one.
  */
 public final class PeerClient {
   private final PeerTransport transport;
@@ -21,7 +19,7 @@
    * Creates a client.
    *
    * @param lock the controller's lock
-   * @param connectivity records that peers have answered
+   * @param connectivity records the responses of peers
    */
   public PeerClient(PeerTransport transport, Lock lock, NodeConnectivity connectivity) {
     this.transport = transport;
@@ -32,14 +30,14 @@
   /**
    * Sends a request to another controller.
    *
-   * @param then gets the answer, or nothing where none came in time
+   * @param then receives the response, or empty if none arrived in time
    */
   void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> then) {
     transport.ask(
         node, request, timeoutS, response -> locked.execute(() -> answered(node, response, then)));
   }
 
-  /** As {@link #ask}; a missing answer counts as a busy one. */
+  /** As {@link #ask}, but with a busy response in place of a missing one. */
   void askOrBusy(String node, Request request, double timeoutS, Consumer<Response> then) {
     ask(node, request, timeoutS, response -> then.accept(response.orElseGet(Responses::busy)));
   }
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -5,14 +5,14 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 
-/** Carries requests to the other controllers. */
+/** Transport of requests to the other controllers. */
 public interface PeerTransport {
   /**
    * Sends a request to another node.
    *
    * @param node the other controller's name
-   * @param timeoutS how long the answer is waited for, in seconds
-   * @param answer gets the response, or nothing when none came in time; called once, on any thread
+   * @param timeoutS time-out of the response in seconds
+   * @param answer receives the response, or empty if none arrived in time; called once, on any thread
    */
   void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> answer);
 
--- a/src/main/java/org/ternhinge/request/RequestOrigin.java
+++ b/src/main/java/org/ternhinge/request/RequestOrigin.java
@@ -5,6 +5,6 @@
   /** A user, a worker or a health check; the request may be forwarded to another controller. */
   CLIENT,
 
-  /** Another controller that forwards a request; it is not forwarded a second time. */
+  /** Another controller that forwards a request; the request is not forwarded again. */
   PEER
 }
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -7,7 +7,7 @@
 import org.ternhinge.wire.ErrorBody;
 import org.ternhinge.wire.JobState;
 
-/** The answers that several request handlers give. */
+/** Responses shared by several request handlers. */
 public final class Responses {
   public static final int OK = 200;
   static final int CREATED = 201;
@@ -18,56 +18,56 @@
   static final int UNPROCESSABLE = 422;
   static final int UNAVAILABLE = 503;
 
-  /** The shortest pause that users keep before they repeat a request anyway, in seconds. */
+  /** The shortest pause in seconds that users observe between repeated requests in any case. */
   private static final int RETRY_AFTER_S = 1;
 
   private Responses() {}
 
-  /** This node can't serve the request now; another one, or this one later, may. */
+  /** The response when this node can't serve the request now; another node, or this one later, may be able to. */
   public static Response busy() {
     return Response.busy(RETRY_AFTER_S);
   }
 
-  /** As {@link #busy}, with the result of the dependency check for the controller that asked. */
+  /** As {@link #busy}, with the result of the dependency check for the controller that forwarded the request. */
   static Response busy(DependencyVerdict verdict) {
     return new Response(UNAVAILABLE, verdict.write(), RETRY_AFTER_S);
   }
 
-  /** Whether an answer is not final, so that another node may be asked. */
+  /** Whether a response is not final, so that the request may be sent to another node. */
   static boolean isBusy(Response response) {
     return response.status() == UNAVAILABLE;
   }
 
   /**
-   * A consumer that passes a final answer on.
+   * Returns a callback that passes on final responses and diverts busy ones.
    *
-   * @param answer gets each answer but a busy one
-   * @param onBusy gets a busy answer instead
+   * @param answer receives each response that is not busy
+   * @param onBusy receives busy responses
    */
   static Consumer<Response> ifBusy(Consumer<Response> answer, Consumer<Response> onBusy) {
     return response -> (isBusy(response) ? onBusy : answer).accept(response);
   }
 
-  /** A request that is invalid or can never be served. */
+  /** The response to a request that is invalid or can never be served. */
   static Response error(int status, String message) {
     return Response.of(status, new ErrorBody(message).write());
   }
 
-  /** The state of a job that was accepted before, or was just cancelled. */
+  /** The response with the state of a job that was accepted before or has just been cancelled. */
   static Response known(JobState state) {
     return Response.of(OK, state.brief());
   }
 
-  /** The answer to a lookup; 404 for a job that was never accepted. */
+  /** The response for the result of a lookup; 404 for a job that was never accepted. */
   static Response ofLookup(JobLookup.Result result, Function<JobState, Response> found) {
     return ofLookup(result, found, Response.of(NOT_FOUND));
   }
 
   /**
-   * The answer to a lookup; busy where the key-value store can't be asked.
+   * The response for the result of a lookup; busy if the key-value store can't be read.
    *
-   * @param found makes the answer for a job that exists
-   * @param absent the answer for a job that was never accepted
+   * @param found creates the response for a job that exists
+   * @param absent the response for a job that was never accepted
    */
   static Response ofLookup(
       JobLookup.Result result, Function<JobState, Response> found, Response absent) {
--- a/src/main/java/org/ternhinge/request/SharedLookups.java
+++ b/src/main/java/org/ternhinge/request/SharedLookups.java
@@ -9,25 +9,22 @@
 import org.ternhinge.model.JobId;
 
 /**
- * Coalesces concurrent lookups of the same job. One lookup of a job runs at a time; requests that
- * arrive meanwhile share the next one, which begins when the first has ended. They must not share
- * the running one: it may have been read before the job's state changed, and its user may know of
- * the change before asking. Safe for use by several threads.
+ * Coalesces concurrent lookups of the same job. At most one lookup of a job runs at a time; requests that arrive meanwhile share the next one, which starts when the running one has ended. They must not share the running one: it may have read the job's state before a change that the requester already knows of. Thread-safe.
  */
 final class SharedLookups {
-  /** Looks a job up. */
+  /** Looks up a job. */
   @FunctionalInterface
   interface Lookup {
-    /** Gives the result now or later, exactly once. */
+    /** Calls the callback with the result exactly once, immediately or later. */
     void find(JobId id, RequestPriority priority, Consumer<JobLookup.Result> then);
   }
 
-  /** Requests that share the lookup after the running one. */
+  /** Requests that share the lookup that follows the running one. */
   private static final class Batch {
     private final List<Consumer<JobLookup.Result>> requests = new ArrayList<>();
     private RequestPriority priority = RequestPriority.QUERY;
 
-    /** Adds a request; the most urgent priority of the batch applies to all. */
+    /** Adds a request; the batch has the most urgent priority of its requests. */
     void add(RequestPriority requested, Consumer<JobLookup.Result> then) {
       requests.add(then);
       priority = requested.compareTo(priority) < 0 ? requested : priority;
@@ -36,14 +33,14 @@
 
   private final Lookup lookup;
 
-  /** For each job with a running lookup, the requests that wait for the next one. */
+  /** The requests that wait for the next lookup, for each job with a running lookup. */
   private final Map<JobId, Batch> nextByJob = new HashMap<>();
 
   SharedLookups(Lookup lookup) {
     this.lookup = lookup;
   }
 
-  /** Looks a job up; the result comes now or later, exactly once, on any thread. */
+  /** Looks up a job; the callback is called exactly once, immediately or later, on any thread. */
   void find(JobId id, RequestPriority priority, Consumer<JobLookup.Result> then) {
     synchronized (nextByJob) {
       Batch next = nextByJob.get(id);
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -5,24 +5,23 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.wire.DependencyVerdict;
 
-/** Where a submission is forwarded that this node can't write itself. */
+/** Destination of a submission that this node can't write itself. */
 interface SubmissionFallback {
   /**
    * Forwards the submission.
    *
    * @param verdict the result of the dependency check, if it was made
-   * @param answer gets the final answer, or a busy one if no node accepts the submission
+   * @param answer receives the final response, or a busy one if no node accepts the submission
    */
   void forward(Optional<DependencyVerdict> verdict, Consumer<Response> answer);
 
-  /** The fallback of a submission that has been forwarded to all others before. */
+  /** The fallback of a submission that has already been forwarded to the other nodes; responds busy. */
   static SubmissionFallback none() {
     return (verdict, answer) -> answer.accept(Responses.busy());
   }
 
   /**
-   * The fallback of a submission that another node has forwarded: that node tries the next one
-   * itself, and need not check the same dependencies again.
+   * The fallback of a submission that another node has forwarded. It returns the result of the dependency check with a busy response; the forwarding node then tries the next node itself and need not repeat the check.
    */
   static SubmissionFallback backToPeer() {
     return (verdict, answer) ->
--- a/src/main/java/org/ternhinge/request/SubmissionForwarder.java
+++ b/src/main/java/org/ternhinge/request/SubmissionForwarder.java
@@ -14,30 +14,25 @@
 import org.ternhinge.wire.DependencyVerdict;
 
 /**
- * Forwards a submission that this node can't write itself to other controllers, one after the
- * other, until one gives a final answer. Each node has a small fixed share of the key-value store's
- * rate limits, so while nobody leads one node may be out of tokens when its neighbours have some;
- * and a node that the key-value store alone refuses or can't be reached from has neighbours that
- * are served.
+ * Forwards a submission that this node can't write itself to other controllers, one after the other, until one gives a final response. Each node has a small fixed share of the key-value store's rate limits, so while there is no leader, one node may be out of tokens when other nodes still have some. Likewise, if the key-value store refuses only this node's calls or is unreachable only from here, other nodes can still write to it.
  *
- * <p>A node whose answer was lost may have written the job; that is safe, since the write of the
- * next one is conditional on the job's absence and then finds it. All methods run under the
+ * <p>A node whose response was lost may have written the job. That is safe, since the write of the next node is conditional on the absence of the job and then finds it. All methods run under the
  * controller's lock.
  */
 public final class SubmissionForwarder {
-  /** Two such waits and an own write still end within a second of the user's request. */
+  /** Two such time-outs and a write by this node still end within one second of the user's request. */
   private static final double PEER_TIMEOUT_S = 0.4;
 
-  /** A node that gave no answer is not asked again for so long: the user waits each time. */
+  /** Seconds for which a node that gave no response is skipped, since the user waits for its time-out each time. */
   private static final double UNRESPONSIVE_S = 2;
 
-  /** Nodes asked for one submission; more would only spread the load of a general shortage. */
+  /** Largest number of nodes tried for one submission; with more, a general shortage of tokens would only load all nodes. */
   private static final int MAX_NODES = 4;
 
-  /** From then on no further node is asked: the user expects an answer within a second. */
+  /** Seconds after which no further node is tried, since users expect a response within one second. */
   private static final double DEADLINE_S = 0.7;
 
-  /** A request to one node that has yet to be sent. */
+  /** A request that is still to be sent to a node. */
   private record Attempt(String node, Request request) {}
 
   private final PeerClient peers;
@@ -57,22 +52,22 @@
     this.clock = clock;
   }
 
-  /** Whether a node has just left a submission without an answer. */
+  /** Whether a node has recently given no response to a submission. */
   boolean isUnresponsive(String node) {
     SteadyTime until = unresponsiveUntil.get(node);
     return until != null && clock.now().isBefore(until);
   }
 
-  /** Asks the leader only, by the user's own request; busy where it gives no answer. */
+  /** Sends the user's original request to the leader only; the response is busy if there is none in time. */
   void askLeader(String leader, Request request, Consumer<Response> answer) {
     ask(new Attempt(leader, request), answer);
   }
 
   /**
-   * Asks nodes in turn until one gives a final answer; busy if none does.
+   * Sends the submission to one node after the other until one gives a final response; busy if none does.
    *
-   * @param leader the node to begin with, which gets the user's own request
-   * @param dependent whether the job depends on others
+   * @param leader the first node, which receives the user's original request
+   * @param dependent whether the job depends on other jobs
    * @param verdict the result of the dependency check, if it was made
    */
   void forward(
@@ -90,7 +85,7 @@
     tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), answer);
   }
 
-  /** As {@link #forward} for a job with dependencies that the leader has just been asked for. */
+  /** As {@link #forward}, for a job with dependencies that has just been sent to the leader. */
   void forwardToFollowers(
       String leader,
       Request request,
@@ -105,7 +100,7 @@
     return new Request(request.method(), DependentSubmissionPath.of(verdict), request.body());
   }
 
-  /** Adds nodes other than the leader; each submission begins with the next of them. */
+  /** Adds nodes other than the leader in round-robin order: each submission starts with the next node. */
   private void addFollowers(Deque<Attempt> attempts, Optional<String> leader, Request request) {
     int first = firstOfNext++;
     for (int i = 0; i < otherNodes.size() && attempts.size() < MAX_NODES; i++) {
@@ -133,7 +128,7 @@
         });
   }
 
-  /** An older version does not know the path of dependent jobs and answers 404. */
+  /** An older version does not know the path for dependent jobs and responds with 404. */
   private static boolean isFinal(Response response) {
     return !Responses.isBusy(response) && response.status() != Responses.NOT_FOUND;
   }
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -17,9 +17,7 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Answers submissions: parses and validates them, then decides which node is to write the job. A
- * submission is an idempotent request: a job that was accepted before is answered with its state,
- * whatever the body of the repeated request says. All methods run under the controller's lock.
+ * Handles submissions: parses and validates them, then decides which node is to write the job. Submissions are idempotent: for a job that was accepted before, the response is its state, whatever the body of the repeated request contains. All methods run under the controller's lock.
  */
 public final class SubmissionHandler {
   private final Settings settings;
@@ -32,9 +30,9 @@
   /**
    * Creates a handler.
    *
-   * @param machineTypes what jobs are validated against; submissions get 503 until they are loaded
+   * @param machineTypes the types against which jobs are validated; the response to submissions is 503 until they are loaded
    * @param writer writes jobs to the key-value store
-   * @param forwarder hands jobs to other nodes where this one can't write them
+   * @param forwarder forwards jobs to other nodes if this one can't write them
    */
   public SubmissionHandler(
       Settings settings,
@@ -52,8 +50,7 @@
   }
 
   /**
-   * Answers a submission, now or later, exactly once. Another node may be asked to write the job of
-   * a user; what another node has forwarded is not forwarded again.
+   * Handles a submission; the callback is called exactly once, immediately or later. A submission from a user may be forwarded to another node; one from another node is not forwarded again.
    */
   public void handle(Request request, RequestOrigin origin, Consumer<Response> answer) {
     Optional<JobSpec> valid = validate(request, answer);
@@ -68,7 +65,7 @@
     }
   }
 
-  /** Returns the job if it may be accepted; otherwise the request is answered here. */
+  /** Returns the job if it may be accepted; otherwise empty, and the callback receives the response. */
   private Optional<JobSpec> validate(Request request, Consumer<Response> answer) {
     JsonNode body;
     JobId id;
@@ -124,7 +121,7 @@
     }
   }
 
-  /** An own write would only wait for its time-out; others may still reach the key-value store. */
+  /** Forwards before writing: a write by this node would only wait for its time-out, whereas other nodes may still reach the key-value store. */
   private void forwardFirst(JobSpec spec, SubmissionFallback anyNode, Consumer<Response> answer) {
     anyNode.forward(
         Optional.empty(),
@@ -134,8 +131,7 @@
   }
 
   /**
-   * The leader has the dependencies in memory, which this node would have to read. If its answer is
-   * lost although it has accepted the job, the write here finds the job's record.
+   * Asks the leader first, since it has the dependencies in memory and this node would have to read them. If the leader accepts the job but its response is lost, the write by this node finds the job's record.
    */
   private void askLeaderFirst(
       JobSpec spec, String leader, Request request, Consumer<Response> answer) {
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -28,19 +28,17 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Accepts a job by writing its record, on condition that neither the record nor the job's end
- * exists. That makes it safe to repeat the write after a lost answer, and to have several nodes try
- * the same job. All methods run under the controller's lock.
+ * Accepts a job by writing its record, on condition that neither the record nor an end record of the job exists. That makes it safe to repeat the write after a lost response and to let several nodes attempt to write the same job. All methods run under the controller's lock.
  */
 public final class SubmissionWriter {
-  /** Each attempt after the first follows a lost answer, which took the store's whole time-out. */
+  /** Each attempt after the first follows a lost response, which took the entire time-out of the store. */
   private static final int MAX_ATTEMPTS = 3;
 
   /**
-   * One job that is to be written.
+   * A job that is to be written.
    *
-   * @param fallback where the job is forwarded if this node can't write it
-   * @param answer gets the answer for the user, exactly once
+   * @param fallback destination of the job if this node can't write it
+   * @param answer receives the response for the user, exactly once
    */
   private record Submission(JobSpec spec, SubmissionFallback fallback, Consumer<Response> answer) {}
 
@@ -78,9 +76,8 @@
   /**
    * Accepts a job that has passed validation.
    *
-   * @param verdict another node's result of the dependency check; without it the dependencies are
-   *     checked here
-   * @param fallback where the job is forwarded if this node can't write it
+   * @param verdict result of the dependency check by another node; if empty, this node checks the dependencies
+   * @param fallback destination of the job if this node can't write it
    */
   void accept(
       JobSpec spec,
@@ -96,10 +93,9 @@
   }
 
   /**
-   * Answers with a job's state if it was accepted before, so that a repeated submission gets the
-   * same answer whatever its body says.
+   * Responds with the state of a job if it was accepted before, so that a repeated submission gets the same response whatever its body contains.
    *
-   * @param otherwise the answer for a job that was never accepted
+   * @param otherwise the response for a job that was never accepted
    */
   void answerKnownOr(Response otherwise, JobId id, Consumer<Response> answer) {
     lookup.find(
@@ -124,7 +120,7 @@
     new RecordWrite(submission, verdict, record).attempt();
   }
 
-  /** The write of one job's record, with its retries. */
+  /** The write of one job's record, including retries. */
   private final class RecordWrite {
     private final JobId id;
     private final SubmissionFallback fallback;
@@ -158,7 +154,7 @@
       } else if (outcome instanceof Outcome.NotApplied<Revision> notApplied) {
         notWritten(notApplied.reason());
       } else if (attemptsLeft > 0) {
-        // The answer was lost. If the write was applied, the next attempt finds its record.
+        // The response was lost. If the write was applied, the next attempt finds the record.
         attempt();
       } else {
         answer.accept(Responses.busy());
@@ -186,7 +182,7 @@
       try {
         return LedgerLoader.read(record, revision, clock.now());
       } catch (WireException e) {
-        throw new IllegalStateException("an own record can't be read", e);
+        throw new IllegalStateException("can't decode the job record that this node has just encoded", e);
       }
     }
   }
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -16,7 +16,7 @@
    * @param lease id of the lease that the key is attached to, or {@link #NO_LEASE}
    */
   record Put(String key, JsonNode value, long lease) implements Change {
-    /** The key stays until it is deleted. */
+    /** Value of {@code lease} for a key that is kept until it is deleted. */
     public static final long NO_LEASE = 0;
   }
 
--- a/src/main/java/org/ternhinge/store/CompareAndSwap.java
+++ b/src/main/java/org/ternhinge/store/CompareAndSwap.java
@@ -6,16 +6,14 @@
 import org.ternhinge.wire.Json;
 
 /**
- * A transaction: changes that are all applied, with one revision, if all conditions hold, and none
- * of them otherwise.
+ * An atomic transaction: if all conditions hold, all changes are applied with one revision; otherwise none is.
  *
- * @param conditions revisions that keys must have; none makes the changes unconditional
- * @param changes {@link Change.Put} and {@link Change.Delete} in the order of the message; none
- *     only compares
+ * @param conditions revisions that keys must have; an empty list makes the changes unconditional
+ * @param changes {@link Change.Put} and {@link Change.Delete} in the order of the message; an empty list only checks the conditions
  */
 public record CompareAndSwap(List<KeyCondition> conditions, List<Change> changes) {
 
-  /** The body of the request. */
+  /** Serializes the transaction as the body of a request. */
   public byte[] write() {
     ObjectNode out = Json.object();
     ArrayNode conditionList = out.putArray("if");
--- a/src/main/java/org/ternhinge/store/Entry.java
+++ b/src/main/java/org/ternhinge/store/Entry.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.Revision;
 
 /**
- * A key of the store as it was read.
+ * A key with its value and revision, as read from the store.
  *
  * @param key the key
  * @param value its value
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -21,12 +21,12 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** The key-value store over HTTP, within its published limits. Safe for use by several threads. */
+/** HTTP client of the key-value store that respects the store's published rate limits. Thread-safe. */
 public final class HttpKeyValueStore implements KeyValueStore {
-  /** Time-out of a page of keys, which may be large. */
+  /** Time-out in seconds of a page of keys, which may be large. */
   private static final double LIST_TIMEOUT_S = 5;
 
-  /** How much later than the end of its wait a watch may be answered. */
+  /** Seconds after the end of its wait by which a watch must be answered. */
   private static final double WATCH_SLACK_S = 5;
 
   private static final int MILLIS_PER_S = 1000;
@@ -40,9 +40,9 @@
   /**
    * Creates a client of a key-value store.
    *
-   * @param requests limits the calls
-   * @param writes limits the changes that they make
-   * @param responseTimeouts of calls, by how quickly the service answers
+   * @param requests limits the rate of calls
+   * @param writes limits the rate of changed keys
+   * @param responseTimeouts time-outs of calls, which adapt to the response times
    */
   public HttpKeyValueStore(
       HttpCaller http,
@@ -86,7 +86,7 @@
         .flatMap(keys -> Outcome.notApplied(Reason.CONFLICT, keys));
   }
 
-  /** The keys whose conditions failed, each between spaces. */
+  /** The keys whose conditions failed, separated and enclosed by spaces. */
   private static String failedKeys(JsonNode body) {
     StringBuilder out = new StringBuilder(" ");
     body.path("failed").forEach(key -> out.append(key.asText()).append(' '));
--- a/src/main/java/org/ternhinge/store/KeyCondition.java
+++ b/src/main/java/org/ternhinge/store/KeyCondition.java
@@ -5,7 +5,7 @@
 import org.ternhinge.model.Revision;
 
 /**
- * A condition of a {@link CompareAndSwap}: a key has an expected revision.
+ * A condition of a {@link CompareAndSwap}: a key must have an expected revision.
  *
  * @param key the key that is compared
  * @param expected its expected revision, or {@link Revision#NONE} for a key that must not exist
@@ -17,7 +17,7 @@
     return new KeyCondition(key, Revision.NONE);
   }
 
-  /** The conditions that all keys of a map have its revisions, in the order of the map. */
+  /** Conditions for the revisions of all keys in a map, in the iteration order of the map. */
   public static List<KeyCondition> allOf(Map<String, Revision> expectedByKey) {
     return expectedByKey.entrySet().stream()
         .map(entry -> new KeyCondition(entry.getKey(), entry.getValue()))
--- a/src/main/java/org/ternhinge/store/KeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/KeyValueStore.java
@@ -8,15 +8,9 @@
 import org.ternhinge.model.Revision;
 
 /**
- * The consensus-backed key-value store, the only place where controllers keep state.
+ * The consensus-backed key-value store, which holds all persistent state of the controllers.
  *
- * <p>Every controller may call every method, from any thread. A call returns at once; its future
- * completes on a thread of the implementation, never exceptionally, and callers take their own
- * lock. Each call takes a token of its priority and ends with {@link Outcome.Reason#RATE_LIMITED},
- * without being sent, where none is left. {@link Outcome.Reason#REFUSED} means that the store is
- * unavailable and {@link Outcome.Reason#TOO_MANY_REQUESTS} that it rejects this process's rate;
- * neither carried out anything. {@link Outcome.Unknown} means that no usable answer came: a write
- * may have been applied, or may still be, even minutes later.
+ * <p>Every controller may call every method, from any thread. A call returns immediately. Its future never completes exceptionally; it completes on a thread of the implementation, so callers must acquire their own lock. Each call takes a token of its priority; if none is left, it is not sent and ends with {@link Outcome.Reason#RATE_LIMITED}. {@link Outcome.Reason#REFUSED} means that the store is unavailable, and {@link Outcome.Reason#TOO_MANY_REQUESTS} that this process exceeds its rate limit; in both cases nothing was executed. {@link Outcome.Unknown} means that no usable response was received: a write may have been applied, or may still be applied, even minutes later.
  */
 public interface KeyValueStore {
 
@@ -25,7 +19,7 @@
    *
    * @param entries in ascending order of their keys
    * @param more whether further keys follow
-   * @param revision the revision of the whole store when it was read
+   * @param revision the revision of the whole store when the page was read
    */
   record Page(List<Entry> entries, boolean more, Revision revision) {}
 
@@ -33,33 +27,31 @@
    * The changes that a watch observed.
    *
    * @param revision the revision up to which all changes are included
-   * @param changes in ascending order of their revisions; empty where the time ran out
+   * @param changes in ascending order of their revisions; empty if none occurred within the wait
    */
   record WatchResult(Revision revision, List<Change.Observed> changes) {}
 
   /**
    * The result of reading one key.
    *
-   * @param entry the key with its value, or empty where it does not exist
+   * @param entry the key with its value, or empty if the key does not exist
    */
   record ReadResult(Optional<Entry> entry) {}
 
-  /** Reads a key. A key that does not exist is an {@link Outcome.Applied} empty result. */
+  /** Reads a key. For a key that does not exist the outcome is {@link Outcome.Applied} with an empty result. */
   CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority);
 
   /**
    * Reads a page of the keys with a prefix, in ascending order.
    *
-   * @param after the key that the page begins after, or null for the first page
-   * @param limit most entries of the page
+   * @param after the page contains only keys greater than this one; null for the first page
+   * @param limit the largest number of entries in the page
    */
   CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority);
 
   /**
-   * Applies all changes of a transaction, or none, if its conditions hold. The result is the
-   * revision of the changes. {@link Outcome.Reason#CONFLICT} names the keys whose conditions do not
-   * hold; {@link Outcome.Reason#INVALID} also stands for a lease that has expired.
+   * Applies all changes of a transaction if all of its conditions hold, and otherwise none. The result is the revision of the changes. The detail of {@link Outcome.Reason#CONFLICT} lists the keys whose conditions do not hold; {@link Outcome.Reason#INVALID} is also the reason if a lease has expired.
    */
   CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap compareAndSwap, RequestPriority priority);
@@ -75,7 +67,7 @@
    * Renews a lease to its full time to live. {@link Outcome.Reason#NOT_FOUND} means that it has
    * expired.
    *
-   * @param timeoutS seconds for which the answer is of use; further renewals may be sent meanwhile
+   * @param timeoutS seconds after which the response is no longer useful; further renewals may be sent before then
    */
   CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS);
 
@@ -83,18 +75,17 @@
   CompletableFuture<Outcome<Long>> revokeLease(long lease);
 
   /**
-   * Waits for changes of the keys with a prefix. {@link Outcome.Reason#TOO_OLD} and {@link
-   * Outcome.Reason#TOO_LARGE} mean that the changes are not available and the keys have to be
-   * listed again.
+   * Waits for changes of keys with a prefix. {@link Outcome.Reason#TOO_OLD} and {@link
+   * Outcome.Reason#TOO_LARGE} mean that the changes are not available and the keys must be listed again.
    *
-   * @param from only changes after this revision are observed
+   * @param from only changes after this revision are returned
    * @param waitS longest wait in seconds
    */
   CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS);
 
-  /** How many changes a transaction may carry now; 0 while none may be sent. */
+  /** The number of changes that a transaction may contain now; 0 while no transaction may be sent. */
   int availableChanges(RequestPriority priority);
 
-  /** Seconds until a transaction with a number of changes will find tokens. */
+  /** Seconds until enough tokens are available for a transaction with the given number of changes. */
   double secondsUntilAvailable(int changes, RequestPriority priority);
 }
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -10,29 +10,23 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
- * a smoothed mean and deviation of the response times and back off when no answer comes, so that a
- * slow store is waited for and a fast one is not. With a fixed time-out below the response time,
- * every call would fail and nobody could lead.
+ * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow the smoothed mean and deviation of the response times and back off after unanswered calls, so that calls wait longer for a slow store than for a fast one. With a fixed time-out below the response time, every call would fail and no node could become the leader.
  *
- * <p>Time-outs stay between a floor for each kind of call and a cap that follows from the
- * leadership lease. An unanswered call raises them only until the next answer. Safe for use by
- * several threads.
+ * <p>Time-outs lie between a minimum for each kind of call and a maximum that follows from the leadership lease. An unanswered call raises them only until the next response. Thread-safe.
  */
 public final class ResponseTimeouts {
 
-  /** Kinds of calls, each with its shortest time-out in seconds. */
+  /** Kinds of calls, each with its minimum time-out in seconds. */
   public enum Kind {
-    /** A read that the leadership depends on. */
+    /** A read on which the leadership depends. */
     READ(1.5, true),
-    /** A write that the leadership depends on. */
+    /** A write on which the leadership depends. */
     WRITE(1.5, true),
     /** Grants or revokes a lease. */
     LEASE(1.0, true),
 
     /**
-     * A read or a write that the leadership does not depend on. Its time-out does not back off,
-     * since jobs and users wait for the retry where answers are lost.
+     * A read or a write on which the leadership does not depend. Its time-out does not back off, since jobs and users wait for the retry when a response is lost.
      */
     ORDINARY(1.5, false);
 
@@ -44,12 +38,12 @@
       this.backsOff = backsOff;
     }
 
-    /** The kind of a read with a priority. */
+    /** The kind of a read with the given priority. */
     public static Kind ofRead(RequestPriority priority) {
       return priority == RequestPriority.RENEWAL ? READ : ORDINARY;
     }
 
-    /** The kind of a write with a priority. */
+    /** The kind of a write with the given priority. */
     public static Kind ofWrite(RequestPriority priority) {
       return priority == RequestPriority.RENEWAL ? WRITE : ORDINARY;
     }
@@ -58,39 +52,38 @@
   /** Weight of a new response time in the mean. */
   private static final double MEAN_GAIN = 0.25;
 
-  /** Weight of a new response time in the deviation; lower, so that jitter is remembered longer. */
+  /** Weight of a new response time in the deviation; lower than that of the mean, so that the effect of jitter lasts longer. */
   private static final double DEVIATION_GAIN = 0.125;
 
   /**
-   * Deviations above the mean that a response may take: about the maximum of the sum of two uniform
-   * distributions.
+   * Number of deviations above the mean that a response may take: about the maximum of a sum of two uniformly distributed delays.
    */
   private static final double MAX_DEVIATIONS = 6;
 
-  /** Fraction of the mean that is always allowed on top of it, however small the deviation is. */
+  /** Fraction of the mean that is added to it at least, however small the deviation is. */
   private static final double MIN_SLACK = 0.5;
 
   private static final double BACKOFF_FACTOR = 2;
 
-  /** A call that failed after this fraction of its time-out counts as timed out. */
+  /** An unanswered call counts as timed out if it took at least this fraction of its time-out. */
   private static final double TIMED_OUT_FRACTION = 0.99;
 
   private final Clock clock;
   private final double capS;
   private double meanS;
 
-  /** Mean excess over the mean; answers that are faster than the mean count as no excess. */
+  /** Smoothed excess of response times over the mean; faster responses count as zero. */
   private double deviationS;
 
   private boolean hasSample;
 
-  /** Time-out after unanswered calls in seconds; 0 once a call was answered. */
+  /** Time-out in seconds after unanswered calls; 0 after an answered call. */
   private double backedOffS;
 
   /**
-   * Creates time-outs without any response time yet.
+   * Creates time-outs without recorded response times.
    *
-   * @param capS longest time-out in seconds
+   * @param capS maximum time-out in seconds
    */
   public ResponseTimeouts(Clock clock, double capS) {
     this.clock = clock;
@@ -98,22 +91,19 @@
   }
 
   /**
-   * Creates time-outs for the store that holds the leadership lease. The cap is the longest
-   * response time at which the lease stays valid until the next renewal is answered: its validity
-   * counts from the sending of a renewal, and while answers are late the next renewal is sent that
-   * much later.
+   * Creates time-outs for the store that holds the leadership lease. The maximum is the longest response time with which the lease remains valid until the next renewal is answered: validity counts from the time at which a renewal is sent, and while responses are late, the next renewal is sent later by the delay after which a renewal counts as overdue.
    */
   public static ResponseTimeouts of(Clock clock, Tuning tuning) {
     return new ResponseTimeouts(
         clock, Math.max(Kind.READ.floorS, tuning.validityS() - tuning.renewalOverdueS()));
   }
 
-  /** The longest time-out, in seconds. */
+  /** The maximum time-out in seconds. */
   public double capS() {
     return capS;
   }
 
-  /** The time-out in seconds of a call that is sent now. */
+  /** The time-out in seconds for a call that is sent now. */
   public synchronized double timeoutS(Kind kind) {
     double expected = meanS + Math.max(MAX_DEVIATIONS * deviationS, MIN_SLACK * meanS);
     double floor = kind.backsOff ? Math.max(kind.floorS, backedOffS) : kind.floorS;
@@ -121,7 +111,7 @@
   }
 
   /**
-   * Sends a call with the present time-out and records its response time.
+   * Sends a call with the current time-out and records its response time.
    *
    * @param send sends the call, with a time-out in seconds
    */
@@ -134,8 +124,7 @@
   }
 
   /**
-   * Records the response time of a call with a time-out of its own. An unanswered one is ignored:
-   * it may have waited far longer than other calls do.
+   * Records the response time of a call that has its own time-out. An unanswered call is ignored, since its time-out may be far longer than those of other calls.
    */
   public <T> CompletableFuture<Outcome<T>> observe(CompletableFuture<Outcome<T>> call) {
     SteadyTime sent = clock.now();
@@ -155,7 +144,7 @@
     }
   }
 
-  /** A refusal is an answer too; a call that was never sent or lost its connection is none. */
+  /** A refusal counts as a response; a call that was never sent or lost its connection does not. */
   private static boolean wasAnswered(Outcome<?> outcome) {
     return outcome instanceof Outcome.Applied
         || (outcome instanceof Outcome.NotApplied<?> not
@@ -163,16 +152,14 @@
             && not.reason() != Reason.NO_CONNECTION);
   }
 
-  /** Records a call that was answered after some seconds. */
+  /** Records a call that was answered after {@code tookS} seconds. */
   synchronized void answered(double tookS) {
     backedOffS = 0;
     addSample(tookS);
   }
 
   /**
-   * Records a call that timed out. The first one in a row counts as a response of that length,
-   * since otherwise only the fast answers of a service with jitter would be recorded. The others do
-   * not count: the service may be unreachable, and be as fast as before afterwards.
+   * Records a call that timed out. The first of consecutive time-outs counts as a response time of that length, since otherwise only the fast responses of a store with jitter would be recorded. Further ones are not recorded, since the store may be unreachable and as fast as before once it is reachable again.
    */
   synchronized void timedOut(double timeoutS) {
     if (backedOffS == 0) {
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -15,10 +15,7 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Stores many small entries in few records of the key-value store. A write of a record costs one
- * unit of the store's rate limit however many entries have changed: with a record for each entry,
- * the provision requests of a start without machines would use up the rate that hundreds of
- * services wait for. Guarded by the controller's lock.
+ * Packs many small entries into few records of the key-value store. A write of a record consumes one unit of the store's rate limit, however many of its entries have changed. With a record for each entry, the provision requests of a start without machines would consume the rate limit while hundreds of services wait for their own writes. Guarded by the controller's lock.
  */
 public final class BucketedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(BucketedRecords.class);
@@ -70,8 +67,8 @@
   /**
    * Creates records without entries.
    *
-   * @param prefix of the records' keys, which end in a number
-   * @param maxRecordBytes the largest size of a record; an entry above it has a record of its own
+   * @param prefix prefix of the records' keys, which is followed by a number
+   * @param maxRecordBytes the largest size of a record; a larger entry is stored in a record of its own
    */
   public BucketedRecords(LedgerWriter writer, String prefix, int maxRecordBytes) {
     this.writer = writer;
@@ -84,15 +81,15 @@
   }
 
   /**
-   * Restores a record of an earlier leadership.
+   * Restores the entries of a record that an earlier leadership wrote.
    *
-   * @param each gets the name and value of each entry; may remove it
+   * @param each receives the name and value of each entry; it may remove the entry
    */
   public void restore(Entry entry, BiConsumer<String, JsonNode> each) {
     String number = entry.key().substring(prefix.length());
     if (!INDEX.matcher(number).matches() || !entry.value().isObject()) {
-      // Of another version, or written by hand: a leader that failed here would never be ready.
-      LOG.error("record {} is not one of ours and is left alone", entry.key());
+      // Written by another version or by hand. Failing here would keep every leader from getting ready.
+      LOG.error("ignoring record {}: its key or value has an unknown format", entry.key());
       return;
     }
     writer.setRevision(entry.key(), entry.revision());
@@ -105,7 +102,7 @@
               bucket.add(e.getKey(), e.getValue());
               bucketByName.put(e.getKey(), bucket);
             });
-    // The callback may remove its entry at once, so the bucket has to be complete before.
+    // The callback may remove its entry, so the bucket must be complete before the first call.
     entry.value().properties().forEach(e -> each.accept(e.getKey(), e.getValue()));
   }
 
@@ -119,7 +116,7 @@
   /**
    * Adds an entry to the first record with space for it.
    *
-   * @param onDurable runs once the key-value store holds the entry
+   * @param onDurable runs once the entry is durable in the key-value store
    */
   public void put(String name, JsonNode value, Runnable onDurable) {
     Bucket bucket = firstWithSpace(bytes(name, value));
--- a/src/main/java/org/ternhinge/term/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -11,10 +11,9 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * The services that one controller process is built on. They are created once, live as long as the
- * process and so outlive every leadership.
+ * The services of one controller process. They are created once and live as long as the process, across leaderships.
  *
- * @param settings the site's configuration
+ * @param settings the configuration of the site
  * @param tuning intervals and margins of this controller, in seconds
  * @param store client of the key-value store; safe for use by several threads
  * @param cloud client of the cloud that provisions and releases machines
--- a/src/main/java/org/ternhinge/term/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -6,13 +6,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * What the components of one leadership are built on.
+ * The dependencies shared by the components of one leadership.
  *
- * @param services the services of the process, which outlive the leadership
+ * @param services services of the process, which live longer than the leadership
  * @param authority the term that the leadership acts under
  * @param executor runs actions under the controller's lock until the leadership ends
- * @param ledger the jobs and attempts that this leadership knows
- * @param writer writes the ledger's changes to the key-value store
+ * @param ledger in-memory state of the jobs and attempts
+ * @param writer writes changes of the ledger to the key-value store
  * @param rounds requests scheduling rounds
  * @param electedAt when the leadership began
  */
@@ -26,7 +26,7 @@
     SteadyTime electedAt) {
 
   /**
-   * Creates a store of many small entries in few records.
+   * Creates a store that packs many small entries into few records.
    *
    * @param prefix the prefix of the keys of these records
    */
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -9,9 +9,7 @@
 import org.ternhinge.model.Outcome;
 
 /**
- * Runs the actions of one leadership under the controller's lock for as long as the leadership
- * lasts. An answer or a timer that arrives after its end is dropped, so that nothing acts on a
- * ledger that another leader may have changed since.
+ * Runs the actions of one leadership under the controller's lock until the leadership ends. Responses and timers that arrive later are dropped, since another leader may have changed the state that the ledger represents.
  */
 public final class LeadershipExecutor {
   private final Clock clock;
@@ -21,7 +19,7 @@
   private boolean stopped;
 
   /**
-   * Creates the executor of a leadership that has begun.
+   * Creates the executor of a leadership that has just begun.
    *
    * @param lock the controller's lock
    */
@@ -30,17 +28,17 @@
     this.executor = new LockedExecutor(lock);
   }
 
-  /** The leadership is over: from now on no action runs. Called under the lock. */
+  /** Marks the leadership as ended; no action runs afterwards. Called under the lock. */
   public void stop() {
     stopped = true;
   }
 
-  /** Whether the leadership is over. Called under the lock. */
+  /** Whether the leadership has ended. Called under the lock. */
   public boolean stopped() {
     return stopped;
   }
 
-  /** Runs an action under the lock, or not at all once the leadership is over. */
+  /** Runs an action under the lock, unless the leadership has ended. */
   void locked(Runnable action) {
     executor.execute(() -> runUnlessStopped(action));
   }
@@ -51,15 +49,15 @@
     }
   }
 
-  /** Runs an action under the lock after a delay, unless the leadership is over by then. */
+  /** Runs an action under the lock after a delay, unless the leadership has ended by then. */
   public void later(double seconds, Runnable action) {
     clock.after(seconds, () -> locked(action));
   }
 
   /**
-   * Hands the outcome of a call on under the lock, unless the leadership is over by then.
+   * Passes the outcome of a call to a consumer under the lock, unless the leadership has ended by then.
    *
-   * @param next gets the outcome, {@link Outcome.Unknown} where the call failed without one
+   * @param next receives the outcome, {@link Outcome.Unknown} if the call completed exceptionally
    */
   public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
     AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
--- a/src/main/java/org/ternhinge/term/RoundTrigger.java
+++ b/src/main/java/org/ternhinge/term/RoundTrigger.java
@@ -1,10 +1,10 @@
 package org.ternhinge.term;
 
-/** Requests scheduling rounds; used by whatever changes which tasks could be placed where. */
+/** Requests scheduling rounds; used by components whose changes affect which tasks can be placed and where. */
 @FunctionalInterface
 public interface RoundTrigger {
   /**
-   * Requests a round soon. Requests made before it has begun are served by the same round. Called
+   * Requests a round in the near future. Requests made before that round begins are coalesced into it. Called
    * under the controller's lock.
    */
   void requestRound();
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -21,14 +21,13 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
- * Elections over a key-value store that answers late. Whatever happens, a node takes its leadership
- * for valid only while the key-value store holds its key.
+ * Elections with a key-value store that responds late. A node must consider its leadership valid only while the store contains its key.
  */
 class DelayedElectionTest {
   private static final int NODES = 3;
   private static final double STEP_S = 0.02;
 
-  /** Quick as a healthy service is. */
+  /** One-way delay of a healthy store. */
   private static final double QUICK_S = 0.003;
 
   private final SimClock clock = new SimClock();
@@ -41,7 +40,7 @@
   private int steps;
   private int stepsLed;
 
-  /** One node, with its own way to the service. */
+  /** One node with its own connection to the store. */
   private final class Node implements Election.Listener {
     private final String name;
     private final ResponseTimeouts timeouts = ResponseTimeouts.of(clock, Tuning.DEFAULT);
@@ -86,7 +85,7 @@
         .orElse("nobody");
   }
 
-  /** Lets time pass, and checks all the while who takes itself for the leader. */
+  /** Advances the clock in steps and checks after each that only the holder of the key is valid. */
   private void run(double seconds) {
     steps = 0;
     stepsLed = 0;
@@ -95,7 +94,7 @@
       steps++;
       for (Node node : nodes) {
         if (node.election.valid()) {
-          assertEquals(holder(), node.name, "valid at " + clock.seconds() + " s without the key");
+          assertEquals(holder(), node.name, "valid at " + clock.seconds() + " s without holding the key");
           stepsLed++;
         }
       }
@@ -110,7 +109,7 @@
     return nodes.stream().filter(node -> node.election.valid()).findFirst().orElseThrow();
   }
 
-  @ParameterizedTest(name = "{0} s each way, {1} of it jitter")
+  @ParameterizedTest(name = "one-way delay {0} s, jitter fraction {1}")
   @CsvSource({
     "0.003, 0",
     "0.3, 0",
@@ -127,15 +126,15 @@
   void aLeaderIsElectedAndStays(double delayS, double jitterShare) {
     start(delayS, jitterShare);
     run(45);
-    assertTrue(elected >= 1, "nobody was elected");
+    assertTrue(elected >= 1, "no leader was elected");
     int before = elected;
     run(180);
-    assertEquals(before, elected, "the leader did not stay");
-    assertEquals(1, shareLed(), 1e-9, "share of the time in which the leadership was valid");
+    assertEquals(before, elected, "the leader changed");
+    assertEquals(1, shareLed(), 1e-9, "fraction of the time with a valid leadership");
   }
 
-  /** A leader elected over a quick service keeps its lease when the service turns slow. */
-  @ParameterizedTest(name = "{0} s each way, {1} of it jitter")
+  /** A leader elected with a fast store keeps its lease when the store becomes slow. */
+  @ParameterizedTest(name = "one-way delay {0} s, jitter fraction {1}")
   @CsvSource({
     "0.3, 0", "0.8, 0", "1.0, 0", "1.3, 0", "1.8, 0", "2.0, 0",
     "0.3, 0.8", "0.8, 0.8", "1.0, 0.8", "1.3, 0.8", "1.8, 0.8", "2.0, 0.8"
@@ -147,12 +146,12 @@
     eachWayS = delayS;
     jitter = jitterShare;
     run(120);
-    assertEquals(1, elected, "the leader did not stay");
-    assertTrue(shareLed() > 0.98, "valid for only " + shareLed() + " of the time");
+    assertEquals(1, elected, "the leader changed");
+    assertTrue(shareLed() > 0.98, "fraction " + shareLed() + " of the time with a valid leadership");
   }
 
-  /** Refused alone while the service is slow, a leader's validity ends before its lease. */
-  @ParameterizedTest(name = "{0} s each way, {1} of it jitter, refused for {2} s")
+  /** The store refuses only the leader's calls while it is slow: the leader's validity must end before its lease. */
+  @ParameterizedTest(name = "one-way delay {0} s, jitter fraction {1}, refused for {2} s")
   @CsvSource({
     "0.3, 0, 8", "0.8, 0, 8", "1.0, 0, 12", "1.3, 0, 12", "1.8, 0, 12", "2.0, 0, 40",
     "0.3, 0.8, 8", "0.8, 0.8, 8", "1.0, 0.8, 12", "1.3, 0.8, 12", "1.8, 0.8, 12", "2.0, 0.8, 40"
@@ -167,13 +166,13 @@
       refused.store.refuse(false);
       core.wake();
       run(60);
-      assertTrue(elected >= 2 + i, "nobody took over");
+      assertTrue(elected >= 2 + i, "no other node took over");
       assertEquals(1, nodes.stream().filter(node -> node.election.valid()).count());
     }
   }
 
-  /** Once the service is quick again, so are the time-outs and the next election. */
-  @ParameterizedTest(name = "{0} s each way before")
+  /** Once the store is fast again, time-outs and the next election are short again too. */
+  @ParameterizedTest(name = "one-way delay {0} s before")
   @CsvSource({"0.8", "1.3", "1.8", "2.0", "2.5", "4"})
   void afterwardsAllIsQuickAgain(double delayS) {
     start(delayS, 0);
@@ -184,15 +183,14 @@
     Node old = leader();
     old.store.refuse(true);
     run(8);
-    assertTrue(leader() != old, "nobody took over");
-    assertTrue(shareLed() > 0.9, "led for only " + shareLed() + " of the time");
+    assertTrue(leader() != old, "no other node took over");
+    assertTrue(shareLed() > 0.9, "fraction " + shareLed() + " of the time with a valid leadership");
   }
 
   /**
-   * Beyond what the lease allows, nobody leads, at the usual pace of calls; and no two at once. A
-   * renewal whose answer takes so long is over before the next one's answer.
+   * With delays longer than the lease allows, no node leads, and the rate of calls stays normal. The validity gained by one renewal ends before the response to the next arrives.
    */
-  @ParameterizedTest(name = "{0} s each way")
+  @ParameterizedTest(name = "one-way delay {0} s")
   @CsvSource({"2.2", "2.5", "3.5", "6"})
   void nobodyLeadsBeyondTheLease(double delayS) {
     start(delayS, 0);
--- a/src/test/java/org/ternhinge/election/GraceTest.java
+++ b/src/test/java/org/ternhinge/election/GraceTest.java
@@ -9,7 +9,7 @@
 import org.ternhinge.config.SettingsException;
 import org.ternhinge.config.Tuning;
 
-/** The inequality on which cancellations rest where the key-value store is gone for long. */
+/** The inequality that makes cancellations safe during a long outage of the key-value store. */
 class GraceTest {
   private static final double DRIFT = 0.0005;
 
@@ -30,14 +30,12 @@
     Tuning tuning = Tuning.read("grace_s = " + graceS + "\nmargin_s = " + margin);
     double grace = Election.grace(tuning, workers);
     assertEquals(expected, grace, 0.001);
-    // From the sending of the last renewal that succeeded, by the key-value store's clock: the
-    // first
-    // moment at which another may lead, and the last at which a worker of the old leader runs
-    // tasks.
-    // The leader's clock is the slowest and the worker's too.
+    // Times since the last successful renewal was sent, by the clock of the key-value store: the
+    // earliest at which another node may lead, and the latest at which a worker of the old leader
+    // runs tasks. The clocks of the leader and the worker are as slow as the drift allows.
     double confirmed = tuning.leadershipS();
     double validity = tuning.leadershipS() * (1 - Settings.DRIFT) - margin;
     double gone = (validity + grace) * (1 + DRIFT) + lease * (1 + DRIFT);
-    assertTrue(gone <= confirmed + cancel, gone + " after " + (confirmed + cancel));
+    assertTrue(gone <= confirmed + cancel, gone + " s is later than " + (confirmed + cancel));
   }
 }
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 
-/** One claim of the leadership, and what the leadership that it brings answers. */
+/** A claim of the leadership, and the state of the leadership that results from it. */
 class LeadershipClaimTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
@@ -89,9 +89,9 @@
     put(Keys.LEADER, 1);
     claim(Revision.NONE);
     assertEquals(List.of("lost race"), failures);
-    assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "no term is used up");
+    assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "the term is not incremented");
     clock.runFor(60);
-    assertEquals(0, leasesEnded, "its lease was released");
+    assertEquals(0, leasesEnded, "the released lease must not be reported as ended");
   }
 
   /** The leadership after a claim that was applied. */
@@ -131,7 +131,7 @@
     void leavesNoLeaderOnceItsLeaseIsReleased() {
       won.releaseLease();
       assertEquals(Optional.empty(), core.get(Keys.LEADER).entry());
-      assertTrue(core.get(Keys.TERM).entry().isPresent(), "terms only grow");
+      assertTrue(core.get(Keys.TERM).entry().isPresent(), "the term must be kept");
     }
   }
 }
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
 
-/** How long a lease is relied on, by which renewals are answered and when. */
+/** Validity of a lease and times of its renewals, depending on when renewals are answered. */
 class LeadershipLeaseTest {
   private static final double VALIDITY_S = 6 * 0.999 - 0.3;
 
@@ -31,7 +31,7 @@
   private final SteadyTime requested = clock.now();
   private int timesEnded;
 
-  /** A store whose renewals are answered by hand. */
+  /** A store whose renewals are answered by the test. */
   private final DirectStore store =
       new DirectStore(new StoreCore(clock)) {
         @Override
@@ -74,7 +74,7 @@
     assertEquals(firstRenewalS, sentS(0), 1e-6);
   }
 
-  /** With quick answers there is one renewal every two seconds, as ever. */
+  /** With fast responses there is one renewal every two seconds. */
   @Test
   void quickAnswersKeepThePace() {
     lease.keepAlive();
@@ -86,7 +86,7 @@
     }
   }
 
-  /** The next renewal doesn't wait for a late answer, and there are never many of them. */
+  /** The next renewal doesn't wait for a late response, and the number of renewals stays bounded. */
   @Test
   void renewalsDoNotWaitForEachOther() {
     lease.keepAlive();
@@ -120,7 +120,7 @@
     assertEquals(4.8 + VALIDITY_S, validS(), 1e-6);
   }
 
-  /** Only the newest renewal's failure brings the next one forward. */
+  /** Only a failure of the newest renewal schedules an earlier next one. */
   @Test
   void refusalsDoNotMultiplyTheRenewals() {
     lease.keepAlive();
@@ -130,9 +130,9 @@
       renewals.get(i).answer.complete(Outcome.notApplied(Reason.REFUSED, "503"));
     }
     clock.runFor(0.39);
-    assertTrue(renewals.size() <= sent + 1, (renewals.size() - sent) + " at once");
+    assertTrue(renewals.size() <= sent + 1, (renewals.size() - sent) + " renewals at once");
     clock.runFor(0.02);
-    assertTrue(renewals.size() >= sent + 1, "none after a refusal");
+    assertTrue(renewals.size() >= sent + 1, "no renewal after a refusal");
     assertEquals(VALIDITY_S, validS(), 1e-6);
   }
 
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -26,7 +26,7 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Where a node loads the machine types from. */
+/** Sources from which a node loads the machine types. */
 class BootstrapMachineTypesTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
@@ -36,7 +36,7 @@
   private final BootstrapMachineTypes types =
       new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), loaded::add);
 
-  /** A cloud that only lists its machine types, or is down. */
+  /** A cloud that supports only the listing of its machine types and can be unavailable. */
   private static final class MachineTypeCloud implements Cloud {
     private boolean down;
     private int calls;
@@ -50,18 +50,18 @@
 
     @Override
     public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
-      throw new AssertionError("nothing is provisioned here");
+      throw new AssertionError("unexpected call of provision");
     }
 
     @Override
     public CompletableFuture<Outcome<Integer>> release(List<MachineId> machines) {
-      throw new AssertionError("nothing is released here");
+      throw new AssertionError("unexpected call of release");
     }
 
     @Override
     public CompletableFuture<Outcome<ListedMachine.Page>> list(
         MachineId after, int limit, RequestPriority priority) {
-      throw new AssertionError("nothing is listed here");
+      throw new AssertionError("unexpected call of list");
     }
   }
 
@@ -78,7 +78,7 @@
     loaded.clear();
     new BootstrapMachineTypes(store, cloud, clock, new ReentrantLock(), loaded::add).load();
     assertEquals(List.of(SimMachineTypes.ALL), loaded);
-    assertEquals(1, cloud.calls, "the second node reads the copy");
+    assertEquals(1, cloud.calls, "the second node must read the copy");
   }
 
   @Test
--- a/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
+++ b/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.sim.SimClock;
 
-/** Whom a node without requests probes, and what it learns of its connectivity. */
+/** Probes of a node without requests, and the connectivity that results from them. */
 class ConnectivityProbeTest {
   private static final List<String> OTHERS = List.of("b", "c");
 
@@ -37,9 +37,9 @@
         public void reset(String node) {}
       };
 
-  @ParameterizedTest(name = "store answers {0}, peers answer {1}")
+  @ParameterizedTest(name = "store responds {0}, peers respond {1}")
   @CsvSource({
-    // store answers, peers answer, nodes asked in 9.5 s, store unresponsive, isolated
+    // store responds, peers respond, nodes probed in 9.5 s, store unresponsive, isolated
     "true,  true,  b c b,         false, false",
     "true,  false, b c b,         false, false",
     "false, true,  b c b,         true,  false",
--- a/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
+++ b/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
@@ -7,18 +7,18 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
 
-/** When a worker's heartbeat is relayed to the leader. */
+/** Decisions whether a worker's heartbeat is relayed (-) or redirected (R). */
 class HeartbeatRelayPolicyTest {
   private static final MachineId WORKER = new MachineId("n-1");
 
   @ParameterizedTest
   @CsvSource({
-    "'0', R", // sent to the leader
-    "'0 6', R-", // back soon: it found nobody
-    "'0 6 9 35', R---", // relayed for a while
-    "'0 6 37', R-R", // then sent to the leader again
-    "'0 6 37 43', R-R-", // still cut
-    "'0 60', RR" // a heartbeat much later says nothing of the leader
+    "'0', R", // redirected to the leader
+    "'0 6', R-", // returned soon: it could not reach the leader
+    "'0 6 9 35', R---", // relayed for a limited time
+    "'0 6 37', R-R", // then redirected again
+    "'0 6 37 43', R-R-", // still unable to reach the leader
+    "'0 60', RR" // a much later heartbeat does not imply that the leader was unreachable
   })
   void aWorkerThatComesBackSoonIsRelayed(String times, String expected) {
     HeartbeatRelayPolicy policy = new HeartbeatRelayPolicy();
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -26,7 +26,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
 
-/** What a node that does not lead finds of jobs in the key-value store. */
+/** Lookup of jobs in the key-value store by a node that does not lead. */
 class JobLookupTest {
   private static final int VALUE_BYTES = 8 * 1024;
 
@@ -75,7 +75,7 @@
 
   @ParameterizedTest(name = "{0}: {1} is {2}")
   @CsvSource({
-    // stored jobs, job, what is found
+    // stored jobs, job, result
     "1:batch,                               1, queued",
     "1:daemon,                              1, queued service",
     "1:done,                                1, done",
@@ -95,7 +95,7 @@
     assertEquals(expected, found());
   }
 
-  /** The leader has longer chains in memory; here the state is unavailable, and not guessed. */
+  /** For a longer chain the state must be unavailable, since only the leader has it in memory. */
   @ParameterizedTest(name = "{0} jobs")
   @CsvSource({"64, queued", "66, unavailable"})
   void aChainIsReadUpToABound(int jobs, String expected) {
@@ -107,7 +107,7 @@
     assertEquals(expected, found());
   }
 
-  @ParameterizedTest(name = "{0}: after {1} {2}")
+  @ParameterizedTest(name = "{0}: dependencies {1}: {2}")
   @CsvSource({
     // stored jobs, dependencies, outcome of the check
     "1:batch 2:done,      1 2, passed",
--- a/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
+++ b/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.sim.SimClock;
 
-/** What follows from the time since the last answers. */
+/** States that follow from the times since the last responses. */
 class NodeConnectivityTest {
   private final SimClock clock = new SimClock();
 
-  @ParameterizedTest(name = "{0} s after the store''s, {1} s after a peer''s answer")
+  @ParameterizedTest(name = "store responded {0} s ago, peer {1} s ago")
   @CsvSource({
-    // seconds since the store's and the peers' last answer, peers are configured,
-    // store quiet, peers quiet, store unresponsive, isolated
+    // seconds since the last response of the store and of a peer, peers are configured,
+    // store probe due, peer probe due, store unresponsive, isolated
     "1, 1, true,  false, false, false, false",
     "3, 1, true,  true,  false, false, false",
     "1, 9, true,  false, true,  false, false",
--- a/src/test/java/org/ternhinge/request/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.sim.SimClock;
 
-/** What an answer of another controller, or its absence, means. */
+/** Effects of a response of another controller, or of its absence. */
 class PeerClientTest {
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
@@ -38,7 +38,7 @@
 
   @ParameterizedTest(name = "status {0}")
   @CsvSource({
-    // status, status handed on, whether the connection is closed
+    // status, status passed on, whether the connection is closed
     "200, 200, false",
     "503, 503, false",
     "404, 404, false",
@@ -48,7 +48,7 @@
     given = Optional.ofNullable(status).map(Response::of);
     NodeConnectivity connectivity = new NodeConnectivity(clock, true);
     clock.runFor(6);
-    assertEquals(true, connectivity.isIsolated(), "nobody has answered for long");
+    assertEquals(true, connectivity.isIsolated(), "isolated after 6 s without any response");
     new PeerClient(peers, lock, connectivity)
         .askOrBusy(
             "b",
--- a/src/test/java/org/ternhinge/request/SharedLookupsTest.java
+++ b/src/test/java/org/ternhinge/request/SharedLookupsTest.java
@@ -10,7 +10,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobState;
 
-/** Lookups of the same job at the same time. */
+/** Coalescing of concurrent lookups of the same job. */
 class SharedLookupsTest {
   private static final JobId JOB = new JobId("wk-1");
   private static final JobId OTHER = new JobId("wk-2");
@@ -38,8 +38,7 @@
   }
 
   /**
-   * A user who asks during a lookup may have seen a later state than the lookup has read already,
-   * and would get an older one by its result.
+   * A user who asks during a lookup may already have seen a later state than the one that the lookup has read. Its result would show that user an outdated state.
    */
   @Test
   void aLaterRequestIsNotAnsweredByALookupThatBeganBefore() {
@@ -49,8 +48,8 @@
     assertEquals(1, running.size());
     answer(0, JobState.Phase.QUEUED);
     assertEquals(List.of("first queued"), answered);
-    assertEquals(2, running.size(), "all that waited share one lookup");
-    assertEquals(RequestPriority.CANCEL, priorities.get(1), "the most urgent one's priority");
+    assertEquals(2, running.size(), "all waiting requests share one lookup");
+    assertEquals(RequestPriority.CANCEL, priorities.get(1), "the most urgent priority of the batch");
     answer(1, JobState.Phase.CANCELLED);
     assertEquals(List.of("first queued", "second cancelled", "third cancelled"), answered);
     assertEquals(2, running.size());
--- a/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.wire.DependencyVerdict;
 
-/** To which nodes a submission is forwarded, and which answer is passed on. */
+/** Nodes to which a submission is forwarded, and the response that is passed on. */
 class SubmissionForwarderTest {
   private static final Request SUBMISSION = new Request("POST", "/submissions", new byte[] {'{'});
   private static final List<String> OTHERS = List.of("b", "c", "d", "e");
@@ -58,7 +58,7 @@
     forwarder.forward(Optional.ofNullable(leader), SUBMISSION, dependent, verdict, r -> answer = r);
   }
 
-  /** Nodes that are not named give no answer. */
+  /** Sets the status of each listed node, for example {@code b=503 c=201}; other nodes give no response. */
   private void answers(String list) {
     for (String each : list == null ? new String[0] : list.split(" ", -1)) {
       String[] answer = each.split("=", 2);
@@ -66,9 +66,9 @@
     }
   }
 
-  @ParameterizedTest(name = "leader {0}, answers {1}")
+  @ParameterizedTest(name = "leader {0}, responses {1}")
   @CsvSource({
-    // leader, answers, nodes asked, status
+    // leader, responses, nodes asked, status
     "d, d=201,                   d,       201",
     "d, d=200,                   d,       200",
     "d, d=422,                   d,       422",
@@ -128,7 +128,7 @@
     assertEquals(List.of("/peer/submissions", "/peer/submissions"), paths);
   }
 
-  /** The leader is known to support dependencies, and its version may not know that path. */
+  /** The leader is known to support dependencies, but its version may not know the peer path. */
   @Test
   void theLeaderIsAskedByTheUsersOwnRequest() {
     answers("d=503 b=201");
--- a/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
+++ b/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
@@ -10,7 +10,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.wire.Json;
 
-/** The body of a transaction. */
+/** Serialization of a transaction. */
 class CompareAndSwapTest {
 
   private static String json(CompareAndSwap compareAndSwap) {
--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.wire.Json;
 
-/** How answers of the key-value store become outcomes, and what its rate limits do. */
+/** Conversion of HTTP responses into outcomes, and rate limiting. */
 class HttpKeyValueStoreTest {
   private static final double RATE_PER_S = 10;
   private static final CompareAndSwap WRITE =
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Which outcome each answer to a transaction has. */
+  /** Outcomes of the responses to a transaction. */
   @Nested
   class AnswersToATransaction {
     @ParameterizedTest(name = "{0} {1}: {2}, detail \"{3}\"")
@@ -88,10 +88,10 @@
     }
   }
 
-  /** What exhausted tokens and refusals do. */
+  /** Effects of exhausted tokens and of responses that reject the rate. */
   @Nested
   class RateLimits {
-    @ParameterizedTest(name = "{0}: writes pause {1}")
+    @ParameterizedTest(name = "status {0}: paused {1}")
     @CsvSource({"200, false", "429, true", "503, false"})
     void onlyARefusalForItsRatePausesRequestsAndWrites(int status, boolean pauses)
         throws Exception {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** What reads and watches return. */
+  /** Results of reads and watches. */
   @Nested
   class Reads {
     @Test
--- a/src/test/java/org/ternhinge/store/ResponseTimeoutsTest.java
+++ b/src/test/java/org/ternhinge/store/ResponseTimeoutsTest.java
@@ -14,14 +14,14 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/** The time-outs of calls to the key-value store, by what they see of it. */
+/** Time-outs of calls to the key-value store, depending on its responses so far. */
 class ResponseTimeoutsTest {
   private static final double QUICK_S = 0.01;
 
   private final SimClock clock = new SimClock();
   private final ResponseTimeouts timeouts = ResponseTimeouts.of(clock, Tuning.DEFAULT);
 
-  /** A call that is answered after so many seconds if its time-out allows; true if it was. */
+  /** Records a call with the given response time; returns false if that exceeds its time-out. */
   private boolean call(double responseS) {
     double limitS = timeouts.timeoutS(Kind.READ);
     if (responseS < limitS) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** The cap: 6 s of lease less drift and margin, less the pace of renewals that wait. */
+  /** The maximum: a lease of 6 s less drift and margin, less the interval of overdue renewals. */
   @Test
   void theCapIsWhatTheLeaseLeaves() {
     assertEquals(6 * 0.999 - 0.3 - 1.4, timeouts.capS(), 1e-9);
@@ -50,7 +50,7 @@
     }
   }
 
-  @ParameterizedTest(name = "{0}: at first and over a quick service {1} s")
+  @ParameterizedTest(name = "{0}: {1} s initially and with a fast store")
   @CsvSource({"READ, 1.5", "WRITE, 1.5", "LEASE, 1.0"})
   void aQuickServiceIsNotWaitedForLonger(Kind kind, double floorS) {
     assertEquals(floorS, timeouts.timeoutS(kind), 1e-9);
@@ -59,10 +59,9 @@
   }
 
   /**
-   * Of a service that turns slow, at most two calls in a row are given up: those by which it shows.
-   * Of one that is also uneven, few more.
+   * When the store becomes slow, at most two consecutive calls time out before the time-outs adapt. With jitter, at most ten of 200 calls time out in total.
    */
-  @ParameterizedTest(name = "{0} s each way, {1} of it jitter")
+  @ParameterizedTest(name = "one-way delay {0} s, jitter fraction {1}")
   @CsvSource({
     "0.3, 0", "0.8, 0", "1.0, 0", "1.3, 0", "1.8, 0", "2.0, 0",
     "0.3, 0.8", "0.8, 0.8", "1.0, 0.8", "1.3, 0.8", "1.8, 0.8", "2.0, 0.8"
@@ -76,12 +75,12 @@
       double responseS = eachWayS * (2 - jitter * (random.nextDouble() + random.nextDouble()));
       inARow = call(responseS) ? 0 : inARow + 1;
       givenUp += inARow > 0 ? 1 : 0;
-      assertTrue(inARow <= 2, "call " + i + " is the third in a row to be given up");
+      assertTrue(inARow <= 2, "call " + i + " is the third consecutive time-out");
     }
-    assertTrue(givenUp <= (jitter == 0 ? 2 : 10), givenUp + " calls of 200 were given up");
+    assertTrue(givenUp <= (jitter == 0 ? 2 : 10), givenUp + " of 200 calls timed out");
   }
 
-  @ParameterizedTest(name = "{0} s each way before")
+  @ParameterizedTest(name = "one-way delay {0} s before")
   @CsvSource({"0.8", "1.0", "1.3", "1.8", "5"})
   void theyFallAgainAfterTwelveQuickAnswers(double eachWayS) {
     calls(30, 2 * eachWayS);
@@ -90,8 +89,8 @@
     assertEquals(1.0, timeouts.timeoutS(Kind.LEASE), 1e-9);
   }
 
-  /** A lost packet, or several at once, don't make the calls after the next answer wait. */
-  @ParameterizedTest(name = "{0} calls lost at once")
+  /** One or several lost packets at once must not lengthen time-outs for long after the next response. */
+  @ParameterizedTest(name = "{0} lost calls")
   @CsvSource({"1", "2", "10"})
   void aLostPacketIsSoonForgotten(int lost) {
     calls(50, QUICK_S);
@@ -105,7 +104,7 @@
     assertEquals(1.5, timeouts.timeoutS(Kind.READ), 1e-9);
   }
 
-  /** However long nothing came through, a few answers are enough to be quick again. */
+  /** After an outage of any length, a few fast responses suffice to restore short time-outs. */
   @Test
   void anOutageIsSoonForgotten() {
     calls(50, QUICK_S);
@@ -125,7 +124,7 @@
             });
   }
 
-  /** What was never sent or broke off tells nothing of the service's speed; a refusal does. */
+  /** Calls that were not sent or lost their connection say nothing about response times; refusals do. */
   @Test
   void onlyAnswersAndTimeOutsCount() {
     outcome(Outcome.notApplied(Reason.RATE_LIMITED, ""), 0);
@@ -133,9 +132,9 @@
     outcome(Outcome.unknown("connection lost"), 1.2);
     assertEquals(1.5, timeouts.timeoutS(Kind.READ), 1e-9);
     outcome(Outcome.notApplied(Reason.REFUSED, "503"), 1.4);
-    assertTrue(timeouts.timeoutS(Kind.READ) > 2, "a slow refusal is a slow answer");
+    assertTrue(timeouts.timeoutS(Kind.READ) > 2, "a slow refusal counts as a slow response");
     outcome(Outcome.applied("x"), 0.01);
     outcome(Outcome.unknown("no answer in time"), timeouts.timeoutS(Kind.READ));
-    assertTrue(timeouts.timeoutS(Kind.READ) > 2.9, "a time-out backs off");
+    assertTrue(timeouts.timeoutS(Kind.READ) > 2.9, "a time-out must cause back-off");
   }
 }
--- a/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -25,9 +25,9 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** How entries are packed into records, and restored from them. */
+/** Packing of entries into records, and their restoration. */
 class BucketedRecordsTest {
-  /** Records by their keys, written by the code of commit d679fcc. */
+  /** Records by key, as written by the code of commit d679fcc. */
   private static final Map<String, String> D679FCC =
       Map.of(
           "r/0",
@@ -70,8 +70,7 @@
   }
 
   /**
-   * Records of provision requests and returns as the version in production writes them. What is
-   * read is written back the same around what is new.
+   * Records of provision requests and returns as the version in production writes them. Restored entries must be written back unchanged when a new entry is added.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
@@ -118,10 +117,9 @@
   }
 
   /**
-   * Several entries in a record, and how many go into one under a small limit, as the code of
-   * commit d679fcc writes them: five provision requests, five returns.
+   * The distribution of entries over records with a small size limit, as the code of commit d679fcc writes them: five provision requests, five returns.
    */
-  @ParameterizedTest(name = "{0} in records of {1} bytes")
+  @ParameterizedTest(name = "prefix {0}, records of at most {1} bytes")
   @CsvSource({"r/, 256, 3", "x/, 64, 2"})
   void recordsOfTheFirstVersionWithDependentJobs(String prefix, int valueBytes, int records)
       throws Exception {
--- a/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.sim.SimClock;
 
-/** Actions of a leadership run under the lock, and not after its end. */
+/** Actions of a leadership run under the lock, and are dropped after its end. */
 class LeadershipExecutorTest {
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
@@ -25,7 +25,7 @@
     ran.add(name);
   }
 
-  /** Answers and timers that come after a leadership must not act for it. */
+  /** Responses and timers that arrive after the end of a leadership must have no effect. */
   @ParameterizedTest(name = "stopped: {0}")
   @ValueSource(booleans = {false, true})
   void actionsRunUnderTheLockUntilTheLeadershipEnds(boolean stopped) {
