--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -236,7 +236,7 @@
     return gone;
   }
 
-  // ---- claims and own leaderships -------------------------------------------------------------
+  // ---- claims and leaderships of this node ----------------------------------------------------
 
   private final class ClaimOutcome implements LeadershipClaim.Listener {
     @Override
--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -80,7 +80,7 @@
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
 
-  /** If the response was lost, the store may hold a lease that nobody uses; it expires without renewals. */
+  /** If the response was lost, the store may hold an unused lease, which expires since it is not renewed. */
   private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
@@ -128,7 +128,7 @@
       return;
     }
     // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is applied
-    // late either fails or writes a term that nobody uses.
+    // late either fails or writes a term that stays unused.
     lease.release();
     listener.failed(outcome.isBecause(Reason.CONFLICT));
   }
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -16,6 +16,6 @@
    */
   void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> answer);
 
-  /** Closes the connection to a node that did not answer. */
+  /** Closes the connection to a node that did not respond. */
   void reset(String node);
 }
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -31,7 +31,7 @@
    * A change that a watch observed.
    *
    * @param key the key that changed
-   * @param value its new value, or null where the key was removed
+   * @param value its new value, or null if the key was removed
    * @param revision the revision of the change
    */
   record Observed(String key, JsonNode value, Revision revision) implements Change {}
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -88,7 +88,7 @@
   public void restore(Entry entry, BiConsumer<String, JsonNode> each) {
     String number = entry.key().substring(prefix.length());
     if (!INDEX.matcher(number).matches() || !entry.value().isObject()) {
-      // Written by another version or by hand. Failing here would keep every leader from getting ready.
+      // Written by another version or by hand. If this failed, no leader would become ready.
       LOG.error("ignoring record {}: its key or value has an unknown format", entry.key());
       return;
     }
