--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -73,7 +73,7 @@
   private boolean maySend() {
     lock.lock();
     try {
-      return !executor.stopped() && authority.valid();
+      return !executor.isStopped() && authority.valid();
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -119,7 +119,7 @@
         services.store(),
         clock,
         tuning,
-        Election.grace(tuning, settings.workers()),
+        Election.gracePeriodS(tuning, settings.workers()),
         lock,
         new SplittableRandom(seed()));
   }
@@ -132,13 +132,13 @@
 
   private record LinkTransport(PeerLink link) implements PeerTransport {
     @Override
-    public void ask(
+    public void send(
         String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
       link.ask(node, request, timeoutS, answer);
     }
 
     @Override
-    public void reset(String node) {
+    public void closeConnection(String node) {
       link.reset(node);
     }
   }
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void deposed(LeadershipLoss loss) {
+    public void leadershipLost(LeadershipLoss loss) {
       leadershipListener.leadershipChanged(false);
       role.end();
     }
--- a/src/main/java/org/ternhinge/controller/RouteTable.java
+++ b/src/main/java/org/ternhinge/controller/RouteTable.java
@@ -9,18 +9,18 @@
 import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
-import org.ternhinge.request.AnswerDeadline;
 import org.ternhinge.request.BootstrapMachineTypes;
 import org.ternhinge.request.DependencyCheck;
 import org.ternhinge.request.DependentSubmissionPath;
 import org.ternhinge.request.HeartbeatHandler;
-import org.ternhinge.request.JobCancellations;
+import org.ternhinge.request.JobCancellationHandler;
 import org.ternhinge.request.JobLookup;
-import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.JobQueryHandler;
 import org.ternhinge.request.JobRequestRouter;
 import org.ternhinge.request.LeaderSearch;
 import org.ternhinge.request.NodeConnectivity;
 import org.ternhinge.request.PeerClient;
+import org.ternhinge.request.ResponseDeadline;
 import org.ternhinge.request.Responses;
 import org.ternhinge.request.SubmissionForwarder;
 import org.ternhinge.request.SubmissionHandler;
@@ -64,8 +64,9 @@
     submissions =
         new SubmissionHandler(
             services.settings(), role, machineTypes, writer, forwarder, connectivity);
-    queries = new JobRequestRouter(new JobQueries(lookup), role, peers, search);
-    cancellations = new JobRequestRouter(new JobCancellations(lookup, clock), role, peers, search);
+    queries = new JobRequestRouter(new JobQueryHandler(lookup), role, peers, search);
+    cancellations =
+        new JobRequestRouter(new JobCancellationHandler(lookup, clock), role, peers, search);
   }
 
   private static SubmissionWriter createWriter(
@@ -89,9 +90,9 @@
         new Route(
             "POST",
             JobPath.SUBMISSIONS::equals,
-            withDeadline(AnswerDeadline.WRITE_S, submissions::handle)),
-        jobRoute("POST", JobPath::cancelled, AnswerDeadline.WRITE_S, cancellations),
-        jobRoute("GET", JobPath::queried, AnswerDeadline.POLL_S, queries),
+            withDeadline(ResponseDeadline.WRITE_S, submissions::handle)),
+        jobRoute("POST", JobPath::cancelled, ResponseDeadline.WRITE_S, cancellations),
+        jobRoute("GET", JobPath::queried, ResponseDeadline.POLL_S, queries),
         new Route(
             "GET", HEALTH_PATH::equals, (request, origin, answer) -> answer.accept(health())));
   }
@@ -119,7 +120,7 @@
 
   private Route.Handler withDeadline(double deadlineS, Route.Handler handler) {
     return (request, origin, answer) ->
-        handler.handle(request, origin, AnswerDeadline.within(deadlineS, clock, answer));
+        handler.handle(request, origin, ResponseDeadline.within(deadlineS, clock, answer));
   }
 
   /**
--- a/src/main/java/org/ternhinge/election/Candidate.java
+++ b/src/main/java/org/ternhinge/election/Candidate.java
@@ -10,7 +10,7 @@
  *
  * @param node name of the node that the process runs on
  * @param incarnation identifies the process among successive processes of the same node
- * @param locked runs all actions under the controller's lock
+ * @param lockedExecutor runs all actions under the controller's lock
  */
 record Candidate(
     String node,
@@ -18,4 +18,4 @@
     KeyValueStore store,
     Clock clock,
     Tuning tuning,
-    LockedExecutor locked) {}
+    LockedExecutor lockedExecutor) {}
--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -14,7 +14,9 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * One attempt of a candidate to become the leader. It reads the last term, requests a lease, and writes the keys of the term and of the leader on condition that neither has changed since it was read.
+ * One attempt of a candidate to become the leader. It reads the last term, requests a lease, and
+ * writes the keys of the term and of the leader on condition that neither has changed since it was
+ * read.
  */
 final class LeadershipClaim {
   private static final double MILLIS_PER_S = 1000;
@@ -36,7 +38,7 @@
     void failed(boolean lostRace);
 
     /** The key-value store reported that the lease of an earlier claim no longer exists. */
-    void leaseEnded();
+    void leaseExpired();
   }
 
   private final Candidate candidate;
@@ -46,7 +48,8 @@
   /**
    * Creates a claim that is not started.
    *
-   * @param leaderRevision revision of the leader's key when it was read, {@link Revision#NONE} if the key was absent
+   * @param leaderRevision revision of the leader's key when it was read, {@link Revision#NONE} if
+   *     the key was absent
    */
   LeadershipClaim(Candidate candidate, Revision leaderRevision, Listener listener) {
     this.candidate = candidate;
@@ -57,7 +60,7 @@
   /** Starts the claim by reading the last term. */
   void start() {
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate.store().get(Keys.TERM, RequestPriority.RENEWAL), this::handleTermRead);
   }
@@ -74,13 +77,16 @@
     SteadyTime sent = candidate.clock().now();
     long millis = (long) (candidate.tuning().leadershipS() * MILLIS_PER_S);
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate.store().grantLease(millis),
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
 
-  /** If the response was lost, the store may hold an unused lease, which expires since it is not renewed. */
+  /**
+   * If the response was lost, the store may hold an unused lease, which expires since it is not
+   * renewed.
+   */
   private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
@@ -93,11 +99,11 @@
             candidate.store(),
             candidate.clock(),
             candidate.tuning(),
-            candidate.locked(),
-            listener::leaseEnded);
+            candidate.lockedExecutor(),
+            listener::leaseExpired);
     // Renew while the claim is in progress: with a slow store, the response to the claim would
     // arrive when the validity, which counts from the lease request, has almost ended.
-    lease.keepAlive();
+    lease.startRenewals();
     claim(lastTerm, lease);
   }
 
@@ -111,10 +117,10 @@
     LeaderRecord claimed = new LeaderRecord(candidate.node(), incarnation, term, true);
     List<Change> changes =
         List.of(
-            new Change.Put(Keys.TERM, TermRecord.claim(term, incarnation), 0),
+            new Change.Put(Keys.TERM, TermRecord.claimValue(term, incarnation), 0),
             new Change.Put(Keys.LEADER, claimed.toJson(), lease.id()));
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate
                 .store()
@@ -123,11 +129,12 @@
   }
 
   private void handleClaimAnswer(Term term, LeadershipLease lease, Outcome<Revision> outcome) {
-    if (outcome instanceof Outcome.Applied<Revision> applied && !lease.ended()) {
+    if (outcome instanceof Outcome.Applied<Revision> applied && !lease.expired()) {
       listener.won(term, applied.value(), lease);
       return;
     }
-    // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is applied
+    // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is
+    // applied
     // late either fails or writes a term that stays unused.
     lease.release();
     listener.failed(outcome.isBecause(Reason.CONFLICT));
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -10,9 +10,14 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * A lease of the key-value store that is renewed until it is released or has expired. All methods run under the lock.
+ * A lease of the key-value store that is renewed until it is released or has expired. All methods
+ * run under the lock.
  *
- * <p>A renewal does not wait for the response to the previous one: when responses take seconds, the response to a single outstanding renewal would come too late to send another before the lease expires. Validity counts from the time at which the newest successful renewal was <em>sent</em>. A late response therefore extends it only by the remaining time, and a response that arrives out of order never shortens it.
+ * <p>A renewal does not wait for the response to the previous one: when responses take seconds, the
+ * response to a single outstanding renewal would come too late to send another before the lease
+ * expires. Validity counts from the time at which the newest successful renewal was <em>sent</em>.
+ * A late response therefore extends it only by the remaining time, and a response that arrives out
+ * of order never shortens it.
  */
 final class LeadershipLease {
   /** Delay in seconds before the next renewal after one has failed. */
@@ -22,25 +27,26 @@
   private final KeyValueStore store;
   private final Clock clock;
   private final Tuning tuning;
-  private final LockedExecutor locked;
-  private final Runnable onEnded;
-  private SteadyTime lastSent;
+  private final LockedExecutor lockedExecutor;
+  private final Runnable onExpired;
+  private SteadyTime lastRenewalSentAt;
   private SteadyTime validUntil;
 
   /** Number of renewals scheduled so far; only the one scheduled last is sent. */
-  private long planned;
+  private long scheduledRenewals;
 
   /** Number of renewals sent so far; only the response to the newest one schedules the next. */
-  private long sent;
+  private long sentRenewals;
 
   private boolean released;
-  private boolean ended;
+  private boolean expired;
 
   /**
    * Creates the handle of a lease that was just granted.
    *
    * @param requested when the request for the lease was sent
-   * @param onEnded runs under the lock when the key-value store reports that the lease no longer exists, unless it was released before
+   * @param onExpired runs under the lock when the key-value store reports that the lease no longer
+   *     exists, unless it was released before
    */
   LeadershipLease(
       long id,
@@ -48,16 +54,16 @@
       KeyValueStore store,
       Clock clock,
       Tuning tuning,
-      LockedExecutor locked,
-      Runnable onEnded) {
+      LockedExecutor lockedExecutor,
+      Runnable onExpired) {
     this.id = id;
     this.store = store;
     this.clock = clock;
     this.tuning = tuning;
-    this.locked = locked;
-    this.onEnded = onEnded;
-    this.lastSent = requested;
-    this.validUntil = validUntil(requested);
+    this.lockedExecutor = lockedExecutor;
+    this.onExpired = onExpired;
+    this.lastRenewalSentAt = requested;
+    this.validUntil = validityEnd(requested);
   }
 
   long id() {
@@ -65,8 +71,8 @@
   }
 
   /** Starts to renew the lease at regular intervals. */
-  void keepAlive() {
-    planNextRenewal();
+  void startRenewals() {
+    scheduleNextRenewal();
   }
 
   /** The time until which the lease is guaranteed to be in force. */
@@ -75,8 +81,8 @@
   }
 
   /** Whether the key-value store has reported that the lease no longer exists. */
-  boolean ended() {
-    return ended;
+  boolean expired() {
+    return expired;
   }
 
   /** Revokes the lease, which removes every key that is attached to it, and stops its renewals. */
@@ -85,45 +91,47 @@
     AsyncCalls.ignore(store.revokeLease(id));
   }
 
-  private SteadyTime validUntil(SteadyTime requestSent) {
+  private SteadyTime validityEnd(SteadyTime requestSent) {
     return requestSent.plusSeconds(tuning.validityS());
   }
 
-  private void planNextRenewal() {
-    double sinceLast = clock.now().secondsSince(lastSent);
+  private void scheduleNextRenewal() {
+    double sinceLast = clock.now().secondsSince(lastRenewalSentAt);
     renewAfter(Math.max(0, tuning.renewS() - sinceLast));
   }
 
   private void renewAfter(double seconds) {
-    long plan = ++planned;
-    clock.after(seconds, locked.guarded(() -> renewIfPlanned(plan)));
+    long scheduleNumber = ++scheduledRenewals;
+    clock.after(seconds, lockedExecutor.guarded(() -> renewIfScheduledLast(scheduleNumber)));
   }
 
-  private void renewIfPlanned(long plan) {
-    if (plan != planned || released || ended) {
+  private void renewIfScheduledLast(long scheduleNumber) {
+    if (scheduleNumber != scheduledRenewals || released || expired) {
       return;
     }
-    long number = ++sent;
+    long renewalNumber = ++sentRenewals;
     SteadyTime now = clock.now();
-    lastSent = now;
+    lastRenewalSentAt = now;
     renewAfter(tuning.renewalOverdueS());
-    locked.whenAnswered(
-        store.renewLease(id, tuning.validityS()), outcome -> renewed(number, now, outcome));
+    lockedExecutor.whenAnswered(
+        store.renewLease(id, tuning.validityS()),
+        outcome -> handleRenewalResponse(renewalNumber, now, outcome));
   }
 
-  private void renewed(long number, SteadyTime requestSent, Outcome<Long> outcome) {
-    if (released || ended) {
+  private void handleRenewalResponse(
+      long renewalNumber, SteadyTime requestSent, Outcome<Long> outcome) {
+    if (released || expired) {
       return;
     }
-    boolean newest = number == sent;
+    boolean newest = renewalNumber == sentRenewals;
     if (outcome instanceof Outcome.Applied<Long>) {
-      validUntil = validUntil.max(validUntil(requestSent));
+      validUntil = validUntil.max(validityEnd(requestSent));
       if (newest) {
-        planNextRenewal();
+        scheduleNextRenewal();
       }
     } else if (outcome.isBecause(Reason.NOT_FOUND)) {
-      ended = true;
-      onEnded.run();
+      expired = true;
+      onExpired.run();
     } else if (newest) {
       renewAfter(RETRY_S);
     }
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/LocalLeadership.java
@@ -9,20 +9,20 @@
 import org.ternhinge.model.Term;
 
 /** A leadership held by this node, from a successful claim until it is lost. */
-final class OwnLeadership implements Authority {
+final class LocalLeadership implements Authority {
   private final Clock clock;
   private final LeadershipLease lease;
   private final Consumer<LeadershipLoss> onLost;
   private Term term;
   private Revision termRevision;
-  private boolean over;
+  private boolean ended;
 
   /**
    * Creates a leadership that is in force.
    *
    * @param onLost called once, under the lock
    */
-  OwnLeadership(
+  LocalLeadership(
       Term term,
       Revision termRevision,
       LeadershipLease lease,
@@ -53,25 +53,27 @@
 
   @Override
   public boolean valid() {
-    return !over && clock.now().isBefore(lease.validUntil());
+    return !ended && clock.now().isBefore(lease.validUntil());
   }
 
   @Override
   public void lost(LeadershipLoss loss) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       onLost.accept(loss);
     }
   }
 
-  /** The time until which the leadership is guaranteed to be in force, unless it is lost earlier. */
+  /**
+   * The time until which the leadership is guaranteed to be in force, unless it is lost earlier.
+   */
   SteadyTime validUntil() {
     return lease.validUntil();
   }
 
   /** Whether the key-value store has reported that the lease no longer exists. */
-  boolean leaseEnded() {
-    return lease.ended();
+  boolean leaseExpired() {
+    return lease.expired();
   }
 
   /** Revokes the lease, which removes the leader's key. */
--- a/src/main/java/org/ternhinge/election/TermRecord.java
+++ b/src/main/java/org/ternhinge/election/TermRecord.java
@@ -28,11 +28,12 @@
   }
 
   /**
-   * The value that claims a term. It contains the claiming process, so that two claims of the same term are never equal.
+   * The value that claims a term. It contains the claiming process, so that two claims of the same
+   * term are never equal.
    *
    * @param incarnation identifies the claiming process
    */
-  static ObjectNode claim(Term term, String incarnation) {
+  static ObjectNode claimValue(Term term, String incarnation) {
     return Json.object().put(NUMBER, term.value()).put(INCARNATION, incarnation);
   }
 }
--- a/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
@@ -82,7 +82,7 @@
 
   private void completed(Outcome<KeyValueStore.ReadResult> outcome) {
     if (!(outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read)) {
-      context.executor().later(READ_RETRY_S, this::read);
+      context.executor().schedule(READ_RETRY_S, this::read);
       return;
     }
     Optional<Entry> entry = read.value().entry();
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -74,7 +74,7 @@
       onResolved.run();
       pump();
     } else {
-      executor.later(RETRY_S, () -> retry(id));
+      executor.schedule(RETRY_S, () -> retry(id));
     }
   }
 
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -66,7 +66,7 @@
       // The next leadership's recovery reads all that was missed, page by page.
       authority.lost(new LeadershipLoss.WatchFellBehind());
     } else {
-      executor.later(RETRY_S, this::watch);
+      executor.schedule(RETRY_S, this::watch);
     }
   }
 
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -45,7 +45,7 @@
     new LedgerLoader(services.store(), clock, services.lock())
         .load(
             loaded -> {
-              if (!context.executor().stopped()) {
+              if (!context.executor().isStopped()) {
                 restore(loaded, clock.now());
                 onRecovered.accept(loaded.revision());
               }
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -54,7 +54,7 @@
    * other leader acts yet.
    */
   public boolean mayAnswerWorkers() {
-    return election.mayAnswer();
+    return election.mayAnswerHeartbeats();
   }
 
   /** Whether this node's leadership certainly holds. */
@@ -72,6 +72,6 @@
    * accept a job without them.
    */
   public Optional<String> otherLeaderWithDependencies() {
-    return otherLeader().filter(leader -> election.leaderKnowsDependencies());
+    return otherLeader().filter(leader -> election.leaderSupportsDependencies());
   }
 }
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -58,7 +58,7 @@
    */
   private static SteadyTime initialLeaseEnd(
       Settings settings, Tuning tuning, SteadyTime electedAt) {
-    double graceS = Election.grace(tuning, settings.workers()) * (1 + Settings.DRIFT);
+    double graceS = Election.gracePeriodS(tuning, settings.workers()) * (1 + Settings.DRIFT);
     return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
 }
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -46,13 +46,13 @@
       scaling.unusableMachines.check(now);
       fleet.zones.check(now);
     }
-    context.executor().later(LEASE_CHECK_S, this::checkLeases);
+    context.executor().schedule(LEASE_CHECK_S, this::checkLeases);
   }
 
   /** Reservations and waiting times change without an event, so rounds also run by a timer. */
   private void checkRound() {
     planning.rounds.requestRound();
     planning.fleetLog.logIfDue();
-    context.executor().later(context.services().tuning().roundS(), this::checkRound);
+    context.executor().schedule(context.services().tuning().roundS(), this::checkRound);
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
+++ b/src/main/java/org/ternhinge/machine/MachineTypeCatalog.java
@@ -63,9 +63,9 @@
   private void refreshed(Outcome<List<MachineType>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineType>> applied) {
       learn(applied.value());
-      executor.later(REFRESH_S, this::refresh);
+      executor.schedule(REFRESH_S, this::refresh);
     } else {
-      executor.later(RETRY_S, this::refresh);
+      executor.schedule(RETRY_S, this::refresh);
     }
   }
 
--- a/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -25,18 +25,23 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The machine types that a node loads once after its start, whether it leads or not. Submissions can't be validated without them, so a copy is kept in the key-value store: a node that starts during an outage of the cloud then does not depend on the cloud. A leadership has its own list in {@link MachineTypeCatalog}, which is refreshed. All methods run under the controller's lock.
+ * The machine types that a node loads once after its start, whether it leads or not. Submissions
+ * can't be validated without them, so a copy is kept in the key-value store: a node that starts
+ * during an outage of the cloud then does not depend on the cloud. A leadership has its own list in
+ * {@link MachineTypeCatalog}, which is refreshed. All methods run under the controller's lock.
  */
 public final class BootstrapMachineTypes {
   private static final Logger LOG = LoggerFactory.getLogger(BootstrapMachineTypes.class);
 
-  /** Delay in seconds before the next attempt if neither the store nor the cloud returned the types. */
+  /**
+   * Delay in seconds before the next attempt if neither the store nor the cloud returned the types.
+   */
   private static final double RETRY_S = 1;
 
   private final KeyValueStore store;
   private final Cloud cloud;
   private final Clock clock;
-  private final LockedExecutor locked;
+  private final LockedExecutor lockedExecutor;
   private final Consumer<List<MachineType>> onLoaded;
   private final Map<String, MachineType> byName = new LinkedHashMap<>();
 
@@ -55,14 +60,16 @@
     this.store = store;
     this.cloud = cloud;
     this.clock = clock;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
     this.onLoaded = onLoaded;
   }
 
-  /** Loads the types from the key-value store, or else from the cloud, and retries until successful. */
+  /**
+   * Loads the types from the key-value store, or else from the cloud, and retries until successful.
+   */
   public void load() {
-    locked.whenAnswered(
-        store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
+    lockedExecutor.whenAnswered(
+        store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::handleStoreResponse);
   }
 
   /** Whether the types are not loaded yet. */
@@ -80,34 +87,39 @@
     return byName().values();
   }
 
-  private void storeAnswered(Outcome<KeyValueStore.ReadResult> outcome) {
+  private void handleStoreResponse(Outcome<KeyValueStore.ReadResult> outcome) {
     if (outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read
         && read.value().entry().isPresent()) {
       try {
-        loaded(MachineType.readAll(read.value().entry().get().value()));
+        finishLoading(MachineType.readAll(read.value().entry().get().value()));
         return;
       } catch (WireException e) {
-        LOG.warn("can't decode the machine types in the key-value store, loading them from the cloud: {}", e.getMessage());
+        LOG.warn(
+            "can't decode the machine types in the key-value store, loading them from the cloud: {}",
+            e.getMessage());
       }
     }
-    locked.whenAnswered(cloud.machineTypes(), this::cloudAnswered);
+    lockedExecutor.whenAnswered(cloud.machineTypes(), this::handleCloudResponse);
   }
 
-  private void cloudAnswered(Outcome<List<MachineType>> outcome) {
+  private void handleCloudResponse(Outcome<List<MachineType>> outcome) {
     if (outcome instanceof Outcome.Applied<List<MachineType>> applied) {
-      loaded(applied.value());
+      finishLoading(applied.value());
       storeCopy(applied.value());
     } else {
-      clock.after(RETRY_S, locked.guarded(this::load));
+      clock.after(RETRY_S, lockedExecutor.guarded(this::load));
     }
   }
 
-  private void loaded(List<MachineType> types) {
+  private void finishLoading(List<MachineType> types) {
     types.forEach(type -> byName.put(type.name(), type));
     onLoaded.accept(types);
   }
 
-  /** Stores the copy. A failure is ignored, since another node may have stored the same copy already. */
+  /**
+   * Stores the copy. A failure is ignored, since another node may have stored the same copy
+   * already.
+   */
   private void storeCopy(List<MachineType> types) {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
     CompareAndSwap compareAndSwap =
--- a/src/main/java/org/ternhinge/request/ConnectivityProbe.java
+++ b/src/main/java/org/ternhinge/request/ConnectivityProbe.java
@@ -12,22 +12,24 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * Probes the key-value store and the other controllers when no recent response to other calls shows that they are reachable, so that {@link NodeConnectivity} is up to date on a node without requests too.
+ * Probes the key-value store and the other controllers when no recent response to other calls shows
+ * that they are reachable, so that {@link NodeConnectivity} is up to date on a node without
+ * requests too.
  */
 public final class ConnectivityProbe {
   /** Interval in seconds of the checks whether a probe is due. */
   static final double CHECK_INTERVAL_S = 1;
 
   private static final double PEER_TIMEOUT_S = 0.8;
-  private static final Request PROBE = new Request("GET", "/healthz", new byte[0]);
+  private static final Request PROBE_REQUEST = new Request("GET", "/healthz", new byte[0]);
 
   private final KeyValueStore store;
   private final PeerClient peers;
   private final List<String> otherNodes;
   private final NodeConnectivity connectivity;
   private final Clock clock;
-  private final LockedExecutor locked;
-  private int nextProbed;
+  private final LockedExecutor lockedExecutor;
+  private int nextProbedIndex;
 
   /**
    * Creates a probe that is not started.
@@ -47,7 +49,7 @@
     this.otherNodes = otherNodes;
     this.connectivity = connectivity;
     this.clock = clock;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
   }
 
   /** Starts the checks at a fixed interval, for the lifetime of the process. */
@@ -56,26 +58,27 @@
   }
 
   private void check() {
-    locked.execute(this::probeWhatIsQuiet);
+    lockedExecutor.execute(this::probeIfDue);
     clock.after(CHECK_INTERVAL_S, this::check);
   }
 
   /** Other controllers are probed only while the key-value store does not respond. */
-  private void probeWhatIsQuiet() {
-    if (!connectivity.isStoreQuiet()) {
+  private void probeIfDue() {
+    if (!connectivity.isStoreProbeDue()) {
       return;
     }
-    locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::storeAnswered);
-    if (connectivity.arePeersQuiet() && !otherNodes.isEmpty()) {
-      String node = otherNodes.get(nextProbed++ % otherNodes.size());
-      peers.askOrBusy(node, PROBE, PEER_TIMEOUT_S, ignored -> {});
+    lockedExecutor.whenAnswered(
+        store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::handleStoreResponse);
+    if (connectivity.isPeerProbeDue() && !otherNodes.isEmpty()) {
+      String node = otherNodes.get(nextProbedIndex++ % otherNodes.size());
+      peers.sendOrBusy(node, PROBE_REQUEST, PEER_TIMEOUT_S, ignored -> {});
     }
   }
 
-  private void storeAnswered(Outcome<KeyValueStore.ReadResult> outcome) {
+  private void handleStoreResponse(Outcome<KeyValueStore.ReadResult> outcome) {
     // If the local token bucket withheld the read, other calls of this node are being answered.
     if (outcome instanceof Outcome.Applied || isRateLimited(outcome)) {
-      connectivity.storeAnswered();
+      connectivity.recordStoreResponse();
     }
   }
 
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -16,7 +16,9 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Checks the jobs on which a submission depends by reading the current state of each. Jobs are never deleted, so the result remains valid until the job is written. If a dependency is cancelled in between, the new job counts as cancelled because of the state of that dependency.
+ * Checks the jobs on which a submission depends by reading the current state of each. Jobs are
+ * never deleted, so the result remains valid until the job is written. If a dependency is cancelled
+ * in between, the new job counts as cancelled because of the state of that dependency.
  */
 public final class DependencyCheck {
   /** The result of a check. */
@@ -37,59 +39,63 @@
 
   private final LeadershipRole role;
   private final JobLookup lookup;
-  private final LockedExecutor locked;
+  private final LockedExecutor lockedExecutor;
 
   /**
    * Creates a check.
    *
-   * @param role provides this node's leadership; while it is valid, states are taken from memory without reads of the key-value store
+   * @param role provides this node's leadership; while it is valid, states are taken from memory
+   *     without reads of the key-value store
    * @param lock the controller's lock
    */
   public DependencyCheck(LeadershipRole role, JobLookup lookup, Lock lock) {
     this.role = role;
     this.lookup = lookup;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
   }
 
   /** Checks all dependencies sequentially and passes on the result under the controller's lock. */
-  void check(List<JobId> dependencies, Consumer<Result> then) {
-    checkNext(new ArrayDeque<>(dependencies), false, then);
+  void check(List<JobId> dependencies, Consumer<Result> callback) {
+    checkNext(new ArrayDeque<>(dependencies), false, callback);
   }
 
-  private void checkNext(Deque<JobId> unchecked, boolean anyCancelled, Consumer<Result> then) {
+  private void checkNext(Deque<JobId> unchecked, boolean anyCancelled, Consumer<Result> callback) {
     JobId next = unchecked.poll();
     if (next == null) {
-      then.accept(new Passed(new DependencyVerdict(anyCancelled)));
+      callback.accept(new Passed(new DependencyVerdict(anyCancelled)));
       return;
     }
-    find(next, result -> checked(next, result, unchecked, anyCancelled, then));
+    lookUp(next, result -> handleLookupResult(next, result, unchecked, anyCancelled, callback));
   }
 
-  private void checked(
+  private void handleLookupResult(
       JobId id,
       JobLookup.Result result,
       Deque<JobId> unchecked,
       boolean anyCancelled,
-      Consumer<Result> then) {
+      Consumer<Result> callback) {
     if (result instanceof JobLookup.Found found && !found.service()) {
       boolean cancelled = found.state().phase() == JobState.Phase.CANCELLED;
-      checkNext(unchecked, anyCancelled || cancelled, then);
+      checkNext(unchecked, anyCancelled || cancelled, callback);
     } else if (result instanceof JobLookup.Found) {
-      then.accept(new Rejected(id + " is a service"));
+      callback.accept(new Rejected(id + " is a service"));
     } else if (result instanceof JobLookup.Absent) {
-      then.accept(new Rejected(id + " was never accepted"));
+      callback.accept(new Rejected(id + " was never accepted"));
     } else {
-      then.accept(new Unavailable());
+      callback.accept(new Unavailable());
     }
   }
 
-  private void find(JobId id, Consumer<JobLookup.Result> then) {
+  private void lookUp(JobId id, Consumer<JobLookup.Result> callback) {
     Optional<JobLookup.Result> inMemory =
         role.valid().flatMap(leadership -> findInMemory(leadership, id));
     if (inMemory.isPresent()) {
-      then.accept(inMemory.get());
+      callback.accept(inMemory.get());
     } else {
-      lookup.find(id, RequestPriority.ACCEPT, result -> locked.execute(() -> then.accept(result)));
+      lookup.find(
+          id,
+          RequestPriority.ACCEPT,
+          result -> lockedExecutor.execute(() -> callback.accept(result)));
     }
   }
 
--- a/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
+++ b/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
@@ -4,7 +4,10 @@
 import org.ternhinge.wire.DependencyVerdict;
 
 /**
- * The paths with which controllers forward jobs with dependencies to each other. A version that would ignore the dependencies does not know these paths and responds with 404, so it never accepts such a job. The path also carries the result of the dependency check if the sender has made it.
+ * The paths with which controllers forward jobs with dependencies to each other. A version that
+ * would ignore the dependencies does not know these paths and responds with 404, so it never
+ * accepts such a job. The path also carries the result of the dependency check if the sender has
+ * made it.
  */
 public final class DependentSubmissionPath {
   private static final String UNCHECKED = "/peer/submissions";
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -14,7 +14,9 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Handles workers' heartbeats. The leader responds with commands. Other nodes redirect the worker to the leader, or relay the heartbeats of a worker that can't reach the leader. Guarded by the controller's lock.
+ * Handles workers' heartbeats. The leader responds with commands. Other nodes redirect the worker
+ * to the leader, or relay the heartbeats of a worker that can't reach the leader. Guarded by the
+ * controller's lock.
  */
 public final class HeartbeatHandler {
   /** Shorter than the time after which a worker discards the response. */
@@ -33,31 +35,37 @@
   }
 
   /** Handles a heartbeat; one that another node has relayed is not relayed again. */
-  public void handle(Request request, RequestOrigin origin, Consumer<Response> answer) {
+  public void handle(Request request, RequestOrigin origin, Consumer<Response> responseCallback) {
     try {
-      handle(Heartbeat.read(request.body()), request, origin, answer);
+      handle(Heartbeat.read(request.body()), request, origin, responseCallback);
     } catch (WireException e) {
-      answer.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
+      responseCallback.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
     }
   }
 
   private void handle(
-      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
+      Heartbeat heartbeat,
+      Request request,
+      RequestOrigin origin,
+      Consumer<Response> responseCallback) {
     Optional<Leadership> leadership = role.held();
     if (leadership.isPresent() && !leadership.get().ready()) {
       // A lease must not be renewed before the ledger is loaded: that might keep a cancelled task
       // running.
-      leadership.get().whenReady(() -> handle(heartbeat, request, origin, answer));
+      leadership.get().whenReady(() -> handle(heartbeat, request, origin, responseCallback));
       return;
     }
-    if (leadership.isEmpty() || !answerAsLeader(leadership.get(), heartbeat, answer)) {
-      sendToLeader(heartbeat, request, origin, answer);
+    if (leadership.isEmpty() || !respondAsLeader(leadership.get(), heartbeat, responseCallback)) {
+      relayOrRedirect(heartbeat, request, origin, responseCallback);
     }
   }
 
-  /** Responds with the commands of this leadership; returns false without a response if the leadership may not respond or has just ended. */
-  private boolean answerAsLeader(
-      Leadership leadership, Heartbeat heartbeat, Consumer<Response> answer) {
+  /**
+   * Responds with the commands of this leadership; returns false without a response if the
+   * leadership may not respond or has just ended.
+   */
+  private boolean respondAsLeader(
+      Leadership leadership, Heartbeat heartbeat, Consumer<Response> responseCallback) {
     boolean valid = role.isValid();
     if (!role.mayAnswerWorkers() || !(valid || leadership.mayKeepAlive(heartbeat))) {
       return false;
@@ -67,7 +75,7 @@
       // The heartbeat carried a higher term, which ended the leadership.
       return false;
     }
-    answer.accept(
+    responseCallback.accept(
         commands
             .map(list -> Command.answer(leadership.authority().term(), list))
             .map(body -> Response.of(Responses.OK, body))
@@ -75,16 +83,19 @@
     return true;
   }
 
-  private void sendToLeader(
-      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
+  private void relayOrRedirect(
+      Heartbeat heartbeat,
+      Request request,
+      RequestOrigin origin,
+      Consumer<Response> responseCallback) {
     Optional<String> leader = role.otherLeader();
     if (leader.isEmpty() || origin == RequestOrigin.PEER) {
-      answer.accept(Responses.busy());
+      responseCallback.accept(Responses.busy());
     } else if (relayPolicy.shouldRelay(heartbeat.machine(), clock.now())) {
-      peers.askOrBusy(leader.get(), request, RELAY_TIMEOUT_S, answer);
+      peers.sendOrBusy(leader.get(), request, RELAY_TIMEOUT_S, responseCallback);
     } else {
       Redirect redirect = new Redirect(leader.get());
-      answer.accept(Response.of(Responses.MISDIRECTED, redirect.write()));
+      responseCallback.accept(Response.of(Responses.MISDIRECTED, redirect.write()));
     }
   }
 }
--- a/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
@@ -6,13 +6,20 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Decides which workers' heartbeats this node relays to the leader. If a worker returns shortly after it was redirected, it could not reach the leader. Its heartbeats are then relayed for a limited time, so that the worker does not lose its lease during a partition between two zones as long as a third zone can reach both. Afterwards it is redirected again. Guarded by the controller's lock.
+ * Decides which workers' heartbeats this node relays to the leader. If a worker returns shortly
+ * after it was redirected, it could not reach the leader. Its heartbeats are then relayed for a
+ * limited time, so that the worker does not lose its lease during a partition between two zones as
+ * long as a third zone can reach both. Afterwards it is redirected again. Guarded by the
+ * controller's lock.
  */
 final class HeartbeatRelayPolicy {
-  /** A worker that returns within this time of a redirect could not reach the leader. It waits 4 s for a response and 1 s before it tries the next of a few nodes. */
-  private static final double RETURN_S = 12;
+  /**
+   * A worker that returns within this time of a redirect could not reach the leader. It waits 4 s
+   * for a response and 1 s before it tries the next of a few nodes.
+   */
+  private static final double RETURN_WINDOW_S = 12;
 
-  private static final double RELAY_S = 30;
+  private static final double RELAY_DURATION_S = 30;
 
   /** Limits the memory used for workers that never return. */
   private static final int MAX_WORKERS = 10_000;
@@ -32,12 +39,15 @@
     if (last instanceof Relayed relayed && now.isBefore(relayed.until())) {
       return true;
     }
-    boolean cameBack =
-        last instanceof Redirected redirected && now.secondsSince(redirected.at()) < RETURN_S;
+    boolean returnedSoon =
+        last instanceof Redirected redirected
+            && now.secondsSince(redirected.at()) < RETURN_WINDOW_S;
     if (decisions.size() >= MAX_WORKERS) {
       decisions.clear();
     }
-    decisions.put(worker, cameBack ? new Relayed(now.plusSeconds(RELAY_S)) : new Redirected(now));
-    return cameBack;
+    decisions.put(
+        worker,
+        returnedSoon ? new Relayed(now.plusSeconds(RELAY_DURATION_S)) : new Redirected(now));
+    return returnedSoon;
   }
 }
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -19,12 +19,17 @@
 import org.ternhinge.wire.JobState;
 
 /**
- * Reads the state of a job from the key-value store, on any node. A job counts as cancelled as soon as one of its direct or indirect dependencies is cancelled, even if its own record does not say so yet. The dependencies are therefore read too; if they can't be read, the state is unavailable.
+ * Reads the state of a job from the key-value store, on any node. A job counts as cancelled as soon
+ * as one of its direct or indirect dependencies is cancelled, even if its own record does not say
+ * so yet. The dependencies are therefore read too; if they can't be read, the state is unavailable.
  */
 public final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-  /** Largest number of dependencies read for one lookup; for longer chains, the leader has the states in memory. */
+  /**
+   * Largest number of dependencies read for one lookup; for longer chains, the leader has the
+   * states in memory.
+   */
   private static final int MAX_DEPENDENCY_READS = 64;
 
   /** The result of a lookup. */
@@ -34,7 +39,8 @@
    * The job exists.
    *
    * @param state the state that users see
-   * @param service whether the job is known to be a service; the record of an ended job does not contain this
+   * @param service whether the job is known to be a service; the record of an ended job does not
+   *     contain this
    */
   record Found(JobState state, boolean service) implements Result {}
 
@@ -47,11 +53,13 @@
   static final Result ABSENT = new Absent();
   static final Result UNAVAILABLE = new Unavailable();
 
-  /** A job according to its record or its end record, regardless of the state of its dependencies. */
+  /**
+   * A job according to its record or its end record, regardless of the state of its dependencies.
+   */
   private record StoredJob(Found found, List<JobId> dependencies) {}
 
   private final KeyValueStore store;
-  private final SharedLookups shared = new SharedLookups(this::search);
+  private final CoalescedLookups coalescedLookups = new CoalescedLookups(this::startSearch);
 
   /** Creates a lookup that reads from the given store. */
   public JobLookup(KeyValueStore store) {
@@ -59,36 +67,37 @@
   }
 
   /**
-   * Looks up a job. The callback may run on any thread, without the controller's lock. Concurrent lookups of the same job share their reads.
+   * Looks up a job. The callback may run on any thread, without the controller's lock. Concurrent
+   * lookups of the same job share their reads.
    */
-  void find(JobId id, RequestPriority priority, Consumer<Result> then) {
-    shared.find(id, priority, then);
+  void find(JobId id, RequestPriority priority, Consumer<Result> callback) {
+    coalescedLookups.find(id, priority, callback);
   }
 
-  private void search(JobId id, RequestPriority priority, Consumer<Result> then) {
-    new Search(id, priority, then).start();
+  private void startSearch(JobId id, RequestPriority priority, Consumer<Result> callback) {
+    new Search(id, priority, callback).start();
   }
 
   /** One lookup: reads the job itself, then its dependencies sequentially. */
   private final class Search {
     private final JobId id;
     private final RequestPriority priority;
-    private final Consumer<Result> then;
+    private final Consumer<Result> callback;
     private final Deque<JobId> unread = new ArrayDeque<>();
     private final Set<JobId> seen = new HashSet<>();
     private Found found;
 
-    Search(JobId id, RequestPriority priority, Consumer<Result> then) {
+    Search(JobId id, RequestPriority priority, Consumer<Result> callback) {
       this.id = id;
       this.priority = priority;
-      this.then = then;
+      this.callback = callback;
     }
 
     void start() {
-      read(id, this::jobRead, () -> then.accept(ABSENT));
+      read(id, this::handleJob, () -> callback.accept(ABSENT));
     }
 
-    private void jobRead(StoredJob job) {
+    private void handleJob(StoredJob job) {
       found = job.found();
       addUnread(job.dependencies());
       readNextDependency();
@@ -104,19 +113,19 @@
 
     private void readNextDependency() {
       if (unread.isEmpty()) {
-        then.accept(found);
+        callback.accept(found);
       } else if (seen.size() > MAX_DEPENDENCY_READS) {
-        then.accept(UNAVAILABLE);
+        callback.accept(UNAVAILABLE);
       } else {
         // A dependency was accepted before the job, so a read that finds none is not conclusive.
-        read(unread.poll(), this::dependencyRead, () -> then.accept(UNAVAILABLE));
+        read(unread.poll(), this::handleDependency, () -> callback.accept(UNAVAILABLE));
       }
     }
 
-    private void dependencyRead(StoredJob dependency) {
+    private void handleDependency(StoredJob dependency) {
       if (dependency.found().state().phase() == JobState.Phase.CANCELLED) {
         JobState cancelled = new JobState(id, JobState.Phase.CANCELLED, 0, 0);
-        then.accept(new Found(cancelled, found.service()));
+        callback.accept(new Found(cancelled, found.service()));
         return;
       }
       addUnread(dependency.dependencies());
@@ -124,7 +133,8 @@
     }
 
     /**
-     * Reads the record of a job, then its end record. When a job ends, one transaction replaces the former by the latter, so reading in this order can't miss the job.
+     * Reads the record of a job, then its end record. When a job ends, one transaction replaces the
+     * former by the latter, so reading in this order can't miss the job.
      */
     private void read(JobId job, Consumer<StoredJob> present, Runnable absent) {
       readEntry(
@@ -137,10 +147,10 @@
 
     private void readEntry(JobId job, String key, Consumer<Entry> present, Runnable absent) {
       AsyncCalls.whenAnswered(
-          store.get(key, priority), outcome -> entryRead(job, outcome, present, absent));
+          store.get(key, priority), outcome -> handleReadOutcome(job, outcome, present, absent));
     }
 
-    private void entryRead(
+    private void handleReadOutcome(
         JobId job,
         Outcome<KeyValueStore.ReadResult> outcome,
         Consumer<Entry> present,
@@ -149,7 +159,7 @@
         read.value().entry().ifPresentOrElse(present, absent);
       } else {
         LOG.debug("lookup of job {} failed: {}", job, outcome);
-        then.accept(UNAVAILABLE);
+        callback.accept(UNAVAILABLE);
       }
     }
   }
--- a/src/main/java/org/ternhinge/request/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueryHandler.java
@@ -9,14 +9,14 @@
 import org.ternhinge.wire.JobState;
 
 /** Handles users' queries for the state of a job. */
-public final class JobQueries implements JobRequestHandler {
+public final class JobQueryHandler implements JobRequestHandler {
   /** Leaves time to read the key-value store within the 2 s for which users wait. */
   private static final double LEADER_TIMEOUT_S = 0.8;
 
   private final JobLookup lookup;
 
   /** Creates a handler that uses the lookup for jobs that are not in the leader's memory. */
-  public JobQueries(JobLookup lookup) {
+  public JobQueryHandler(JobLookup lookup) {
     this.lookup = lookup;
   }
 
@@ -26,21 +26,22 @@
   }
 
   @Override
-  public void answerAsLeader(JobId id, Leadership leadership, Consumer<Response> answer) {
+  public void respondAsLeader(
+      JobId id, Leadership leadership, Consumer<Response> responseCallback) {
     Optional<JobState> state = leadership.stateOf(id);
     if (state.isPresent()) {
-      answer.accept(fullState(state.get()));
+      responseCallback.accept(fullState(state.get()));
     } else {
-      answerFromStore(id, answer);
+      respondFromStore(id, responseCallback);
     }
   }
 
   @Override
-  public void answerFromStore(JobId id, Consumer<Response> answer) {
+  public void respondFromStore(JobId id, Consumer<Response> responseCallback) {
     lookup.find(
         id,
         RequestPriority.QUERY,
-        result -> answer.accept(Responses.ofLookup(result, JobQueries::fullState)));
+        result -> responseCallback.accept(Responses.forLookup(result, JobQueryHandler::fullState)));
   }
 
   private static Response fullState(JobState state) {
--- a/src/main/java/org/ternhinge/request/JobRequestRouter.java
+++ b/src/main/java/org/ternhinge/request/JobRequestRouter.java
@@ -9,7 +9,9 @@
 import org.ternhinge.model.JobId;
 
 /**
- * Routes requests about a job to the leader, on this or another node, and otherwise to the key-value store. If neither gives a final response, the request is sent to all other nodes to find the leader. Guarded by the controller's lock.
+ * Routes requests about a job to the leader, on this or another node, and otherwise to the
+ * key-value store. If neither gives a final response, the request is sent to all other nodes to
+ * find the leader. Guarded by the controller's lock.
  */
 public final class JobRequestRouter {
   private final JobRequestHandler handler;
@@ -31,48 +33,59 @@
   }
 
   /** Handles a request about a job; the callback is called exactly once, immediately or later. */
-  public void handle(JobId id, Request request, RequestOrigin origin, Consumer<Response> answer) {
+  public void handle(
+      JobId id, Request request, RequestOrigin origin, Consumer<Response> responseCallback) {
     Optional<Leadership> leadership = role.valid();
     if (leadership.isPresent()) {
-      handler.answerAsLeader(id, leadership.get(), answer);
+      handler.respondAsLeader(id, leadership.get(), responseCallback);
     } else if (origin == RequestOrigin.PEER) {
-      answer.accept(Responses.busy());
+      responseCallback.accept(Responses.busy());
     } else {
-      forwardToLeader(id, request, answer);
+      forwardToLeader(id, request, responseCallback);
     }
   }
 
-  private void forwardToLeader(JobId id, Request request, Consumer<Response> answer) {
+  private void forwardToLeader(JobId id, Request request, Consumer<Response> responseCallback) {
     Optional<String> leader = search.leader();
     if (leader.isEmpty()) {
-      answerWithoutLeader(id, request, leader, answer);
+      respondWithoutLeader(id, request, leader, responseCallback);
     } else {
-      peers.askOrBusy(
+      peers.sendOrBusy(
           leader.get(),
           request,
           handler.leaderTimeoutS(),
-          Responses.ifBusy(answer, busy -> answerWithoutLeader(id, request, leader, answer)));
+          Responses.divertBusy(
+              responseCallback,
+              busy -> respondWithoutLeader(id, request, leader, responseCallback)));
     }
   }
 
   /**
-   * Responds from the key-value store, or through a leader that this node does not know. The one that is more likely to respond in time is tried first.
+   * Responds from the key-value store, or through a leader that this node does not know. The one
+   * that is more likely to respond in time is tried first.
    *
-   * @param asked the node to which the request was already sent as the leader
+   * @param alreadyAsked the node to which the request was already sent as the leader
    */
-  private void answerWithoutLeader(
-      JobId id, Request request, Optional<String> asked, Consumer<Response> answer) {
+  private void respondWithoutLeader(
+      JobId id,
+      Request request,
+      Optional<String> alreadyAsked,
+      Consumer<Response> responseCallback) {
     if (search.isStoreUnresponsive()) {
-      search.ask(
+      search.sendToAll(
           request,
-          asked,
+          alreadyAsked,
           handler.leaderTimeoutS(),
-          Responses.ifBusy(answer, busy -> handler.answerFromStore(id, answer)));
+          Responses.divertBusy(
+              responseCallback, busy -> handler.respondFromStore(id, responseCallback)));
     } else {
-      handler.answerFromStore(
+      handler.respondFromStore(
           id,
-          Responses.ifBusy(
-              answer, busy -> search.ask(request, asked, handler.leaderTimeoutS(), answer)));
+          Responses.divertBusy(
+              responseCallback,
+              busy ->
+                  search.sendToAll(
+                      request, alreadyAsked, handler.leaderTimeoutS(), responseCallback)));
     }
   }
 }
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -12,14 +12,17 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Finds the leader by sending a request to all other controllers. A node whose calls the key-value store refuses, or that is partitioned from it, can't read which node leads. Without the search, its users would get 503 for as long as that lasts, although the leader could serve them. Guarded by the controller's lock.
+ * Finds the leader by sending a request to all other controllers. A node whose calls the key-value
+ * store refuses, or that is partitioned from it, can't read which node leads. Without the search,
+ * its users would get 503 for as long as that lasts, although the leader could serve them. Guarded
+ * by the controller's lock.
  */
 public final class LeaderSearch {
   /** Seconds for which a node counts as the leader after it has responded as the leader. */
-  private static final double FOUND_S = 10;
+  private static final double FOUND_LEADER_TTL_S = 10;
 
   /** Pause in seconds after a search in which no node has responded as the leader. */
-  private static final double BACKOFF_S = 1;
+  private static final double SEARCH_PAUSE_S = 1;
 
   /**
    * The last node that responded as the leader.
@@ -33,8 +36,8 @@
   private final NodeConnectivity connectivity;
   private final List<String> otherNodes;
   private final Clock clock;
-  private final LockedExecutor locked;
-  private Optional<FoundLeader> found = Optional.empty();
+  private final LockedExecutor lockedExecutor;
+  private Optional<FoundLeader> lastFound = Optional.empty();
   private SteadyTime nextSearchAt;
 
   /**
@@ -55,83 +58,96 @@
     this.connectivity = connectivity;
     this.otherNodes = otherNodes;
     this.clock = clock;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
     this.nextSearchAt = clock.now();
   }
 
   /**
-   * The other node that leads: the one found by a recent search, else the one recorded in the key-value store.
+   * The other node that leads: the one found by a recent search, else the one recorded in the
+   * key-value store.
    */
   Optional<String> leader() {
     Optional<String> storedLeader = role.otherLeader();
     Optional<String> recentlyFound =
-        found.filter(leader -> isCurrent(leader, storedLeader)).map(FoundLeader::node);
+        lastFound.filter(leader -> isCurrent(leader, storedLeader)).map(FoundLeader::node);
     return recentlyFound.or(() -> storedLeader);
   }
 
   /** A found leader is dropped if the stored leader changes, since its term may have ended. */
   private boolean isCurrent(FoundLeader leader, Optional<String> storedLeader) {
-    return clock.now().secondsSince(leader.at()) < FOUND_S
+    return clock.now().secondsSince(leader.at()) < FOUND_LEADER_TTL_S
         && storedLeader.equals(leader.storedLeader());
   }
 
-  /** Whether the key-value store has not responded for so long that the other nodes are to be asked first. */
+  /**
+   * Whether the key-value store has not responded for so long that the other nodes are to be asked
+   * first.
+   */
   boolean isStoreUnresponsive() {
     return connectivity.isStoreUnresponsive();
   }
 
   /**
-   * Sends a request to all other nodes at once; the callback receives the leader's response, or 503 if no node responds as the leader. May be called without the lock.
+   * Sends a request to all other nodes at once; the callback receives the leader's response, or 503
+   * if no node responds as the leader. May be called without the lock.
    *
-   * @param except the node that has already been asked
+   * @param excludedNode the node that has already been asked
    */
-  void ask(Request request, Optional<String> except, double timeoutS, Consumer<Response> answer) {
-    locked.execute(() -> askLocked(request, except, timeoutS, answer));
+  void sendToAll(
+      Request request,
+      Optional<String> excludedNode,
+      double timeoutS,
+      Consumer<Response> responseCallback) {
+    lockedExecutor.execute(
+        () -> sendToAllLocked(request, excludedNode, timeoutS, responseCallback));
   }
 
-  private void askLocked(
-      Request request, Optional<String> except, double timeoutS, Consumer<Response> answer) {
+  private void sendToAllLocked(
+      Request request,
+      Optional<String> excludedNode,
+      double timeoutS,
+      Consumer<Response> responseCallback) {
     List<String> nodes =
-        otherNodes.stream().filter(node -> !Optional.of(node).equals(except)).toList();
+        otherNodes.stream().filter(node -> !Optional.of(node).equals(excludedNode)).toList();
     if (nodes.isEmpty() || clock.now().isBefore(nextSearchAt)) {
-      answer.accept(Responses.busy());
+      responseCallback.accept(Responses.busy());
     } else {
-      new Broadcast(nodes, answer).send(request, timeoutS);
+      new Broadcast(nodes, responseCallback).send(request, timeoutS);
     }
   }
 
   /** One request sent to several nodes; the first final response is passed on. */
   private final class Broadcast {
     private final List<String> nodes;
-    private final Consumer<Response> answer;
-    private int unanswered;
-    private boolean answered;
+    private final Consumer<Response> responseCallback;
+    private int pendingResponses;
+    private boolean completed;
 
-    Broadcast(List<String> nodes, Consumer<Response> answer) {
+    Broadcast(List<String> nodes, Consumer<Response> responseCallback) {
       this.nodes = nodes;
-      this.answer = answer;
-      this.unanswered = nodes.size();
+      this.responseCallback = responseCallback;
+      this.pendingResponses = nodes.size();
     }
 
     void send(Request request, double timeoutS) {
       for (String node : nodes) {
-        peers.askOrBusy(node, request, timeoutS, response -> received(node, response));
+        peers.sendOrBusy(node, request, timeoutS, response -> handleResponse(node, response));
       }
     }
 
-    private void received(String node, Response response) {
-      unanswered--;
-      if (answered) {
+    private void handleResponse(String node, Response response) {
+      pendingResponses--;
+      if (completed) {
         return;
       }
       if (!Responses.isBusy(response)) {
-        answered = true;
-        found = Optional.of(new FoundLeader(node, clock.now(), role.otherLeader()));
-        answer.accept(response);
-      } else if (unanswered == 0) {
-        answered = true;
-        nextSearchAt = clock.now().plusSeconds(BACKOFF_S);
-        answer.accept(response);
+        completed = true;
+        lastFound = Optional.of(new FoundLeader(node, clock.now(), role.otherLeader()));
+        responseCallback.accept(response);
+      } else if (pendingResponses == 0) {
+        completed = true;
+        nextSearchAt = clock.now().plusSeconds(SEARCH_PAUSE_S);
+        responseCallback.accept(response);
       }
     }
   }
--- a/src/main/java/org/ternhinge/request/PeerClient.java
+++ b/src/main/java/org/ternhinge/request/PeerClient.java
@@ -8,11 +8,13 @@
 import org.ternhinge.model.LockedExecutor;
 
 /**
- * Sends requests to other controllers and passes on the responses under the controller's lock. If a request is not answered, its connection may be broken and is closed, so that the next request opens a new one.
+ * Sends requests to other controllers and passes on the responses under the controller's lock. If a
+ * request is not answered, its connection may be broken and is closed, so that the next request
+ * opens a new one.
  */
 public final class PeerClient {
   private final PeerTransport transport;
-  private final LockedExecutor locked;
+  private final LockedExecutor lockedExecutor;
   private final NodeConnectivity connectivity;
 
   /**
@@ -23,32 +25,35 @@
    */
   public PeerClient(PeerTransport transport, Lock lock, NodeConnectivity connectivity) {
     this.transport = transport;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
     this.connectivity = connectivity;
   }
 
   /**
    * Sends a request to another controller.
    *
-   * @param then receives the response, or empty if none arrived in time
+   * @param callback receives the response, or empty if none arrived in time
    */
-  void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> then) {
-    transport.ask(
-        node, request, timeoutS, response -> locked.execute(() -> answered(node, response, then)));
+  void send(String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
+    transport.send(
+        node,
+        request,
+        timeoutS,
+        response -> lockedExecutor.execute(() -> handleResponse(node, response, callback)));
   }
 
-  /** As {@link #ask}, but with a busy response in place of a missing one. */
-  void askOrBusy(String node, Request request, double timeoutS, Consumer<Response> then) {
-    ask(node, request, timeoutS, response -> then.accept(response.orElseGet(Responses::busy)));
+  /** As {@link #send}, but with a busy response in place of a missing one. */
+  void sendOrBusy(String node, Request request, double timeoutS, Consumer<Response> callback) {
+    send(node, request, timeoutS, response -> callback.accept(response.orElseGet(Responses::busy)));
   }
 
-  private void answered(
-      String node, Optional<Response> response, Consumer<Optional<Response>> then) {
+  private void handleResponse(
+      String node, Optional<Response> response, Consumer<Optional<Response>> callback) {
     if (response.isPresent()) {
-      connectivity.peerAnswered();
+      connectivity.recordPeerResponse();
     } else {
-      transport.reset(node);
+      transport.closeConnection(node);
     }
-    then.accept(response);
+    callback.accept(response);
   }
 }
--- a/src/main/java/org/ternhinge/request/PeerTransport.java
+++ b/src/main/java/org/ternhinge/request/PeerTransport.java
@@ -12,10 +12,12 @@
    *
    * @param node the other controller's name
    * @param timeoutS time-out of the response in seconds
-   * @param answer receives the response, or empty if none arrived in time; called once, on any thread
+   * @param responseCallback receives the response, or empty if none arrived in time; called once,
+   *     on any thread
    */
-  void ask(String node, Request request, double timeoutS, Consumer<Optional<Response>> answer);
+  void send(
+      String node, Request request, double timeoutS, Consumer<Optional<Response>> responseCallback);
 
   /** Closes the connection to a node that did not respond. */
-  void reset(String node);
+  void closeConnection(String node);
 }
--- a/src/main/java/org/ternhinge/request/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/ResponseDeadline.java
@@ -6,30 +6,34 @@
 import org.ternhinge.model.Clock;
 
 /**
- * Sends users a response before they abandon the request, because the time-outs of the key-value store are longer than users wait. Only the first response is sent. The work on the request is not aborted, and a repeated request finds its result.
+ * Sends users a response before they abandon the request, because the time-outs of the key-value
+ * store are longer than users wait. Only the first response is sent. The work on the request is not
+ * aborted, and a repeated request finds its result.
  */
-public final class AnswerDeadline {
+public final class ResponseDeadline {
   /** Deadline in seconds for submissions and cancellations; users abandon the request after 5 s. */
   public static final double WRITE_S = 4.5;
 
   /** Deadline in seconds for polls; users abandon the request after 2 s. */
   public static final double POLL_S = 1.8;
 
-  private AnswerDeadline() {}
+  private ResponseDeadline() {}
 
   /**
    * Wraps a response callback with a deadline.
    *
-   * @param seconds delay after which the callback receives 503, unless it has received another response before
-   * @param answer receives only the first response
+   * @param seconds delay after which the callback receives 503, unless it has received another
+   *     response before
+   * @param responseCallback receives only the first response
    */
-  public static Consumer<Response> within(double seconds, Clock clock, Consumer<Response> answer) {
-    AtomicReference<Consumer<Response>> pending = new AtomicReference<>(answer);
+  public static Consumer<Response> within(
+      double seconds, Clock clock, Consumer<Response> responseCallback) {
+    AtomicReference<Consumer<Response>> pending = new AtomicReference<>(responseCallback);
     Consumer<Response> first =
         response -> {
-          Consumer<Response> unanswered = pending.getAndSet(null);
-          if (unanswered != null) {
-            unanswered.accept(response);
+          Consumer<Response> pendingCallback = pending.getAndSet(null);
+          if (pendingCallback != null) {
+            pendingCallback.accept(response);
           }
         };
     clock.after(seconds, () -> first.accept(Responses.busy()));
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -23,12 +23,18 @@
 
   private Responses() {}
 
-  /** The response when this node can't serve the request now; another node, or this one later, may be able to. */
+  /**
+   * The response when this node can't serve the request now; another node, or this one later, may
+   * be able to.
+   */
   public static Response busy() {
     return Response.busy(RETRY_AFTER_S);
   }
 
-  /** As {@link #busy}, with the result of the dependency check for the controller that forwarded the request. */
+  /**
+   * As {@link #busy}, with the result of the dependency check for the controller that forwarded the
+   * request.
+   */
   static Response busy(DependencyVerdict verdict) {
     return new Response(UNAVAILABLE, verdict.write(), RETRY_AFTER_S);
   }
@@ -41,11 +47,12 @@
   /**
    * Returns a callback that passes on final responses and diverts busy ones.
    *
-   * @param answer receives each response that is not busy
+   * @param responseCallback receives each response that is not busy
    * @param onBusy receives busy responses
    */
-  static Consumer<Response> ifBusy(Consumer<Response> answer, Consumer<Response> onBusy) {
-    return response -> (isBusy(response) ? onBusy : answer).accept(response);
+  static Consumer<Response> divertBusy(
+      Consumer<Response> responseCallback, Consumer<Response> onBusy) {
+    return response -> (isBusy(response) ? onBusy : responseCallback).accept(response);
   }
 
   /** The response to a request that is invalid or can never be served. */
@@ -54,13 +61,13 @@
   }
 
   /** The response with the state of a job that was accepted before or has just been cancelled. */
-  static Response known(JobState state) {
+  static Response existingJob(JobState state) {
     return Response.of(OK, state.brief());
   }
 
   /** The response for the result of a lookup; 404 for a job that was never accepted. */
-  static Response ofLookup(JobLookup.Result result, Function<JobState, Response> found) {
-    return ofLookup(result, found, Response.of(NOT_FOUND));
+  static Response forLookup(JobLookup.Result result, Function<JobState, Response> found) {
+    return forLookup(result, found, Response.of(NOT_FOUND));
   }
 
   /**
@@ -69,7 +76,7 @@
    * @param found creates the response for a job that exists
    * @param absent the response for a job that was never accepted
    */
-  static Response ofLookup(
+  static Response forLookup(
       JobLookup.Result result, Function<JobState, Response> found, Response absent) {
     if (result instanceof JobLookup.Found job) {
       return found.apply(job.state());
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -11,20 +11,25 @@
    * Forwards the submission.
    *
    * @param verdict the result of the dependency check, if it was made
-   * @param answer receives the final response, or a busy one if no node accepts the submission
+   * @param responseCallback receives the final response, or a busy one if no node accepts the
+   *     submission
    */
-  void forward(Optional<DependencyVerdict> verdict, Consumer<Response> answer);
+  void forward(Optional<DependencyVerdict> verdict, Consumer<Response> responseCallback);
 
-  /** The fallback of a submission that has already been forwarded to the other nodes; responds busy. */
+  /**
+   * The fallback of a submission that has already been forwarded to the other nodes; responds busy.
+   */
   static SubmissionFallback none() {
-    return (verdict, answer) -> answer.accept(Responses.busy());
+    return (verdict, responseCallback) -> responseCallback.accept(Responses.busy());
   }
 
   /**
-   * The fallback of a submission that another node has forwarded. It returns the result of the dependency check with a busy response; the forwarding node then tries the next node itself and need not repeat the check.
+   * The fallback of a submission that another node has forwarded. It returns the result of the
+   * dependency check with a busy response; the forwarding node then tries the next node itself and
+   * need not repeat the check.
    */
-  static SubmissionFallback backToPeer() {
-    return (verdict, answer) ->
-        answer.accept(verdict.map(Responses::busy).orElseGet(Responses::busy));
+  static SubmissionFallback returnToPeer() {
+    return (verdict, responseCallback) ->
+        responseCallback.accept(verdict.map(Responses::busy).orElseGet(Responses::busy));
   }
 }
--- a/src/main/java/org/ternhinge/request/SubmissionForwarder.java
+++ b/src/main/java/org/ternhinge/request/SubmissionForwarder.java
@@ -14,22 +14,37 @@
 import org.ternhinge.wire.DependencyVerdict;
 
 /**
- * Forwards a submission that this node can't write itself to other controllers, one after the other, until one gives a final response. Each node has a small fixed share of the key-value store's rate limits, so while there is no leader, one node may be out of tokens when other nodes still have some. Likewise, if the key-value store refuses only this node's calls or is unreachable only from here, other nodes can still write to it.
+ * Forwards a submission that this node can't write itself to other controllers, one after the
+ * other, until one gives a final response. Each node has a small fixed share of the key-value
+ * store's rate limits, so while there is no leader, one node may be out of tokens when other nodes
+ * still have some. Likewise, if the key-value store refuses only this node's calls or is
+ * unreachable only from here, other nodes can still write to it.
  *
- * <p>A node whose response was lost may have written the job. That is safe, since the write of the next node is conditional on the absence of the job and then finds it. All methods run under the
+ * <p>A node whose response was lost may have written the job. That is safe, since the write of the
+ * next node is conditional on the absence of the job and then finds it. All methods run under the
  * controller's lock.
  */
 public final class SubmissionForwarder {
-  /** Two such time-outs and a write by this node still end within one second of the user's request. */
+  /**
+   * Two such time-outs and a write by this node still end within one second of the user's request.
+   */
   private static final double PEER_TIMEOUT_S = 0.4;
 
-  /** Seconds for which a node that gave no response is skipped, since the user waits for its time-out each time. */
+  /**
+   * Seconds for which a node that gave no response is skipped, since the user waits for its
+   * time-out each time.
+   */
   private static final double UNRESPONSIVE_S = 2;
 
-  /** Largest number of nodes tried for one submission; with more, a general shortage of tokens would only load all nodes. */
+  /**
+   * Largest number of nodes tried for one submission; with more, a general shortage of tokens would
+   * only load all nodes.
+   */
   private static final int MAX_NODES = 4;
 
-  /** Seconds after which no further node is tried, since users expect a response within one second. */
+  /**
+   * Seconds after which no further node is tried, since users expect a response within one second.
+   */
   private static final double DEADLINE_S = 0.7;
 
   /** A request that is still to be sent to a node. */
@@ -39,7 +54,7 @@
   private final List<String> otherNodes;
   private final Clock clock;
   private final Map<String, SteadyTime> unresponsiveUntil = new HashMap<>();
-  private int firstOfNext;
+  private int nextStartIndex;
 
   /**
    * Creates a forwarder.
@@ -58,13 +73,17 @@
     return until != null && clock.now().isBefore(until);
   }
 
-  /** Sends the user's original request to the leader only; the response is busy if there is none in time. */
-  void askLeader(String leader, Request request, Consumer<Response> answer) {
-    ask(new Attempt(leader, request), answer);
+  /**
+   * Sends the user's original request to the leader only; the response is busy if there is none in
+   * time.
+   */
+  void askLeader(String leader, Request request, Consumer<Response> responseCallback) {
+    send(new Attempt(leader, request), responseCallback);
   }
 
   /**
-   * Sends the submission to one node after the other until one gives a final response; busy if none does.
+   * Sends the submission to one node after the other until one gives a final response; busy if none
+   * does.
    *
    * @param leader the first node, which receives the user's original request
    * @param dependent whether the job depends on other jobs
@@ -75,14 +94,14 @@
       Request request,
       boolean dependent,
       Optional<DependencyVerdict> verdict,
-      Consumer<Response> answer) {
+      Consumer<Response> responseCallback) {
     Request toFollowers = dependent ? dependentRequest(request, verdict) : request;
     Deque<Attempt> attempts = new ArrayDeque<>();
     leader
         .filter(node -> !isUnresponsive(node))
         .ifPresent(node -> attempts.add(new Attempt(node, request)));
     addFollowers(attempts, leader, toFollowers);
-    tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), answer);
+    tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), responseCallback);
   }
 
   /** As {@link #forward}, for a job with dependencies that has just been sent to the leader. */
@@ -90,40 +109,44 @@
       String leader,
       Request request,
       Optional<DependencyVerdict> verdict,
-      Consumer<Response> answer) {
+      Consumer<Response> responseCallback) {
     Deque<Attempt> attempts = new ArrayDeque<>();
     addFollowers(attempts, Optional.of(leader), dependentRequest(request, verdict));
-    tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), answer);
+    tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), responseCallback);
   }
 
   private static Request dependentRequest(Request request, Optional<DependencyVerdict> verdict) {
     return new Request(request.method(), DependentSubmissionPath.of(verdict), request.body());
   }
 
-  /** Adds nodes other than the leader in round-robin order: each submission starts with the next node. */
+  /**
+   * Adds nodes other than the leader in round-robin order: each submission starts with the next
+   * node.
+   */
   private void addFollowers(Deque<Attempt> attempts, Optional<String> leader, Request request) {
-    int first = firstOfNext++;
+    int startIndex = nextStartIndex++;
     for (int i = 0; i < otherNodes.size() && attempts.size() < MAX_NODES; i++) {
-      String node = otherNodes.get(Math.floorMod(first + i, otherNodes.size()));
+      String node = otherNodes.get(Math.floorMod(startIndex + i, otherNodes.size()));
       if (!isUnresponsive(node) && !leader.equals(Optional.of(node))) {
         attempts.add(new Attempt(node, request));
       }
     }
   }
 
-  private void tryNext(Deque<Attempt> attempts, SteadyTime deadline, Consumer<Response> answer) {
+  private void tryNext(
+      Deque<Attempt> attempts, SteadyTime deadline, Consumer<Response> responseCallback) {
     Attempt attempt = attempts.poll();
     if (attempt == null || !clock.now().isBefore(deadline)) {
-      answer.accept(Responses.busy());
+      responseCallback.accept(Responses.busy());
       return;
     }
-    ask(
+    send(
         attempt,
         response -> {
           if (isFinal(response)) {
-            answer.accept(response);
+            responseCallback.accept(response);
           } else {
-            tryNext(attempts, deadline, answer);
+            tryNext(attempts, deadline, responseCallback);
           }
         });
   }
@@ -133,8 +156,8 @@
     return !Responses.isBusy(response) && response.status() != Responses.NOT_FOUND;
   }
 
-  private void ask(Attempt attempt, Consumer<Response> answer) {
-    peers.ask(
+  private void send(Attempt attempt, Consumer<Response> responseCallback) {
+    peers.send(
         attempt.node(),
         attempt.request(),
         PEER_TIMEOUT_S,
@@ -142,7 +165,7 @@
           if (response.isEmpty()) {
             unresponsiveUntil.put(attempt.node(), clock.now().plusSeconds(UNRESPONSIVE_S));
           }
-          answer.accept(response.orElseGet(Responses::busy));
+          responseCallback.accept(response.orElseGet(Responses::busy));
         });
   }
 }
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -28,26 +28,32 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Accepts a job by writing its record, on condition that neither the record nor an end record of the job exists. That makes it safe to repeat the write after a lost response and to let several nodes attempt to write the same job. All methods run under the controller's lock.
+ * Accepts a job by writing its record, on condition that neither the record nor an end record of
+ * the job exists. That makes it safe to repeat the write after a lost response and to let several
+ * nodes attempt to write the same job. All methods run under the controller's lock.
  */
 public final class SubmissionWriter {
-  /** Each attempt after the first follows a lost response, which took the entire time-out of the store. */
+  /**
+   * Each attempt after the first follows a lost response, which took the entire time-out of the
+   * store.
+   */
   private static final int MAX_ATTEMPTS = 3;
 
   /**
    * A job that is to be written.
    *
    * @param fallback destination of the job if this node can't write it
-   * @param answer receives the response for the user, exactly once
+   * @param responseCallback receives the response for the user, exactly once
    */
-  private record Submission(JobSpec spec, SubmissionFallback fallback, Consumer<Response> answer) {}
+  private record Submission(
+      JobSpec spec, SubmissionFallback fallback, Consumer<Response> responseCallback) {}
 
   private final KeyValueStore store;
   private final JobLookup lookup;
   private final DependencyCheck dependencies;
   private final LeadershipRole role;
   private final Clock clock;
-  private final LockedExecutor locked;
+  private final LockedExecutor lockedExecutor;
   private final int maxValueBytes;
 
   /**
@@ -69,49 +75,53 @@
     this.dependencies = dependencies;
     this.role = role;
     this.clock = clock;
-    this.locked = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
     this.maxValueBytes = maxValueBytes;
   }
 
   /**
    * Accepts a job that has passed validation.
    *
-   * @param verdict result of the dependency check by another node; if empty, this node checks the dependencies
+   * @param verdict result of the dependency check by another node; if empty, this node checks the
+   *     dependencies
    * @param fallback destination of the job if this node can't write it
    */
   void accept(
       JobSpec spec,
       Optional<DependencyVerdict> verdict,
       SubmissionFallback fallback,
-      Consumer<Response> answer) {
-    Submission submission = new Submission(spec, fallback, answer);
+      Consumer<Response> responseCallback) {
+    Submission submission = new Submission(spec, fallback, responseCallback);
     if (spec.dependencies().isEmpty() || verdict.isPresent()) {
       write(submission, verdict);
     } else {
-      dependencies.check(spec.dependencies(), result -> dependenciesChecked(submission, result));
+      dependencies.check(spec.dependencies(), result -> handleDependencyCheck(submission, result));
     }
   }
 
   /**
-   * Responds with the state of a job if it was accepted before, so that a repeated submission gets the same response whatever its body contains.
+   * Responds with the state of a job if it was accepted before, so that a repeated submission gets
+   * the same response whatever its body contains.
    *
    * @param otherwise the response for a job that was never accepted
    */
-  void answerKnownOr(Response otherwise, JobId id, Consumer<Response> answer) {
+  void respondWithKnownStateOr(Response otherwise, JobId id, Consumer<Response> responseCallback) {
     lookup.find(
         id,
         RequestPriority.ACCEPT,
-        result -> answer.accept(Responses.ofLookup(result, Responses::known, otherwise)));
+        result ->
+            responseCallback.accept(
+                Responses.forLookup(result, Responses::existingJob, otherwise)));
   }
 
-  private void dependenciesChecked(Submission submission, DependencyCheck.Result result) {
+  private void handleDependencyCheck(Submission submission, DependencyCheck.Result result) {
     if (result instanceof DependencyCheck.Passed passed) {
       write(submission, Optional.of(passed.verdict()));
     } else if (result instanceof DependencyCheck.Rejected rejected) {
       Response error = Responses.error(Responses.UNPROCESSABLE, rejected.reason());
-      answerKnownOr(error, submission.spec().id(), submission.answer());
+      respondWithKnownStateOr(error, submission.spec().id(), submission.responseCallback());
     } else {
-      submission.fallback().forward(Optional.empty(), submission.answer());
+      submission.fallback().forward(Optional.empty(), submission.responseCallback());
     }
   }
 
@@ -124,7 +134,7 @@
   private final class RecordWrite {
     private final JobId id;
     private final SubmissionFallback fallback;
-    private final Consumer<Response> answer;
+    private final Consumer<Response> responseCallback;
     private final Optional<DependencyVerdict> verdict;
     private final ObjectNode record;
     private int attemptsLeft = MAX_ATTEMPTS;
@@ -132,7 +142,7 @@
     RecordWrite(Submission submission, Optional<DependencyVerdict> verdict, ObjectNode record) {
       this.id = submission.spec().id();
       this.fallback = submission.fallback();
-      this.answer = submission.answer();
+      this.responseCallback = submission.responseCallback();
       this.verdict = verdict;
       this.record = record;
     }
@@ -142,30 +152,30 @@
       List<KeyCondition> absent =
           List.of(KeyCondition.absent(Keys.job(id)), KeyCondition.absent(Keys.end(id)));
       Change put = new Change.Put(Keys.job(id), record, 0);
-      locked.whenAnswered(
+      lockedExecutor.whenAnswered(
           store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT),
-          this::answered);
+          this::handleOutcome);
     }
 
-    private void answered(Outcome<Revision> outcome) {
+    private void handleOutcome(Outcome<Revision> outcome) {
       if (outcome instanceof Outcome.Applied<Revision> applied) {
         notifyLeadership(applied.value());
-        answer.accept(Response.of(Responses.CREATED, initialState().brief()));
+        responseCallback.accept(Response.of(Responses.CREATED, initialState().brief()));
       } else if (outcome instanceof Outcome.NotApplied<Revision> notApplied) {
-        notWritten(notApplied.reason());
+        handleRejectedWrite(notApplied.reason());
       } else if (attemptsLeft > 0) {
         // The response was lost. If the write was applied, the next attempt finds the record.
         attempt();
       } else {
-        answer.accept(Responses.busy());
+        responseCallback.accept(Responses.busy());
       }
     }
 
-    private void notWritten(Reason reason) {
+    private void handleRejectedWrite(Reason reason) {
       if (reason == Reason.CONFLICT) {
-        answerKnownOr(Responses.busy(), id, answer);
+        respondWithKnownStateOr(Responses.busy(), id, responseCallback);
       } else {
-        fallback.forward(verdict, answer);
+        fallback.forward(verdict, responseCallback);
       }
     }
 
@@ -182,7 +192,8 @@
       try {
         return LedgerLoader.read(record, revision, clock.now());
       } catch (WireException e) {
-        throw new IllegalStateException("can't decode the job record that this node has just encoded", e);
+        throw new IllegalStateException(
+            "can't decode the job record that this node has just encoded", e);
       }
     }
   }
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -84,7 +84,7 @@
 
   @Override
   public void requestRound() {
-    if (requested || !enabled || executor.stopped()) {
+    if (requested || !enabled || executor.isStopped()) {
       return;
     }
     requested = true;
@@ -103,7 +103,7 @@
     lock.lock();
     try {
       requested = false;
-      if (executor.stopped() || running) {
+      if (executor.isStopped() || running) {
         return Optional.empty();
       }
       lastStart = clock.now();
@@ -131,7 +131,7 @@
     lock.lock();
     try {
       running = false;
-      if (!executor.stopped() && plan.isPresent() && authority.valid()) {
+      if (!executor.isStopped() && plan.isPresent() && authority.valid()) {
         planExecutor.execute(zones.limit(plan.get()));
       }
       lastDurationS = clock.now().secondsSince(lastStart);
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -92,7 +92,7 @@
    */
   private void pageRead(MachineId after, Outcome<ListedMachine.Page> outcome) {
     if (RetryPolicy.isRateLimited(outcome)) {
-      executor.later(RetryPolicy.RATE_LIMITED_DELAY_S, () -> readPage(after));
+      executor.schedule(RetryPolicy.RATE_LIMITED_DELAY_S, () -> readPage(after));
       return;
     }
     if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
@@ -104,6 +104,6 @@
       }
       listener.listed(listing, startedAt);
     }
-    executor.later(intervalS, this::start);
+    executor.schedule(intervalS, this::start);
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -121,7 +121,7 @@
   }
 
   private void sendAfter(double seconds, OpenProvision provision) {
-    executor.later(seconds, () -> send(provision));
+    executor.schedule(seconds, () -> send(provision));
   }
 
   private void answered(OpenProvision provision, Outcome<List<MachineId>> outcome) {
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -115,7 +115,7 @@
   }
 
   private void retryAfter(double seconds) {
-    executor.later(seconds, this::retry);
+    executor.schedule(seconds, this::retry);
   }
 
   private void retry() {
--- a/src/main/java/org/ternhinge/store/CompareAndSwap.java
+++ b/src/main/java/org/ternhinge/store/CompareAndSwap.java
@@ -6,10 +6,12 @@
 import org.ternhinge.wire.Json;
 
 /**
- * An atomic transaction: if all conditions hold, all changes are applied with one revision; otherwise none is.
+ * An atomic transaction: if all conditions hold, all changes are applied with one revision;
+ * otherwise none is.
  *
  * @param conditions revisions that keys must have; an empty list makes the changes unconditional
- * @param changes {@link Change.Put} and {@link Change.Delete} in the order of the message; an empty list only checks the conditions
+ * @param changes {@link Change.Put} and {@link Change.Delete} in the order of the message; an empty
+ *     list only checks the conditions
  */
 public record CompareAndSwap(List<KeyCondition> conditions, List<Change> changes) {
 
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -21,51 +21,53 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** HTTP client of the key-value store that respects the store's published rate limits. Thread-safe. */
+/**
+ * HTTP client of the key-value store that respects the store's published rate limits. Thread-safe.
+ */
 public final class HttpKeyValueStore implements KeyValueStore {
   /** Time-out in seconds of a page of keys, which may be large. */
   private static final double LIST_TIMEOUT_S = 5;
 
   /** Seconds after the end of its wait by which a watch must be answered. */
-  private static final double WATCH_SLACK_S = 5;
+  private static final double WATCH_RESPONSE_MARGIN_S = 5;
 
   private static final int MILLIS_PER_S = 1000;
   private static final byte[] EMPTY_OBJECT = {'{', '}'};
 
   private final ServiceClient client;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
+  private final TokenBucket requestTokens;
+  private final TokenBucket writeTokens;
   private final ResponseTimeouts responseTimeouts;
 
   /**
    * Creates a client of a key-value store.
    *
-   * @param requests limits the rate of calls
-   * @param writes limits the rate of changed keys
+   * @param requestTokens limits the rate of calls
+   * @param writeTokens limits the rate of changed keys
    * @param responseTimeouts time-outs of calls, which adapt to the response times
    */
   public HttpKeyValueStore(
       HttpCaller http,
       Endpoint endpoint,
-      TokenBucket requests,
-      TokenBucket writes,
+      TokenBucket requestTokens,
+      TokenBucket writeTokens,
       ResponseTimeouts responseTimeouts) {
-    this.client = new ServiceClient(http, endpoint, this::errorOf);
-    this.requests = requests;
-    this.writes = writes;
+    this.client = new ServiceClient(http, endpoint, this::toErrorOutcome);
+    this.requestTokens = requestTokens;
+    this.writeTokens = writeTokens;
     this.responseTimeouts = responseTimeouts;
   }
 
   private <T> CompletableFuture<Outcome<T>> send(
       Request request, double timeoutS, RequestPriority priority, Json.Reader<T> reader) {
     return client.send(
-        () -> requests.tryTake(priority, 1),
+        () -> requestTokens.tryTake(priority, 1),
         request,
-        new CallTimeouts(timeoutS, responseTimeouts.capS()),
+        new CallTimeouts(timeoutS, responseTimeouts.maxTimeoutS()),
         body -> Json.decode(body, reader));
   }
 
-  private <T> Outcome<T> errorOf(Reply reply) {
+  private <T> Outcome<T> toErrorOutcome(Reply reply) {
     return switch (reply.status()) {
       case 404 -> Outcome.notApplied(Reason.NOT_FOUND, "");
       case 409 -> conflict(reply.body());
@@ -73,7 +75,7 @@
       case 400 ->
           Outcome.notApplied(Reason.INVALID, new String(reply.body(), StandardCharsets.UTF_8));
       case 429 -> {
-        requests.drain();
+        requestTokens.drain();
         yield Outcome.notApplied(Reason.TOO_MANY_REQUESTS, "429");
       }
       case 503 -> Outcome.notApplied(Reason.REFUSED, "503");
@@ -146,7 +148,7 @@
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap compareAndSwap, RequestPriority priority) {
     int changes = compareAndSwap.changes().size();
-    if (changes > 0 && !writes.tryTake(priority, changes)) {
+    if (changes > 0 && !writeTokens.tryTake(priority, changes)) {
       return CompletableFuture.completedFuture(ServiceClient.noTokens());
     }
     Request request = Request.post("/txn", compareAndSwap.write());
@@ -159,7 +161,7 @@
 
   private Outcome<Revision> pauseWritesIfTooMany(Outcome<Revision> outcome) {
     if (outcome.isBecause(Reason.TOO_MANY_REQUESTS)) {
-      writes.drain();
+      writeTokens.drain();
     }
     return outcome;
   }
@@ -195,7 +197,7 @@
         Request.get("/follow?prefix=" + prefix + "&from=" + from + "&wait_ms=" + waitMillis);
     return send(
         request,
-        waitS + WATCH_SLACK_S,
+        waitS + WATCH_RESPONSE_MARGIN_S,
         RequestPriority.BOOKKEEPING,
         HttpKeyValueStore::watchResult);
   }
@@ -218,11 +220,12 @@
 
   @Override
   public int availableChanges(RequestPriority priority) {
-    return requests.available(priority) > 0 ? writes.available(priority) : 0;
+    return requestTokens.available(priority) > 0 ? writeTokens.available(priority) : 0;
   }
 
   @Override
   public double secondsUntilAvailable(int changes, RequestPriority priority) {
-    return Math.max(requests.secondsUntil(priority, 1), writes.secondsUntil(priority, changes));
+    return Math.max(
+        requestTokens.secondsUntil(priority, 1), writeTokens.secondsUntil(priority, changes));
   }
 }
--- a/src/main/java/org/ternhinge/store/KeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/KeyValueStore.java
@@ -10,7 +10,14 @@
 /**
  * The consensus-backed key-value store, which holds all persistent state of the controllers.
  *
- * <p>Every controller may call every method, from any thread. A call returns immediately. Its future never completes exceptionally; it completes on a thread of the implementation, so callers must acquire their own lock. Each call takes a token of its priority; if none is left, it is not sent and ends with {@link Outcome.Reason#RATE_LIMITED}. {@link Outcome.Reason#REFUSED} means that the store is unavailable, and {@link Outcome.Reason#TOO_MANY_REQUESTS} that this process exceeds its rate limit; in both cases nothing was executed. {@link Outcome.Unknown} means that no usable response was received: a write may have been applied, or may still be applied, even minutes later.
+ * <p>Every controller may call every method, from any thread. A call returns immediately. Its
+ * future never completes exceptionally; it completes on a thread of the implementation, so callers
+ * must acquire their own lock. Each call takes a token of its priority; if none is left, it is not
+ * sent and ends with {@link Outcome.Reason#RATE_LIMITED}. {@link Outcome.Reason#REFUSED} means that
+ * the store is unavailable, and {@link Outcome.Reason#TOO_MANY_REQUESTS} that this process exceeds
+ * its rate limit; in both cases nothing was executed. {@link Outcome.Unknown} means that no usable
+ * response was received: a write may have been applied, or may still be applied, even minutes
+ * later.
  */
 public interface KeyValueStore {
 
@@ -38,7 +45,10 @@
    */
   record ReadResult(Optional<Entry> entry) {}
 
-  /** Reads a key. For a key that does not exist the outcome is {@link Outcome.Applied} with an empty result. */
+  /**
+   * Reads a key. For a key that does not exist the outcome is {@link Outcome.Applied} with an empty
+   * result.
+   */
   CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority);
 
   /**
@@ -51,7 +61,10 @@
       String prefix, String after, int limit, RequestPriority priority);
 
   /**
-   * Applies all changes of a transaction if all of its conditions hold, and otherwise none. The result is the revision of the changes. The detail of {@link Outcome.Reason#CONFLICT} lists the keys whose conditions do not hold; {@link Outcome.Reason#INVALID} is also the reason if a lease has expired.
+   * Applies all changes of a transaction if all of its conditions hold, and otherwise none. The
+   * result is the revision of the changes. The detail of {@link Outcome.Reason#CONFLICT} lists the
+   * keys whose conditions do not hold; {@link Outcome.Reason#INVALID} is also the reason if a lease
+   * has expired.
    */
   CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap compareAndSwap, RequestPriority priority);
@@ -67,7 +80,8 @@
    * Renews a lease to its full time to live. {@link Outcome.Reason#NOT_FOUND} means that it has
    * expired.
    *
-   * @param timeoutS seconds after which the response is no longer useful; further renewals may be sent before then
+   * @param timeoutS seconds after which the response is no longer useful; further renewals may be
+   *     sent before then
    */
   CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS);
 
@@ -76,16 +90,21 @@
 
   /**
    * Waits for changes of keys with a prefix. {@link Outcome.Reason#TOO_OLD} and {@link
-   * Outcome.Reason#TOO_LARGE} mean that the changes are not available and the keys must be listed again.
+   * Outcome.Reason#TOO_LARGE} mean that the changes are not available and the keys must be listed
+   * again.
    *
    * @param from only changes after this revision are returned
    * @param waitS longest wait in seconds
    */
   CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS);
 
-  /** The number of changes that a transaction may contain now; 0 while no transaction may be sent. */
+  /**
+   * The number of changes that a transaction may contain now; 0 while no transaction may be sent.
+   */
   int availableChanges(RequestPriority priority);
 
-  /** Seconds until enough tokens are available for a transaction with the given number of changes. */
+  /**
+   * Seconds until enough tokens are available for a transaction with the given number of changes.
+   */
   double secondsUntilAvailable(int changes, RequestPriority priority);
 }
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -10,9 +10,13 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow the smoothed mean and deviation of the response times and back off after unanswered calls, so that calls wait longer for a slow store than for a fast one. With a fixed time-out below the response time, every call would fail and no node could become the leader.
+ * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
+ * the smoothed mean and deviation of the response times and back off after unanswered calls, so
+ * that calls wait longer for a slow store than for a fast one. With a fixed time-out below the
+ * response time, every call would fail and no node could become the leader.
  *
- * <p>Time-outs lie between a minimum for each kind of call and a maximum that follows from the leadership lease. An unanswered call raises them only until the next response. Thread-safe.
+ * <p>Time-outs lie between a minimum for each kind of call and a maximum that follows from the
+ * leadership lease. An unanswered call raises them only until the next response. Thread-safe.
  */
 public final class ResponseTimeouts {
 
@@ -26,15 +30,16 @@
     LEASE(1.0, true),
 
     /**
-     * A read or a write on which the leadership does not depend. Its time-out does not back off, since jobs and users wait for the retry when a response is lost.
+     * A read or a write on which the leadership does not depend. Its time-out does not back off,
+     * since jobs and users wait for the retry when a response is lost.
      */
     ORDINARY(1.5, false);
 
-    private final double floorS;
+    private final double minTimeoutS;
     private final boolean backsOff;
 
-    Kind(double floorS, boolean backsOff) {
-      this.floorS = floorS;
+    Kind(double minTimeoutS, boolean backsOff) {
+      this.minTimeoutS = minTimeoutS;
       this.backsOff = backsOff;
     }
 
@@ -52,16 +57,20 @@
   /** Weight of a new response time in the mean. */
   private static final double MEAN_GAIN = 0.25;
 
-  /** Weight of a new response time in the deviation; lower than that of the mean, so that the effect of jitter lasts longer. */
+  /**
+   * Weight of a new response time in the deviation; lower than that of the mean, so that the effect
+   * of jitter lasts longer.
+   */
   private static final double DEVIATION_GAIN = 0.125;
 
   /**
-   * Number of deviations above the mean that a response may take: about the maximum of a sum of two uniformly distributed delays.
+   * Number of deviations above the mean that a response may take: about the maximum of a sum of two
+   * uniformly distributed delays.
    */
   private static final double MAX_DEVIATIONS = 6;
 
   /** Fraction of the mean that is added to it at least, however small the deviation is. */
-  private static final double MIN_SLACK = 0.5;
+  private static final double MIN_MARGIN_FRACTION = 0.5;
 
   private static final double BACKOFF_FACTOR = 2;
 
@@ -69,7 +78,7 @@
   private static final double TIMED_OUT_FRACTION = 0.99;
 
   private final Clock clock;
-  private final double capS;
+  private final double maxTimeoutS;
   private double meanS;
 
   /** Smoothed excess of response times over the mean; faster responses count as zero. */
@@ -78,36 +87,39 @@
   private boolean hasSample;
 
   /** Time-out in seconds after unanswered calls; 0 after an answered call. */
-  private double backedOffS;
+  private double backoffTimeoutS;
 
   /**
    * Creates time-outs without recorded response times.
    *
-   * @param capS maximum time-out in seconds
+   * @param maxTimeoutS maximum time-out in seconds
    */
-  public ResponseTimeouts(Clock clock, double capS) {
+  public ResponseTimeouts(Clock clock, double maxTimeoutS) {
     this.clock = clock;
-    this.capS = capS;
+    this.maxTimeoutS = maxTimeoutS;
   }
 
   /**
-   * Creates time-outs for the store that holds the leadership lease. The maximum is the longest response time with which the lease remains valid until the next renewal is answered: validity counts from the time at which a renewal is sent, and while responses are late, the next renewal is sent later by the delay after which a renewal counts as overdue.
+   * Creates time-outs for the store that holds the leadership lease. The maximum is the longest
+   * response time with which the lease remains valid until the next renewal is answered: validity
+   * counts from the time at which a renewal is sent, and while responses are late, the next renewal
+   * is sent later by the delay after which a renewal counts as overdue.
    */
   public static ResponseTimeouts of(Clock clock, Tuning tuning) {
     return new ResponseTimeouts(
-        clock, Math.max(Kind.READ.floorS, tuning.validityS() - tuning.renewalOverdueS()));
+        clock, Math.max(Kind.READ.minTimeoutS, tuning.validityS() - tuning.renewalOverdueS()));
   }
 
   /** The maximum time-out in seconds. */
-  public double capS() {
-    return capS;
+  public double maxTimeoutS() {
+    return maxTimeoutS;
   }
 
   /** The time-out in seconds for a call that is sent now. */
   public synchronized double timeoutS(Kind kind) {
-    double expected = meanS + Math.max(MAX_DEVIATIONS * deviationS, MIN_SLACK * meanS);
-    double floor = kind.backsOff ? Math.max(kind.floorS, backedOffS) : kind.floorS;
-    return Math.min(capS, Math.max(floor, expected));
+    double expectedS = meanS + Math.max(MAX_DEVIATIONS * deviationS, MIN_MARGIN_FRACTION * meanS);
+    double minS = kind.backsOff ? Math.max(kind.minTimeoutS, backoffTimeoutS) : kind.minTimeoutS;
+    return Math.min(maxTimeoutS, Math.max(minS, expectedS));
   }
 
   /**
@@ -120,27 +132,28 @@
     double timeoutS = timeoutS(kind);
     SteadyTime sent = clock.now();
     return send.apply(timeoutS)
-        .whenComplete((outcome, error) -> record(outcome, sinceS(sent), timeoutS));
+        .whenComplete((outcome, error) -> recordOutcome(outcome, secondsSince(sent), timeoutS));
   }
 
   /**
-   * Records the response time of a call that has its own time-out. An unanswered call is ignored, since its time-out may be far longer than those of other calls.
+   * Records the response time of a call that has its own time-out. An unanswered call is ignored,
+   * since its time-out may be far longer than those of other calls.
    */
   public <T> CompletableFuture<Outcome<T>> observe(CompletableFuture<Outcome<T>> call) {
     SteadyTime sent = clock.now();
     return call.whenComplete(
-        (outcome, error) -> record(outcome, sinceS(sent), Double.POSITIVE_INFINITY));
+        (outcome, error) -> recordOutcome(outcome, secondsSince(sent), Double.POSITIVE_INFINITY));
   }
 
-  private double sinceS(SteadyTime sent) {
+  private double secondsSince(SteadyTime sent) {
     return clock.now().secondsSince(sent);
   }
 
-  private void record(Outcome<?> outcome, double tookS, double timeoutS) {
+  private void recordOutcome(Outcome<?> outcome, double tookS, double timeoutS) {
     if (wasAnswered(outcome)) {
-      answered(tookS);
+      recordResponse(tookS);
     } else if (tookS >= timeoutS * TIMED_OUT_FRACTION) {
-      timedOut(timeoutS);
+      recordTimeout(timeoutS);
     }
   }
 
@@ -153,19 +166,22 @@
   }
 
   /** Records a call that was answered after {@code tookS} seconds. */
-  synchronized void answered(double tookS) {
-    backedOffS = 0;
+  synchronized void recordResponse(double tookS) {
+    backoffTimeoutS = 0;
     addSample(tookS);
   }
 
   /**
-   * Records a call that timed out. The first of consecutive time-outs counts as a response time of that length, since otherwise only the fast responses of a store with jitter would be recorded. Further ones are not recorded, since the store may be unreachable and as fast as before once it is reachable again.
+   * Records a call that timed out. The first of consecutive time-outs counts as a response time of
+   * that length, since otherwise only the fast responses of a store with jitter would be recorded.
+   * Further ones are not recorded, since the store may be unreachable and as fast as before once it
+   * is reachable again.
    */
-  synchronized void timedOut(double timeoutS) {
-    if (backedOffS == 0) {
+  synchronized void recordTimeout(double timeoutS) {
+    if (backoffTimeoutS == 0) {
       addSample(timeoutS);
     }
-    backedOffS = Math.max(backedOffS, Math.min(capS, timeoutS * BACKOFF_FACTOR));
+    backoffTimeoutS = Math.max(backoffTimeoutS, Math.min(maxTimeoutS, timeoutS * BACKOFF_FACTOR));
   }
 
   private void addSample(double tookS) {
--- a/src/main/java/org/ternhinge/term/BucketedRecords.java
+++ b/src/main/java/org/ternhinge/term/BucketedRecords.java
@@ -15,7 +15,10 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Packs many small entries into few records of the key-value store. A write of a record consumes one unit of the store's rate limit, however many of its entries have changed. With a record for each entry, the provision requests of a start without machines would consume the rate limit while hundreds of services wait for their own writes. Guarded by the controller's lock.
+ * Packs many small entries into few records of the key-value store. A write of a record consumes
+ * one unit of the store's rate limit, however many of its entries have changed. With a record for
+ * each entry, the provision requests of a start without machines would consume the rate limit while
+ * hundreds of services wait for their own writes. Guarded by the controller's lock.
  */
 public final class BucketedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(BucketedRecords.class);
@@ -31,14 +34,14 @@
   private static final class Bucket {
     private final String key;
     private final Map<String, JsonNode> entries = new HashMap<>();
-    private int bytes = EMPTY_OBJECT_BYTES;
+    private int recordBytes = EMPTY_OBJECT_BYTES;
 
     Bucket(String key) {
       this.key = key;
     }
 
     boolean hasSpace(int entryBytes, int maxBytes) {
-      return entries.isEmpty() || bytes + entryBytes <= maxBytes;
+      return entries.isEmpty() || recordBytes + entryBytes <= maxBytes;
     }
 
     JsonNode value() {
@@ -48,13 +51,14 @@
     }
 
     void add(String name, JsonNode value) {
-      JsonNode before = entries.put(name, value);
-      bytes += bytes(name, value) - (before == null ? 0 : bytes(name, before));
+      JsonNode previous = entries.put(name, value);
+      recordBytes +=
+          sizeInBytes(name, value) - (previous == null ? 0 : sizeInBytes(name, previous));
     }
 
     void remove(String name) {
-      JsonNode before = entries.remove(name);
-      bytes -= before == null ? 0 : bytes(name, before);
+      JsonNode previous = entries.remove(name);
+      recordBytes -= previous == null ? 0 : sizeInBytes(name, previous);
     }
   }
 
@@ -68,7 +72,8 @@
    * Creates records without entries.
    *
    * @param prefix prefix of the records' keys, which is followed by a number
-   * @param maxRecordBytes the largest size of a record; a larger entry is stored in a record of its own
+   * @param maxRecordBytes the largest size of a record; a larger entry is stored in a record of its
+   *     own
    */
   public BucketedRecords(LedgerWriter writer, String prefix, int maxRecordBytes) {
     this.writer = writer;
@@ -76,16 +81,16 @@
     this.maxRecordBytes = maxRecordBytes;
   }
 
-  private static int bytes(String name, JsonNode value) {
+  private static int sizeInBytes(String name, JsonNode value) {
     return name.length() + Json.bytes(value).length + ENTRY_SYNTAX_BYTES;
   }
 
   /**
    * Restores the entries of a record that an earlier leadership wrote.
    *
-   * @param each receives the name and value of each entry; it may remove the entry
+   * @param onEntry receives the name and value of each entry; it may remove the entry
    */
-  public void restore(Entry entry, BiConsumer<String, JsonNode> each) {
+  public void restore(Entry entry, BiConsumer<String, JsonNode> onEntry) {
     String number = entry.key().substring(prefix.length());
     if (!INDEX.matcher(number).matches() || !entry.value().isObject()) {
       // Written by another version or by hand. If this failed, no leader would become ready.
@@ -93,7 +98,7 @@
       return;
     }
     writer.setRevision(entry.key(), entry.revision());
-    Bucket bucket = bucket(Integer.parseInt(number));
+    Bucket bucket = bucketAt(Integer.parseInt(number));
     entry
         .value()
         .properties()
@@ -103,10 +108,10 @@
               bucketByName.put(e.getKey(), bucket);
             });
     // The callback may remove its entry, so the bucket must be complete before the first call.
-    entry.value().properties().forEach(e -> each.accept(e.getKey(), e.getValue()));
+    entry.value().properties().forEach(e -> onEntry.accept(e.getKey(), e.getValue()));
   }
 
-  private Bucket bucket(int index) {
+  private Bucket bucketAt(int index) {
     while (buckets.size() <= index) {
       buckets.add(new Bucket(prefix + buckets.size()));
     }
@@ -119,7 +124,7 @@
    * @param onDurable runs once the entry is durable in the key-value store
    */
   public void put(String name, JsonNode value, Runnable onDurable) {
-    Bucket bucket = firstWithSpace(bytes(name, value));
+    Bucket bucket = firstWithSpace(sizeInBytes(name, value));
     bucket.add(name, value);
     bucketByName.put(name, bucket);
     writer.write(bucket.key, bucket::value, onDurable);
@@ -127,10 +132,10 @@
 
   private Bucket firstWithSpace(int entryBytes) {
     int index = 0;
-    while (!bucket(index).hasSpace(entryBytes, maxRecordBytes)) {
+    while (!bucketAt(index).hasSpace(entryBytes, maxRecordBytes)) {
       index++;
     }
-    return bucket(index);
+    return bucketAt(index);
   }
 
   /** Removes an entry that is no longer needed; an unknown name is ignored. */
--- a/src/main/java/org/ternhinge/term/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -11,7 +11,8 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * The services of one controller process. They are created once and live as long as the process, across leaderships.
+ * The services of one controller process. They are created once and live as long as the process,
+ * across leaderships.
  *
  * @param settings the configuration of the site
  * @param tuning intervals and margins of this controller, in seconds
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -9,11 +9,13 @@
 import org.ternhinge.model.Outcome;
 
 /**
- * Runs the actions of one leadership under the controller's lock until the leadership ends. Responses and timers that arrive later are dropped, since another leader may have changed the state that the ledger represents.
+ * Runs the actions of one leadership under the controller's lock until the leadership ends.
+ * Responses and timers that arrive later are dropped, since another leader may have changed the
+ * state that the ledger represents.
  */
 public final class LeadershipExecutor {
   private final Clock clock;
-  private final LockedExecutor executor;
+  private final LockedExecutor lockedExecutor;
 
   /** Guarded by the lock. */
   private boolean stopped;
@@ -25,7 +27,7 @@
    */
   public LeadershipExecutor(Clock clock, Lock lock) {
     this.clock = clock;
-    this.executor = new LockedExecutor(lock);
+    this.lockedExecutor = new LockedExecutor(lock);
   }
 
   /** Marks the leadership as ended; no action runs afterwards. Called under the lock. */
@@ -34,13 +36,13 @@
   }
 
   /** Whether the leadership has ended. Called under the lock. */
-  public boolean stopped() {
+  public boolean isStopped() {
     return stopped;
   }
 
   /** Runs an action under the lock, unless the leadership has ended. */
-  void locked(Runnable action) {
-    executor.execute(() -> runUnlessStopped(action));
+  void execute(Runnable action) {
+    lockedExecutor.execute(() -> runUnlessStopped(action));
   }
 
   private void runUnlessStopped(Runnable action) {
@@ -50,16 +52,19 @@
   }
 
   /** Runs an action under the lock after a delay, unless the leadership has ended by then. */
-  public void later(double seconds, Runnable action) {
-    clock.after(seconds, () -> locked(action));
+  public void schedule(double seconds, Runnable action) {
+    clock.after(seconds, () -> execute(action));
   }
 
   /**
-   * Passes the outcome of a call to a consumer under the lock, unless the leadership has ended by then.
+   * Passes the outcome of a call to a consumer under the lock, unless the leadership has ended by
+   * then.
    *
-   * @param next receives the outcome, {@link Outcome.Unknown} if the call completed exceptionally
+   * @param consumer receives the outcome, {@link Outcome.Unknown} if the call completed
+   *     exceptionally
    */
-  public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
-    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
+  public <T> void whenAnswered(
+      CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> consumer) {
+    AsyncCalls.whenAnswered(answer, outcome -> execute(() -> consumer.accept(outcome)));
   }
 }
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -22,9 +22,9 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.JobId;
-import org.ternhinge.request.JobCancellations;
+import org.ternhinge.request.JobCancellationHandler;
 import org.ternhinge.request.JobLookup;
-import org.ternhinge.request.JobQueries;
+import org.ternhinge.request.JobQueryHandler;
 import org.ternhinge.request.JobRequestHandler;
 import org.ternhinge.request.JobRequestRouter;
 import org.ternhinge.request.LeaderSearch;
@@ -57,14 +57,14 @@
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(
+        public void send(
             String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
           asked.add(node);
           to.accept(Optional.ofNullable(leaderStatus).map(Response::of));
         }
 
         @Override
-        public void reset(String node) {}
+        public void closeConnection(String node) {}
       };
 
   private final NodeConnectivity connectivity = new NodeConnectivity(clock, true);
@@ -93,7 +93,7 @@
           }
 
           @Override
-          public void deposed(LeadershipLoss loss) {
+          public void leadershipLost(LeadershipLoss loss) {
             throw new AssertionError("this node has never led");
           }
         });
@@ -149,7 +149,7 @@
       int nodesAsked,
       int expected) {
     arrange(leaderKnown, status, stored);
-    handle(new JobQueries(lookup), "GET", fromPeer);
+    handle(new JobQueryHandler(lookup), "GET", fromPeer);
     assertEquals(expected, answer.status());
     assertEquals(nodesAsked, asked.size());
   }
@@ -176,7 +176,7 @@
       int nodesAsked,
       int expected) {
     arrange(leaderKnown, status, stored);
-    handle(new JobCancellations(lookup, clock), "POST", fromPeer);
+    handle(new JobCancellationHandler(lookup, clock), "POST", fromPeer);
     assertEquals(expected, answer.status());
     assertEquals(nodesAsked, asked.size());
   }
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -21,22 +21,23 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
- * Elections with a key-value store that responds late. A node must consider its leadership valid only while the store contains its key.
+ * Elections with a key-value store that responds late. A node must consider its leadership valid
+ * only while the store contains its key.
  */
 class DelayedElectionTest {
   private static final int NODES = 3;
   private static final double STEP_S = 0.02;
 
   /** One-way delay of a healthy store. */
-  private static final double QUICK_S = 0.003;
+  private static final double FAST_DELAY_S = 0.003;
 
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
   private final SplittableRandom random = new SplittableRandom(11);
   private final List<Node> nodes = new ArrayList<>();
-  private double eachWayS = QUICK_S;
+  private double oneWayDelayS = FAST_DELAY_S;
   private double jitter;
-  private int elected;
+  private int electionCount;
   private int steps;
   private int stepsLed;
 
@@ -57,20 +58,20 @@
 
     @Override
     public void elected(Authority authority) {
-      elected++;
+      electionCount++;
     }
 
     @Override
-    public void deposed(LeadershipLoss loss) {}
+    public void leadershipLost(LeadershipLoss loss) {}
   }
 
   private double delayS() {
-    return eachWayS * (1 - jitter * random.nextDouble());
+    return oneWayDelayS * (1 - jitter * random.nextDouble());
   }
 
-  private void start(double delayS, double jitterShare) {
-    eachWayS = delayS;
-    jitter = jitterShare;
+  private void start(double delayS, double jitterFraction) {
+    oneWayDelayS = delayS;
+    jitter = jitterFraction;
     for (int i = 0; i < NODES; i++) {
       nodes.add(new Node("node-" + i));
     }
@@ -94,14 +95,15 @@
       steps++;
       for (Node node : nodes) {
         if (node.election.valid()) {
-          assertEquals(holder(), node.name, "valid at " + clock.seconds() + " s without holding the key");
+          assertEquals(
+              holder(), node.name, "valid at " + clock.seconds() + " s without holding the key");
           stepsLed++;
         }
       }
     }
   }
 
-  private double shareLed() {
+  private double ledFraction() {
     return (double) stepsLed / steps;
   }
 
@@ -123,14 +125,14 @@
     "1.3, 0.8",
     "1.8, 0.8"
   })
-  void aLeaderIsElectedAndStays(double delayS, double jitterShare) {
-    start(delayS, jitterShare);
+  void leaderIsElectedAndKeepsLeadership(double delayS, double jitterFraction) {
+    start(delayS, jitterFraction);
     run(45);
-    assertTrue(elected >= 1, "no leader was elected");
-    int before = elected;
+    assertTrue(electionCount >= 1, "no leader was elected");
+    int before = electionCount;
     run(180);
-    assertEquals(before, elected, "the leader changed");
-    assertEquals(1, shareLed(), 1e-9, "fraction of the time with a valid leadership");
+    assertEquals(before, electionCount, "the leader changed");
+    assertEquals(1, ledFraction(), 1e-9, "fraction of the time with a valid leadership");
   }
 
   /** A leader elected with a fast store keeps its lease when the store becomes slow. */
@@ -139,25 +141,30 @@
     "0.3, 0", "0.8, 0", "1.0, 0", "1.3, 0", "1.8, 0", "2.0, 0",
     "0.3, 0.8", "0.8, 0.8", "1.0, 0.8", "1.3, 0.8", "1.8, 0.8", "2.0, 0.8"
   })
-  void aLeaderStaysWhenTheServiceTurnsSlow(double delayS, double jitterShare) {
-    start(QUICK_S, 0);
+  void leaderKeepsLeadershipWhenStoreBecomesSlow(double delayS, double jitterFraction) {
+    start(FAST_DELAY_S, 0);
     run(20);
-    assertEquals(1, elected);
-    eachWayS = delayS;
-    jitter = jitterShare;
+    assertEquals(1, electionCount);
+    oneWayDelayS = delayS;
+    jitter = jitterFraction;
     run(120);
-    assertEquals(1, elected, "the leader changed");
-    assertTrue(shareLed() > 0.98, "fraction " + shareLed() + " of the time with a valid leadership");
+    assertEquals(1, electionCount, "the leader changed");
+    assertTrue(
+        ledFraction() > 0.98, "fraction " + ledFraction() + " of the time with a valid leadership");
   }
 
-  /** The store refuses only the leader's calls while it is slow: the leader's validity must end before its lease. */
+  /**
+   * The store refuses only the leader's calls while it is slow: the leader's validity must end
+   * before its lease.
+   */
   @ParameterizedTest(name = "one-way delay {0} s, jitter fraction {1}, refused for {2} s")
   @CsvSource({
     "0.3, 0, 8", "0.8, 0, 8", "1.0, 0, 12", "1.3, 0, 12", "1.8, 0, 12", "2.0, 0, 40",
     "0.3, 0.8, 8", "0.8, 0.8, 8", "1.0, 0.8, 12", "1.3, 0.8, 12", "1.8, 0.8, 12", "2.0, 0.8, 40"
   })
-  void aRefusedLeaderDoesNotOutliveItsLease(double delayS, double jitterShare, double refusedS) {
-    start(delayS, jitterShare);
+  void refusedLeaderLosesValidityBeforeLeaseExpires(
+      double delayS, double jitterFraction, double refusedS) {
+    start(delayS, jitterFraction);
     run(45);
     for (int i = 0; i < 4; i++) {
       Node refused = leader();
@@ -166,7 +173,7 @@
       refused.store.refuse(false);
       core.wake();
       run(60);
-      assertTrue(elected >= 2 + i, "no other node took over");
+      assertTrue(electionCount >= 2 + i, "no other node took over");
       assertEquals(1, nodes.stream().filter(node -> node.election.valid()).count());
     }
   }
@@ -174,28 +181,30 @@
   /** Once the store is fast again, time-outs and the next election are short again too. */
   @ParameterizedTest(name = "one-way delay {0} s before")
   @CsvSource({"0.8", "1.3", "1.8", "2.0", "2.5", "4"})
-  void afterwardsAllIsQuickAgain(double delayS) {
+  void timeoutsRecoverWhenStoreIsFastAgain(double delayS) {
     start(delayS, 0);
     run(60);
-    eachWayS = QUICK_S;
+    oneWayDelayS = FAST_DELAY_S;
     run(30);
     assertEquals(1.0, leader().timeouts.timeoutS(Kind.LEASE), 1e-9);
     Node old = leader();
     old.store.refuse(true);
     run(8);
     assertTrue(leader() != old, "no other node took over");
-    assertTrue(shareLed() > 0.9, "fraction " + shareLed() + " of the time with a valid leadership");
+    assertTrue(
+        ledFraction() > 0.9, "fraction " + ledFraction() + " of the time with a valid leadership");
   }
 
   /**
-   * With delays longer than the lease allows, no node leads, and the rate of calls stays normal. The validity gained by one renewal ends before the response to the next arrives.
+   * With delays longer than the lease allows, no node leads, and the rate of calls stays normal.
+   * The validity gained by one renewal ends before the response to the next arrives.
    */
   @ParameterizedTest(name = "one-way delay {0} s")
   @CsvSource({"2.2", "2.5", "3.5", "6"})
-  void nobodyLeadsBeyondTheLease(double delayS) {
+  void noLeaderIsElectedWhenDelayExceedsLease(double delayS) {
     start(delayS, 0);
     run(120);
-    assertEquals(0, elected);
+    assertEquals(0, electionCount);
     for (Node node : nodes) {
       assertTrue(node.store.calls() < 120, node.store.calls() + " calls in 120 s");
     }
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -40,13 +40,13 @@
 
   private final List<String> failures = new ArrayList<>();
   private final List<LeadershipLoss> losses = new ArrayList<>();
-  private OwnLeadership won;
-  private int leasesEnded;
+  private LocalLeadership won;
+  private int expiredLeases;
 
   private final class Recorder implements LeadershipClaim.Listener {
     @Override
     public void won(Term term, Revision termRevision, LeadershipLease lease) {
-      won = new OwnLeadership(term, termRevision, lease, clock, losses::add);
+      won = new LocalLeadership(term, termRevision, lease, clock, losses::add);
     }
 
     @Override
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void leaseEnded() {
-      leasesEnded++;
+    public void leaseExpired() {
+      expiredLeases++;
     }
   }
 
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void itIsWonWithTheNextTermWhereNothingHasChanged() {
+  void claimWithUnchangedKeysWinsNextTerm() {
     put(Keys.TERM, 6);
     claim(Revision.NONE);
     assertEquals(new Term(7), won.term());
@@ -85,33 +85,33 @@
   }
 
   @Test
-  void itIsLostWhereAnotherNodeHasClaimedTheLeadershipFirst() {
+  void claimFailsWhenAnotherNodeClaimedFirst() {
     put(Keys.LEADER, 1);
     claim(Revision.NONE);
     assertEquals(List.of("lost race"), failures);
     assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "the term is not incremented");
     clock.runFor(60);
-    assertEquals(0, leasesEnded, "the released lease must not be reported as ended");
+    assertEquals(0, expiredLeases, "the released lease must not be reported as ended");
   }
 
   /** The leadership after a claim that was applied. */
   @Nested
-  class AWonLeadership {
+  class WonLeadership {
     @BeforeEach
-    void claimFirst() {
+    void claimLeadership() {
       claim(Revision.NONE);
     }
 
     @Test
-    void holdsWhileItsLeaseIsRenewed() {
+    void staysValidWhileLeaseIsRenewed() {
       assertTrue(won.valid());
       clock.runFor(60);
       assertTrue(won.valid());
-      assertEquals(0, leasesEnded);
+      assertEquals(0, expiredLeases);
     }
 
     @Test
-    void followsARaisedTerm() {
+    void adoptsRaisedTerm() {
       won.raised(new Term(2), new Revision(99));
       assertEquals(new Term(2), won.term());
       assertEquals(new Revision(99), won.termRevision());
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void isLostOnce() {
+    void reportsLossOnce() {
       LeadershipLoss loss = new LeadershipLoss.WatchFellBehind();
       won.lost(loss);
       won.lost(new LeadershipLoss.LeaseExpired());
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void leavesNoLeaderOnceItsLeaseIsReleased() {
+    void releasedLeaseRemovesLeaderKey() {
       won.releaseLease();
       assertEquals(Optional.empty(), core.get(Keys.LEADER).entry());
       assertTrue(core.get(Keys.TERM).entry().isPresent(), "the term must be kept");
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -29,7 +29,7 @@
   private final SimClock clock = new SimClock();
   private final List<Renewal> renewals = new ArrayList<>();
   private final SteadyTime requested = clock.now();
-  private int timesEnded;
+  private int expirations;
 
   /** A store whose renewals are answered by the test. */
   private final DirectStore store =
@@ -50,7 +50,7 @@
           clock,
           Tuning.DEFAULT,
           new LockedExecutor(new ReentrantLock()),
-          () -> timesEnded++);
+          () -> expirations++);
 
   private double validS() {
     return lease.validUntil().secondsSince(requested);
@@ -66,9 +66,9 @@
 
   @ParameterizedTest(name = "granted after {0} s, first renewal {1} s after the request")
   @CsvSource({"0.01, 2", "1.3, 2", "2.6, 2.6", "3.6, 3.6"})
-  void itCountsFromTheRequest(double grantedAfterS, double firstRenewalS) {
+  void validityCountsFromRequest(double grantedAfterS, double firstRenewalS) {
     clock.runFor(grantedAfterS);
-    lease.keepAlive();
+    lease.startRenewals();
     assertEquals(VALIDITY_S, validS(), 1e-6);
     clock.runFor(Math.max(0, firstRenewalS - grantedAfterS) + 0.01);
     assertEquals(firstRenewalS, sentS(0), 1e-6);
@@ -76,8 +76,8 @@
 
   /** With fast responses there is one renewal every two seconds. */
   @Test
-  void quickAnswersKeepThePace() {
-    lease.keepAlive();
+  void fastResponsesKeepRenewalInterval() {
+    lease.startRenewals();
     for (int i = 0; i < 10; i++) {
       clock.runFor(2.005);
       assertEquals(i + 1, renewals.size());
@@ -86,10 +86,12 @@
     }
   }
 
-  /** The next renewal doesn't wait for a late response, and the number of renewals stays bounded. */
+  /**
+   * The next renewal doesn't wait for a late response, and the number of renewals stays bounded.
+   */
   @Test
-  void renewalsDoNotWaitForEachOther() {
-    lease.keepAlive();
+  void renewalsDoNotWaitForResponses() {
+    lease.startRenewals();
     clock.runFor(20);
     assertEquals(2, sentS(0), 1e-6);
     assertEquals(3.4, sentS(1), 1e-6);
@@ -98,8 +100,8 @@
   }
 
   @Test
-  void aLateAnswerCountsFromItsSending() {
-    lease.keepAlive();
+  void lateResponseExtendsValidityFromSendTime() {
+    lease.startRenewals();
     clock.runFor(7);
     assertEquals(VALIDITY_S, validS(), 1e-6);
     answer(0);
@@ -109,8 +111,8 @@
   }
 
   @Test
-  void anOlderRenewalsAnswerNeverShortensIt() {
-    lease.keepAlive();
+  void olderRenewalNeverShortensValidity() {
+    lease.startRenewals();
     clock.runFor(7);
     answer(2);
     assertEquals(4.8 + VALIDITY_S, validS(), 1e-6);
@@ -122,8 +124,8 @@
 
   /** Only a failure of the newest renewal schedules an earlier next one. */
   @Test
-  void refusalsDoNotMultiplyTheRenewals() {
-    lease.keepAlive();
+  void refusalsDoNotMultiplyRenewals() {
+    lease.startRenewals();
     clock.runFor(60);
     int sent = renewals.size();
     for (int i = 0; i < sent; i++) {
@@ -137,26 +139,26 @@
   }
 
   @Test
-  void itEndsWhenTheServiceHoldsItNoMore() {
-    lease.keepAlive();
+  void leaseExpiresWhenStoreReportsItMissing() {
+    lease.startRenewals();
     clock.runFor(5);
     renewals.get(0).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
     renewals.get(1).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
-    assertTrue(lease.ended());
-    assertEquals(1, timesEnded);
+    assertTrue(lease.expired());
+    assertEquals(1, expirations);
     int sent = renewals.size();
     clock.runFor(30);
     assertEquals(sent, renewals.size());
   }
 
   @Test
-  void nothingCountsAfterItsRelease() {
-    lease.keepAlive();
+  void responsesAfterReleaseAreIgnored() {
+    lease.startRenewals();
     clock.runFor(3);
     lease.release();
     renewals.get(0).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
-    assertFalse(lease.ended());
-    assertEquals(0, timesEnded);
+    assertFalse(lease.expired());
+    assertEquals(0, expirations);
     clock.runFor(30);
     assertEquals(1, renewals.size());
   }
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -49,7 +49,7 @@
           }
 
           @Override
-          public void deposed(LeadershipLoss loss) {}
+          public void leadershipLost(LeadershipLoss loss) {}
         });
     clock.runFor(1);
     return election;
@@ -99,7 +99,7 @@
     put("leader", leader, core.grant(60_000));
     Election election = election(new ArrayList<>());
     assertEquals(Optional.of("node-2"), election.leaderNode());
-    assertEquals(knows, election.leaderKnowsDependencies());
+    assertEquals(knows, election.leaderSupportsDependencies());
   }
 
   @Test
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theCloudIsAskedOnceAndACopyStored() {
+  void typesAreLoadedFromCloudOnceAndStored() {
     types.load();
     assertLoaded();
     cloud.down = true;
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void aCloudThatIsDownIsAskedAgain() {
+  void unavailableCloudIsRetried() {
     cloud.down = true;
     types.load();
     clock.runFor(5);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void anUnreadableCopyIsIgnored() {
+  void unreadableCopyIsIgnored() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
     AsyncCalls.ignore(
         store.compareAndSwap(
--- a/src/test/java/org/ternhinge/request/SharedLookupsTest.java
+++ b/src/test/java/org/ternhinge/request/CoalescedLookupsTest.java
@@ -11,15 +11,15 @@
 import org.ternhinge.wire.JobState;
 
 /** Coalescing of concurrent lookups of the same job. */
-class SharedLookupsTest {
+class CoalescedLookupsTest {
   private static final JobId JOB = new JobId("wk-1");
   private static final JobId OTHER = new JobId("wk-2");
 
   private final List<Consumer<JobLookup.Result>> running = new ArrayList<>();
   private final List<RequestPriority> priorities = new ArrayList<>();
   private final List<String> answered = new ArrayList<>();
-  private final SharedLookups lookups =
-      new SharedLookups(
+  private final CoalescedLookups lookups =
+      new CoalescedLookups(
           (id, priority, then) -> {
             priorities.add(priority);
             running.add(then);
@@ -38,10 +38,11 @@
   }
 
   /**
-   * A user who asks during a lookup may already have seen a later state than the one that the lookup has read. Its result would show that user an outdated state.
+   * A user who asks during a lookup may already have seen a later state than the one that the
+   * lookup has read. Its result would show that user an outdated state.
    */
   @Test
-  void aLaterRequestIsNotAnsweredByALookupThatBeganBefore() {
+  void laterRequestDoesNotShareRunningLookup() {
     ask("first", JOB, RequestPriority.QUERY);
     ask("second", JOB, RequestPriority.QUERY);
     ask("third", JOB, RequestPriority.CANCEL);
@@ -49,14 +50,15 @@
     answer(0, JobState.Phase.QUEUED);
     assertEquals(List.of("first queued"), answered);
     assertEquals(2, running.size(), "all waiting requests share one lookup");
-    assertEquals(RequestPriority.CANCEL, priorities.get(1), "the most urgent priority of the batch");
+    assertEquals(
+        RequestPriority.CANCEL, priorities.get(1), "the most urgent priority of the batch");
     answer(1, JobState.Phase.CANCELLED);
     assertEquals(List.of("first queued", "second cancelled", "third cancelled"), answered);
     assertEquals(2, running.size());
   }
 
   @Test
-  void manyRequestsCostTwoLookups() {
+  void concurrentRequestsShareTwoLookups() {
     for (int i = 0; i < 200; i++) {
       ask("user", JOB, RequestPriority.QUERY);
     }
@@ -67,7 +69,7 @@
   }
 
   @Test
-  void otherJobsAndLaterRequestsHaveLookupsOfTheirOwn() {
+  void otherJobsAndLaterRequestsUseSeparateLookups() {
     ask("first", JOB, RequestPriority.QUERY);
     ask("other", OTHER, RequestPriority.QUERY);
     assertEquals(2, running.size());
--- a/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
+++ b/src/test/java/org/ternhinge/request/ConnectivityProbeTest.java
@@ -27,14 +27,14 @@
   private final PeerTransport transport =
       new PeerTransport() {
         @Override
-        public void ask(
-            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
+        public void send(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
           asked.add(node);
-          to.accept(peersAnswer ? Optional.of(Response.of(503)) : Optional.empty());
+          callback.accept(peersAnswer ? Optional.of(Response.of(503)) : Optional.empty());
         }
 
         @Override
-        public void reset(String node) {}
+        public void closeConnection(String node) {}
       };
 
   @ParameterizedTest(name = "store responds {0}, peers respond {1}")
@@ -45,7 +45,7 @@
     "false, true,  b c b,         true,  false",
     "false, false, b c b c b c b, true,  true",
   })
-  void quietPeersAreAskedInTurnWhileTheStoreIsQuiet(
+  void silentPeersAreProbedInTurnWhileStoreIsSilent(
       boolean storeAnswers,
       boolean peersAnswer,
       String expected,
--- a/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
+++ b/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
@@ -20,7 +20,7 @@
     "'0 6 37 43', R-R-", // still unable to reach the leader
     "'0 60', RR" // a much later heartbeat does not imply that the leader was unreachable
   })
-  void aWorkerThatComesBackSoonIsRelayed(String times, String expected) {
+  void workerThatReturnsSoonIsRelayed(String times, String expected) {
     HeartbeatRelayPolicy policy = new HeartbeatRelayPolicy();
     StringBuilder seen = new StringBuilder();
     for (String t : times.split(" ", -1)) {
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -89,7 +89,7 @@
     "2:batch<1,                             2, unavailable",
     "1:batch 2:batch<1 3:batch<1 4:batch<2.3, 4, queued",
   })
-  void aJobIsReadWithItsDependencies(String jobs, int job, String expected) {
+  void stateReflectsDependencies(String jobs, int job, String expected) {
     storeJobs(jobs);
     lookup.find(new JobId("wk-" + job), RequestPriority.QUERY, found -> result = found);
     assertEquals(expected, found());
@@ -98,7 +98,7 @@
   /** For a longer chain the state must be unavailable, since only the leader has it in memory. */
   @ParameterizedTest(name = "{0} jobs")
   @CsvSource({"64, queued", "66, unavailable"})
-  void aChainIsReadUpToABound(int jobs, String expected) {
+  void dependencyChainIsReadUpToLimit(int jobs, String expected) {
     storeJobs("1:batch");
     for (int i = 2; i <= jobs; i++) {
       storeJobs(i + ":batch<" + (i - 1));
@@ -117,7 +117,7 @@
     "1:batch 2:daemon,    1 2, wk-2 is a service",
     "2:batch<1,           2,   unavailable",
   })
-  void dependenciesAreCheckedByTheStore(String jobs, String dependencies, String expected) {
+  void dependenciesAreCheckedInStore(String jobs, String dependencies, String expected) {
     storeJobs(jobs);
     Election election =
         new Election(
--- a/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
+++ b/src/test/java/org/ternhinge/request/NodeConnectivityTest.java
@@ -22,26 +22,26 @@
     "9, 9, true,  true,  true,  true,  true",
     "9, 9, false, true,  true,  true,  false",
   })
-  void silenceOfBothIsolatesANode(
+  void nodeIsIsolatedWithoutAnyResponse(
       int storeS,
       int peersS,
       boolean hasPeers,
-      boolean storeQuiet,
-      boolean peersQuiet,
+      boolean storeProbeDue,
+      boolean peerProbeDue,
       boolean storeUnresponsive,
       boolean isolated) {
     NodeConnectivity connectivity = new NodeConnectivity(clock, hasPeers);
     for (int left = 10; left > 0; left--) {
       if (left == storeS) {
-        connectivity.storeAnswered();
+        connectivity.recordStoreResponse();
       }
       if (left == peersS) {
-        connectivity.peerAnswered();
+        connectivity.recordPeerResponse();
       }
       clock.runFor(1);
     }
-    assertEquals(storeQuiet, connectivity.isStoreQuiet());
-    assertEquals(peersQuiet, connectivity.arePeersQuiet());
+    assertEquals(storeProbeDue, connectivity.isStoreProbeDue());
+    assertEquals(peerProbeDue, connectivity.isPeerProbeDue());
     assertEquals(storeUnresponsive, connectivity.isStoreUnresponsive());
     assertEquals(isolated, connectivity.isIsolated());
   }
--- a/src/test/java/org/ternhinge/request/PeerClientTest.java
+++ b/src/test/java/org/ternhinge/request/PeerClientTest.java
@@ -17,22 +17,22 @@
 class PeerClientTest {
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
-  private final List<String> reset = new ArrayList<>();
-  private Optional<Response> given;
+  private final List<String> closedConnections = new ArrayList<>();
+  private Optional<Response> transportResponse;
   private Response received;
   private boolean underLock;
 
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(
-            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
-          to.accept(given);
+        public void send(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
+          callback.accept(transportResponse);
         }
 
         @Override
-        public void reset(String node) {
-          reset.add(node);
+        public void closeConnection(String node) {
+          closedConnections.add(node);
         }
       };
 
@@ -44,13 +44,13 @@
     "404, 404, false",
     " ,   503, true",
   })
-  void anAnswerIsHandedOnUnderTheLock(Integer status, int expected, boolean closed) {
-    given = Optional.ofNullable(status).map(Response::of);
+  void responseIsPassedOnUnderLock(Integer status, int expected, boolean closed) {
+    transportResponse = Optional.ofNullable(status).map(Response::of);
     NodeConnectivity connectivity = new NodeConnectivity(clock, true);
     clock.runFor(6);
     assertEquals(true, connectivity.isIsolated(), "isolated after 6 s without any response");
     new PeerClient(peers, lock, connectivity)
-        .askOrBusy(
+        .sendOrBusy(
             "b",
             new Request("GET", "/healthz", new byte[0]),
             1,
@@ -60,7 +60,7 @@
             });
     assertEquals(expected, received.status());
     assertEquals(true, underLock);
-    assertEquals(closed ? List.of("b") : List.of(), reset);
+    assertEquals(closed ? List.of("b") : List.of(), closedConnections);
     assertEquals(closed, connectivity.isIsolated());
   }
 }
--- a/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
@@ -28,23 +28,23 @@
   private final Map<String, Integer> statuses = new HashMap<>();
   private final List<String> asked = new ArrayList<>();
   private final List<String> paths = new ArrayList<>();
-  private final List<String> reset = new ArrayList<>();
-  private Response answer;
+  private final List<String> closedConnections = new ArrayList<>();
+  private Response response;
   private Optional<DependencyVerdict> verdict = Optional.empty();
 
   private final PeerTransport peers =
       new PeerTransport() {
         @Override
-        public void ask(
-            String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
+        public void send(
+            String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
           asked.add(node);
           paths.add(request.path());
-          to.accept(Optional.ofNullable(statuses.get(node)).map(Response::of));
+          callback.accept(Optional.ofNullable(statuses.get(node)).map(Response::of));
         }
 
         @Override
-        public void reset(String node) {
-          reset.add(node);
+        public void closeConnection(String node) {
+          closedConnections.add(node);
         }
       };
 
@@ -53,16 +53,20 @@
   private final SubmissionForwarder forwarder = new SubmissionForwarder(client, OTHERS, clock);
 
   private void forward(String leader, boolean dependent) {
-    answer = null;
+    response = null;
     asked.clear();
-    forwarder.forward(Optional.ofNullable(leader), SUBMISSION, dependent, verdict, r -> answer = r);
+    forwarder.forward(
+        Optional.ofNullable(leader), SUBMISSION, dependent, verdict, r -> response = r);
   }
 
-  /** Sets the status of each listed node, for example {@code b=503 c=201}; other nodes give no response. */
-  private void answers(String list) {
+  /**
+   * Sets the status of each listed node, for example {@code b=503 c=201}; other nodes give no
+   * response.
+   */
+  private void setResponses(String list) {
     for (String each : list == null ? new String[0] : list.split(" ", -1)) {
-      String[] answer = each.split("=", 2);
-      statuses.put(answer[0], Integer.valueOf(answer[1]));
+      String[] nodeAndStatus = each.split("=", 2);
+      statuses.put(nodeAndStatus[0], Integer.valueOf(nodeAndStatus[1]));
     }
   }
 
@@ -78,39 +82,39 @@
     "d, b=503 c=503 d=503 e=201, d b c e, 201",
     " , ,                        b c d e, 503",
   })
-  void theFirstFinalAnswerCounts(String leader, String answers, String expected, int status) {
-    answers(answers);
+  void firstFinalResponseIsReturned(String leader, String answers, String expected, int status) {
+    setResponses(answers);
     forward(leader, false);
-    assertEquals(status, answer.status());
+    assertEquals(status, response.status());
     assertEquals(List.of(expected.split(" ")), asked);
   }
 
   @Test
-  void aLeaderThatWasAskedBeforeIsSkipped() {
-    answers("b=201 c=201");
-    forwarder.forwardToFollowers("b", SUBMISSION, verdict, r -> answer = r);
-    assertEquals(201, answer.status());
+  void alreadyAskedLeaderIsSkipped() {
+    setResponses("b=201 c=201");
+    forwarder.forwardToFollowers("b", SUBMISSION, verdict, r -> response = r);
+    assertEquals(201, response.status());
     assertEquals(List.of("c"), asked);
   }
 
   @Test
-  void anUnresponsiveNodeIsSkippedForAWhileAndItsConnectionIsClosed() {
-    answers("b=503 c=201 e=503");
+  void unresponsiveNodeIsSkippedAndItsConnectionClosed() {
+    setResponses("b=503 c=201 e=503");
     forward("d", false);
     assertEquals(List.of("d", "b", "c"), asked);
-    assertEquals(List.of("d"), reset);
+    assertEquals(List.of("d"), closedConnections);
     assertTrue(forwarder.isUnresponsive("d"));
     forward("d", false);
     assertEquals(List.of("c"), asked);
     clock.runFor(2.1);
-    answers("d=201");
+    setResponses("d=201");
     forward("d", false);
     assertEquals(List.of("d"), asked);
   }
 
   @Test
-  void submissionsAreSpreadOverTheNodes() {
-    answers("b=201 c=201 d=201 e=201");
+  void submissionsAreDistributedOverNodes() {
+    setResponses("b=201 c=201 d=201 e=201");
     List<String> all = new ArrayList<>();
     for (int i = 0; i < OTHERS.size(); i++) {
       forward(null, false);
@@ -121,26 +125,26 @@
 
   /** A version that does not support dependencies would accept the job without them. */
   @Test
-  void aDependentJobGoesByAPathThatOlderVersionsDoNotKnow() {
-    answers("b=404 c=201");
+  void dependentJobUsesPathUnknownToOlderVersions() {
+    setResponses("b=404 c=201");
     forward(null, true);
-    assertEquals(201, answer.status());
+    assertEquals(201, response.status());
     assertEquals(List.of("/peer/submissions", "/peer/submissions"), paths);
   }
 
   /** The leader is known to support dependencies, but its version may not know the peer path. */
   @Test
-  void theLeaderIsAskedByTheUsersOwnRequest() {
-    answers("d=503 b=201");
+  void leaderReceivesOriginalRequest() {
+    setResponses("d=503 b=201");
     forward("d", true);
     assertEquals(List.of("/submissions", "/peer/submissions"), paths);
   }
 
   @ParameterizedTest(name = "cancelled {0}")
   @CsvSource({"false", "true"})
-  void theResultOfTheDependencyCheckIsForwarded(boolean cancelled) {
+  void dependencyCheckResultIsForwarded(boolean cancelled) {
     verdict = Optional.of(new DependencyVerdict(cancelled));
-    answers("b=201");
+    setResponses("b=201");
     forward(null, true);
     assertTrue(DependentSubmissionPath.matches(paths.get(0)));
     assertEquals(verdict, DependentSubmissionPath.verdictIn(paths.get(0)));
@@ -155,7 +159,7 @@
     "[]",
     "oops"
   })
-  void anAnswerWithoutVerdictHasNone(String body) {
+  void responseWithoutVerdictHasNone(String body) {
     assertEquals(
         Optional.empty(), DependencyVerdict.read(body.getBytes(StandardCharsets.US_ASCII)));
   }
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -62,7 +62,7 @@
             state,
             this,
             cluster.settings.tuning(),
-            Election.grace(cluster.settings.tuning(), settings.workers()),
+            Election.gracePeriodS(cluster.settings.tuning(), settings.workers()),
             lock,
             cluster.random.split());
     node =
@@ -81,13 +81,13 @@
   /** The way to the other controllers. */
   private final class PeerLinks implements PeerTransport {
     @Override
-    public void ask(
+    public void send(
         String to, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
       cluster.controllers.askPeer(SimController.this, to, request, timeoutS, answer);
     }
 
     @Override
-    public void reset(String to) {}
+    public void closeConnection(String to) {}
   }
 
   void start() {
--- a/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
+++ b/src/test/java/org/ternhinge/store/CompareAndSwapTest.java
@@ -34,12 +34,12 @@
   }
 
   @Test
-  void aTransactionMayBeEmpty() {
+  void emptyTransactionIsSerialized() {
     assertEquals("{\"if\":[],\"then\":[]}", json(new CompareAndSwap(List.of(), List.of())));
   }
 
   @Test
-  void conditionsOfAMapFollowItsOrder() {
+  void mapConditionsKeepMapOrder() {
     Map<String, Revision> expected = new LinkedHashMap<>();
     expected.put("z", new Revision(3));
     expected.put("a", Revision.NONE);
--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -51,7 +51,7 @@
 
   /** Outcomes of the responses to a transaction. */
   @Nested
-  class AnswersToATransaction {
+  class TransactionResponses {
     @ParameterizedTest(name = "{0} {1}: {2}, detail \"{3}\"")
     @CsvSource(
         delimiter = '|',
@@ -64,7 +64,7 @@
           "429 | {} | TOO_MANY_REQUESTS | 429",
           "503 | {} | REFUSED | 503"
         })
-    void aDefinedErrorIsNotApplied(int status, String body, Reason reason, String detail)
+    void definedErrorIsNotApplied(int status, String body, Reason reason, String detail)
         throws Exception {
       assertEquals(Outcome.notApplied(reason, detail), write(status, body));
     }
@@ -78,12 +78,12 @@
           "409 | x | not JSON",
           "500 | {} | status 500"
         })
-    void anUnusableAnswerIsUnknown(int status, String body, String detail) throws Exception {
+    void unusableResponseIsUnknown(int status, String body, String detail) throws Exception {
       assertEquals(Outcome.unknown(detail), write(status, body));
     }
 
     @Test
-    void anAppliedOneHasTheRevisionOfItsChanges() throws Exception {
+    void appliedTransactionReturnsItsRevision() throws Exception {
       assertEquals(Outcome.applied(new Revision(432)), write(200, "{\"breytingatal\":432}"));
     }
   }
@@ -93,15 +93,14 @@
   class RateLimits {
     @ParameterizedTest(name = "status {0}: paused {1}")
     @CsvSource({"200, false", "429, true", "503, false"})
-    void onlyARefusalForItsRatePausesRequestsAndWrites(int status, boolean pauses)
-        throws Exception {
+    void onlyTooManyRequestsPausesRequestsAndWrites(int status, boolean pauses) throws Exception {
       Outcome<Revision> unused = write(status, "{\"breytingatal\":1}");
       assertEquals(pauses, requests.secondsUntil(RequestPriority.RENEWAL, 1) > 0.2);
       assertEquals(pauses, writes.secondsUntil(RequestPriority.RENEWAL, 1) > 0.2);
     }
 
     @Test
-    void aCallWithoutATokenIsNotSent() throws Exception {
+    void callWithoutTokenIsNotSent() throws Exception {
       requests.drain();
       try (LoopbackServer server = new LoopbackServer(200, "{}")) {
         assertEquals(
@@ -112,7 +111,7 @@
     }
 
     @Test
-    void aTransactionNeedsAWriteTokenForEachChange() throws Exception {
+    void transactionNeedsWriteTokenPerChange() throws Exception {
       writes.drain();
       assertEquals(
           Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"), write(200, "{\"breytingatal\":1}"));
@@ -123,7 +122,7 @@
   @Nested
   class Reads {
     @Test
-    void aKeyThatDoesNotExistIsAnEmptyResult() throws Exception {
+    void missingKeyIsEmptyResult() throws Exception {
       try (LoopbackServer server = new LoopbackServer(404, "{\"breytingatal\":431}")) {
         assertEquals(
             Outcome.applied(new KeyValueStore.ReadResult(Optional.empty())),
@@ -133,7 +132,7 @@
     }
 
     @Test
-    void aWatchObservesValuesAndRemovals() throws Exception {
+    void watchReturnsValuesAndRemovals() throws Exception {
       String log =
           "{\"breytingatal\":433,\"log\":[{\"set\":\"c/9\",\"v\":{},\"utgafunumer\":433},"
               + "{\"remove\":\"c/d\",\"utgafunumer\":432}]}";
--- a/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -28,7 +28,7 @@
 /** Packing of entries into records, and their restoration. */
 class BucketedRecordsTest {
   /** Records by key, as written by the code of commit d679fcc. */
-  private static final Map<String, String> D679FCC =
+  private static final Map<String, String> RECORDS_OF_D679FCC =
       Map.of(
           "r/0",
           "{\"t5-1\":{\"leigubeidni\":\"t5-1\",\"velagerd\":\"fast\",\"svaedi\":\"east\","
@@ -58,7 +58,7 @@
         "r/99999999999 | {\"a\":1} |",
         "r/1 | [1,2] |"
       })
-  void itsOwnRecordsAreRestoredAndOthersIgnored(String key, String value, String entries)
+  void ownRecordsAreRestoredAndOthersIgnored(String key, String value, String entries)
       throws Exception {
     LedgerWriter writer = new LedgerWriter(null, null, null, new SimClock(), null, 16, a -> {});
     BucketedRecords records = new BucketedRecords(writer, "r/", 8 * 1024);
@@ -70,7 +70,8 @@
   }
 
   /**
-   * Records of provision requests and returns as the version in production writes them. Restored entries must be written back unchanged when a new entry is added.
+   * Records of provision requests and returns as the version in production writes them. Restored
+   * entries must be written back unchanged when a new entry is added.
    */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
@@ -80,7 +81,7 @@
             + "\"lanvelar\":true,\"count\":12}} | t5-3 | t5-4",
         "x/0 | {\"n-000007\":true} | n-000007 | n-000008"
       })
-  void recordsOfProductionAreWrittenBack(String key, String value, String known, String next)
+  void restoredEntriesAreWrittenBackUnchanged(String key, String value, String known, String next)
       throws Exception {
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
@@ -117,11 +118,12 @@
   }
 
   /**
-   * The distribution of entries over records with a small size limit, as the code of commit d679fcc writes them: five provision requests, five returns.
+   * The distribution of entries over records with a small size limit, as the code of commit d679fcc
+   * writes them: five provision requests, five returns.
    */
   @ParameterizedTest(name = "prefix {0}, records of at most {1} bytes")
   @CsvSource({"r/, 256, 3", "x/, 64, 2"})
-  void recordsOfTheFirstVersionWithDependentJobs(String prefix, int valueBytes, int records)
+  void entriesArePackedAsByEarlierVersion(String prefix, int valueBytes, int records)
       throws Exception {
     SimClock clock = new SimClock();
     StoreCore core = new StoreCore(clock);
@@ -141,7 +143,7 @@
     TreeSet<String> found = new TreeSet<>();
     for (int i = 0; i < records; i++) {
       Entry entry = core.get(prefix + i).entry().orElseThrow();
-      assertEquals(D679FCC.get(prefix + i), entry.value().toString());
+      assertEquals(RECORDS_OF_D679FCC.get(prefix + i), entry.value().toString());
       read.restore(entry, (name, entryValue) -> found.add(name + entryValue));
     }
     assertTrue(core.get(prefix + records).entry().isEmpty());
--- a/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -31,7 +31,7 @@
   void actionsRunUnderTheLockUntilTheLeadershipEnds(boolean stopped) {
     CompletableFuture<Outcome<String>> answer = new CompletableFuture<>();
     CompletableFuture<Outcome<String>> failed = new CompletableFuture<>();
-    executor.later(5, () -> run("timer"));
+    executor.schedule(5, () -> run("timer"));
     executor.whenAnswered(answer, outcome -> run("answer " + outcome));
     executor.whenAnswered(failed, outcome -> run("answer " + outcome));
     if (stopped) {
@@ -39,7 +39,7 @@
     }
     answer.complete(Outcome.applied("a"));
     failed.completeExceptionally(new IllegalStateException("lost"));
-    executor.locked(() -> run("action"));
+    executor.execute(() -> run("action"));
     clock.runFor(6);
     List<String> all =
         List.of(
@@ -48,7 +48,7 @@
             "action",
             "timer");
     assertEquals(stopped ? List.of() : all, ran);
-    assertEquals(stopped, executor.stopped());
+    assertEquals(stopped, executor.isStopped());
     assertFalse(lock.isLocked());
   }
 }
