--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -134,8 +134,7 @@
       return;
     }
     // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is
-    // applied
-    // late either fails or writes a term that stays unused.
+    // applied late either fails or writes a term that stays unused.
     lease.release();
     listener.failed(outcome.isBecause(Reason.CONFLICT));
   }
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -91,7 +91,7 @@
     assertEquals(List.of("lost race"), failures);
     assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "the term is not incremented");
     clock.runFor(60);
-    assertEquals(0, expiredLeases, "the released lease must not be reported as ended");
+    assertEquals(0, expiredLeases, "the released lease must not be reported as expired");
   }
 
   /** The leadership after a claim that was applied. */
