--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -285,7 +285,7 @@
 
   private void handleLoss(LeadershipLoss loss) {
     LocalLeadership ended = localLeadership;
-    LOG.info("term {} is over: {}", ended.term(), loss.description());
+    LOG.info("leadership with term {} ended: {}", ended.term(), loss.description());
     localLeadership = null;
     otherLeader = null;
     ended.releaseLease();
