--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -95,7 +95,7 @@
       if (read.malformed() > 0) {
         System.err.println("ternhinge: " + read.malformed() + " lines could not be read");
       }
-      if (result == ZoneReport.Result.NOTHING_USABLE) {
+      if (result == ZoneReport.Result.NO_EVENTS) {
         System.err.println("ternhinge: no event of zones in " + log);
         return EXIT_FAILURE;
       }
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -36,7 +36,7 @@
  */
 final class FleetObservations implements ZoneFailover.Observations {
   /** Heartbeat intervals in which a worker may find a new leader. */
-  private static final double FIRST_HEARTBEAT_INTERVALS = 4;
+  private static final double FIRST_HEARTBEAT_TIMEOUT_INTERVALS = 4;
 
   private final Settings settings;
   private final Ledger ledger;
@@ -68,8 +68,8 @@
     this.fleet = fleet;
     this.tierOf = tierOf;
     this.now = now;
-    double awaitedS = FIRST_HEARTBEAT_INTERVALS * settings.workers().heartbeatIntervalS();
-    this.firstHeartbeatsOverdue = now.secondsSince(context.electedAt()) > awaitedS;
+    double timeoutS = FIRST_HEARTBEAT_TIMEOUT_INTERVALS * settings.workers().heartbeatIntervalS();
+    this.firstHeartbeatsOverdue = now.secondsSince(context.electedAt()) > timeoutS;
   }
 
   // ---- machines ---------------------------------------------------------------------------------
@@ -77,11 +77,11 @@
   @Override
   public List<ZoneObservation> zones() {
     List<ZoneMachineCounts.Count> expected = countByZone(this::isExpected, this::isImpaired);
-    List<ZoneMachineCounts.Count> unheard = countByZone(this::isUnheard, this::isUnheard);
+    List<ZoneMachineCounts.Count> unreported = countByZone(this::isUnreported, this::isUnreported);
     List<ZoneObservation> zones = new ArrayList<>();
     for (int zone = 0; zone < expected.size(); zone++) {
       ZoneMachineCounts.Count count = expected.get(zone);
-      zones.add(new ZoneObservation(count.counted(), count.marked(), unheard.get(zone).counted()));
+      zones.add(new ZoneObservation(count.counted(), count.marked(), unreported.get(zone).counted()));
     }
     return zones;
   }
@@ -99,7 +99,7 @@
   }
 
   /** Whether a machine's worker seems to be up and has not found this leader yet. */
-  private boolean isUnheard(Machine machine) {
+  private boolean isUnreported(Machine machine) {
     return machine.cloud().isStaying()
         && !machine.agent().isHeard()
         && !firstHeartbeatsOverdue
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -10,13 +10,13 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.term.LeadershipContext;
-import org.ternhinge.zone.PlacementFacts;
+import org.ternhinge.zone.PlacementLookup;
 
 /**
  * The zones of machines, and the jobs, as zone failover sees them. Guarded by the controller's
  * lock.
  */
-final class FleetView implements PlacementFacts {
+final class FleetView implements PlacementLookup {
   /** The zone of a machine of which it is not known. */
   static final int UNKNOWN_ZONE = -1;
 
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -31,7 +31,7 @@
   private final RoundTrigger rounds;
   private final ZoneFailover failover;
   private final FleetView fleet;
-  private final ZoneRecordKeeper record;
+  private final ZoneRecordStore record;
   private final ZoneEventLog eventLog;
 
   ZoneCoordinator(
@@ -48,7 +48,7 @@
     this.failover = failover(context.services().settings(), failoverSettings, clock.now());
     this.fleet = new FleetView(context, machines);
     DisplacedTaskRecovery displacedTasks = new DisplacedTaskRecovery(context, failover);
-    this.record = new ZoneRecordKeeper(context, failover, displacedTasks::recover);
+    this.record = new ZoneRecordStore(context, failover, displacedTasks::recover);
     this.eventLog = new ZoneEventLog(context);
   }
 
@@ -114,7 +114,7 @@
 
   @Override
   public Plan limit(Plan plan) {
-    if (record.isAwaited()) {
+    if (record.isReadPending()) {
       // Which tasks an earlier leader delayed is not known yet: they would start out of order.
       return new Plan();
     }
--- a/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordStore.java
@@ -15,9 +15,9 @@
  * Keeps the record of the zones' states in the key-value store. It is read once, when a leadership
  * begins, and written after that whenever a state has changed. Guarded by the controller's lock.
  */
-final class ZoneRecordKeeper {
+final class ZoneRecordStore {
   /** Seconds for which the record is awaited before tasks are placed without it. */
-  private static final double READ_WAIT_S = 2;
+  private static final double READ_TIMEOUT_S = 2;
 
   /** Seconds until the record is read again after that has failed. */
   private static final double READ_RETRY_S = 1;
@@ -25,36 +25,36 @@
   private final LeadershipContext context;
   private final Clock clock;
   private final ZoneFailover failover;
-  private final Runnable onAdopted;
+  private final Runnable onRestored;
 
   /** Whether the record's revision is known: without it a write would be a conflict. */
   private boolean revisionKnown;
 
   private boolean writeDue;
-  private SteadyTime awaitedUntil;
+  private SteadyTime readDeadline;
 
   /**
    * Creates a keeper that has not read the record.
    *
-   * @param onAdopted runs once an earlier leader's record was found and adopted
+   * @param onRestored runs once an earlier leader's record was found and adopted
    */
-  ZoneRecordKeeper(LeadershipContext context, ZoneFailover failover, Runnable onAdopted) {
+  ZoneRecordStore(LeadershipContext context, ZoneFailover failover, Runnable onRestored) {
     this.context = context;
     this.clock = context.services().clock();
     this.failover = failover;
-    this.onAdopted = onAdopted;
-    this.awaitedUntil = clock.now();
+    this.onRestored = onRestored;
+    this.readDeadline = clock.now();
   }
 
   /** Reads the record of an earlier leader, again and again until that succeeds. */
   void recover() {
-    awaitedUntil = clock.now().plusSeconds(READ_WAIT_S);
+    readDeadline = clock.now().plusSeconds(READ_TIMEOUT_S);
     read();
   }
 
   /** Whether the record is still being read, and tasks are not to be placed without it. */
-  boolean isAwaited() {
-    return !revisionKnown && clock.now().isBefore(awaitedUntil);
+  boolean isReadPending() {
+    return !revisionKnown && clock.now().isBefore(readDeadline);
   }
 
   /** A zone's state has changed: the next {@link #writeIfDue} writes the record. */
@@ -77,23 +77,23 @@
         .executor()
         .whenAnswered(
             context.services().store().get(ZoneRecord.KEY, RequestPriority.ATTEMPT),
-            this::completed);
+            this::readCompleted);
   }
 
-  private void completed(Outcome<KeyValueStore.ReadResult> outcome) {
+  private void readCompleted(Outcome<KeyValueStore.ReadResult> outcome) {
     if (!(outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read)) {
       context.executor().later(READ_RETRY_S, this::read);
       return;
     }
     Optional<Entry> entry = read.value().entry();
-    entry.ifPresent(this::adopt);
+    entry.ifPresent(this::restore);
     revisionKnown = true;
     writeIfDue();
   }
 
-  private void adopt(Entry entry) {
+  private void restore(Entry entry) {
     context.writer().setRevision(entry.key(), entry.revision());
     failover.restore(entry.value(), clock.now(), clock.wallMillis());
-    onAdopted.run();
+    onRestored.run();
   }
 }
--- a/src/main/java/org/ternhinge/zone/DisplacementLog.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementLog.java
@@ -51,7 +51,7 @@
           tier,
           zone,
           0,
-          DisplacementReason.ZONE_LOST.word());
+          DisplacementReason.ZONE_LOST.label());
     }
   }
 
@@ -142,7 +142,7 @@
         order.name(job.tier()),
         job.zone(),
         now.secondsSince(job.since()),
-        reason.word());
+        reason.label());
   }
 
   private static String ranges(PSet<Integer> tasks) {
--- a/src/main/java/org/ternhinge/zone/DisplacementReason.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementReason.java
@@ -17,14 +17,14 @@
   /** Tasks of a higher tier are released first. */
   HIGHER_TIER_FIRST("higher-tier-first");
 
-  private final String word;
+  private final String label;
 
   DisplacementReason(String word) {
-    this.word = word;
+    this.label = word;
   }
 
   /** The reason as logs have it. */
-  String word() {
-    return word;
+  String label() {
+    return label;
   }
 }
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -44,7 +44,7 @@
       return new DisplacedJob(spec, tier, zone, pinned, nowHeld, nowReleased, since);
     }
 
-    private boolean isSettled() {
+    private boolean isResolved() {
       return held.isEmpty() && released.isEmpty();
     }
   }
@@ -62,7 +62,7 @@
   private final FailoverOrder order;
   private final double minRate;
   private PMap<JobId, DisplacedJob> displaced = HashTreePMap.empty();
-  private RateBudget budget;
+  private TokenBucket bucket;
 
   /** The largest number of held tasks since the queue was last without any. */
   private int peakHeld;
@@ -77,7 +77,7 @@
     this.settings = settings;
     this.order = order;
     this.minRate = minRate;
-    this.budget = RateBudget.starting(now);
+    this.bucket = TokenBucket.withOneToken(now);
   }
 
   /** Whether no task is displaced. */
@@ -102,7 +102,7 @@
   // ---- settlement -------------------------------------------------------------------------------
 
   /** Removes the tasks that are displaced no longer, and returns those with a new attempt. */
-  List<JobTasks> settle(DisplacedWork work) {
+  List<JobTasks> removeResolved(DisplacedWork work) {
     List<JobTasks> placed = new ArrayList<>();
     for (DisplacedJob job : displaced.values()) {
       PSet<Integer> replaced = TreePSet.empty();
@@ -126,7 +126,7 @@
 
   private void replace(DisplacedJob job) {
     displaced =
-        job.isSettled() ? displaced.minus(job.spec.id()) : displaced.plus(job.spec.id(), job);
+        job.isResolved() ? displaced.minus(job.spec.id()) : displaced.plus(job.spec.id(), job);
   }
 
   // ---- release ----------------------------------------------------------------------------------
@@ -137,14 +137,14 @@
    * @param firstOpenTier the most important tier of which attempts in lost zones are still open
    */
   List<JobTasks> release(DisplacedWork work, int firstOpenTier, SteadyTime now) {
-    budget = budget.refilled(rate(), now);
+    bucket = bucket.refilled(rate(), now);
     List<DisplacedJob> jobs = new ArrayList<>(displaced.values());
     jobs.sort(RELEASE_ORDER);
     int blockingTier = Math.min(firstOpenTier, firstBlockingTier(jobs, work, now));
     List<JobTasks> released = new ArrayList<>();
     for (DisplacedJob job : jobs) {
-      boolean itsTurn = job.pinned || job.tier <= blockingTier || isDue(job, now);
-      if (itsTurn && !job.held.isEmpty() && budget.allows()) {
+      boolean eligible = job.pinned || job.tier <= blockingTier || isDue(job, now);
+      if (eligible && !job.held.isEmpty() && bucket.hasToken()) {
         released.add(release(job));
       }
     }
@@ -184,11 +184,11 @@
   private JobTasks release(DisplacedJob job) {
     PSet<Integer> chosen = TreePSet.empty();
     for (Integer task : job.held) {
-      if (!job.spec.isGang() && !budget.allows()) {
+      if (!job.spec.isGang() && !bucket.hasToken()) {
         break;
       }
       chosen = chosen.plus(task);
-      budget = budget.minus(1);
+      bucket = bucket.minus(1);
     }
     displaced =
         displaced.plus(
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -12,7 +12,7 @@
  */
 final class FleetAssessment {
   /** The cause is in doubt where one in so many zones, and more than one, is impaired at once. */
-  private static final int DOUBT_RATIO = 2;
+  private static final int CORRELATED_SHARE_DIVISOR = 2;
 
   private final ZoneFailoverSettings settings;
   private final double leaseS;
@@ -34,7 +34,7 @@
     List<ZoneHealth> after = new ArrayList<>(before.size());
     for (int zone = 0; zone < before.size(); zone++) {
       boolean confirmable = isConfirmable(zone, before, observations, now);
-      after.add(before.get(zone).after(observations.get(zone), confirmable, settings, now));
+      after.add(before.get(zone).next(observations.get(zone), confirmable, settings, now));
     }
     return after;
   }
@@ -48,20 +48,20 @@
     }
     int populated = 0;
     int impaired = 0;
-    int impairedTogether = 0;
+    int correlated = 0;
     for (int i = 0; i < zones.size(); i++) {
       if (observations.get(i).expected() > 0) {
         populated++;
         SteadyTime other = zones.get(i).impairedSince();
         impaired += other == null ? 0 : 1;
-        impairedTogether += other != null && isCorrelated(other, onset) ? 1 : 0;
+        correlated += other != null && isCorrelated(other, onset) ? 1 : 0;
       }
     }
     if (impaired == populated) {
       return false;
     }
-    boolean inDoubt = impairedTogether > 1 && impairedTogether * DOUBT_RATIO >= populated;
-    return !inDoubt || now.secondsSince(onset) >= leaseS;
+    boolean ambiguous = correlated > 1 && correlated * CORRELATED_SHARE_DIVISOR >= populated;
+    return !ambiguous || now.secondsSince(onset) >= leaseS;
   }
 
   private boolean isCorrelated(SteadyTime one, SteadyTime other) {
--- a/src/main/java/org/ternhinge/zone/PlacementFacts.java
+++ b/src/main/java/org/ternhinge/zone/PlacementLookup.java
@@ -5,7 +5,7 @@
 import org.ternhinge.model.MachineId;
 
 /** Facts about the jobs and machines of a plan that are needed to limit it. */
-public interface PlacementFacts {
+public interface PlacementLookup {
   /** The name of a machine's zone; empty where the machine or its zone is unknown. */
   Optional<String> zoneOf(MachineId machine);
 
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -14,31 +14,31 @@
  * replicas, and releases of many machines at once.
  */
 final class PlanLimiter {
-  private final ReturnPacer pacer;
-  private final PlacementFacts facts;
+  private final RecoveryRateLimiter rateLimiter;
+  private final PlacementLookup placementLookup;
   private final Map<String, Integer> startsByZone = new HashMap<>();
 
-  PlanLimiter(ReturnPacer pacer, PlacementFacts facts) {
-    this.pacer = pacer;
-    this.facts = facts;
+  PlanLimiter(RecoveryRateLimiter rateLimiter, PlacementLookup placementLookup) {
+    this.rateLimiter = rateLimiter;
+    this.placementLookup = placementLookup;
   }
 
   /**
    * The plan within the limits.
    *
-   * @param pacedZones names of the zones with a limited number of starts
+   * @param limitedZones names of the zones with a limited number of starts
    * @param maxReleases how many idle machines may be released now
    */
-  Plan limited(Plan plan, Set<String> pacedZones, int maxReleases) {
+  Plan limited(Plan plan, Set<String> limitedZones, int maxReleases) {
     Plan limited = new Plan();
     for (Plan.Placement placement : plan.placements()) {
-      Plan.Placement permitted = limited(placement, pacedZones);
+      Plan.Placement permitted = limited(placement, limitedZones);
       if (!permitted.tasks().isEmpty()) {
         limited.placements().add(permitted);
       }
     }
     plan.preemptions().stream()
-        .filter(preemption -> !isMove(preemption))
+        .filter(preemption -> !isMigration(preemption))
         .forEach(limited.preemptions()::add);
     limited.scaleOuts().addAll(plan.scaleOuts());
     plan.releases().stream().limit(Math.max(0, maxReleases)).forEach(limited.releases()::add);
@@ -50,19 +50,19 @@
     return startsByZone;
   }
 
-  private Plan.Placement limited(Plan.Placement placement, Set<String> pacedZones) {
-    return facts.isGang(placement.job())
-        ? wholeOrNone(placement, pacedZones)
-        : oneByOne(placement, pacedZones);
+  private Plan.Placement limited(Plan.Placement placement, Set<String> limitedZones) {
+    return placementLookup.isGang(placement.job())
+        ? limitGang(placement, limitedZones)
+        : limitTasks(placement, limitedZones);
   }
 
-  private Plan.Placement oneByOne(Plan.Placement placement, Set<String> pacedZones) {
+  private Plan.Placement limitTasks(Plan.Placement placement, Set<String> limitedZones) {
     List<Integer> tasks = new ArrayList<>();
     List<MachineId> machines = new ArrayList<>();
     for (int i = 0; i < placement.tasks().size(); i++) {
       MachineId machine = placement.machines().get(i);
-      Optional<String> pacedZone = facts.zoneOf(machine).filter(pacedZones::contains);
-      if (pacedZone.isEmpty() || startIfPermitted(pacedZone.get())) {
+      Optional<String> limitedZone = placementLookup.zoneOf(machine).filter(limitedZones::contains);
+      if (limitedZone.isEmpty() || tryStart(limitedZone.get())) {
         tasks.add(placement.tasks().get(i));
         machines.add(machine);
       }
@@ -70,35 +70,35 @@
     return new Plan.Placement(placement.job(), tasks, machines);
   }
 
-  private boolean startIfPermitted(String zone) {
-    if (!pacer.allows(zone)) {
+  private boolean tryStart(String zone) {
+    if (!rateLimiter.allows(zone)) {
       return false;
     }
-    start(zone);
+    countStart(zone);
     return true;
   }
 
-  private void start(String zone) {
-    pacer.take(zone, 1);
+  private void countStart(String zone) {
+    rateLimiter.take(zone, 1);
     startsByZone.merge(zone, 1, Integer::sum);
   }
 
   /** A gang may overdraw the budget: otherwise one larger than the budget would never start. */
-  private Plan.Placement wholeOrNone(Plan.Placement placement, Set<String> pacedZones) {
+  private Plan.Placement limitGang(Plan.Placement placement, Set<String> limitedZones) {
     List<String> starts =
         placement.machines().stream()
-            .flatMap(machine -> facts.zoneOf(machine).stream())
-            .filter(pacedZones::contains)
+            .flatMap(machine -> placementLookup.zoneOf(machine).stream())
+            .filter(limitedZones::contains)
             .toList();
-    if (!starts.stream().allMatch(pacer::allows)) {
+    if (!starts.stream().allMatch(rateLimiter::allows)) {
       return new Plan.Placement(placement.job(), List.of(), List.of());
     }
-    starts.forEach(this::start);
+    starts.forEach(this::countStart);
     return placement;
   }
 
   /** Whether a preemption moves a running task of the job itself, and makes no room for another. */
-  private static boolean isMove(Plan.Preemption preemption) {
+  private static boolean isMigration(Plan.Preemption preemption) {
     return !preemption.victims().isEmpty()
         && preemption.victims().stream()
             .allMatch(victim -> victim.job().equals(preemption.forJob()));
--- a/src/main/java/org/ternhinge/zone/ReturnLimits.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryLimits.java
@@ -11,16 +11,16 @@
  * Limits plans while a zone is not available: by the pace of returning zones, and by a rate of
  * machine releases. Guarded by its owner.
  */
-final class ReturnLimits {
+final class RecoveryLimits {
   /** Share of the fleet's machines that may be released a second. */
   private static final double RELEASE_SHARE = 0.02;
 
-  private final ReturnPacer pacer;
-  private RateBudget releases;
+  private final RecoveryRateLimiter rateLimiter;
+  private TokenBucket releases;
 
-  ReturnLimits(ReturnPacer pacer, SteadyTime now) {
-    this.pacer = pacer;
-    this.releases = RateBudget.starting(now);
+  RecoveryLimits(RecoveryRateLimiter rateLimiter, SteadyTime now) {
+    this.rateLimiter = rateLimiter;
+    this.releases = TokenBucket.withOneToken(now);
   }
 
   /**
@@ -31,20 +31,20 @@
   Plan limit(
       Plan plan,
       ZoneSnapshot snapshot,
-      PlacementFacts facts,
+      PlacementLookup placementLookup,
       List<ZoneEvent> events,
       SteadyTime now) {
-    pacer.refill(snapshot, now);
+    rateLimiter.refill(snapshot, now);
     releases = releases.refilled(Math.max(1, RELEASE_SHARE * fleetSize(snapshot)), now);
-    PlanLimiter limiter = new PlanLimiter(pacer, facts);
-    Plan limited = limiter.limited(plan, recoveringZones(snapshot), (int) releases.tokens());
+    PlanLimiter planLimiter = new PlanLimiter(rateLimiter, placementLookup);
+    Plan limited = planLimiter.limited(plan, recoveringZones(snapshot), (int) releases.tokens());
     releases = releases.minus(limited.releases().size());
-    limiter
+    planLimiter
         .startsByZone()
         .forEach(
             (zone, starts) ->
                 events.add(
-                    new ZoneEvent.ReturnStarts(zone, snapshot.zones().get(zone).step(), starts)));
+                    new ZoneEvent.RecoveryStarts(zone, snapshot.zones().get(zone).step(), starts)));
     return limited;
   }
 
--- a/src/main/java/org/ternhinge/zone/ReturnPacer.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
@@ -9,11 +9,11 @@
  * Limits how many tasks start in zones that are recovering: few at first, twice as many with each
  * step. Keeps one budget for each zone; guarded by its owner.
  */
-final class ReturnPacer {
+final class RecoveryRateLimiter {
   private final ZoneFailoverSettings.Pace pace;
-  private final Map<String, RateBudget> budgets = new HashMap<>();
+  private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-  ReturnPacer(ZoneFailoverSettings.Pace pace) {
+  RecoveryRateLimiter(ZoneFailoverSettings.Pace pace) {
     this.pace = pace;
   }
 
@@ -24,26 +24,26 @@
 
   /** Refills the budgets; zones that are not recovering have none. */
   void refill(ZoneSnapshot zones, SteadyTime now) {
-    budgets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
+    buckets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
     zones
         .zones()
         .forEach(
             (name, status) -> {
               if (status.state() == ZoneState.RECOVERING) {
-                RateBudget budget = budgets.computeIfAbsent(name, key -> RateBudget.starting(now));
-                budgets.put(name, budget.refilled(rate(status.step(), status.expected()), now));
+                TokenBucket bucket = buckets.computeIfAbsent(name, key -> TokenBucket.withOneToken(now));
+                buckets.put(name, bucket.refilled(rate(status.step(), status.expected()), now));
               }
             });
   }
 
   /** Whether a start in a zone is permitted now; always where the zone is not paced. */
   boolean allows(String zone) {
-    RateBudget budget = budgets.get(zone);
-    return budget == null || budget.allows();
+    TokenBucket bucket = buckets.get(zone);
+    return bucket == null || bucket.hasToken();
   }
 
   /** Takes the starts of tasks in a zone from its budget, which may overdraw it. */
   void take(String zone, int starts) {
-    budgets.computeIfPresent(zone, (name, budget) -> budget.minus(starts));
+    buckets.computeIfPresent(zone, (name, bucket) -> bucket.minus(starts));
   }
 }
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -26,9 +26,9 @@
         expectedJobs(full),
         full.teams(),
         full.teamUse(),
-        full.offers().stream().filter(offer -> takesWork(offer.zoneName())).toList(),
+        full.offers().stream().filter(offer -> acceptsWork(offer.zoneName())).toList(),
         full.pendingProvisions().stream()
-            .filter(provision -> isCounted(provision.offer().zoneName()))
+            .filter(provision -> countsAsCapacity(provision.offer().zoneName()))
             .toList(),
         full.lateStartedJobs(),
         full.inventoryComplete(),
@@ -36,16 +36,16 @@
         full.now());
   }
 
-  private boolean takesWork(String zone) {
-    return zones.state(zone).takesWork();
+  private boolean acceptsWork(String zone) {
+    return zones.state(zone).acceptsWork();
   }
 
   /** Whether machines of a zone take tasks, if not now then soon. */
-  private boolean isCounted(String zone) {
+  private boolean countsAsCapacity(String zone) {
     return zones.state(zone) != ZoneState.UNAVAILABLE;
   }
 
-  private boolean takesStartsNow(String zone) {
+  private boolean acceptsStartsNow(String zone) {
     ZoneStatus status = zones.zones().get(zone);
     return status == null
         || status.state() == ZoneState.AVAILABLE
@@ -55,8 +55,8 @@
   private List<Snapshot.MachineView> machines(List<Snapshot.MachineView> all) {
     List<Snapshot.MachineView> remaining = new ArrayList<>(all.size());
     for (Snapshot.MachineView machine : all) {
-      if (isCounted(machine.zoneName())) {
-        boolean unchanged = !machine.ready() || takesStartsNow(machine.zoneName());
+      if (countsAsCapacity(machine.zoneName())) {
+        boolean unchanged = !machine.ready() || acceptsStartsNow(machine.zoneName());
         remaining.add(unchanged ? machine : machine.notReady());
       }
     }
@@ -109,7 +109,7 @@
       }
     }
     int pendingCount = Math.max(pending.size(), job.pendingCount() - held.size());
-    boolean nothingLeft = pending.isEmpty();
-    return job.withTasks(pending, nothingLeft ? 0 : pendingCount, job.blocked() || nothingLeft);
+    boolean allHeld = pending.isEmpty();
+    return job.withTasks(pending, allHeld ? 0 : pendingCount, job.blocked() || allHeld);
   }
 }
--- a/src/main/java/org/ternhinge/zone/RateBudget.java
+++ b/src/main/java/org/ternhinge/zone/TokenBucket.java
@@ -10,26 +10,26 @@
  * @param tokens number of tokens at that time; negative after an overdraft
  * @param at time of that number
  */
-record RateBudget(double tokens, SteadyTime at) {
+record TokenBucket(double tokens, SteadyTime at) {
   /** A budget with one token. */
-  static RateBudget starting(SteadyTime now) {
-    return new RateBudget(1, now);
+  static TokenBucket withOneToken(SteadyTime now) {
+    return new TokenBucket(1, now);
   }
 
   /** The budget with the tokens that were added since its time. */
-  RateBudget refilled(double perSecond, SteadyTime now) {
+  TokenBucket refilled(double tokensPerSecond, SteadyTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
-    double capacity = perSecond + 1;
-    return new RateBudget(Math.min(capacity, tokens + perSecond * elapsedS), now);
+    double capacity = tokensPerSecond + 1;
+    return new TokenBucket(Math.min(capacity, tokens + tokensPerSecond * elapsedS), now);
   }
 
   /** Whether a token is left. */
-  boolean allows() {
+  boolean hasToken() {
     return tokens >= 1;
   }
 
   /** The budget after tokens were taken, which may be more than there are. */
-  RateBudget minus(int count) {
-    return new RateBudget(tokens - count, at);
+  TokenBucket minus(int count) {
+    return new TokenBucket(tokens - count, at);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -9,7 +9,7 @@
  */
 public sealed interface ZoneEvent {
   /** The word before the kind and the fields of an event in a line of the log. */
-  String MARK = "zone-event";
+  String MARKER = "zone-event";
 
   /** The name of the kind of event in the log. */
   String kind();
@@ -19,7 +19,7 @@
 
   /** The event as a line of the log, without time and level. */
   default String line() {
-    StringBuilder line = new StringBuilder(MARK).append(' ').append(kind());
+    StringBuilder line = new StringBuilder(MARKER).append(' ').append(kind());
     fields().forEach((name, value) -> line.append(' ').append(name).append('=').append(value));
     return line.toString();
   }
@@ -47,8 +47,8 @@
     public Map<String, String> fields() {
       Map<String, String> fields = new LinkedHashMap<>();
       fields.put("zone", zone);
-      fields.put("from", from.word());
-      fields.put("to", to.word());
+      fields.put("from", from.label());
+      fields.put("to", to.label());
       fields.put("impaired", Integer.toString(impaired));
       fields.put("expected", Integer.toString(expected));
       fields.put("penalty", Double.toString(Math.round(penalty * 100) / 100.0));
@@ -68,19 +68,19 @@
     /** They still wait, for a reason that an operator may want to know. */
     DELAYED("delayed", "waits");
 
-    private final String word;
+    private final String label;
 
     /** The word in logs of versions before 2026-12-02, which are parsed as well. */
-    private final String earlierWord;
+    private final String legacyLabel;
 
     WorkStep(String word, String earlierWord) {
-      this.word = word;
-      this.earlierWord = earlierWord;
+      this.label = word;
+      this.legacyLabel = earlierWord;
     }
 
     /** The step as logs have it. */
-    String word() {
-      return word;
+    String label() {
+      return label;
     }
 
     /**
@@ -90,7 +90,7 @@
      */
     static WorkStep of(String word) {
       for (WorkStep step : values()) {
-        if (step.word.equals(word) || step.earlierWord.equals(word)) {
+        if (step.label.equals(word) || step.legacyLabel.equals(word)) {
           return step;
         }
       }
@@ -118,7 +118,7 @@
       implements ZoneEvent {
     @Override
     public String kind() {
-      return step.word();
+      return step.label();
     }
 
     @Override
@@ -136,7 +136,7 @@
   }
 
   /** Tasks start in a zone that is recovering. */
-  record ReturnStarts(String zone, int step, int starts) implements ZoneEvent {
+  record RecoveryStarts(String zone, int step, int starts) implements ZoneEvent {
     @Override
     public String kind() {
       return "return-starts";
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -29,7 +29,7 @@
               Double.parseDouble(text(fields, "penalty")),
               Boolean.parseBoolean(text(fields, "suppressed")));
       case "return-starts" ->
-          new ZoneEvent.ReturnStarts(
+          new ZoneEvent.RecoveryStarts(
               text(fields, "zone"),
               Integer.parseInt(text(fields, "step")),
               Integer.parseInt(text(fields, "starts")));
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -30,8 +30,8 @@
   private final ZoneTable zones;
   private final FailoverQueue queue;
   private final DisplacementLog displacements;
-  private final ReturnPacer pacer;
-  private final ReturnLimits limits;
+  private final RecoveryRateLimiter rateLimiter;
+  private final RecoveryLimits limits;
   private final ZoneSnapshotReference current = new ZoneSnapshotReference();
   private final FailoverMetrics metrics = new FailoverMetrics();
 
@@ -52,8 +52,8 @@
     this.zones = new ZoneTable(settings, names, leaseS, now);
     this.queue = new FailoverQueue(settings.release(), order, minReleaseRate, now);
     this.displacements = new DisplacementLog(order);
-    this.pacer = new ReturnPacer(settings.pace());
-    this.limits = new ReturnLimits(pacer, now);
+    this.rateLimiter = new RecoveryRateLimiter(settings.pace());
+    this.limits = new RecoveryLimits(rateLimiter, now);
   }
 
   /** The zones as any thread may read them. */
@@ -113,15 +113,15 @@
    * @return what to log, state changes first
    */
   public List<ZoneEvent> observe(Observations observed, SteadyTime now) {
-    zones.observed(observed.zones());
-    if (queue.isEmpty() && displacements.isEmpty() && zones.isAllHealthy()) {
+    zones.setObservations(observed.zones());
+    if (queue.isEmpty() && displacements.isEmpty() && zones.areAllHealthy()) {
       // The usual case: there is nothing to decide or to publish.
       return new ArrayList<>();
     }
     List<ZoneEvent> events = zones.assess(now);
     events.addAll(displacements.displaced());
     if (!queue.isEmpty()) {
-      settle(observed, events, now);
+      removeResolved(observed, events, now);
       release(observed, events, now);
       events.addAll(displacements.delayed(queue.jobs(), observed, now));
     }
@@ -129,10 +129,10 @@
     return events;
   }
 
-  private void settle(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
-    for (FailoverQueue.JobTasks placed : queue.settle(work)) {
+  private void removeResolved(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
+    for (FailoverQueue.JobTasks placed : queue.removeResolved(work)) {
       double waitedS = now.secondsSince(placed.job().since());
-      metrics.moved(order.name(placed.job().tier()), waitedS, placed.tasks().size());
+      metrics.recordMoved(order.name(placed.job().tier()), waitedS, placed.tasks().size());
       events.add(displacements.moved(placed, now));
     }
     displacements.retain(queue.jobs());
@@ -151,8 +151,8 @@
   }
 
   private void publish(SteadyTime now) {
-    ZoneSnapshot next = new ZoneSnapshot(zones.status(pacer, now), queue.held());
-    pacer.refill(next, now);
+    ZoneSnapshot next = new ZoneSnapshot(zones.status(rateLimiter, now), queue.held());
+    rateLimiter.refill(next, now);
     current.update(present -> next);
   }
 
@@ -168,12 +168,12 @@
    *
    * @param events the list to which the starts in returning zones are added
    */
-  public Plan limit(Plan plan, PlacementFacts facts, List<ZoneEvent> events, SteadyTime now) {
+  public Plan limit(Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, SteadyTime now) {
     ZoneSnapshot present = current.read();
     if (present.allAvailable()) {
       return plan;
     }
-    Plan limited = limits.limit(plan, present, facts, events, now);
+    Plan limited = limits.limit(plan, present, placementLookup, events, now);
     publish(now);
     return limited;
   }
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -11,7 +11,7 @@
  * @param impairedSince since when the share of impaired machines has been suspicious; null if it is
  *     not
  * @param lostSince since when that share has been one of a lost zone; null if it is not
- * @param wellSince since when hardly any machine has been impaired; null if that is not so
+ * @param healthySince since when hardly any machine has been impaired; null if that is not so
  * @param penalty flap penalty: how often it was lost recently
  * @param suppressed whether it stays out of use because of its penalty
  * @param step number of times that the pace of its return has doubled
@@ -22,7 +22,7 @@
     SteadyTime since,
     SteadyTime impairedSince,
     SteadyTime lostSince,
-    SteadyTime wellSince,
+    SteadyTime healthySince,
     FlapPenalty penalty,
     boolean suppressed,
     int step,
@@ -40,7 +40,7 @@
    * @param confirmable whether the observation may show the zone's loss rather than the loss of the
    *     leader's own links
    */
-  ZoneHealth after(
+  ZoneHealth next(
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
@@ -51,15 +51,15 @@
     }
     ZoneHealth measured = measured(observation, settings.detection(), now);
     return switch (state) {
-      case AVAILABLE -> measured.impairedSince == null ? measured : measured.suspected(now);
-      case SUSPECT -> measured.afterSuspicion(observation, confirmable, settings, now);
+      case AVAILABLE -> measured.impairedSince == null ? measured : measured.toSuspect(now);
+      case SUSPECT -> measured.nextFromSuspect(observation, confirmable, settings, now);
       case UNAVAILABLE -> {
         // A zone that fails again while it is out of use stays out of use for longer.
-        boolean again = impairedSince == null && measured.impairedSince != null;
-        ZoneHealth current = again ? measured.penalized(settings.flaps(), now) : measured;
-        yield current.afterLoss(observation, settings, now);
+        boolean impairedAgain = impairedSince == null && measured.impairedSince != null;
+        ZoneHealth current = impairedAgain ? measured.penalized(settings.flaps(), now) : measured;
+        yield current.nextFromUnavailable(observation, settings, now);
       }
-      case RECOVERING -> measured.afterReturn(settings, now);
+      case RECOVERING -> measured.nextFromRecovering(settings, now);
     };
   }
 
@@ -72,97 +72,97 @@
     return new ZoneHealth(
         state,
         since,
-        sinceWhen(enoughMachines && share >= detection.suspectShare(), impairedSince, now),
-        sinceWhen(enoughMachines && share >= detection.lostShare(), lostSince, now),
-        sinceWhen(share < detection.clearShare(), wellSince, now),
+        startOf(enoughMachines && share >= detection.suspectShare(), impairedSince, now),
+        startOf(enoughMachines && share >= detection.lostShare(), lostSince, now),
+        startOf(share < detection.clearShare(), healthySince, now),
         penalty,
         suppressed,
         step,
         stillTolerated);
   }
 
-  private static SteadyTime sinceWhen(boolean holds, SteadyTime before, SteadyTime now) {
+  private static SteadyTime startOf(boolean holds, SteadyTime before, SteadyTime now) {
     if (!holds) {
       return null;
     }
     return before == null ? now : before;
   }
 
-  private ZoneHealth suspected(SteadyTime now) {
-    return to(ZoneState.SUSPECT, tolerated, now);
+  private ZoneHealth toSuspect(SteadyTime now) {
+    return transitionTo(ZoneState.SUSPECT, tolerated, now);
   }
 
-  private ZoneHealth afterSuspicion(
+  private ZoneHealth nextFromSuspect(
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
       SteadyTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
-    if (confirmable && lasts(lostSince, detection.confirmS(), now)) {
-      return lost(settings.flaps(), now);
+    if (confirmable && hasLasted(lostSince, detection.confirmS(), now)) {
+      return toUnavailable(settings.flaps(), now);
     }
-    if (wellSince != null) {
-      return to(ZoneState.AVAILABLE, tolerated, now);
+    if (healthySince != null) {
+      return transitionTo(ZoneState.AVAILABLE, tolerated, now);
     }
-    boolean partlyImpaired = lostSince == null && lasts(since, detection.suspectMaxS(), now);
+    boolean partlyImpaired = lostSince == null && hasLasted(since, detection.suspectMaxS(), now);
     // The machines that are impaired now are handled as single failures; the others take work
     // again.
-    return partlyImpaired ? to(ZoneState.AVAILABLE, observation.impaired(), now) : this;
+    return partlyImpaired ? transitionTo(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
-  private ZoneHealth lost(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
-    return to(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
+  private ZoneHealth toUnavailable(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+    return transitionTo(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
   }
 
   private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
     FlapPenalty more = penalty.increased(now, flaps);
     boolean suppress = suppressed || more.value() > flaps.suppressAt();
     return new ZoneHealth(
-        state, since, impairedSince, lostSince, wellSince, more, suppress, step, tolerated);
+        state, since, impairedSince, lostSince, healthySince, more, suppress, step, tolerated);
   }
 
-  private ZoneHealth afterLoss(
+  private ZoneHealth nextFromUnavailable(
       ZoneObservation observation, ZoneFailoverSettings settings, SteadyTime now) {
     ZoneFailoverSettings.Flaps flaps = settings.flaps();
     boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
     ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
-    if (stillSuppressed || !lasts(wellSince, settings.detection().settleS(), now)) {
+    if (stillSuppressed || !hasLasted(healthySince, settings.detection().settleS(), now)) {
       return current;
     }
     // A zone without machines can't prove its recovery; it is tried again after a while.
     boolean hasNoMachines = observation.expected() == 0;
-    boolean tryAgain = !hasNoMachines || lasts(since, settings.release().tierHoldS(), now);
-    return tryAgain ? to(ZoneState.RECOVERING, 0, now) : current;
+    boolean mayRecover = !hasNoMachines || hasLasted(since, settings.release().tierHoldS(), now);
+    return mayRecover ? transitionTo(ZoneState.RECOVERING, 0, now) : current;
   }
 
-  private ZoneHealth afterReturn(ZoneFailoverSettings settings, SteadyTime now) {
+  private ZoneHealth nextFromRecovering(ZoneFailoverSettings settings, SteadyTime now) {
     if (impairedSince != null) {
-      return suspected(now);
+      return toSuspect(now);
     }
     int reached = (int) (now.secondsSince(since) / settings.pace().stepS());
     if (reached >= settings.pace().steps()) {
-      return to(ZoneState.AVAILABLE, tolerated, now);
+      return transitionTo(ZoneState.AVAILABLE, tolerated, now);
     }
     return reached == step ? this : withStep(reached);
   }
 
-  private static boolean lasts(SteadyTime from, double seconds, SteadyTime now) {
+  private static boolean hasLasted(SteadyTime from, double seconds, SteadyTime now) {
     return from != null && now.secondsSince(from) >= seconds;
   }
 
   /** The zone in another state, in which it begins unsuppressed and at the first step. */
-  private ZoneHealth to(ZoneState other, int otherTolerated, SteadyTime now) {
+  private ZoneHealth transitionTo(ZoneState other, int otherTolerated, SteadyTime now) {
     return new ZoneHealth(
-        other, now, impairedSince, lostSince, wellSince, penalty, false, 0, otherTolerated);
+        other, now, impairedSince, lostSince, healthySince, penalty, false, 0, otherTolerated);
   }
 
   private ZoneHealth withStep(int other) {
     return new ZoneHealth(
-        state, since, impairedSince, lostSince, wellSince, penalty, suppressed, other, tolerated);
+        state, since, impairedSince, lostSince, healthySince, penalty, suppressed, other, tolerated);
   }
 
   private ZoneHealth withSuppressed(boolean other) {
     return new ZoneHealth(
-        state, since, impairedSince, lostSince, wellSince, penalty, other, step, tolerated);
+        state, since, impairedSince, lostSince, healthySince, penalty, other, step, tolerated);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneObservation.java
+++ b/src/main/java/org/ternhinge/zone/ZoneObservation.java
@@ -5,9 +5,9 @@
  *
  * @param expected number of machines that should report
  * @param impaired how many of these have missed heartbeats or are not reached by commands
- * @param unheard number of machines in use whose first heartbeat to this leader is not due yet
+ * @param unreported number of machines in use whose first heartbeat to this leader is not due yet
  */
-public record ZoneObservation(int expected, int impaired, int unheard) {
+public record ZoneObservation(int expected, int impaired, int unreported) {
   /** An observation without machines that are not due to report yet. */
   ZoneObservation(int expected, int impaired) {
     this(expected, impaired, 0);
@@ -15,7 +15,7 @@
 
   /** Whether enough machines have reported to judge the zone by them. */
   boolean isConclusive() {
-    return unheard <= expected;
+    return unreported <= expected;
   }
 
   /** Share of impaired machines without the tolerated ones; 0 where no machine is left. */
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -41,7 +41,7 @@
 
   private static ObjectNode write(ZoneHealth health, SteadyTime now, long wallMillis) {
     long ageMillis = (long) (now.secondsSince(health.since()) * MILLIS_PER_S);
-    ObjectNode out = Json.object().put(STATE, health.state().word());
+    ObjectNode out = Json.object().put(STATE, health.state().label());
     out.put(SINCE_MILLIS, wallMillis - ageMillis).put(PENALTY, health.penalty().value());
     out.put(
         PENALTY_MILLIS,
--- a/src/main/java/org/ternhinge/zone/ZoneState.java
+++ b/src/main/java/org/ternhinge/zone/ZoneState.java
@@ -15,14 +15,14 @@
   RECOVERING;
 
   /** The state as logs and records have it. */
-  public String word() {
+  public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 
   /** Reads a state as logs and records have it. */
   public static Optional<ZoneState> of(String word) {
     for (ZoneState state : values()) {
-      if (state.word().equals(word)) {
+      if (state.label().equals(word)) {
         return Optional.of(state);
       }
     }
@@ -30,7 +30,7 @@
   }
 
   /** Whether new work may be placed there at all. */
-  public boolean takesWork() {
+  public boolean acceptsWork() {
     return this == AVAILABLE || this == RECOVERING;
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneTable.java
+++ b/src/main/java/org/ternhinge/zone/ZoneTable.java
@@ -38,12 +38,12 @@
   }
 
   /** Replaces the observations; {@link #assess} draws the conclusions. */
-  void observed(List<ZoneObservation> latest) {
+  void setObservations(List<ZoneObservation> latest) {
     observations = latest;
   }
 
   /** Whether all zones are available and no machine is impaired. */
-  boolean isAllHealthy() {
+  boolean areAllHealthy() {
     for (int i = 0; i < zones.size(); i++) {
       if (zones.get(i).state() != ZoneState.AVAILABLE || observations.get(i).impaired() > 0) {
         return false;
@@ -90,15 +90,15 @@
   }
 
   /** The status of all zones by name. */
-  PMap<String, ZoneStatus> status(ReturnPacer pacer, SteadyTime now) {
+  PMap<String, ZoneStatus> status(RecoveryRateLimiter rateLimiter, SteadyTime now) {
     PMap<String, ZoneStatus> status = HashTreePMap.empty();
     for (int i = 0; i < names.size(); i++) {
-      status = status.plus(names.get(i), status(i, pacer, now));
+      status = status.plus(names.get(i), status(i, rateLimiter, now));
     }
     return status;
   }
 
-  private ZoneStatus status(int zone, ReturnPacer pacer, SteadyTime now) {
+  private ZoneStatus status(int zone, RecoveryRateLimiter rateLimiter, SteadyTime now) {
     ZoneHealth health = zones.get(zone);
     return new ZoneStatus(
         health.state(),
@@ -106,7 +106,7 @@
         observations.get(zone).impaired(),
         health.penalty().valueAt(now, settings.flaps()),
         health.step(),
-        pacer.allows(names.get(zone)));
+        rateLimiter.allows(names.get(zone)));
   }
 
   /** The record of all zones for the next leader. */
--- a/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
@@ -29,9 +29,9 @@
   private static final double MILLIS_PER_S = 1000;
 
   /** Half the height of a zone's bar, of a row. */
-  private static final double BAR_HALF = 0.35;
+  private static final double BAR_HALF_HEIGHT = 0.35;
 
-  private static final String SECONDS = "seconds since the first event";
+  private static final String TIME_AXIS_LABEL = "seconds since the first event";
 
   private final ZoneHistory history;
 
@@ -65,19 +65,19 @@
       data.addSeries(bars(state, zones));
     }
     SymbolAxis names = new SymbolAxis(null, zones.toArray(new String[0]));
-    XYPlot plot = new XYPlot(data, new NumberAxis(SECONDS), names, renderer);
+    XYPlot plot = new XYPlot(data, new NumberAxis(TIME_AXIS_LABEL), names, renderer);
     return png(new JFreeChart("Zones", plot));
   }
 
   /** All times in a state, a bar for each. */
   private XYIntervalSeries bars(ZoneState state, List<String> zones) {
-    XYIntervalSeries series = new XYIntervalSeries(state.word());
+    XYIntervalSeries series = new XYIntervalSeries(state.label());
     for (ZoneHistory.Interval interval : history.intervals()) {
       if (interval.state() == state) {
         double from = seconds(interval.fromMillis());
         double to = seconds(interval.toMillis());
         double row = zones.indexOf(interval.zone());
-        series.add(from, from, to, row, row - BAR_HALF, row + BAR_HALF);
+        series.add(from, from, to, row, row - BAR_HALF_HEIGHT, row + BAR_HALF_HEIGHT);
       }
     }
     return series;
@@ -137,7 +137,7 @@
       throws IOException {
     JFreeChart chart =
         ChartFactory.createXYLineChart(
-            title, SECONDS, unit, data, PlotOrientation.VERTICAL, true, false, false);
+            title, TIME_AXIS_LABEL, unit, data, PlotOrientation.VERTICAL, true, false, false);
     XYPlot plot = chart.getXYPlot();
     plot.setRenderer(new XYStepRenderer());
     return png(chart);
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -78,7 +78,7 @@
   private void add(ZoneLog.Entry entry) {
     if (entry.event() instanceof ZoneEvent.StateChanged changed) {
       stateChanged(entry.atMillis(), changed);
-    } else if (entry.event() instanceof ZoneEvent.ReturnStarts returned) {
+    } else if (entry.event() instanceof ZoneEvent.RecoveryStarts returned) {
       starts.add(new Starts(entry.atMillis(), returned.zone(), returned.step(), returned.starts()));
     } else if (entry.event() instanceof ZoneEvent.WorkChanged work) {
       workChanged(entry.atMillis(), work);
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -62,11 +62,11 @@
 
     void read(String line) {
       lines++;
-      int mark = line.indexOf(ZoneEvent.MARK + " ");
+      int mark = line.indexOf(ZoneEvent.MARKER + " ");
       if (mark < 0) {
         return;
       }
-      Optional<Entry> entry = entry(line.substring(mark + ZoneEvent.MARK.length() + 1));
+      Optional<Entry> entry = entry(line.substring(mark + ZoneEvent.MARKER.length() + 1));
       entry.ifPresentOrElse(events::add, () -> malformed++);
     }
 
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -36,11 +36,11 @@
   /** The result of writing a report. */
   public enum Result {
     /** The file was written from all events of the log. */
-    WHOLE,
+    COMPLETE,
     /** The file was written; some lines could not be read. */
     PARTIAL,
     /** The log holds no event that could be read; no file was written. */
-    NOTHING_USABLE
+    NO_EVENTS
   }
 
   private static final String CSS =
@@ -59,12 +59,12 @@
   /** Writes the report on a log that was read. */
   public static Result write(ZoneLog log, Path out) throws IOException {
     if (log.events().isEmpty()) {
-      return Result.NOTHING_USABLE;
+      return Result.NO_EVENTS;
     }
     // The machine may have no display.
     System.setProperty("java.awt.headless", "true");
     Files.writeString(out, new ZoneReport(log).page());
-    return log.malformed() > 0 ? Result.PARTIAL : Result.WHOLE;
+    return log.malformed() > 0 ? Result.PARTIAL : Result.COMPLETE;
   }
 
   private String page() throws IOException {
@@ -103,21 +103,21 @@
     return img().withSrc("data:image/png;base64," + Base64.getEncoder().encodeToString(png));
   }
 
-  private static TableTag rows(List<String> names, List<List<String>> rows) {
+  private static TableTag dataTable(List<String> names, List<List<String>> rows) {
     return table(
         thead(tr(each(names, name -> th(name)))),
         tbody(each(rows, row -> tr(each(row, cell -> td(cell))))));
   }
 
   private DomContent intervals() {
-    return rows(
+    return dataTable(
         List.of("zone", "state", "from", "seconds"),
         history.intervals().stream()
             .map(
                 interval ->
                     List.of(
                         interval.zone(),
-                        interval.state().word(),
+                        interval.state().label(),
                         Instant.ofEpochMilli(interval.fromMillis()).toString(),
                         seconds((interval.toMillis() - interval.fromMillis()) / 1000.0)))
             .toList());
@@ -128,7 +128,7 @@
   }
 
   private DomContent tiers() {
-    return rows(
+    return dataTable(
         List.of("tier", "displaced", "moved", "longest wait, s"),
         history.tiers().entrySet().stream()
             .map(
@@ -155,7 +155,7 @@
     if (history.delays().isEmpty()) {
       return p("None for longer than half a minute.");
     }
-    return rows(
+    return dataTable(
         List.of("at", "job", "tier", "tasks", "reason", "waited, s"),
         history.delays().stream()
             .map(
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -253,7 +253,7 @@
     assertTrue(events.events().size() > 5, "the log tells what happened");
     assertEquals(0, events.malformed());
     Path page = dir.resolve("zones.html");
-    assertEquals(ZoneReport.Result.WHOLE, ZoneReport.write(events, page));
+    assertEquals(ZoneReport.Result.COMPLETE, ZoneReport.write(events, page));
     String text = Files.readString(page);
     assertTrue(text.contains("<h2>Doubled attempts</h2><p>None.</p>"), "no doubled attempt");
   }
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -56,14 +56,14 @@
     "false, true,  true,  8.1, 0, 0, 0",
     "false, false, false, 8.1, 0, 0, 0"
   })
-  void aMachineCountsByWhatIsKnownOfIt(
+  void machineIsCountedByHeartbeatListingAndCloudState(
       boolean heard,
       boolean listed,
       boolean leaving,
       double afterS,
       int expected,
       int impaired,
-      int unheard) {
+      int unreported) {
     MachineId id = new MachineId("n-1");
     Machine machine =
         heard ? fixture.machine("n-1") : fixture.machines.findOrAdd(id, fixture.now());
@@ -75,11 +75,11 @@
       machine.cloud().markReleasing();
     }
     fixture.clock.runFor(afterS);
-    assertEquals(new ZoneObservation(expected, impaired, unheard), east());
+    assertEquals(new ZoneObservation(expected, impaired, unreported), east());
   }
 
   @Test
-  void aMachineOfUnknownZoneCountsInThatOfItsAttempts() {
+  void machineOfUnknownZoneIsCountedInZoneOfItsAttempts() {
     Machine machine = fixture.machine("n-1");
     assertEquals(new ZoneObservation(0, 0, 0), east());
     fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void aDisplacedTaskWaitsUntilItIsPlacedOrOver() {
+  void displacedTaskIsPendingUntilPlacedOrEnded() {
     Job job = fixture.job(Specs.json("wk-1", "batch", 1));
     JobId id = job.spec().id();
     assertEquals(TaskState.PENDING, observations().state(id, 0));
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -31,7 +31,7 @@
         fixture.context, fixture.machines, failures, ZoneFailoverSettings.DEFAULT);
   }
 
-  private int startsLeftOfOne() {
+  private int startsPermittedOfOne() {
     Plan plan = new Plan();
     plan.placements()
         .add(new Plan.Placement(new JobId("wk-1"), List.of(0), List.of(new MachineId("n-1"))));
@@ -50,28 +50,28 @@
 
   /** What an earlier leader held back is not known before, and would be started out of order. */
   @Test
-  void nothingIsPlacedBeforeTheRecordIsRead() {
+  void nothingIsPlacedBeforeRecordIsRead() {
     fixture.store.pauseReads();
     zones.recover();
-    assertEquals(0, startsLeftOfOne());
+    assertEquals(0, startsPermittedOfOne());
     fixture.store.resume();
     fixture.clock.runFor(0.1);
-    assertEquals(1, startsLeftOfOne());
+    assertEquals(1, startsPermittedOfOne());
   }
 
   @Test
-  void aRecordThatCanNotBeReadHoldsNothingUpForLong() {
+  void unreadableRecordDelaysPlacementForBoundedTime() {
     fixture.store.pauseReads();
     zones.recover();
     fixture.clock.runFor(1.9);
-    assertEquals(0, startsLeftOfOne());
+    assertEquals(0, startsPermittedOfOne());
     fixture.clock.runFor(0.2);
-    assertEquals(1, startsLeftOfOne());
+    assertEquals(1, startsPermittedOfOne());
   }
 
   /** A write without the version that stands there would be a conflict and end the leadership. */
   @Test
-  void theRecordIsWrittenOnItsVersionAndOnTransitionsOnly() {
+  void recordIsWrittenAtItsRevisionAndOnTransitionsOnly() {
     record("available");
     long before = recorded().revision().value();
     for (int i = 0; i < 4; i++) {
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void tasksOfOneJobThatAreDisplacedTogetherShareAnEvent() {
+  void tasksOfOneJobDisplacedTogetherShareOneEvent() {
     log.add(JOB, 1, 7, "west");
     log.add(JOB, 2, 8, "west");
     log.add(JOB, 5, 0, "west");
@@ -68,7 +68,7 @@
     "false, true, false, no-room-or-limit",
     "false, true, true, higher-tier-first"
   })
-  void aDelayHasAReason(boolean pinned, boolean placeable, boolean isHeld, String reason) {
+  void delayEventStatesReason(boolean pinned, boolean placeable, boolean isHeld, String reason) {
     List<ZoneEvent> events =
         log.delayed(List.of(displacedJob(pinned, isHeld)), work(placeable), START.plusSeconds(30));
     assertEquals(
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void aDelayIsLoggedAtIntervalsUntilTheJobIsForgotten() {
+  void delayIsLoggedAtIntervalsUntilJobIsRemoved() {
     List<FailoverQueue.DisplacedJob> jobs = List.of(displacedJob(false, true));
     assertEquals(0, log.delayed(jobs, work(true), START.plusSeconds(29)).size());
     assertEquals(1, log.delayed(jobs, work(true), START.plusSeconds(30)).size());
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -76,7 +76,7 @@
 
   private List<String> releasedAfter(double seconds, int firstOpenTier) {
     now = now.plusSeconds(seconds);
-    queue.settle(work);
+    queue.removeResolved(work);
     List<String> jobs = new ArrayList<>();
     queue
         .release(work, firstOpenTier, now)
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void lowerTiersWaitUntilHigherOnesArePlaced() {
+  void lowerTiersWaitUntilHigherTiersArePlaced() {
     displace("wk-3", "climate", 2);
     displace("wk-2", "chart", 2);
     displace("wk-1", "warning", 2);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void aLowerTierWaitsForHigherAttemptsThatAreStillOpen() {
+  void lowerTierWaitsForOpenAttemptsOfHigherTier() {
     displace("wk-3", "climate", 2);
     assertEquals(List.of(), releasedAfter(1, 0));
     assertEquals(List.of("wk-3"), releasedAfter(1, 2));
@@ -106,7 +106,7 @@
 
   /** Attempts of a higher tier that never end delay the rest for a bounded time. */
   @Test
-  void openAttemptsDelayLowerTiersForABoundedTime() {
+  void openAttemptsDelayLowerTiersForBoundedTime() {
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
     assertEquals(List.of(), releasedAfter(14, 0));
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aHigherTierWithoutRoomDelaysLowerOnesForABoundedTime() {
+  void higherTierWithoutRoomDelaysLowerTiersForBoundedTime() {
     displace("wk-1", "warning", 1);
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
@@ -124,17 +124,17 @@
     assertEquals(List.of(), releasedAfter(13));
     assertEquals(List.of("wk-2"), releasedAfter(1));
     assertEquals(List.of("wk-3"), releasedAfter(15));
-    assertEquals(List.of("wk-9"), releasedOfALaterLoss());
+    assertEquals(List.of("wk-9"), releasedAfterLaterLoss());
   }
 
   /** The job that still has no room does not delay the work of the next lost zone. */
-  private List<String> releasedOfALaterLoss() {
+  private List<String> releasedAfterLaterLoss() {
     displace("wk-9", "climate", 1);
     return releasedAfter(1);
   }
 
   @Test
-  void jobsThatCanNotBePlacedDelayNothing() {
+  void unplaceableJobsDelayNoOthers() {
     displace("wk-1", "warning", 1);
     unplaceable.add(new JobId("wk-1"));
     displace(job("wk-4", "warning", "batch", 1, "west"));
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void tasksAreReleasedAtARateAndGangsWhole() {
+  void tasksAreReleasedAtBoundedRateAndGangsWhole() {
     queue = new FailoverQueue(RELEASE, order, 4, now);
     displace("wk-1", "warning", 40);
     displace(job("wk-2", "warning", "group", 6, null));
@@ -161,7 +161,7 @@
   }
 
   @Test
-  void theRateGrowsWithTheNumberOfDisplacedTasks() {
+  void releaseRateGrowsWithNumberOfDisplacedTasks() {
     queue = new FailoverQueue(RELEASE, order, 30, now);
     for (int i = 0; i < 40; i++) {
       displace("wk-" + i, "warning", 100);
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void aTaskIsDisplacedOnceAndRemovedWhenItEnds() {
+  void taskIsDisplacedOnceAndRemovedWhenItEnds() {
     JobSpec spec = job("wk-1", "warning", "batch", 1, null);
     queue.displace(spec, 0, "west", now);
     queue.displace(spec, 0, "west", now);
@@ -181,11 +181,11 @@
     queue.displace(spec, 0, "west", now);
     assertTrue(queue.held().isEmpty(), "a released task is not held again");
     states.put(spec.id(), DisplacedWork.TaskState.ENDED);
-    assertTrue(queue.settle(work).isEmpty(), "a cancelled job is not moved");
+    assertTrue(queue.removeResolved(work).isEmpty(), "a cancelled job is not moved");
     assertTrue(queue.isEmpty());
     queue.displace(spec, 0, "west", now);
     states.put(spec.id(), DisplacedWork.TaskState.PLACED);
-    assertEquals(1, queue.settle(work).size());
+    assertEquals(1, queue.removeResolved(work).size());
     assertFalse(queue.held().containsKey(spec.id()));
   }
 }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -38,8 +38,8 @@
   private ZoneFailover failover;
 
   /** Machines n-0 to n-39 lie in the first zone, n-40 to n-79 in the second, and so on. */
-  private final PlacementFacts facts =
-      new PlacementFacts() {
+  private final PlacementLookup placementLookup =
+      new PlacementLookup() {
         @Override
         public Optional<String> zoneOf(MachineId machine) {
           return Optional.of(ZONES.get(Integer.parseInt(machine.value().substring(2)) / MACHINES));
@@ -94,7 +94,7 @@
     }
   }
 
-  private void loseAndReturn() {
+  private void loseAndRecover() {
     observe(6, MACHINES);
     assertEquals(ZoneState.UNAVAILABLE, failover.current().read().state("north"));
     observe(10.5, 0);
@@ -111,7 +111,7 @@
   }
 
   private Plan limit(Plan plan) {
-    return failover.limit(plan, facts, new ArrayList<>(), now);
+    return failover.limit(plan, placementLookup, new ArrayList<>(), now);
   }
 
   private static int starts(Plan plan) {
@@ -121,15 +121,15 @@
   // ---- plans ------------------------------------------------------------------------------------
 
   @Test
-  void aPlanIsUnchangedWhileAllZonesAreAvailable() {
+  void planIsUnchangedWhileAllZonesAreAvailable() {
     Plan plan = new Plan();
     plan.placements().add(place(ARRAY, 0, 30));
     assertSame(plan, limit(plan));
   }
 
   @Test
-  void startsInAReturningZoneKeepToItsPace() {
-    loseAndReturn();
+  void startsInRecoveringZoneAreRateLimited() {
+    loseAndRecover();
     int started = 0;
     int steps = ZoneFailoverSettings.DEFAULT.pace().steps();
     for (int round = 0; round < 200; round++) {
@@ -146,8 +146,8 @@
   }
 
   @Test
-  void theRateDoublesWithEachStep() {
-    ReturnPacer pacer = new ReturnPacer(ZoneFailoverSettings.DEFAULT.pace());
+  void startRateDoublesWithEachStep() {
+    RecoveryRateLimiter pacer = new RecoveryRateLimiter(ZoneFailoverSettings.DEFAULT.pace());
     assertEquals(4, pacer.rate(0, 40));
     assertEquals(32, pacer.rate(3, 40));
     assertEquals(1, pacer.rate(0, 3), "one a second at least");
@@ -155,8 +155,8 @@
   }
 
   @Test
-  void gangsStartWholeAndMayOverdrawTheBudget() {
-    loseAndReturn();
+  void gangsStartWholeAndMayOverdrawTokenBucket() {
+    loseAndRecover();
     Plan plan = new Plan();
     plan.placements().add(place(GANG, 0, 16));
     plan.placements().add(place(ARRAY, 20, 4));
@@ -168,8 +168,8 @@
   }
 
   @Test
-  void runningReplicasAreNotMovedAndMachinesAreReleasedAtARate() {
-    loseAndReturn();
+  void runningReplicasAreNotMovedAndMachineReleasesAreRateLimited() {
+    loseAndRecover();
     Plan plan = new Plan();
     MachineId machine = new MachineId("n-50");
     Resources room = Resources.need(1, 0, 1);
@@ -239,12 +239,12 @@
     "unavailable, false, false, 2, 0",
     "recovering, true, true, 3, 1"
   })
-  void thePlannerSeesAZoneByItsState(
+  void plannerSnapshotReflectsZoneState(
       String state, boolean shown, boolean ready, int offers, int pendingProvisions) {
     switch (state) {
       case "suspect" -> observe(1, MACHINES);
       case "unavailable" -> observe(6, MACHINES);
-      case "recovering" -> loseAndReturn();
+      case "recovering" -> loseAndRecover();
       default -> assertTrue(failover.current().read().isUnrestricted());
     }
     Snapshot seen = failover.filter(snapshot());
@@ -255,8 +255,8 @@
   }
 
   @Test
-  void machinesOfAReturningZoneWithoutBudgetAreNotReady() {
-    loseAndReturn();
+  void machinesOfRecoveringZoneWithoutTokensAreNotReady() {
+    loseAndRecover();
     Plan plan = new Plan();
     plan.placements().add(place(ARRAY, 0, 30));
     limit(plan);
@@ -266,7 +266,7 @@
   }
 
   @Test
-  void heldTasksAreHiddenAndBecomeExpectedJobs() {
+  void heldTasksAreRemovedAndBecomeExpectedJobs() {
     JobSpec array = Specs.of(Specs.json("wk-1", "batch", 5));
     JobSpec gang = Specs.of(Specs.json("wk-2", "group", 3));
     JobSpec other = Specs.of(Specs.json("wk-3", "batch", 4));
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -43,7 +43,7 @@
       ZoneState before = zones.get(0).state();
       zones = assessment.assess(zones, observations, now);
       if (zones.get(0).state() != before) {
-        states.add(zones.get(0).state().word());
+        states.add(zones.get(0).state().label());
       }
     }
   }
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aLostZoneIsSuspectAtOnceAndReturnsInSteps() {
+  void lostZoneIsSuspectAtOnceAndRecoversInSteps() {
     begin(3);
     run(10);
     assertEquals(ZoneState.AVAILABLE, state(0));
@@ -85,14 +85,14 @@
     "16, 6, UNAVAILABLE",
     "20, 6, UNAVAILABLE"
   })
-  void theShareOfImpairedMachinesDecides(int impaired, double seconds, ZoneState expected) {
+  void shareOfImpairedMachinesDeterminesState(int impaired, double seconds, ZoneState expected) {
     begin(3);
     run(seconds, impaired);
     assertEquals(expected, state(0));
   }
 
   @Test
-  void halfAZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
+  void halfImpairedZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
     begin(3);
     run(30, 10);
     assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half takes work");
@@ -113,7 +113,7 @@
     "3, 20, 0, 0, 6, UNAVAILABLE",
     "2, 20, 0, 0, 6, UNAVAILABLE"
   })
-  void lostLinksOfTheLeaderAreDistinguishedFromLostZones(
+  void leaderNetworkFailureIsDistinguishedFromZoneLoss(
       int count, int first, int second, int third, double seconds, ZoneState expected) {
     begin(count);
     run(seconds, first, second, third);
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void zonesThatAreLostOneAfterTheOtherAreBothUnavailable() {
+  void zonesLostOneAfterTheOtherAreBothUnavailable() {
     begin(3);
     run(20, 20);
     run(6, 20, 20);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void aZoneThatFlapsIsSuppressedForABoundedTime() {
+  void flappingZoneIsSuppressedForBoundedTime() {
     begin(3);
     run(15, 20);
     run(12);
@@ -155,7 +155,7 @@
   }
 
   @Test
-  void aLossDuringRecoveryMakesTheZoneSuspectAgain() {
+  void lossDuringRecoveryMakesZoneSuspectAgain() {
     begin(3);
     run(15, 20);
     run(18);
@@ -168,7 +168,7 @@
 
   /** Machines whose first heartbeat is not due yet make a zone neither well nor lost. */
   @Test
-  void aNewLeaderDrawsNoConclusionFromMachinesNotHeardYet() {
+  void newLeaderIgnoresZoneWithUnreportedMachines() {
     begin(3);
     run(15, 20);
     List<ZoneObservation> unheard =
@@ -184,7 +184,7 @@
 
   /** A list of machines that lags or is empty only changes the number of expected ones. */
   @Test
-  void aZoneWithoutMachinesRecoversAfterAWhile() {
+  void zoneWithoutMachinesRecoversAfterDelay() {
     begin(2);
     run(15, 20);
     List<ZoneObservation> gone =
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -21,7 +21,7 @@
   private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
 
   @Test
-  void theNextLeaderContinuesFromTheRecord() {
+  void nextLeaderRestoresRecordedHealth() {
     ZoneHealth lost =
         new ZoneHealth(
             ZoneState.RECOVERING,
@@ -43,7 +43,7 @@
     assertEquals(10, later.secondsSince(read.since()), 0.01);
     assertEquals(33, later.secondsSince(read.penalty().at()), 0.01);
     assertTrue(read.suppressed());
-    assertEquals(null, read.wellSince(), "observations start anew");
+    assertEquals(null, read.healthySince(), "observations start anew");
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -33,7 +33,7 @@
     return new ZoneEvent.WorkChanged(step, "wk-1", tasks, "2", "warnings", "west", 7.5, "turn");
   }
 
-  private static List<String> lossAndReturn() {
+  private static List<String> lossAndRecovery() {
     return List.of(
         line(state(ZoneState.AVAILABLE, ZoneState.SUSPECT), 0),
         line(state(ZoneState.SUSPECT, ZoneState.UNAVAILABLE), 4),
@@ -42,17 +42,17 @@
         line(work(ZoneEvent.WorkStep.MOVED, "0-2"), 24),
         line(work(ZoneEvent.WorkStep.DELAYED, "3"), 50),
         line(state(ZoneState.UNAVAILABLE, ZoneState.RECOVERING), 60),
-        line(new ZoneEvent.ReturnStarts("west", 1, 4), 66),
+        line(new ZoneEvent.RecoveryStarts("west", 1, 4), 66),
         line(state(ZoneState.RECOVERING, ZoneState.AVAILABLE), 80));
   }
 
   @Test
-  void everyEventIsParsedAsItWasWritten() {
+  void everyEventIsParsedAsWritten() {
     List<ZoneEvent> events =
         List.of(
             state(ZoneState.RECOVERING, ZoneState.AVAILABLE),
             work(ZoneEvent.WorkStep.DELAYED, "1,4-9"),
-            new ZoneEvent.ReturnStarts("west", 2, 17));
+            new ZoneEvent.RecoveryStarts("west", 2, 17));
     ZoneLog log = ZoneLog.read(events.stream().map(event -> line(event, 1)));
     assertEquals(events, log.events().stream().map(ZoneLog.Entry::event).toList());
     assertEquals(0, log.malformed());
@@ -60,18 +60,18 @@
 
   /** Logs of earlier versions have other words for two of the steps. */
   @Test
-  void theWordsOfEarlierVersionsAreParsed() {
+  void legacyStepNamesAreParsed() {
     Stream<String> earlier =
-        lossAndReturn().stream()
+        lossAndRecovery().stream()
             .map(text -> text.replace(" displaced ", " owed ").replace(" delayed ", " waits "));
     ZoneLog log = ZoneLog.read(earlier);
-    assertEquals(ZoneLog.read(lossAndReturn().stream()).events(), log.events());
+    assertEquals(ZoneLog.read(lossAndRecovery().stream()).events(), log.events());
     assertEquals(0, log.malformed());
   }
 
   @Test
   void statesMovesAndStartsAreCollected() {
-    ZoneHistory history = new ZoneHistory(ZoneLog.read(lossAndReturn().stream()).events());
+    ZoneHistory history = new ZoneHistory(ZoneLog.read(lossAndRecovery().stream()).events());
     assertEquals(
         List.of(ZoneState.SUSPECT, ZoneState.UNAVAILABLE, ZoneState.RECOVERING),
         history.intervals().stream().map(ZoneHistory.Interval::state).toList());
@@ -83,7 +83,7 @@
   /** The events of two controllers' logs are sorted by time. */
   @Test
   void logsOfSeveralControllersAreMerged() {
-    List<String> lines = lossAndReturn();
+    List<String> lines = lossAndRecovery();
     Stream<String> turned = Stream.concat(lines.subList(5, 9).stream(), lines.stream().limit(5));
     ZoneHistory history = new ZoneHistory(ZoneLog.read(turned).events());
     assertEquals(3, history.intervals().size());
@@ -91,10 +91,10 @@
   }
 
   @Test
-  void aDuplicateAttemptIsFound() {
+  void duplicateAttemptIsFound() {
     Stream<String> lines =
         Stream.concat(
-            lossAndReturn().stream(), Stream.of(line(work(ZoneEvent.WorkStep.MOVED, "2"), 90)));
+            lossAndRecovery().stream(), Stream.of(line(work(ZoneEvent.WorkStep.MOVED, "2"), 90)));
     ZoneHistory history = new ZoneHistory(ZoneLog.read(lines).events());
     assertEquals(
         List.of("wk-1/2"),
@@ -102,11 +102,11 @@
   }
 
   @Test
-  void theReportIsOneFileWithItsPlots() throws IOException {
+  void reportIsOneFileWithEmbeddedPlots() throws IOException {
     Path log = dir.resolve("log");
     Path out = dir.resolve("out.html");
-    Files.write(log, lossAndReturn());
-    assertEquals(ZoneReport.Result.WHOLE, ZoneReport.write(ZoneLog.read(log), out));
+    Files.write(log, lossAndRecovery());
+    assertEquals(ZoneReport.Result.COMPLETE, ZoneReport.write(ZoneLog.read(log), out));
     String page = Files.readString(out);
     assertEquals(3, page.split("data:image/png;base64,", -1).length - 1, "three plots");
     assertTrue(page.contains("<td>warnings</td><td>4</td><td>3</td>"), "totals by tier");
@@ -114,12 +114,12 @@
   }
 
   @Test
-  void damagedLinesAreCountedAndTheRestIsReported() throws IOException {
+  void malformedLinesAreCountedAndOthersReported() throws IOException {
     Path log = dir.resolve("log");
-    String cut = lossAndReturn().get(3).substring(0, 70);
+    String cut = lossAndRecovery().get(3).substring(0, 70);
     Files.writeString(
         log,
-        String.join("\n", lossAndReturn())
+        String.join("\n", lossAndRecovery())
             + "\nsome other line\n"
             + cut
             + "\n"
@@ -140,11 +140,11 @@
   }
 
   @Test
-  void aLogWithoutEventsGivesNoReport() throws IOException {
+  void logWithoutEventsGivesNoReport() throws IOException {
     Path log = dir.resolve("log");
     Files.write(log, "nothing here\nzone-event\n".getBytes(StandardCharsets.UTF_8));
     Path out = dir.resolve("out.html");
-    assertEquals(ZoneReport.Result.NOTHING_USABLE, ZoneReport.write(ZoneLog.read(log), out));
+    assertEquals(ZoneReport.Result.NO_EVENTS, ZoneReport.write(ZoneLog.read(log), out));
     assertFalse(Files.exists(out));
   }
 }
