--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -43,7 +43,7 @@
     long lostMillis = clock.wallMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
     for (Job job : ledger.jobs()) {
       if (job.highest().value() > 0
-          && !FleetView.isOver(job)
+          && !FleetView.isFinished(job)
           && job.acceptedMillis() < lostMillis) {
         reportWaitingTasks(job, zone, now);
       }
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -135,7 +135,7 @@
   @Override
   public TaskState state(JobId id, int task) {
     Job job = ledger.job(id);
-    if (job == null || FleetView.isOver(job) || job.isDone(task)) {
+    if (job == null || FleetView.isFinished(job) || job.isDone(task)) {
       return TaskState.ENDED;
     }
     return job.open(task) == null ? TaskState.PENDING : TaskState.PLACED;
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -41,7 +41,7 @@
   }
 
   /** Whether no task of a job is to be started any more. */
-  static boolean isOver(Job job) {
+  static boolean isFinished(Job job) {
     return job.cancelled() || job.over();
   }
 
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -91,7 +91,7 @@
   @Override
   public void attemptClosed(Attempt attempt, boolean done) {
     Job job = attempt.job();
-    if (done || FleetView.isOver(job) || !isZoneKnown(attempt)) {
+    if (done || FleetView.isFinished(job) || !isZoneKnown(attempt)) {
       return;
     }
     failover.attemptLost(
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -62,7 +62,7 @@
   private final FailoverOrder order;
   private final double minRate;
   private PMap<JobId, DisplacedJob> displaced = HashTreePMap.empty();
-  private TokenBucket bucket;
+  private ImmutableTokenBucket bucket;
 
   /** The largest number of held tasks since the queue was last without any. */
   private int peakHeld;
@@ -77,7 +77,7 @@
     this.settings = settings;
     this.order = order;
     this.minRate = minRate;
-    this.bucket = TokenBucket.withOneToken(now);
+    this.bucket = ImmutableTokenBucket.withOneToken(now);
   }
 
   /** Whether no task is displaced. */
--- a/src/main/java/org/ternhinge/zone/TokenBucket.java
+++ b/src/main/java/org/ternhinge/zone/ImmutableTokenBucket.java
@@ -10,17 +10,17 @@
  * @param tokens number of tokens at that time; negative after an overdraft
  * @param at time of that number
  */
-record TokenBucket(double tokens, SteadyTime at) {
+record ImmutableTokenBucket(double tokens, SteadyTime at) {
   /** A budget with one token. */
-  static TokenBucket withOneToken(SteadyTime now) {
-    return new TokenBucket(1, now);
+  static ImmutableTokenBucket withOneToken(SteadyTime now) {
+    return new ImmutableTokenBucket(1, now);
   }
 
   /** The budget with the tokens that were added since its time. */
-  TokenBucket refilled(double tokensPerSecond, SteadyTime now) {
+  ImmutableTokenBucket refilled(double tokensPerSecond, SteadyTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
     double capacity = tokensPerSecond + 1;
-    return new TokenBucket(Math.min(capacity, tokens + tokensPerSecond * elapsedS), now);
+    return new ImmutableTokenBucket(Math.min(capacity, tokens + tokensPerSecond * elapsedS), now);
   }
 
   /** Whether a token is left. */
@@ -29,7 +29,7 @@
   }
 
   /** The budget after tokens were taken, which may be more than there are. */
-  TokenBucket minus(int count) {
-    return new TokenBucket(tokens - count, at);
+  ImmutableTokenBucket minus(int count) {
+    return new ImmutableTokenBucket(tokens - count, at);
   }
 }
--- a/src/main/java/org/ternhinge/zone/RecoveryLimits.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryLimits.java
@@ -16,11 +16,11 @@
   private static final double RELEASE_SHARE = 0.02;
 
   private final RecoveryRateLimiter rateLimiter;
-  private TokenBucket releases;
+  private ImmutableTokenBucket releases;
 
   RecoveryLimits(RecoveryRateLimiter rateLimiter, SteadyTime now) {
     this.rateLimiter = rateLimiter;
-    this.releases = TokenBucket.withOneToken(now);
+    this.releases = ImmutableTokenBucket.withOneToken(now);
   }
 
   /**
--- a/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
@@ -11,7 +11,7 @@
  */
 final class RecoveryRateLimiter {
   private final ZoneFailoverSettings.Pace pace;
-  private final Map<String, TokenBucket> buckets = new HashMap<>();
+  private final Map<String, ImmutableTokenBucket> buckets = new HashMap<>();
 
   RecoveryRateLimiter(ZoneFailoverSettings.Pace pace) {
     this.pace = pace;
@@ -30,7 +30,7 @@
         .forEach(
             (name, status) -> {
               if (status.state() == ZoneState.RECOVERING) {
-                TokenBucket bucket = buckets.computeIfAbsent(name, key -> TokenBucket.withOneToken(now));
+                ImmutableTokenBucket bucket = buckets.computeIfAbsent(name, key -> ImmutableTokenBucket.withOneToken(now));
                 buckets.put(name, bucket.refilled(rate(status.step(), status.expected()), now));
               }
             });
@@ -38,7 +38,7 @@
 
   /** Whether a start in a zone is permitted now; always where the zone is not paced. */
   boolean allows(String zone) {
-    TokenBucket bucket = buckets.get(zone);
+    ImmutableTokenBucket bucket = buckets.get(zone);
     return bucket == null || bucket.hasToken();
   }
 
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -21,32 +21,32 @@
     return switch (kind) {
       case "state" ->
           new ZoneEvent.StateChanged(
-              text(fields, "zone"),
-              state(fields, "from"),
-              state(fields, "to"),
-              Integer.parseInt(text(fields, "impaired")),
-              Integer.parseInt(text(fields, "expected")),
-              Double.parseDouble(text(fields, "penalty")),
-              Boolean.parseBoolean(text(fields, "suppressed")));
+              requiredField(fields, "zone"),
+              requiredState(fields, "from"),
+              requiredState(fields, "to"),
+              Integer.parseInt(requiredField(fields, "impaired")),
+              Integer.parseInt(requiredField(fields, "expected")),
+              Double.parseDouble(requiredField(fields, "penalty")),
+              Boolean.parseBoolean(requiredField(fields, "suppressed")));
       case "return-starts" ->
           new ZoneEvent.RecoveryStarts(
-              text(fields, "zone"),
-              Integer.parseInt(text(fields, "step")),
-              Integer.parseInt(text(fields, "starts")));
+              requiredField(fields, "zone"),
+              Integer.parseInt(requiredField(fields, "step")),
+              Integer.parseInt(requiredField(fields, "starts")));
       default ->
           new ZoneEvent.WorkChanged(
               ZoneEvent.WorkStep.of(kind),
-              text(fields, "job"),
-              ranges(fields, "tasks"),
-              text(fields, "attempts").equals("-") ? "" : text(fields, "attempts"),
-              text(fields, "tier"),
-              text(fields, "zone"),
-              Double.parseDouble(text(fields, "waited_s")),
-              text(fields, "reason"));
+              requiredField(fields, "job"),
+              requiredRanges(fields, "tasks"),
+              requiredField(fields, "attempts").equals("-") ? "" : requiredField(fields, "attempts"),
+              requiredField(fields, "tier"),
+              requiredField(fields, "zone"),
+              Double.parseDouble(requiredField(fields, "waited_s")),
+              requiredField(fields, "reason"));
     };
   }
 
-  private static String text(Map<String, String> fields, String name) {
+  private static String requiredField(Map<String, String> fields, String name) {
     String value = fields.get(name);
     if (value == null) {
       throw new IllegalArgumentException(name + " is missing");
@@ -54,8 +54,8 @@
     return value;
   }
 
-  private static String ranges(Map<String, String> fields, String name) {
-    String value = text(fields, name);
+  private static String requiredRanges(Map<String, String> fields, String name) {
+    String value = requiredField(fields, name);
     // Throws where these are no ranges.
     if (TaskRanges.decode(value).isEmpty()) {
       throw new IllegalArgumentException(name + " is empty");
@@ -63,8 +63,8 @@
     return value;
   }
 
-  private static ZoneState state(Map<String, String> fields, String name) {
-    return ZoneState.of(text(fields, name))
+  private static ZoneState requiredState(Map<String, String> fields, String name) {
+    return ZoneState.of(requiredField(fields, name))
         .orElseThrow(() -> new IllegalArgumentException(name + " is not a state"));
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -104,7 +104,7 @@
     queue.displace(job, task, zone, now);
     displacements.add(job, task, attempt, zone);
     // Hundreds may be lost at once, so that only what has changed is published.
-    current.update(present -> present.withHeld(job.id(), queue.held(job.id())));
+    current.update(snapshot -> snapshot.withHeld(job.id(), queue.held(job.id())));
   }
 
   /**
@@ -153,7 +153,7 @@
   private void publish(SteadyTime now) {
     ZoneSnapshot next = new ZoneSnapshot(zones.status(rateLimiter, now), queue.held());
     rateLimiter.refill(next, now);
-    current.update(present -> next);
+    current.update(previous -> next);
   }
 
   // ---- planning ---------------------------------------------------------------------------------
@@ -169,11 +169,11 @@
    * @param events the list to which the starts in returning zones are added
    */
   public Plan limit(Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, SteadyTime now) {
-    ZoneSnapshot present = current.read();
-    if (present.allAvailable()) {
+    ZoneSnapshot snapshot = current.read();
+    if (snapshot.allAvailable()) {
       return plan;
     }
-    Plan limited = limits.limit(plan, present, placementLookup, events, now);
+    Plan limited = limits.limit(plan, snapshot, placementLookup, events, now);
     publish(now);
     return limited;
   }
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -72,7 +72,7 @@
     this.fromMillis = events.isEmpty() ? 0 : events.get(0).atMillis();
     this.toMillis = events.isEmpty() ? 0 : events.get(events.size() - 1).atMillis();
     events.forEach(this::add);
-    states.forEach((zone, state) -> endState(zone, state, toMillis));
+    states.forEach((zone, state) -> closeInterval(zone, state, toMillis));
   }
 
   private void add(ZoneLog.Entry entry) {
@@ -87,11 +87,11 @@
 
   private void stateChanged(long atMillis, ZoneEvent.StateChanged changed) {
     ZoneState before = states.put(changed.zone(), changed.to());
-    endState(changed.zone(), before == null ? changed.from() : before, atMillis);
+    closeInterval(changed.zone(), before == null ? changed.from() : before, atMillis);
     stateSince.put(changed.zone(), atMillis);
   }
 
-  private void endState(String zone, ZoneState state, long atMillis) {
+  private void closeInterval(String zone, ZoneState state, long atMillis) {
     long since = stateSince.getOrDefault(zone, fromMillis);
     if (atMillis > since) {
       intervals.add(new Interval(zone, state, since, atMillis));
@@ -110,7 +110,7 @@
         totals.moved += tasks.size();
         totals.longestWaitS = Math.max(totals.longestWaitS, work.waitedS());
         moves.add(new Move(atMillis, work.job(), work.tier(), tasks.size(), work.waitedS()));
-        tasks.forEach(task -> moved(atMillis, taskName(work.job(), task)));
+        tasks.forEach(task -> recordMove(atMillis, taskName(work.job(), task)));
       }
       case DELAYED ->
           delays.add(
@@ -126,7 +126,7 @@
     return job + "/" + task;
   }
 
-  private void moved(long atMillis, String task) {
+  private void recordMove(long atMillis, String task) {
     if (!displacedTasks.remove(task)) {
       duplicateAttempts.add(new DuplicateAttempt(atMillis, task));
     }
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -62,15 +62,15 @@
 
     void read(String line) {
       lines++;
-      int mark = line.indexOf(ZoneEvent.MARKER + " ");
-      if (mark < 0) {
+      int markerIndex = line.indexOf(ZoneEvent.MARKER + " ");
+      if (markerIndex < 0) {
         return;
       }
-      Optional<Entry> entry = entry(line.substring(mark + ZoneEvent.MARKER.length() + 1));
+      Optional<Entry> entry = parseEntry(line.substring(markerIndex + ZoneEvent.MARKER.length() + 1));
       entry.ifPresentOrElse(events::add, () -> malformed++);
     }
 
-    private static Optional<Entry> entry(String text) {
+    private static Optional<Entry> parseEntry(String text) {
       String[] words = text.strip().split(" +", -1);
       Map<String, String> fields = new HashMap<>();
       for (int i = 1; i < words.length; i++) {
@@ -80,10 +80,10 @@
         }
         fields.put(words[i].substring(0, equals), words[i].substring(equals + 1));
       }
-      return ZoneEventParser.parse(words[0], fields).flatMap(event -> timed(event, fields));
+      return ZoneEventParser.parse(words[0], fields).flatMap(event -> withTimestamp(event, fields));
     }
 
-    private static Optional<Entry> timed(ZoneEvent event, Map<String, String> fields) {
+    private static Optional<Entry> withTimestamp(ZoneEvent event, Map<String, String> fields) {
       try {
         long atMillis = Long.parseLong(fields.getOrDefault("at", ""));
         long term = Long.parseLong(fields.getOrDefault("term", ""));
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -38,13 +38,13 @@
     return zones.limit(plan).placements().size();
   }
 
-  private void record(String state) {
+  private void storeRecord(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
     fixture.core.compareAndSwap(
         new CompareAndSwap(List.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
-  private Entry recorded() {
+  private Entry storedEntry() {
     return fixture.core.get(ZoneRecord.KEY).entry().orElseThrow();
   }
 
@@ -72,8 +72,8 @@
   /** A write without the version that stands there would be a conflict and end the leadership. */
   @Test
   void recordIsWrittenAtItsRevisionAndOnTransitionsOnly() {
-    record("available");
-    long before = recorded().revision().value();
+    storeRecord("available");
+    long before = storedEntry().revision().value();
     for (int i = 0; i < 4; i++) {
       Machine machine = fixture.machine("n-00000" + i);
       machine.describe(new MachineDescription("small", 0, "east", false));
@@ -83,16 +83,16 @@
     fixture.clock.runFor(10);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(before, recorded().revision().value(), "nothing is written before it is read");
+    assertEquals(before, storedEntry().revision().value(), "nothing is written before it is read");
     fixture.store.resume();
     fixture.clock.runFor(1);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals("suspect", recorded().value().path("east").path("s").asText());
-    long after = recorded().revision().value();
+    assertEquals("suspect", storedEntry().value().path("east").path("s").asText());
+    long after = storedEntry().revision().value();
     assertTrue(after > before);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(after, recorded().revision().value(), "no transition, no write");
+    assertEquals(after, storedEntry().revision().value(), "no transition, no write");
   }
 }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -101,7 +101,7 @@
     assertEquals(ZoneState.RECOVERING, failover.current().read().state("north"));
   }
 
-  private static Plan.Placement place(JobId job, int firstMachine, int count) {
+  private static Plan.Placement placement(JobId job, int firstMachine, int count) {
     return new Plan.Placement(
         job,
         IntStream.range(0, count).boxed().toList(),
@@ -114,7 +114,7 @@
     return failover.limit(plan, placementLookup, new ArrayList<>(), now);
   }
 
-  private static int starts(Plan plan) {
+  private static int startCount(Plan plan) {
     return plan.placements().stream().mapToInt(place -> place.tasks().size()).sum();
   }
 
@@ -123,7 +123,7 @@
   @Test
   void planIsUnchangedWhileAllZonesAreAvailable() {
     Plan plan = new Plan();
-    plan.placements().add(place(ARRAY, 0, 30));
+    plan.placements().add(placement(ARRAY, 0, 30));
     assertSame(plan, limit(plan));
   }
 
@@ -134,15 +134,15 @@
     int steps = ZoneFailoverSettings.DEFAULT.pace().steps();
     for (int round = 0; round < 200; round++) {
       Plan plan = new Plan();
-      plan.placements().add(place(ARRAY, 0, 30));
-      started += starts(limit(plan));
+      plan.placements().add(placement(ARRAY, 0, 30));
+      started += startCount(limit(plan));
       now = now.plusSeconds(0.1);
     }
     // At the first step the zone may start a tenth of its 40 machines a second, and one at once.
     assertTrue(started >= 60 && started <= 4 * 20 + 5 * steps, started + " starts in 20 s");
     Plan elsewhere = new Plan();
-    elsewhere.placements().add(place(ARRAY, MACHINES, 30));
-    assertEquals(30, starts(limit(elsewhere)));
+    elsewhere.placements().add(placement(ARRAY, MACHINES, 30));
+    assertEquals(30, startCount(limit(elsewhere)));
   }
 
   @Test
@@ -158,13 +158,13 @@
   void gangsStartWholeAndMayOverdrawTokenBucket() {
     loseAndRecover();
     Plan plan = new Plan();
-    plan.placements().add(place(GANG, 0, 16));
-    plan.placements().add(place(ARRAY, 20, 4));
+    plan.placements().add(placement(GANG, 0, 16));
+    plan.placements().add(placement(ARRAY, 20, 4));
     Plan limited = limit(plan);
     assertEquals(1, limited.placements().size());
     assertEquals(16, limited.placements().get(0).tasks().size());
     now = now.plusSeconds(1);
-    assertEquals(0, starts(limit(plan)), "the overdraft has to be refilled first");
+    assertEquals(0, startCount(limit(plan)), "the overdraft has to be refilled first");
   }
 
   @Test
@@ -175,13 +175,13 @@
     Resources room = Resources.need(1, 0, 1);
     plan.preemptions()
         .add(new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
-    Plan.Preemption forAnother =
+    Plan.Preemption preemptionForOtherJob =
         new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(GANG, 0)));
-    plan.preemptions().add(forAnother);
+    plan.preemptions().add(preemptionForOtherJob);
     plan.scaleOuts().add(new Plan.ScaleOut("small", "east", true, 3));
     IntStream.range(40, 80).forEach(i -> plan.releases().add(new MachineId("n-" + i)));
     Plan limited = limit(plan);
-    assertEquals(List.of(forAnother), limited.preemptions());
+    assertEquals(List.of(preemptionForOtherJob), limited.preemptions());
     assertEquals(plan.scaleOuts(), limited.scaleOuts());
     assertTrue(limited.releases().size() <= 4, limited.releases().size() + " released at once");
   }
@@ -258,7 +258,7 @@
   void machinesOfRecoveringZoneWithoutTokensAreNotReady() {
     loseAndRecover();
     Plan plan = new Plan();
-    plan.placements().add(place(ARRAY, 0, 30));
+    plan.placements().add(placement(ARRAY, 0, 30));
     limit(plan);
     Snapshot seen = failover.filter(snapshot());
     assertEquals(3, seen.machines().size());
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -22,22 +22,22 @@
   private SteadyTime now = new SteadyTime(0);
   private final List<String> states = new ArrayList<>();
 
-  private void begin(int count) {
+  private void addAvailableZones(int count) {
     for (int i = 0; i < count; i++) {
       zones.add(ZoneHealth.available(now));
     }
   }
 
   /** Advances the time in steps of half a second and records each new state of the first zone. */
-  private void run(double seconds, int... impaired) {
+  private void advance(double seconds, int... impaired) {
     List<ZoneObservation> observations = new ArrayList<>();
     for (int zone = 0; zone < zones.size(); zone++) {
       observations.add(new ZoneObservation(MACHINES, zone < impaired.length ? impaired[zone] : 0));
     }
-    run(seconds, observations);
+    advance(seconds, observations);
   }
 
-  private void run(double seconds, List<ZoneObservation> observations) {
+  private void advance(double seconds, List<ZoneObservation> observations) {
     for (double t = 0; t < seconds; t += 0.5) {
       now = now.plusSeconds(0.5);
       ZoneState before = zones.get(0).state();
@@ -54,20 +54,20 @@
 
   @Test
   void lostZoneIsSuspectAtOnceAndRecoversInSteps() {
-    begin(3);
-    run(10);
+    addAvailableZones(3);
+    advance(10);
     assertEquals(ZoneState.AVAILABLE, state(0));
-    run(0.5, 20);
+    advance(0.5, 20);
     assertEquals(ZoneState.SUSPECT, state(0));
-    run(60, 20);
+    advance(60, 20);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
-    run(SETTINGS.detection().settleS() - 1);
+    advance(SETTINGS.detection().settleS() - 1);
     assertEquals(ZoneState.UNAVAILABLE, state(0), "it has to be well for a while");
-    run(2);
+    advance(2);
     assertEquals(ZoneState.RECOVERING, state(0));
-    run(SETTINGS.pace().stepS() + 0.5);
+    advance(SETTINGS.pace().stepS() + 0.5);
     assertEquals(1, zones.get(0).step());
-    run(SETTINGS.pace().stepS() * SETTINGS.pace().steps());
+    advance(SETTINGS.pace().stepS() * SETTINGS.pace().steps());
     assertEquals(List.of("suspect", "unavailable", "recovering", "available"), states);
   }
 
@@ -86,19 +86,19 @@
     "20, 6, UNAVAILABLE"
   })
   void shareOfImpairedMachinesDeterminesState(int impaired, double seconds, ZoneState expected) {
-    begin(3);
-    run(seconds, impaired);
+    addAvailableZones(3);
+    advance(seconds, impaired);
     assertEquals(expected, state(0));
   }
 
   @Test
   void halfImpairedZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
-    begin(3);
-    run(30, 10);
+    addAvailableZones(3);
+    advance(30, 10);
     assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half takes work");
-    run(5, 12);
+    advance(5, 12);
     assertEquals(ZoneState.AVAILABLE, state(0), "two more are two more");
-    run(8, 19);
+    advance(8, 19);
     assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the rest is gone");
   }
 
@@ -115,16 +115,16 @@
   })
   void leaderNetworkFailureIsDistinguishedFromZoneLoss(
       int count, int first, int second, int third, double seconds, ZoneState expected) {
-    begin(count);
-    run(seconds, first, second, third);
+    addAvailableZones(count);
+    advance(seconds, first, second, third);
     assertEquals(expected, state(0));
   }
 
   @Test
   void zonesLostOneAfterTheOtherAreBothUnavailable() {
-    begin(3);
-    run(20, 20);
-    run(6, 20, 20);
+    addAvailableZones(3);
+    advance(20, 20);
+    advance(6, 20, 20);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
     assertEquals(ZoneState.UNAVAILABLE, state(1));
     assertEquals(ZoneState.AVAILABLE, state(2));
@@ -132,23 +132,23 @@
 
   @Test
   void flappingZoneIsSuppressedForBoundedTime() {
-    begin(3);
-    run(15, 20);
-    run(12);
+    addAvailableZones(3);
+    advance(15, 20);
+    advance(12);
     assertEquals(ZoneState.RECOVERING, state(0), "once is no flap");
-    run(15, 20);
+    advance(15, 20);
     assertTrue(zones.get(0).suppressed(), "twice within a minute is one");
-    run(SETTINGS.detection().settleS() + 2);
+    advance(SETTINGS.detection().settleS() + 2);
     assertEquals(ZoneState.UNAVAILABLE, state(0), "well, but still suppressed");
     for (int i = 0; i < 20; i++) {
-      run(15, 20);
-      run(2);
+      advance(15, 20);
+      advance(2);
     }
     assertTrue(zones.get(0).penalty().value() <= SETTINGS.flaps().max());
     // Half-life 30 s, from 2.5 to 0.75: less than two, after which it has been well for long.
     double waited = 0;
     while (state(0) == ZoneState.UNAVAILABLE) {
-      run(0.5);
+      advance(0.5);
       waited += 0.5;
     }
     assertTrue(waited > SETTINGS.detection().settleS() && waited < 53, "out of use for " + waited);
@@ -156,12 +156,12 @@
 
   @Test
   void lossDuringRecoveryMakesZoneSuspectAgain() {
-    begin(3);
-    run(15, 20);
-    run(18);
+    addAvailableZones(3);
+    advance(15, 20);
+    advance(18);
     assertEquals(ZoneState.RECOVERING, state(0));
     assertTrue(zones.get(0).step() >= 1);
-    run(1, 8);
+    advance(1, 8);
     assertEquals(ZoneState.SUSPECT, state(0));
     assertEquals(0, zones.get(0).step());
   }
@@ -169,33 +169,33 @@
   /** Machines whose first heartbeat is not due yet make a zone neither well nor lost. */
   @Test
   void newLeaderIgnoresZoneWithUnreportedMachines() {
-    begin(3);
-    run(15, 20);
-    List<ZoneObservation> unheard =
+    addAvailableZones(3);
+    advance(15, 20);
+    List<ZoneObservation> unreported =
         List.of(
             new ZoneObservation(0, 0, MACHINES),
             new ZoneObservation(MACHINES, 0),
             new ZoneObservation(MACHINES, 0));
-    run(120, unheard);
+    advance(120, unreported);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
-    run(SETTINGS.detection().settleS() + 1);
+    advance(SETTINGS.detection().settleS() + 1);
     assertEquals(ZoneState.RECOVERING, state(0));
   }
 
   /** A list of machines that lags or is empty only changes the number of expected ones. */
   @Test
   void zoneWithoutMachinesRecoversAfterDelay() {
-    begin(2);
-    run(15, 20);
-    List<ZoneObservation> gone =
+    addAvailableZones(2);
+    advance(15, 20);
+    List<ZoneObservation> withoutMachines =
         List.of(new ZoneObservation(0, 0), new ZoneObservation(MACHINES, 0));
-    run(SETTINGS.detection().settleS() + SETTINGS.release().tierHoldS() + 1, gone);
+    advance(SETTINGS.detection().settleS() + SETTINGS.release().tierHoldS() + 1, withoutMachines);
     assertEquals(ZoneState.RECOVERING, state(0));
-    begin(1);
-    List<ZoneObservation> few =
-        List.of(new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), gone.get(0));
+    addAvailableZones(1);
+    List<ZoneObservation> singleMachine =
+        List.of(new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), withoutMachines.get(0));
     zones.set(0, ZoneHealth.available(now));
-    run(60, few);
+    advance(60, singleMachine);
     assertEquals(ZoneState.AVAILABLE, state(0), "one machine is no zone");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -17,7 +17,7 @@
  * The record of all zones: what the next leader restores, and that invalid records are harmless.
  */
 class ZoneRecordTest {
-  private static final long WALL = 1_700_000_000_000L;
+  private static final long WALL_MILLIS = 1_700_000_000_000L;
   private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
 
   @Test
@@ -34,11 +34,11 @@
             1,
             3);
     ObjectNode record =
-        ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL);
+        ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL_MILLIS);
     assertTrue(Json.bytes(record).length < 200, "a few bytes a zone");
     // Another process with another steady clock, three seconds later.
     SteadyTime later = new SteadyTime(42);
-    ZoneHealth read = ZoneRecord.read(record, later, WALL + 3000).get("west");
+    ZoneHealth read = ZoneRecord.read(record, later, WALL_MILLIS + 3000).get("west");
     assertEquals(ZoneState.RECOVERING, read.state());
     assertEquals(10, later.secondsSince(read.since()), 0.01);
     assertEquals(33, later.secondsSince(read.penalty().at()), 0.01);
@@ -59,7 +59,7 @@
         "{\"west\":{\"s\":\"suspect\",\"t\":9999999999999999,\"p\":-4}}"
       })
   void invalidRecordsAreHarmless(String text) throws WireException {
-    ZoneRecord.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)), NOW, WALL)
+    ZoneRecord.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)), NOW, WALL_MILLIS)
         .values()
         .forEach(
             health -> {
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -84,8 +84,8 @@
   @Test
   void logsOfSeveralControllersAreMerged() {
     List<String> lines = lossAndRecovery();
-    Stream<String> turned = Stream.concat(lines.subList(5, 9).stream(), lines.stream().limit(5));
-    ZoneHistory history = new ZoneHistory(ZoneLog.read(turned).events());
+    Stream<String> reordered = Stream.concat(lines.subList(5, 9).stream(), lines.stream().limit(5));
+    ZoneHistory history = new ZoneHistory(ZoneLog.read(reordered).events());
     assertEquals(3, history.intervals().size());
     assertEquals(List.of(), history.duplicateAttempts());
   }
