--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -10,15 +10,15 @@
 import org.ternhinge.zone.ZoneFailover;
 
 /**
- * Finds the tasks that were displaced from zones lost under an earlier leader: those whose attempts
- * it has closed and that have none now. Which they were is not recorded, so of each job that was
- * accepted before the loss and has ever had an attempt, all tasks count that a scheduling round
- * could start. Guarded by the controller's lock.
+ * Finds the tasks displaced from zones that were lost under an earlier leader, that is, tasks whose
+ * attempts that leader closed and that have none now. These tasks are not recorded. Therefore all
+ * startable tasks count of each job that was accepted before the loss and has ever had an attempt.
+ * Guarded by the controller's lock.
  */
 final class DisplacedTaskRecovery {
   private static final int MILLIS_PER_SECOND = 1000;
 
-  /** The attempt number of a displaced task where it is not known. */
+  /** The attempt number of a displaced task whose last attempt is unknown. */
   private static final long UNKNOWN_ATTEMPT = 0;
 
   private final Ledger ledger;
@@ -31,7 +31,7 @@
     this.failover = failover;
   }
 
-  /** Reports the displaced tasks of all zones that are lost by the adopted record. */
+  /** Reports the displaced tasks of all zones that are lost according to the restored record. */
   void recover() {
     SteadyTime now = clock.now();
     for (Map.Entry<String, SteadyTime> lost : failover.lostSince().entrySet()) {
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -22,20 +22,21 @@
 import org.ternhinge.zone.ZoneObservation;
 
 /**
- * The state of machines and displaced tasks at one check. A machine is counted in its zone only
- * while the cloud is not about to take it away, since such a machine may fall silent:
+ * The state of machines and displaced tasks at one check. A machine that the cloud is about to
+ * remove is not counted in its zone, since its heartbeats may stop at any time. Other machines are
+ * counted as follows:
  *
  * <pre>
  *                         heard in this leadership     not heard, but listed or with attempts
- * first heartbeat awaited expected                     unheard
+ * first heartbeat awaited expected                     unreported
  * first heartbeat overdue expected                     expected and impaired
  * </pre>
  *
- * <p>An expected machine is impaired, too, where its heartbeats are overdue or commands don't reach
+ * <p>An expected machine is also impaired if its heartbeats are overdue or commands do not reach
  * it. Guarded by the controller's lock.
  */
 final class FleetObservations implements ZoneFailover.Observations {
-  /** Heartbeat intervals in which a worker may find a new leader. */
+  /** Number of heartbeat intervals within which a worker is expected to find a new leader. */
   private static final double FIRST_HEARTBEAT_TIMEOUT_INTERVALS = 4;
 
   private final Settings settings;
@@ -52,7 +53,7 @@
    * Creates the observations of one check.
    *
    * @param tierOf the tier of a job in the order of failover
-   * @param now when the check takes place
+   * @param now time of the check
    */
   FleetObservations(
       LeadershipContext context,
@@ -81,7 +82,8 @@
     List<ZoneObservation> zones = new ArrayList<>();
     for (int zone = 0; zone < expected.size(); zone++) {
       ZoneMachineCounts.Count count = expected.get(zone);
-      zones.add(new ZoneObservation(count.counted(), count.marked(), unreported.get(zone).counted()));
+      zones.add(
+          new ZoneObservation(count.counted(), count.marked(), unreported.get(zone).counted()));
     }
     return zones;
   }
@@ -92,13 +94,13 @@
         machines.all(), settings.zones().size(), fleet::zoneIndex, isCounted, isMarked);
   }
 
-  /** Whether heartbeats should come from a machine. */
+  /** Whether a machine should be sending heartbeats. */
   private boolean isExpected(Machine machine) {
     return machine.cloud().isStaying()
         && (machine.agent().isHeard() || (firstHeartbeatsOverdue && isInUse(machine)));
   }
 
-  /** Whether a machine's worker seems to be up and has not found this leader yet. */
+  /** Whether a machine's worker appears to be running but has not found this leader yet. */
   private boolean isUnreported(Machine machine) {
     return machine.cloud().isStaying()
         && !machine.agent().isHeard()
--- a/src/main/java/org/ternhinge/failover/FleetView.java
+++ b/src/main/java/org/ternhinge/failover/FleetView.java
@@ -13,11 +13,11 @@
 import org.ternhinge.zone.PlacementLookup;
 
 /**
- * The zones of machines, and the jobs, as zone failover sees them. Guarded by the controller's
+ * Looks up zones of machines and properties of jobs for zone failover. Guarded by the controller's
  * lock.
  */
 final class FleetView implements PlacementLookup {
-  /** The zone of a machine of which it is not known. */
+  /** The zone index of a machine whose zone is unknown. */
   static final int UNKNOWN_ZONE = -1;
 
   private final Ledger ledger;
@@ -29,8 +29,8 @@
   }
 
   /**
-   * The number of a machine's zone, as its worker or the cloud names it, or else that of the
-   * attempts opened there; {@link #UNKNOWN_ZONE} where there are none.
+   * Returns the index of a machine's zone as reported by its worker or the cloud, or otherwise that
+   * of the attempts opened on it; {@link #UNKNOWN_ZONE} if there are none.
    */
   int zoneIndex(Machine machine) {
     if (machine.description().zone() >= 0) {
@@ -40,7 +40,7 @@
     return open.isEmpty() ? UNKNOWN_ZONE : open.iterator().next().zone();
   }
 
-  /** Whether no task of a job is to be started any more. */
+  /** Whether no more tasks of a job are to be started. */
   static boolean isFinished(Job job) {
     return job.cancelled() || job.over();
   }
--- a/src/main/java/org/ternhinge/failover/ZoneControl.java
+++ b/src/main/java/org/ternhinge/failover/ZoneControl.java
@@ -10,11 +10,11 @@
 import org.ternhinge.term.LeadershipContext;
 
 /**
- * Zone failover of one leadership: the reaction to the loss and return of whole zones. {@link
- * #NONE} does nothing, and no class of {@code org.ternhinge.zone} is loaded where it is used.
+ * Zone failover of one leadership: the reaction to the loss and recovery of whole zones. {@link
+ * #NONE} does nothing, and no class of {@code org.ternhinge.zone} is loaded when it is used.
  */
 public interface ZoneControl extends AttemptListener {
-  /** The null object where zone failover is not configured. */
+  /** The null object for sites on which zone failover is not configured. */
   ZoneControl NONE =
       new ZoneControl() {
         @Override
@@ -37,7 +37,7 @@
         }
       };
 
-  /** Zone failover as it is configured, or {@link #NONE}. */
+  /** Creates the configured zone failover, or returns {@link #NONE}. */
   static ZoneControl of(
       LeadershipContext context, MachineRegistry machines, TaskFailures failures) {
     return context
@@ -48,17 +48,18 @@
         .orElse(NONE);
   }
 
-  /** Adopts the zone states of an earlier leader; called once the ledger has been recovered. */
+  /** Restores the zone states of an earlier leader; called once the ledger has been recovered. */
   void recover();
 
   /**
-   * Checks all zones; called periodically, under the lock, while the leadership certainly holds.
+   * Checks all zones; called periodically under the controller's lock while the leadership is
+   * certain.
    */
   void check(SteadyTime now);
 
-  /** The part of a snapshot that may be planned with; called without the controller's lock. */
+  /** Returns the part of a snapshot to plan with; called without the controller's lock. */
   Snapshot filter(Snapshot full);
 
-  /** The part of a plan that may be carried out now; called under the controller's lock. */
+  /** Returns the part of a plan that may be executed now; called under the controller's lock. */
   Plan limit(Plan plan);
 }
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -18,9 +18,9 @@
 import org.ternhinge.zone.ZoneFailover;
 
 /**
- * Connects a leadership to the decisions of {@link ZoneFailover}: provides it with observations of
- * machines and jobs, logs its decisions and has its record written when they change a zone's state.
- * Guarded by the controller's lock, but for {@link #filter}.
+ * Connects a leadership to {@link ZoneFailover}: provides observations of machines and jobs, logs
+ * decisions and triggers a write of the record when a zone's state changes. Guarded by the
+ * controller's lock, except for {@link #filter}.
  */
 final class ZoneCoordinator implements ZoneControl {
   private final LeadershipContext context;
@@ -102,7 +102,9 @@
         clock.now());
   }
 
-  /** Whether an attempt's zone is configured; it may have been when the attempt was opened. */
+  /**
+   * Whether an attempt's zone is configured; it may have been removed since the attempt was opened.
+   */
   private boolean isZoneKnown(Attempt attempt) {
     return attempt.zone() >= 0 && attempt.zone() < zones.size();
   }
@@ -115,7 +117,8 @@
   @Override
   public Plan limit(Plan plan) {
     if (record.isReadPending()) {
-      // Which tasks an earlier leader delayed is not known yet: they would start out of order.
+      // The tasks delayed by an earlier leader are not known yet, and would be started out of
+      // order.
       return new Plan();
     }
     List<ZoneEvent> events = new ArrayList<>();
--- a/src/main/java/org/ternhinge/failover/ZoneEventLog.java
+++ b/src/main/java/org/ternhinge/failover/ZoneEventLog.java
@@ -11,11 +11,11 @@
 import org.ternhinge.zone.ZoneEvent;
 
 /**
- * Logs the decisions of zone failover as they are made, and its metrics periodically. Guarded by
- * the controller's lock.
+ * Logs the decisions of zone failover immediately and its metrics periodically. Guarded by the
+ * controller's lock.
  */
 final class ZoneEventLog {
-  /** Named after the coordinator, so that the lines stay as operators know them. */
+  /** Named after the coordinator to keep the log format stable for operators. */
   private static final Logger LOG = LoggerFactory.getLogger(ZoneCoordinator.class);
 
   private static final double METRICS_INTERVAL_S = 60;
--- a/src/main/java/org/ternhinge/failover/ZoneRecordStore.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordStore.java
@@ -12,14 +12,15 @@
 import org.ternhinge.zone.ZoneRecord;
 
 /**
- * Keeps the record of the zones' states in the key-value store. It is read once, when a leadership
- * begins, and written after that whenever a state has changed. Guarded by the controller's lock.
+ * Reads and writes the record of the zones' states in the key-value store. The record is read once,
+ * at the start of a leadership, and written after each state change from then on. Guarded by the
+ * controller's lock.
  */
 final class ZoneRecordStore {
-  /** Seconds for which the record is awaited before tasks are placed without it. */
+  /** Seconds to wait for the record before tasks are placed without it. */
   private static final double READ_TIMEOUT_S = 2;
 
-  /** Seconds until the record is read again after that has failed. */
+  /** Seconds between attempts to read the record. */
   private static final double READ_RETRY_S = 1;
 
   private final LeadershipContext context;
@@ -27,16 +28,16 @@
   private final ZoneFailover failover;
   private final Runnable onRestored;
 
-  /** Whether the record's revision is known: without it a write would be a conflict. */
+  /** Whether the record's revision is known; a write without it would fail with a conflict. */
   private boolean revisionKnown;
 
   private boolean writeDue;
   private SteadyTime readDeadline;
 
   /**
-   * Creates a keeper that has not read the record.
+   * Creates a store that has not read the record yet.
    *
-   * @param onRestored runs once an earlier leader's record was found and adopted
+   * @param onRestored runs after the record of an earlier leader was restored
    */
   ZoneRecordStore(LeadershipContext context, ZoneFailover failover, Runnable onRestored) {
     this.context = context;
@@ -46,18 +47,18 @@
     this.readDeadline = clock.now();
   }
 
-  /** Reads the record of an earlier leader, again and again until that succeeds. */
+  /** Reads the record of an earlier leader, and retries until that succeeds. */
   void recover() {
     readDeadline = clock.now().plusSeconds(READ_TIMEOUT_S);
     read();
   }
 
-  /** Whether the record is still being read, and tasks are not to be placed without it. */
+  /** Whether the record is still being read and tasks must not be placed yet. */
   boolean isReadPending() {
     return !revisionKnown && clock.now().isBefore(readDeadline);
   }
 
-  /** A zone's state has changed: the next {@link #writeIfDue} writes the record. */
+  /** Marks the record as changed, so that the next {@link #writeIfDue} writes it. */
   void markChanged() {
     writeDue = true;
   }
--- a/src/main/java/org/ternhinge/failover/package-info.java
+++ b/src/main/java/org/ternhinge/failover/package-info.java
@@ -1,10 +1,9 @@
 /**
- * Connects a leadership to the decisions of {@link org.ternhinge.zone.ZoneFailover}: provides it
- * with observations of machines and jobs, logs its decisions and keeps its record in the key-value
- * store.
+ * Connects a leadership to {@link org.ternhinge.zone.ZoneFailover}: provides observations of
+ * machines and jobs, logs decisions and stores the record of zones in the key-value store.
  *
- * <p>Owns whether that record was read and is to be written. Guarded by the controller's lock, but
- * for the filter of snapshots, which a scheduling round calls without it. Changes nothing where
- * zone failover is not configured.
+ * <p>Tracks whether that record has been read and needs to be written. Guarded by the controller's
+ * lock, except for the filter of snapshots, which a scheduling round calls without it. Has no
+ * effect if zone failover is not configured.
  */
 package org.ternhinge.failover;
--- a/src/main/java/org/ternhinge/zone/DisplacedWork.java
+++ b/src/main/java/org/ternhinge/zone/DisplacedWork.java
@@ -2,24 +2,24 @@
 
 import org.ternhinge.model.JobId;
 
-/** The present state of displaced work, as the ledger has it. */
+/** The current state of displaced tasks, as recorded in the ledger. */
 public interface DisplacedWork {
   /** The state of a displaced task. */
   enum TaskState {
-    /** It has no attempt and is to get one. */
+    /** It has no open attempt and needs one. */
     PENDING,
-    /** It has a new attempt. */
+    /** It has an open attempt again. */
     PLACED,
-    /** It is done or cancelled: it needs no new attempt. */
+    /** It is done or cancelled and needs no new attempt. */
     ENDED
   }
 
-  /** The state of a task. */
+  /** Returns the state of a displaced task. */
   TaskState state(JobId job, int task);
 
   /**
-   * Whether a job could be placed if there were room: it neither backs off nor has unmet
-   * dependencies.
+   * Whether a job could be placed given enough capacity, that is, it is not in backoff and has no
+   * unmet dependencies.
    */
   boolean isPlaceable(JobId job);
 }
--- a/src/main/java/org/ternhinge/zone/DisplacementLog.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementLog.java
@@ -16,14 +16,15 @@
 import org.ternhinge.zone.ZoneEvent.WorkStep;
 
 /**
- * Turns what happens to displaced tasks into events for the log: one for all tasks of a job that
- * take a step together, and one at intervals for each job that still waits. Guarded by its owner.
+ * Creates the log events of displaced tasks: one event for all tasks of a job that change state
+ * together, and a periodic one for each job that is still waiting. Not thread-safe; the owner
+ * synchronizes access.
  */
 final class DisplacementLog {
-  /** Seconds between two events about a job that still waits. */
+  /** Seconds between two events about a job that is still waiting. */
   private static final double DELAY_INTERVAL_S = 30;
 
-  /** Tasks of a job that were displaced since the last event about it. */
+  /** Tasks of a job displaced since the last call of {@link #displaced}. */
   private static final class NewlyDisplaced {
     private final JobSpec job;
     private final String zone;
@@ -63,19 +64,19 @@
     this.order = order;
   }
 
-  /** Notes a task for the next {@link #displaced}. */
+  /** Adds a displaced task, to be reported by the next call of {@link #displaced}. */
   void add(JobSpec job, int task, long attempt, String zone) {
     newlyDisplaced
         .computeIfAbsent(job.id(), id -> new NewlyDisplaced(job, zone))
         .add(task, attempt);
   }
 
-  /** Whether no displaced task was noted since the last {@link #displaced}. */
+  /** Whether no task was added since the last call of {@link #displaced}. */
   boolean isEmpty() {
     return newlyDisplaced.isEmpty();
   }
 
-  /** Events for the tasks that were displaced since the last call. */
+  /** Returns the events of the tasks added since the last call. */
   List<ZoneEvent> displaced() {
     List<ZoneEvent> events = new ArrayList<>(newlyDisplaced.size());
     for (NewlyDisplaced displaced : newlyDisplaced.values()) {
@@ -85,17 +86,17 @@
     return events;
   }
 
-  /** An event for tasks whose turn has come. */
+  /** Returns the event of tasks that were released to the planner. */
   ZoneEvent released(FailoverQueue.JobTasks tasks, SteadyTime now) {
     return event(WorkStep.RELEASED, tasks, DisplacementReason.TURN, now);
   }
 
-  /** An event for tasks that have new attempts. */
+  /** Returns the event of tasks that have new attempts. */
   ZoneEvent moved(FailoverQueue.JobTasks tasks, SteadyTime now) {
     return event(WorkStep.MOVED, tasks, DisplacementReason.PLACED, now);
   }
 
-  /** Events for the jobs that have waited for another interval. */
+  /** Returns an event for each job that has waited for another interval. */
   List<ZoneEvent> delayed(
       List<FailoverQueue.DisplacedJob> jobs, DisplacedWork work, SteadyTime now) {
     List<ZoneEvent> events = new ArrayList<>();
@@ -111,7 +112,7 @@
     return events;
   }
 
-  /** Forgets the jobs that are displaced no longer. */
+  /** Discards the log times of all jobs but those given, which are still displaced. */
   void retain(List<FailoverQueue.DisplacedJob> jobs) {
     Set<JobId> ids = new HashSet<>();
     jobs.forEach(job -> ids.add(job.spec().id()));
--- a/src/main/java/org/ternhinge/zone/DisplacementReason.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementReason.java
@@ -1,29 +1,29 @@
 package org.ternhinge.zone;
 
-/** Why displaced tasks take a step or still wait, as the log has it. */
+/** The reason for a step of displaced tasks, or for their delay, as written to the log. */
 enum DisplacementReason {
-  /** Their attempts ended with the zone. */
+  /** Their attempts ended because the zone was lost. */
   ZONE_LOST("zone-lost"),
-  /** Their tier's turn has come. */
+  /** Their tier may be released now. */
   TURN("turn"),
   /** They have new attempts. */
   PLACED("placed"),
-  /** They may run in the lost zone only. */
+  /** They are restricted to the lost zone. */
   PINNED_TO_ZONE("pinned-to-zone"),
-  /** Their job backs off after failures, or depends on other jobs. */
+  /** Their job is in backoff after failures or has unmet dependencies. */
   BACKOFF_OR_DEPENDENCY("backs-off-or-depends"),
-  /** There is no room for them, or their team's limit is reached. */
+  /** There is no capacity for them, or the limit of their team is reached. */
   NO_ROOM_OR_LIMIT("no-room-or-limit"),
   /** Tasks of a higher tier are released first. */
   HIGHER_TIER_FIRST("higher-tier-first");
 
   private final String label;
 
-  DisplacementReason(String word) {
-    this.label = word;
+  DisplacementReason(String label) {
+    this.label = label;
   }
 
-  /** The reason as logs have it. */
+  /** The name of the reason in the log. */
   String label() {
     return label;
   }
--- a/src/main/java/org/ternhinge/zone/FailoverMetrics.java
+++ b/src/main/java/org/ternhinge/zone/FailoverMetrics.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Histograms of how long displaced tasks waited for their new attempts, one for each tier. */
+/** Histograms of the time from displacement to the new attempt of a task, one per tier. */
 public final class FailoverMetrics {
   private static final long MAX_MS = 3_600_000;
   private static final int SIGNIFICANT_DIGITS = 2;
@@ -12,7 +12,7 @@
 
   private final Map<String, Histogram> waits = new TreeMap<>();
 
-  /** Counts tasks of a tier that have new attempts after a wait. */
+  /** Records tasks of a tier that got new attempts after the given wait. */
   void recordMoved(String tier, double waitedS, int tasks) {
     long millis = Math.max(0, Math.min(MAX_MS, (long) (waitedS * MILLIS_PER_S)));
     waits
@@ -20,7 +20,7 @@
         .recordValueWithCount(millis, tasks);
   }
 
-  /** A line of text, in milliseconds, for each tier of which a task has moved. */
+  /** Returns a summary in milliseconds by tier, for tiers of which at least one task has moved. */
   public Map<String, String> lines() {
     Map<String, String> lines = new TreeMap<>();
     waits.forEach(
--- a/src/main/java/org/ternhinge/zone/FailoverOrder.java
+++ b/src/main/java/org/ternhinge/zone/FailoverOrder.java
@@ -4,7 +4,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.wire.JobSpec;
 
-/** The tiers in which the work of a lost zone moves, the most important first. */
+/** The tiers in which the tasks of a lost zone are moved, most important first. */
 final class FailoverOrder {
   private final List<ZoneFailoverSettings.Tier> tiers;
 
@@ -12,7 +12,7 @@
     this.tiers = List.copyOf(tiers);
   }
 
-  /** The number of the first tier that a job belongs to; the last one takes the rest. */
+  /** Returns the index of the first tier that matches a job; the last tier takes all other jobs. */
   int tierOf(JobSpec job) {
     for (int tier = 0; tier < tiers.size() - 1; tier++) {
       if (tiers.get(tier).matches(job)) {
@@ -22,12 +22,12 @@
     return tiers.size() - 1;
   }
 
-  /** The name that the operators gave a tier. */
+  /** Returns the configured name of a tier. */
   String name(int tier) {
     return tiers.get(tier).name();
   }
 
-  /** The number of tiers. */
+  /** Returns the number of tiers. */
   int size() {
     return tiers.size();
   }
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -14,21 +14,21 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The tasks that were displaced from lost zones: their attempts have certainly ended and they have
- * no new ones. They are held until their tier's turn comes and then released at a bounded rate;
- * where they are placed is left to the planner.
+ * The tasks displaced from lost zones: their attempts have certainly ended and they have no new
+ * ones. Tasks are held until their tier may be released, and are then released to the planner at a
+ * bounded rate; the planner decides where they are placed.
  *
- * <p>Every hold ends: a job of tier k is released no later than k times {@code tier_hold_s} after
- * it was displaced, and a job that finds no room delays lower tiers only for as long as its own
- * tier's turn lasts.
+ * <p>The hold time is bounded: a job of tier k is released no later than k times {@code
+ * tier_hold_s} after it was displaced, and a job without capacity delays lower tiers no longer than
+ * the hold time of its own tier.
  */
 final class FailoverQueue {
   /**
    * A job with displaced tasks.
    *
    * @param zone the lost zone
-   * @param pinned whether the job may run in that zone only
-   * @param held tasks that are not to be placed yet
+   * @param pinned whether the job is restricted to that zone
+   * @param held tasks that must not be placed yet
    * @param released tasks that may be placed
    * @param since time at which the first of them was displaced
    */
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Tasks of one job that take a step together. */
+  /** Tasks of one job that change state together. */
   record JobTasks(DisplacedJob job, PSet<Integer> tasks) {}
 
   private static final Comparator<DisplacedJob> RELEASE_ORDER =
@@ -64,13 +64,13 @@
   private PMap<JobId, DisplacedJob> displaced = HashTreePMap.empty();
   private ImmutableTokenBucket bucket;
 
-  /** The largest number of held tasks since the queue was last without any. */
+  /** The largest number of held tasks since there last were none. */
   private int peakHeld;
 
   /**
    * Creates an empty queue.
    *
-   * @param minRate lowest rate at which tasks are released, a second
+   * @param minRate minimum release rate, in tasks per second
    */
   FailoverQueue(
       ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, SteadyTime now) {
@@ -80,12 +80,15 @@
     this.bucket = ImmutableTokenBucket.withOneToken(now);
   }
 
-  /** Whether no task is displaced. */
+  /** Whether there are no displaced tasks. */
   boolean isEmpty() {
     return displaced.isEmpty();
   }
 
-  /** Adds a task that has lost its attempt with a zone; one that is released is not held again. */
+  /**
+   * Adds a task that lost its attempt with a zone; a task that was already released is not held
+   * again.
+   */
   void displace(JobSpec spec, int task, String zone, SteadyTime now) {
     DisplacedJob before = displaced.get(spec.id());
     if (before == null) {
@@ -99,9 +102,9 @@
     }
   }
 
-  // ---- settlement -------------------------------------------------------------------------------
+  // ---- removal ----------------------------------------------------------------------------------
 
-  /** Removes the tasks that are displaced no longer, and returns those with a new attempt. */
+  /** Removes the tasks that are no longer displaced, and returns those with a new attempt. */
   List<JobTasks> removeResolved(DisplacedWork work) {
     List<JobTasks> placed = new ArrayList<>();
     for (DisplacedJob job : displaced.values()) {
@@ -132,9 +135,9 @@
   // ---- release ----------------------------------------------------------------------------------
 
   /**
-   * Releases the tasks whose turn has come, as far as the rate permits.
+   * Releases the tasks of eligible tiers, as far as the rate permits.
    *
-   * @param firstOpenTier the most important tier of which attempts in lost zones are still open
+   * @param firstOpenTier the most important tier with attempts still open in lost zones
    */
   List<JobTasks> release(DisplacedWork work, int firstOpenTier, SteadyTime now) {
     bucket = bucket.refilled(rate(), now);
@@ -151,7 +154,7 @@
     return released;
   }
 
-  /** The rate, in tasks a second, that empties the queue in the time that the settings ask for. */
+  /** The rate, in tasks per second, that drains the queue within the configured time. */
   private double rate() {
     int tasks = 0;
     for (DisplacedJob job : displaced.values()) {
@@ -198,7 +201,7 @@
 
   // ---- queries ----------------------------------------------------------------------------------
 
-  /** The held tasks by job. */
+  /** Returns the held tasks by job. */
   PMap<JobId, PSet<Integer>> held() {
     PMap<JobId, PSet<Integer>> held = HashTreePMap.empty();
     for (DisplacedJob job : displaced.values()) {
@@ -209,12 +212,12 @@
     return held;
   }
 
-  /** The held tasks of a displaced job. */
+  /** Returns the held tasks of a displaced job. */
   PSet<Integer> held(JobId job) {
     return displaced.get(job).held;
   }
 
-  /** All jobs with displaced tasks. */
+  /** Returns all jobs with displaced tasks. */
   List<DisplacedJob> jobs() {
     return List.copyOf(displaced.values());
   }
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -4,25 +4,25 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Measures how often a zone was lost recently: each loss adds one, and the value decays
- * exponentially, as in route flap damping.
+ * A penalty for recent losses of a zone, as in route flap damping (RFC 2439): each loss adds one,
+ * and the value decays exponentially.
  *
- * @param value the penalty at that time
- * @param at the time of that value
+ * @param value the penalty at the time {@code at}
+ * @param at the time to which the value refers
  */
 record FlapPenalty(double value, SteadyTime at) {
-  /** The penalty of a zone that was never lost. */
+  /** Returns the penalty of a zone that was never lost. */
   static FlapPenalty none(SteadyTime now) {
     return new FlapPenalty(0, now);
   }
 
-  /** The decayed value. */
+  /** Returns the value after decay up to the given time. */
   double valueAt(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
     double halfLives = Math.max(0, now.secondsSince(at)) / flaps.halfLifeS();
     return value * Math.pow(0.5, halfLives);
   }
 
-  /** The penalty after another loss. */
+  /** Returns the penalty after another loss, up to the configured maximum. */
   FlapPenalty increased(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
     return new FlapPenalty(Math.min(flaps.max(), valueAt(now, flaps) + 1), now);
   }
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -6,12 +6,15 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Distinguishes lost zones from lost links of the leader itself, by comparing the zones. Where all
- * zones are impaired, the leader is assumed to be cut off; where many became so at once, no loss is
- * confirmed for a while.
+ * Distinguishes the loss of a zone from a network failure of the leader itself, by comparing all
+ * zones. If all zones are impaired, the leader is assumed to be partitioned; if many zones became
+ * impaired at the same time, the confirmation of a loss is delayed by the duration of a lease.
  */
 final class FleetAssessment {
-  /** The cause is in doubt where one in so many zones, and more than one, is impaired at once. */
+  /**
+   * The cause is ambiguous if several zones, and at least one in this many, become impaired at the
+   * same time.
+   */
   private static final int CORRELATED_SHARE_DIVISOR = 2;
 
   private final ZoneFailoverSettings settings;
@@ -20,15 +23,15 @@
   /**
    * Creates an assessment.
    *
-   * @param leaseS duration of a worker's lease in seconds, after which the tasks of a machine that
-   *     is not reached have ended, whatever the cause
+   * @param leaseS duration of a worker's lease in seconds, after which the tasks of an unreachable
+   *     machine have ended, whatever the cause
    */
   FleetAssessment(ZoneFailoverSettings settings, double leaseS) {
     this.settings = settings;
     this.leaseS = leaseS;
   }
 
-  /** The health of all zones after an observation of each, in the same order. */
+  /** Returns the health of all zones after an observation of each, in the same order. */
   List<ZoneHealth> assess(
       List<ZoneHealth> before, List<ZoneObservation> observations, SteadyTime now) {
     List<ZoneHealth> after = new ArrayList<>(before.size());
@@ -39,7 +42,10 @@
     return after;
   }
 
-  /** Whether the impairment of a zone may be its loss rather than that of the leader's links. */
+  /**
+   * Whether the impairment of a zone may be confirmed as its loss, rather than attributed to a
+   * network failure of the leader.
+   */
   private boolean isConfirmable(
       int zone, List<ZoneHealth> zones, List<ZoneObservation> observations, SteadyTime now) {
     SteadyTime onset = zones.get(zone).impairedSince();
--- a/src/main/java/org/ternhinge/zone/ImmutableTokenBucket.java
+++ b/src/main/java/org/ternhinge/zone/ImmutableTokenBucket.java
@@ -3,32 +3,32 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * A token bucket as an immutable value, whose rate may change over time. It holds the tokens of one
- * second and one more, so that rounding loses none, and may be overdrawn by what can't be divided,
- * such as a gang.
+ * An immutable token bucket whose rate may change over time. Its capacity is the number of tokens
+ * of one second plus one, so that none are lost to rounding. Indivisible requests, such as a gang,
+ * may overdraw it.
  *
- * @param tokens number of tokens at that time; negative after an overdraft
- * @param at time of that number
+ * @param tokens number of tokens at the time {@code at}; negative after an overdraft
+ * @param at time to which the number refers
  */
 record ImmutableTokenBucket(double tokens, SteadyTime at) {
-  /** A budget with one token. */
+  /** Returns a bucket with one token. */
   static ImmutableTokenBucket withOneToken(SteadyTime now) {
     return new ImmutableTokenBucket(1, now);
   }
 
-  /** The budget with the tokens that were added since its time. */
+  /** Returns the bucket with the tokens added up to the given time. */
   ImmutableTokenBucket refilled(double tokensPerSecond, SteadyTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
     double capacity = tokensPerSecond + 1;
     return new ImmutableTokenBucket(Math.min(capacity, tokens + tokensPerSecond * elapsedS), now);
   }
 
-  /** Whether a token is left. */
+  /** Whether at least one token is available. */
   boolean hasToken() {
     return tokens >= 1;
   }
 
-  /** The budget after tokens were taken, which may be more than there are. */
+  /** Returns the bucket without the given number of tokens, which may exceed those available. */
   ImmutableTokenBucket minus(int count) {
     return new ImmutableTokenBucket(tokens - count, at);
   }
--- a/src/main/java/org/ternhinge/zone/PlacementLookup.java
+++ b/src/main/java/org/ternhinge/zone/PlacementLookup.java
@@ -4,9 +4,9 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 
-/** Facts about the jobs and machines of a plan that are needed to limit it. */
+/** Looks up the properties of jobs and machines that are needed to limit a plan. */
 public interface PlacementLookup {
-  /** The name of a machine's zone; empty where the machine or its zone is unknown. */
+  /** Returns the zone name of a machine; empty if the machine or its zone is unknown. */
   Optional<String> zoneOf(MachineId machine);
 
   /** Whether the tasks of a job start together or not at all. */
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -10,8 +10,8 @@
 import org.ternhinge.schedule.Plan;
 
 /**
- * Removes from a plan what exceeds the pace of returning zones: starts there, moves of running
- * replicas, and releases of many machines at once.
+ * Removes from a plan what exceeds the limits that apply while zones recover: task starts in
+ * recovering zones, migrations of running replicas, and the release of many machines at once.
  */
 final class PlanLimiter {
   private final RecoveryRateLimiter rateLimiter;
@@ -24,10 +24,10 @@
   }
 
   /**
-   * The plan within the limits.
+   * Returns the part of a plan that is within the limits.
    *
-   * @param limitedZones names of the zones with a limited number of starts
-   * @param maxReleases how many idle machines may be released now
+   * @param limitedZones names of the zones in which starts are rate-limited
+   * @param maxReleases maximum number of idle machines to release now
    */
   Plan limited(Plan plan, Set<String> limitedZones, int maxReleases) {
     Plan limited = new Plan();
@@ -45,7 +45,7 @@
     return limited;
   }
 
-  /** The permitted starts in each of the paced zones. */
+  /** Returns the number of permitted starts in each rate-limited zone. */
   Map<String, Integer> startsByZone() {
     return startsByZone;
   }
@@ -83,7 +83,10 @@
     startsByZone.merge(zone, 1, Integer::sum);
   }
 
-  /** A gang may overdraw the budget: otherwise one larger than the budget would never start. */
+  /**
+   * Permits a gang as a whole or not at all. A gang may overdraw the bucket; otherwise a gang
+   * larger than the bucket's capacity could never start.
+   */
   private Plan.Placement limitGang(Plan.Placement placement, Set<String> limitedZones) {
     List<String> starts =
         placement.machines().stream()
@@ -97,7 +100,10 @@
     return placement;
   }
 
-  /** Whether a preemption moves a running task of the job itself, and makes no room for another. */
+  /**
+   * Whether a preemption migrates a running task of the job itself rather than freeing capacity for
+   * another job.
+   */
   private static boolean isMigration(Plan.Preemption preemption) {
     return !preemption.victims().isEmpty()
         && preemption.victims().stream()
--- a/src/main/java/org/ternhinge/zone/RecoveryLimits.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryLimits.java
@@ -8,11 +8,11 @@
 import org.ternhinge.schedule.Plan;
 
 /**
- * Limits plans while a zone is not available: by the pace of returning zones, and by a rate of
- * machine releases. Guarded by its owner.
+ * Limits plans while a zone is not available: task starts in recovering zones and the release of
+ * machines are rate-limited. Not thread-safe; the owner synchronizes access.
  */
 final class RecoveryLimits {
-  /** Share of the fleet's machines that may be released a second. */
+  /** Share of the fleet's machines that may be released per second. */
   private static final double RELEASE_SHARE = 0.02;
 
   private final RecoveryRateLimiter rateLimiter;
@@ -24,9 +24,9 @@
   }
 
   /**
-   * The plan without what exceeds the limits.
+   * Returns the part of a plan that is within the limits.
    *
-   * @param events the list to which the starts in returning zones are added
+   * @param events the list to which events of starts in recovering zones are added
    */
   Plan limit(
       Plan plan,
--- a/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
@@ -6,8 +6,9 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Limits how many tasks start in zones that are recovering: few at first, twice as many with each
- * step. Keeps one budget for each zone; guarded by its owner.
+ * Limits the rate of task starts in recovering zones; the rate doubles with each step of the
+ * recovery. Keeps one token bucket per recovering zone. Not thread-safe; the owner synchronizes
+ * access.
  */
 final class RecoveryRateLimiter {
   private final ZoneFailoverSettings.Pace pace;
@@ -17,12 +18,15 @@
     this.pace = pace;
   }
 
-  /** Permitted starts a second in a zone of this size at a step. */
+  /**
+   * Returns the permitted starts per second in a zone of the given size at a step of its recovery;
+   * at least one.
+   */
   double rate(int step, int machines) {
     return Math.max(1, pace.startsPerMachine() * machines) * Math.pow(2, step);
   }
 
-  /** Refills the budgets; zones that are not recovering have none. */
+  /** Refills the buckets, and removes those of zones that are not recovering. */
   void refill(ZoneSnapshot zones, SteadyTime now) {
     buckets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
     zones
@@ -30,19 +34,20 @@
         .forEach(
             (name, status) -> {
               if (status.state() == ZoneState.RECOVERING) {
-                ImmutableTokenBucket bucket = buckets.computeIfAbsent(name, key -> ImmutableTokenBucket.withOneToken(now));
+                ImmutableTokenBucket bucket =
+                    buckets.computeIfAbsent(name, key -> ImmutableTokenBucket.withOneToken(now));
                 buckets.put(name, bucket.refilled(rate(status.step(), status.expected()), now));
               }
             });
   }
 
-  /** Whether a start in a zone is permitted now; always where the zone is not paced. */
+  /** Whether a start in a zone is permitted now; always true if the zone is not rate-limited. */
   boolean allows(String zone) {
     ImmutableTokenBucket bucket = buckets.get(zone);
     return bucket == null || bucket.hasToken();
   }
 
-  /** Takes the starts of tasks in a zone from its budget, which may overdraw it. */
+  /** Takes tokens for task starts from a zone's bucket, which may overdraw it. */
   void take(String zone, int starts) {
     buckets.computeIfPresent(zone, (name, bucket) -> bucket.minus(starts));
   }
--- a/src/main/java/org/ternhinge/zone/SnapshotFilter.java
+++ b/src/main/java/org/ternhinge/zone/SnapshotFilter.java
@@ -7,7 +7,7 @@
 import org.pcollections.PSet;
 import org.ternhinge.schedule.Snapshot;
 
-/** Removes from the planner's snapshot the zones that take no work and the tasks that are held. */
+/** Removes held tasks and zones that accept no work from the planner's snapshot. */
 final class SnapshotFilter {
   private final ZoneSnapshot zones;
 
@@ -15,7 +15,7 @@
     this.zones = zones;
   }
 
-  /** The snapshot that the planner gets. */
+  /** Returns the snapshot to plan with. */
   Snapshot filter(Snapshot full) {
     if (zones.isUnrestricted()) {
       return full;
@@ -40,7 +40,7 @@
     return zones.state(zone).acceptsWork();
   }
 
-  /** Whether machines of a zone take tasks, if not now then soon. */
+  /** Whether the machines of a zone accept tasks now or are likely to do so soon. */
   private boolean countsAsCapacity(String zone) {
     return zones.state(zone) != ZoneState.UNAVAILABLE;
   }
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Held tasks become expected jobs: room is kept or provisioned for them, so that machines are up
-   * when their turn comes. Otherwise each tier would wait for machines to boot once more.
+   * Adds held tasks as expected jobs, so that capacity is reserved or provisioned for them and
+   * machines are up when they are released. Otherwise each tier would wait for machines to boot.
    */
   private List<Snapshot.JobView> expectedJobs(Snapshot full) {
     if (zones.held().isEmpty()) {
@@ -96,7 +96,7 @@
     return expectedJobs;
   }
 
-  /** A job without its held tasks; a gang starts whole or not at all. */
+  /** Returns a job without its held tasks; a gang with held tasks is blocked as a whole. */
   private static Snapshot.JobView withoutHeld(Snapshot.JobView job, PSet<Integer> held) {
     if (job.spec().isGang()) {
       return job.withTasks(job.pendingTasks(), job.pendingCount(), true);
--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * An event of a zone or of the work of a lost zone, as the log has it. {@link ZoneEventParser}
- * reads what {@link #line} writes.
+ * A logged event about a zone or about displaced tasks. {@link ZoneEventParser} parses the format
+ * that {@link #line} writes.
  */
 public sealed interface ZoneEvent {
-  /** The word before the kind and the fields of an event in a line of the log. */
+  /** The marker that precedes the kind and the fields of an event in a log line. */
   String MARKER = "zone-event";
 
-  /** The name of the kind of event in the log. */
+  /** Returns the name of this kind of event in the log. */
   String kind();
 
-  /** The fields in the log, in order; no value contains a space. */
+  /** Returns the fields in the order in which they are logged; no value contains a space. */
   Map<String, String> fields();
 
-  /** The event as a line of the log, without time and level. */
+  /** Returns the event as a log line, without timestamp and level. */
   default String line() {
     StringBuilder line = new StringBuilder(MARKER).append(' ').append(kind());
     fields().forEach((name, value) -> line.append(' ').append(name).append('=').append(value));
@@ -25,9 +25,9 @@
   }
 
   /**
-   * A zone has changed its state.
+   * A change of a zone's state.
    *
-   * @param suppressed whether it stays out of use because it was lost repeatedly
+   * @param suppressed whether the zone's recovery is suppressed because it was lost repeatedly
    */
   record StateChanged(
       String zone,
@@ -57,54 +57,54 @@
     }
   }
 
-  /** A step of displaced tasks on their way to new attempts. */
+  /** A step of displaced tasks towards new attempts. */
   enum WorkStep {
-    /** Their attempts have certainly ended; they wait for their turn. */
+    /** Their attempts have certainly ended; they are held until their tier is released. */
     DISPLACED("displaced", "owed"),
-    /** Their turn has come: the planner may place them. */
+    /** The planner may place them. */
     RELEASED("released", "released"),
     /** They have new attempts. */
     MOVED("moved", "moved"),
-    /** They still wait, for a reason that an operator may want to know. */
+    /** They are still waiting; the event states the reason for the operator. */
     DELAYED("delayed", "waits");
 
     private final String label;
 
-    /** The word in logs of versions before 2026-12-02, which are parsed as well. */
+    /** The name in logs of versions before 2026-12-02, which are parsed as well. */
     private final String legacyLabel;
 
-    WorkStep(String word, String earlierWord) {
-      this.label = word;
-      this.legacyLabel = earlierWord;
+    WorkStep(String label, String legacyLabel) {
+      this.label = label;
+      this.legacyLabel = legacyLabel;
     }
 
-    /** The step as logs have it. */
+    /** The name of the step in the log. */
     String label() {
       return label;
     }
 
     /**
-     * Reads a step as logs have it, or had it.
+     * Parses the name of a step in current or earlier logs.
      *
-     * @throws IllegalArgumentException where the word is not a step
+     * @throws IllegalArgumentException if the name is unknown
      */
-    static WorkStep of(String word) {
+    static WorkStep of(String label) {
       for (WorkStep step : values()) {
-        if (step.label.equals(word) || step.legacyLabel.equals(word)) {
+        if (step.label.equals(label) || step.legacyLabel.equals(label)) {
           return step;
         }
       }
-      throw new IllegalArgumentException(word + " is not a step");
+      throw new IllegalArgumentException("unknown step of displaced tasks: " + label);
     }
   }
 
   /**
-   * Displaced tasks of a job have taken a step.
+   * A step of displaced tasks of a job.
    *
    * @param tasks ranges such as {@code 0-3,7}
-   * @param attempts ranges of the numbers of their last attempts; empty where these are unknown
+   * @param attempts ranges of the numbers of their last attempts; empty if unknown
    * @param waitedS seconds since the first of them was displaced
-   * @param reason reason for the step, as one word
+   * @param reason reason for the step, without spaces
    */
   record WorkChanged(
       WorkStep step,
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Tasks start in a zone that is recovering. */
+  /** Task starts in a recovering zone. */
   record RecoveryStarts(String zone, int step, int starts) implements ZoneEvent {
     @Override
     public String kind() {
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -4,11 +4,14 @@
 import java.util.Optional;
 import org.ternhinge.model.TaskRanges;
 
-/** Parses the events of zones from a log, those of earlier versions included. */
+/** Parses zone events from a log, including those of earlier versions. */
 public final class ZoneEventParser {
   private ZoneEventParser() {}
 
-  /** Parses an event from its kind and fields; empty where these are not those of an event. */
+  /**
+   * Parses an event from its kind and fields; empty if the kind is unknown or a field is missing or
+   * invalid.
+   */
   public static Optional<ZoneEvent> parse(String kind, Map<String, String> fields) {
     try {
       return Optional.of(parseOrThrow(kind, fields));
@@ -38,7 +41,9 @@
               ZoneEvent.WorkStep.of(kind),
               requiredField(fields, "job"),
               requiredRanges(fields, "tasks"),
-              requiredField(fields, "attempts").equals("-") ? "" : requiredField(fields, "attempts"),
+              requiredField(fields, "attempts").equals("-")
+                  ? ""
+                  : requiredField(fields, "attempts"),
               requiredField(fields, "tier"),
               requiredField(fields, "zone"),
               Double.parseDouble(requiredField(fields, "waited_s")),
@@ -49,22 +54,22 @@
   private static String requiredField(Map<String, String> fields, String name) {
     String value = fields.get(name);
     if (value == null) {
-      throw new IllegalArgumentException(name + " is missing");
+      throw new IllegalArgumentException("missing field " + name);
     }
     return value;
   }
 
   private static String requiredRanges(Map<String, String> fields, String name) {
     String value = requiredField(fields, name);
-    // Throws where these are no ranges.
+    // Throws if the value is not a list of ranges.
     if (TaskRanges.decode(value).isEmpty()) {
-      throw new IllegalArgumentException(name + " is empty");
+      throw new IllegalArgumentException("empty field " + name);
     }
     return value;
   }
 
   private static ZoneState requiredState(Map<String, String> fields, String name) {
     return ZoneState.of(requiredField(fields, name))
-        .orElseThrow(() -> new IllegalArgumentException(name + " is not a state"));
+        .orElseThrow(() -> new IllegalArgumentException("unknown zone state in field " + name));
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -13,16 +13,16 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * All decisions of one leadership about the loss and return of zones. Guarded by the controller's
- * lock, but for {@link #filter}, which any thread may call.
+ * Makes all decisions of one leadership about the loss and recovery of zones. Guarded by the
+ * controller's lock, except for {@link #filter}, which any thread may call.
  */
 public final class ZoneFailover {
-  /** What a leadership observes at one time. */
+  /** The observations of a leadership at one time. */
   public interface Observations extends DisplacedWork {
-    /** The machines of each zone, in the order of the site's settings. */
+    /** Returns the condition of each zone's machines, in the order of the site's settings. */
     List<ZoneObservation> zones();
 
-    /** Tiers of attempts that are still open in a zone on machines that are impaired. */
+    /** Returns the tiers of attempts that are still open on impaired machines of a zone. */
     Set<Integer> openTiers(String zone);
   }
 
@@ -40,7 +40,7 @@
    *
    * @param names names of the zones
    * @param leaseS duration of a worker's lease, in seconds
-   * @param minReleaseRate lowest rate at which displaced tasks are released, a second
+   * @param minReleaseRate minimum release rate of displaced tasks, in tasks per second
    */
   public ZoneFailover(
       ZoneFailoverSettings settings,
@@ -56,35 +56,35 @@
     this.limits = new RecoveryLimits(rateLimiter, now);
   }
 
-  /** The zones as any thread may read them. */
+  /** Returns the published zone snapshot, which any thread may read. */
   ZoneSnapshotReference current() {
     return current;
   }
 
-  /** How long displaced tasks have waited for new attempts, by tier. */
+  /** Returns the waiting times of displaced tasks by tier. */
   public FailoverMetrics metrics() {
     return metrics;
   }
 
-  /** The tier of a job. */
+  /** Returns the tier of a job. */
   public int tierOf(JobSpec job) {
     return order.tierOf(job);
   }
 
   // ---- record -----------------------------------------------------------------------------------
 
-  /** The zones as a record for the next leader. */
+  /** Returns the record of all zones for the next leader. */
   public ObjectNode record(SteadyTime now, long wallMillis) {
     return zones.record(now, wallMillis);
   }
 
-  /** Restores the record of an earlier leader; names that are not zones are ignored. */
+  /** Restores the record of an earlier leader; unknown zone names are ignored. */
   public void restore(JsonNode record, SteadyTime now, long wallMillis) {
     zones.restore(record, now, wallMillis);
     publish(now);
   }
 
-  /** The zones that take no new work or only little of it, with the time since when. */
+  /** Returns the unavailable and recovering zones with the time of their last state change. */
   public Map<String, SteadyTime> lostSince() {
     return zones.lostSince();
   }
@@ -92,10 +92,10 @@
   // ---- observations -----------------------------------------------------------------------------
 
   /**
-   * Records that a task has lost its attempt. It is displaced if the attempt's zone is not
-   * available.
+   * Records that a task has lost its attempt. The task counts as displaced if the attempt's zone is
+   * not available.
    *
-   * @param attempt number of the attempt; 0 where it is not known
+   * @param attempt number of the attempt; 0 if unknown
    */
   public void attemptLost(JobSpec job, int task, long attempt, String zone, SteadyTime now) {
     if (current.read().state(zone) == ZoneState.AVAILABLE) {
@@ -103,19 +103,19 @@
     }
     queue.displace(job, task, zone, now);
     displacements.add(job, task, attempt, zone);
-    // Hundreds may be lost at once, so that only what has changed is published.
+    // Hundreds of attempts may be lost at once, so only the change is published.
     current.update(snapshot -> snapshot.withHeld(job.id(), queue.held(job.id())));
   }
 
   /**
-   * Evaluates an observation; called at regular intervals.
+   * Evaluates an observation; called periodically.
    *
-   * @return what to log, state changes first
+   * @return the events to log, state changes first
    */
   public List<ZoneEvent> observe(Observations observed, SteadyTime now) {
     zones.setObservations(observed.zones());
     if (queue.isEmpty() && displacements.isEmpty() && zones.areAllHealthy()) {
-      // The usual case: there is nothing to decide or to publish.
+      // Fast path: there is nothing to decide or publish.
       return new ArrayList<>();
     }
     List<ZoneEvent> events = zones.assess(now);
@@ -158,17 +158,18 @@
 
   // ---- planning ---------------------------------------------------------------------------------
 
-  /** The snapshot without zones that take no work and without tasks that are held. */
+  /** Returns the snapshot without held tasks and without zones that accept no work. */
   public Snapshot filter(Snapshot full) {
     return new SnapshotFilter(current.read()).filter(full);
   }
 
   /**
-   * The plan without what exceeds the pace of returning zones.
+   * Returns the part of a plan that is within the limits of recovering zones.
    *
-   * @param events the list to which the starts in returning zones are added
+   * @param events the list to which events of starts in recovering zones are added
    */
-  public Plan limit(Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, SteadyTime now) {
+  public Plan limit(
+      Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, SteadyTime now) {
     ZoneSnapshot snapshot = current.read();
     if (snapshot.allAvailable()) {
       return plan;
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -4,18 +4,20 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The state machine of one zone, as an immutable value: each observation gives the next one.
+ * The state machine of one zone, as an immutable value; each observation yields the next value.
  *
  * @param state state of the zone
  * @param since time of its last change of state
- * @param impairedSince since when the share of impaired machines has been suspicious; null if it is
- *     not
- * @param lostSince since when that share has been one of a lost zone; null if it is not
- * @param healthySince since when hardly any machine has been impaired; null if that is not so
- * @param penalty flap penalty: how often it was lost recently
- * @param suppressed whether it stays out of use because of its penalty
- * @param step number of times that the pace of its return has doubled
- * @param tolerated number of impaired machines that are treated as single failures
+ * @param impairedSince time since which the share of impaired machines has been at or above the
+ *     suspicion threshold; null otherwise, also if the zone has too few machines
+ * @param lostSince time since which that share has been at or above the threshold of a lost zone;
+ *     null otherwise
+ * @param healthySince time since which that share has been below the threshold of a healthy zone;
+ *     null otherwise
+ * @param penalty penalty for recent losses
+ * @param suppressed whether recovery is suppressed because of the penalty
+ * @param step number of times that the start rate has doubled during recovery
+ * @param tolerated number of impaired machines that are treated as independent failures
  */
 record ZoneHealth(
     ZoneState state,
@@ -28,17 +30,17 @@
     int step,
     int tolerated) {
 
-  /** The initial health of a zone. */
+  /** Returns the initial health of a zone. */
   static ZoneHealth available(SteadyTime now) {
     return new ZoneHealth(
         ZoneState.AVAILABLE, now, null, null, null, FlapPenalty.none(now), false, 0, 0);
   }
 
   /**
-   * The zone after an observation.
+   * Returns the health of the zone after an observation.
    *
-   * @param confirmable whether the observation may show the zone's loss rather than the loss of the
-   *     leader's own links
+   * @param confirmable whether the observation may confirm the zone's loss, rather than indicate a
+   *     network failure of the leader
    */
   ZoneHealth next(
       ZoneObservation observation,
@@ -46,7 +48,7 @@
       ZoneFailoverSettings settings,
       SteadyTime now) {
     if (!observation.isConclusive()) {
-      // A new leader draws no conclusion from machines that have not reported yet.
+      // A new leader does not judge a zone by machines that have not reported yet.
       return this;
     }
     ZoneHealth measured = measured(observation, settings.detection(), now);
@@ -54,7 +56,7 @@
       case AVAILABLE -> measured.impairedSince == null ? measured : measured.toSuspect(now);
       case SUSPECT -> measured.nextFromSuspect(observation, confirmable, settings, now);
       case UNAVAILABLE -> {
-        // A zone that fails again while it is out of use stays out of use for longer.
+        // A zone that fails again while unavailable is penalized again and recovers later.
         boolean impairedAgain = impairedSince == null && measured.impairedSince != null;
         ZoneHealth current = impairedAgain ? measured.penalized(settings.flaps(), now) : measured;
         yield current.nextFromUnavailable(observation, settings, now);
@@ -63,7 +65,7 @@
     };
   }
 
-  /** The same state with the times since which the share of impaired machines is what it is. */
+  /** Returns the same state with updated threshold times and tolerated machines. */
   private ZoneHealth measured(
       ZoneObservation observation, ZoneFailoverSettings.Detection detection, SteadyTime now) {
     int stillTolerated = Math.min(tolerated, observation.impaired());
@@ -105,7 +107,7 @@
       return transitionTo(ZoneState.AVAILABLE, tolerated, now);
     }
     boolean partlyImpaired = lostSince == null && hasLasted(since, detection.suspectMaxS(), now);
-    // The machines that are impaired now are handled as single failures; the others take work
+    // The machines that are impaired now count as independent failures; the others accept work
     // again.
     return partlyImpaired ? transitionTo(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
@@ -129,7 +131,7 @@
     if (stillSuppressed || !hasLasted(healthySince, settings.detection().settleS(), now)) {
       return current;
     }
-    // A zone without machines can't prove its recovery; it is tried again after a while.
+    // A zone without machines can't show its recovery; it is retried after the hold time of a tier.
     boolean hasNoMachines = observation.expected() == 0;
     boolean mayRecover = !hasNoMachines || hasLasted(since, settings.release().tierHoldS(), now);
     return mayRecover ? transitionTo(ZoneState.RECOVERING, 0, now) : current;
@@ -150,7 +152,7 @@
     return from != null && now.secondsSince(from) >= seconds;
   }
 
-  /** The zone in another state, in which it begins unsuppressed and at the first step. */
+  /** Returns the zone in another state, not suppressed and at the first step. */
   private ZoneHealth transitionTo(ZoneState other, int otherTolerated, SteadyTime now) {
     return new ZoneHealth(
         other, now, impairedSince, lostSince, healthySince, penalty, false, 0, otherTolerated);
@@ -158,7 +160,15 @@
 
   private ZoneHealth withStep(int other) {
     return new ZoneHealth(
-        state, since, impairedSince, lostSince, healthySince, penalty, suppressed, other, tolerated);
+        state,
+        since,
+        impairedSince,
+        lostSince,
+        healthySince,
+        penalty,
+        suppressed,
+        other,
+        tolerated);
   }
 
   private ZoneHealth withSuppressed(boolean other) {
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -8,9 +8,10 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The record of all zones in the key-value store, from which a new leader continues. Versions
- * without zone failover never read this key. A field that is missing or of another type makes its
- * zone an available one: the record is a hint, and heartbeats are what decides.
+ * The record of all zones in the key-value store, from which a new leader restores their states.
+ * Versions without zone failover never read this key. A zone whose state is missing or invalid is
+ * treated as available, and other missing or invalid fields get default values: the record is only
+ * a hint, since heartbeats determine the state.
  */
 public final class ZoneRecord {
   /** The key of the record. */
@@ -23,15 +24,15 @@
   private static final String SUPPRESSED = "u";
   private static final double MILLIS_PER_S = 1000;
 
-  /** Upper limit of recorded ages; older times have no effect any more. */
+  /** Upper limit of restored ages; a greater age would have no further effect. */
   private static final double MAX_AGE_S = 86_400;
 
   private ZoneRecord() {}
 
   /**
-   * The record of all zones.
+   * Returns the record of all zones.
    *
-   * @param wallMillis the present time of day
+   * @param wallMillis the current wall-clock time in milliseconds
    */
   static ObjectNode write(Map<String, ZoneHealth> zones, SteadyTime now, long wallMillis) {
     ObjectNode record = Json.object();
@@ -49,7 +50,7 @@
     return out.put(SUPPRESSED, health.suppressed());
   }
 
-  /** The zones with a valid state in a record. */
+  /** Returns the health of the zones that have a valid state in a record. */
   static Map<String, ZoneHealth> read(JsonNode record, SteadyTime now, long wallMillis) {
     Map<String, ZoneHealth> zones = new LinkedHashMap<>();
     record
--- a/src/main/java/org/ternhinge/zone/ZoneState.java
+++ b/src/main/java/org/ternhinge/zone/ZoneState.java
@@ -5,31 +5,33 @@
 
 /** The state of a zone. */
 public enum ZoneState {
-  /** It takes new work without a limit. */
+  /** It accepts new work without a limit. */
   AVAILABLE,
-  /** Many of its machines are impaired: nothing new is placed there for now. */
+  /**
+   * Many of its machines are impaired; no new work is placed there until its state is determined.
+   */
   SUSPECT,
-  /** It is lost: its work moves to other zones once its attempts have certainly ended. */
+  /** It is lost; its tasks are moved to other zones once their attempts have certainly ended. */
   UNAVAILABLE,
-  /** It has returned and takes new work at a limited pace. */
+  /** Its machines are healthy again; it accepts new work at a limited rate. */
   RECOVERING;
 
-  /** The state as logs and records have it. */
+  /** Returns the name of the state in logs and records. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Reads a state as logs and records have it. */
-  public static Optional<ZoneState> of(String word) {
+  /** Parses the name of a state in logs and records. */
+  public static Optional<ZoneState> of(String label) {
     for (ZoneState state : values()) {
-      if (state.label().equals(word)) {
+      if (state.label().equals(label)) {
         return Optional.of(state);
       }
     }
     return Optional.empty();
   }
 
-  /** Whether new work may be placed there at all. */
+  /** Whether new work may be placed in the zone. */
   public boolean acceptsWork() {
     return this == AVAILABLE || this == RECOVERING;
   }
--- a/src/main/java/org/ternhinge/zone/ZoneStatus.java
+++ b/src/main/java/org/ternhinge/zone/ZoneStatus.java
@@ -4,10 +4,10 @@
  * The published status of a zone.
  *
  * @param expected number of machines that should report
- * @param impaired how many of these have missed heartbeats or are not reached by commands
- * @param penalty flap penalty: how often the zone was lost recently
- * @param step step of its return
- * @param startsLeft whether its pace permits another start now
+ * @param impaired number of these that have missed heartbeats or are unreachable for commands
+ * @param penalty penalty for recent losses
+ * @param step step of the recovery
+ * @param startsLeft whether the rate limit permits another start now
  */
 record ZoneStatus(
     ZoneState state, int expected, int impaired, double penalty, int step, boolean startsLeft) {}
--- a/src/main/java/org/ternhinge/zone/ZoneTable.java
+++ b/src/main/java/org/ternhinge/zone/ZoneTable.java
@@ -12,8 +12,8 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * The health of all zones of one leadership with the latest observation of each, in the order of
- * the site's settings. Guarded by its owner.
+ * The health and the latest observation of each zone during one leadership, in the order of the
+ * site's settings. Not thread-safe; the owner synchronizes access.
  */
 final class ZoneTable {
   private final List<String> names;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Replaces the observations; {@link #assess} draws the conclusions. */
+  /** Replaces the observations, which {@link #assess} evaluates. */
   void setObservations(List<ZoneObservation> latest) {
     observations = latest;
   }
@@ -77,7 +77,7 @@
         health.suppressed());
   }
 
-  /** The zones that take no new work or only little of it, with the time since when. */
+  /** Returns the unavailable and recovering zones with the time of their last state change. */
   Map<String, SteadyTime> lostSince() {
     Map<String, SteadyTime> lost = new LinkedHashMap<>();
     for (int i = 0; i < names.size(); i++) {
@@ -89,7 +89,7 @@
     return lost;
   }
 
-  /** The status of all zones by name. */
+  /** Returns the status of all zones by name. */
   PMap<String, ZoneStatus> status(RecoveryRateLimiter rateLimiter, SteadyTime now) {
     PMap<String, ZoneStatus> status = HashTreePMap.empty();
     for (int i = 0; i < names.size(); i++) {
@@ -109,7 +109,7 @@
         rateLimiter.allows(names.get(zone)));
   }
 
-  /** The record of all zones for the next leader. */
+  /** Returns the record of all zones for the next leader. */
   ObjectNode record(SteadyTime now, long wallMillis) {
     Map<String, ZoneHealth> byName = new LinkedHashMap<>();
     for (int i = 0; i < names.size(); i++) {
@@ -118,7 +118,7 @@
     return ZoneRecord.write(byName, now, wallMillis);
   }
 
-  /** Restores the record of an earlier leader; names that are not zones are ignored. */
+  /** Restores the record of an earlier leader; unknown zone names are ignored. */
   void restore(JsonNode record, SteadyTime now, long wallMillis) {
     Map<String, ZoneHealth> recorded = ZoneRecord.read(record, now, wallMillis);
     for (int i = 0; i < names.size(); i++) {
--- a/src/main/java/org/ternhinge/zone/package-info.java
+++ b/src/main/java/org/ternhinge/zone/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The loss and return of zones: which zones may take new work, in which order and how fast work of
- * a lost zone moves, and how fast a zone that has returned takes work again. Decides where and when
- * attempts are opened, never whether one is over.
+ * Failover and recovery of zones: which zones accept new work, in which order and at which rate the
+ * tasks of a lost zone are moved, and at which rate a recovering zone accepts work again. Decides
+ * where and when attempts are opened, never whether an attempt has ended.
  */
 package org.ternhinge.zone;
--- a/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneCharts.java
@@ -22,13 +22,13 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.ternhinge.zone.ZoneState;
 
-/** Draws the plots of a report as PNG images. */
+/** Renders the plots of a report as PNG images. */
 final class ZoneCharts {
   private static final int WIDTH = 960;
   private static final int HEIGHT = 320;
   private static final double MILLIS_PER_S = 1000;
 
-  /** Half the height of a zone's bar, of a row. */
+  /** Half the height of a zone's bar, as a fraction of the row height. */
   private static final double BAR_HALF_HEIGHT = 0.35;
 
   private static final String TIME_AXIS_LABEL = "seconds since the first event";
@@ -52,7 +52,7 @@
 
   // ---- states -----------------------------------------------------------------------------------
 
-  /** The state of each zone over time. */
+  /** Renders the state of each zone over time. */
   byte[] states() throws IOException {
     List<String> zones = List.copyOf(history.zones());
     XYIntervalSeriesCollection data = new XYIntervalSeriesCollection();
@@ -69,7 +69,7 @@
     return png(new JFreeChart("Zones", plot));
   }
 
-  /** All times in a state, a bar for each. */
+  /** Returns one bar for each interval of a zone in the given state. */
   private XYIntervalSeries bars(ZoneState state, List<String> zones) {
     XYIntervalSeries series = new XYIntervalSeries(state.label());
     for (ZoneHistory.Interval interval : history.intervals()) {
@@ -94,7 +94,7 @@
 
   // ---- moves and starts -------------------------------------------------------------------------
 
-  /** Tasks moved so far, a line a tier. */
+  /** Renders the cumulative number of moved tasks, one line per tier. */
   byte[] moves() throws IOException {
     Map<String, XYSeries> lines = new HashMap<>();
     Map<String, Integer> totals = new HashMap<>();
@@ -112,7 +112,7 @@
     return steps("Tasks moved, by tier", "tasks", data);
   }
 
-  /** Starts a second in each zone that has returned. */
+  /** Renders the starts per second in each recovering zone. */
   byte[] starts() throws IOException {
     Map<String, Map<Integer, Integer>> perSecond = new HashMap<>();
     for (ZoneHistory.Starts started : history.starts()) {
@@ -130,7 +130,7 @@
       }
       data.addSeries(line);
     }
-    return steps("Starts in zones that have returned", "starts a second", data);
+    return steps("Starts in recovering zones", "starts per second", data);
   }
 
   private static byte[] steps(String title, String unit, XYSeriesCollection data)
--- a/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneHistory.java
@@ -13,27 +13,25 @@
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneState;
 
-/**
- * The states of zones and the steps of their work over time, collected from the events of a log.
- */
+/** The states of zones and the steps of displaced tasks over time, collected from logged events. */
 final class ZoneHistory {
-  /** A time for which a zone was in one state. */
+  /** A time interval during which a zone was in one state. */
   record Interval(String zone, ZoneState state, long fromMillis, long toMillis) {}
 
-  /** Tasks of a job have got new attempts. */
+  /** New attempts of displaced tasks of a job. */
   record Move(long atMillis, String job, String tier, int tasks, double waitedS) {}
 
-  /** Starts of tasks in a zone that was recovering. */
+  /** Task starts in a recovering zone. */
   record Starts(long atMillis, String zone, int step, int tasks) {}
 
-  /** A job was delayed. */
+  /** A delay of a job's displaced tasks. */
   record Delay(
       long atMillis, String job, String tier, String tasks, String reason, double waitedS) {}
 
-  /** A task that got another attempt although its last one was not known to have ended. */
+  /** A task that got a new attempt although its previous one was not known to have ended. */
   record DuplicateAttempt(long atMillis, String task) {}
 
-  /** Numbers of displaced and of moved tasks of a tier. */
+  /** The numbers of displaced and moved tasks of a tier. */
   static final class TierTotals {
     private int displaced;
     private int moved;
@@ -67,7 +65,7 @@
   private final long fromMillis;
   private final long toMillis;
 
-  /** Creates the history from events in order of time. */
+  /** Creates the history from events in chronological order. */
   ZoneHistory(List<ZoneLog.Entry> events) {
     this.fromMillis = events.isEmpty() ? 0 : events.get(0).atMillis();
     this.toMillis = events.isEmpty() ? 0 : events.get(events.size() - 1).atMillis();
@@ -78,8 +76,8 @@
   private void add(ZoneLog.Entry entry) {
     if (entry.event() instanceof ZoneEvent.StateChanged changed) {
       stateChanged(entry.atMillis(), changed);
-    } else if (entry.event() instanceof ZoneEvent.RecoveryStarts returned) {
-      starts.add(new Starts(entry.atMillis(), returned.zone(), returned.step(), returned.starts()));
+    } else if (entry.event() instanceof ZoneEvent.RecoveryStarts started) {
+      starts.add(new Starts(entry.atMillis(), started.zone(), started.step(), started.starts()));
     } else if (entry.event() instanceof ZoneEvent.WorkChanged work) {
       workChanged(entry.atMillis(), work);
     }
@@ -117,7 +115,7 @@
               new Delay(
                   atMillis, work.job(), work.tier(), work.tasks(), work.reason(), work.waitedS()));
       default -> {
-        // The move that follows a release shows when the tasks got new attempts.
+        // A release is followed by a move, which shows when the tasks got new attempts.
       }
     }
   }
@@ -164,7 +162,7 @@
     return tiers;
   }
 
-  /** The zones with a change of state in the log. */
+  /** Returns the zones with a state change in the log. */
   Set<String> zones() {
     return states.keySet();
   }
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -21,17 +21,17 @@
 import org.ternhinge.zone.ZoneEventParser;
 
 /**
- * The events of zones in a controller's log, in order of time. The log may be a concatenation of
- * those of several controllers.
+ * The zone events in a controller's log, in chronological order. The logs of several controllers
+ * may be concatenated.
  *
- * @param lines number of lines that were read
- * @param malformed number of lines with an event's mark that could not be parsed
+ * @param lines number of lines read
+ * @param malformed number of lines with an event marker that could not be parsed
  */
 public record ZoneLog(List<Entry> events, int lines, int malformed) {
-  /** An event, with the time of day and the term of the leader that logged it. */
+  /** An event with its wall-clock time and the term of the leader that logged it. */
   public record Entry(long atMillis, long term, ZoneEvent event) {}
 
-  /** Reads a log file; invalid bytes are replaced, which affects their line only. */
+  /** Reads a log file; invalid bytes are replaced, so they affect only their own line. */
   public static ZoneLog read(Path file) throws IOException {
     CharsetDecoder decoder =
         StandardCharsets.UTF_8
@@ -54,7 +54,7 @@
     return new ZoneLog(List.copyOf(reader.events), reader.lines, reader.malformed);
   }
 
-  /** Collects the events of one line after the other. */
+  /** Collects the events line by line. */
   private static final class Reader {
     private final List<Entry> events = new ArrayList<>();
     private int lines;
@@ -66,7 +66,8 @@
       if (markerIndex < 0) {
         return;
       }
-      Optional<Entry> entry = parseEntry(line.substring(markerIndex + ZoneEvent.MARKER.length() + 1));
+      Optional<Entry> entry =
+          parseEntry(line.substring(markerIndex + ZoneEvent.MARKER.length() + 1));
       entry.ifPresentOrElse(events::add, () -> malformed++);
     }
 
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -31,15 +31,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the report on zones as one HTML file that needs nothing else. */
+/** Writes the report on zones as one self-contained HTML file. */
 public final class ZoneReport {
   /** The result of writing a report. */
   public enum Result {
-    /** The file was written from all events of the log. */
+    /** The report was written and includes all events of the log. */
     COMPLETE,
-    /** The file was written; some lines could not be read. */
+    /** The report was written; some lines could not be parsed. */
     PARTIAL,
-    /** The log holds no event that could be read; no file was written. */
+    /** The log contains no valid event; no report was written. */
     NO_EVENTS
   }
 
@@ -56,12 +56,12 @@
     this.history = new ZoneHistory(log.events());
   }
 
-  /** Writes the report on a log that was read. */
+  /** Writes the report on a log. */
   public static Result write(ZoneLog log, Path out) throws IOException {
     if (log.events().isEmpty()) {
       return Result.NO_EVENTS;
     }
-    // The machine may have no display.
+    // The report may be created on a machine without a display.
     System.setProperty("java.awt.headless", "true");
     Files.writeString(out, new ZoneReport(log).page());
     return log.malformed() > 0 ? Result.PARTIAL : Result.COMPLETE;
@@ -73,11 +73,11 @@
         html(
             head(meta().withCharset("utf-8"), title("Zones"), style(CSS).withType("text/css")),
             body(
-                h1("Loss and return of zones"),
+                h1("Loss and recovery of zones"),
                 p(
                     String.format(
                         Locale.ROOT,
-                        "%s to %s, %d events in %d lines, %d lines left out.",
+                        "%s to %s, %d events in %d lines, %d malformed lines skipped.",
                         Instant.ofEpochMilli(history.fromMillis()),
                         Instant.ofEpochMilli(history.toMillis()),
                         log.events().size(),
@@ -89,13 +89,13 @@
                     : image(charts.states()),
                 intervals(),
                 h2("Moves by tier"),
-                history.moves().isEmpty() ? p("Nothing was moved.") : image(charts.moves()),
+                history.moves().isEmpty() ? p("No tasks were moved.") : image(charts.moves()),
                 tiers(),
-                h2("Starts in zones that have returned"),
+                h2("Starts in recovering zones"),
                 history.starts().isEmpty() ? p("None.") : image(charts.starts()),
                 h2("Doubled attempts"),
                 duplicateAttempts(),
-                h2("Work that waited"),
+                h2("Delayed tasks"),
                 delays())));
   }
 
@@ -153,7 +153,7 @@
 
   private DomContent delays() {
     if (history.delays().isEmpty()) {
-      return p("None for longer than half a minute.");
+      return p("No job waited for more than 30 s.");
     }
     return dataTable(
         List.of("at", "job", "tier", "tasks", "reason", "waited, s"),
--- a/src/main/java/org/ternhinge/zone/report/package-info.java
+++ b/src/main/java/org/ternhinge/zone/report/package-info.java
@@ -1,2 +1,2 @@
-/** A report on the loss and return of zones, from a log, as one HTML file with plots. */
+/** Creates a report on the loss and recovery of zones from a log, as one HTML file with plots. */
 package org.ternhinge.zone.report;
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.zone.DisplacedWork.TaskState;
 import org.ternhinge.zone.ZoneObservation;
 
-/** Which machines count as expected, impaired and unheard, and what becomes of displaced tasks. */
+/** Counting of expected, impaired and unreported machines, and the states of displaced tasks. */
 class FleetObservationsTest {
   private static final int TIER = 3;
 
@@ -45,7 +45,10 @@
     return machine;
   }
 
-  /** With a heartbeat each 2 s, 8 s are left to find a new leader; 6 s are overdue. */
+  /**
+   * With a heartbeat interval of 2 s, workers have 8 s to find a new leader, and heartbeats are
+   * overdue after 6 s.
+   */
   @ParameterizedTest(name = "heard {0}, listed {1}, leaving {2}, after {3} s")
   @CsvSource({
     "true,  false, false, 1,   1, 0, 0",
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.zone.ZoneRecord;
 
-/** How a leadership takes over the record of zones, and when it writes it. */
+/** Restoring the record of zones at the start of a leadership, and writing it. */
 class ZoneCoordinatorTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final ZoneCoordinator zones = coordinator();
@@ -48,7 +48,10 @@
     return fixture.core.get(ZoneRecord.KEY).entry().orElseThrow();
   }
 
-  /** What an earlier leader held back is not known before, and would be started out of order. */
+  /**
+   * Before the record is read, the tasks held by an earlier leader are unknown and would be started
+   * out of order.
+   */
   @Test
   void nothingIsPlacedBeforeRecordIsRead() {
     fixture.store.pauseReads();
@@ -69,7 +72,7 @@
     assertEquals(1, startsPermittedOfOne());
   }
 
-  /** A write without the version that stands there would be a conflict and end the leadership. */
+  /** A write without the stored revision would be a conflict and end the leadership. */
   @Test
   void recordIsWrittenAtItsRevisionAndOnTransitionsOnly() {
     storeRecord("available");
@@ -83,7 +86,8 @@
     fixture.clock.runFor(10);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(before, storedEntry().revision().value(), "nothing is written before it is read");
+    assertEquals(
+        before, storedEntry().revision().value(), "nothing is written before the record is read");
     fixture.store.resume();
     fixture.clock.runFor(1);
     zones.check(fixture.now());
@@ -93,6 +97,7 @@
     assertTrue(after > before);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(after, storedEntry().revision().value(), "no transition, no write");
+    assertEquals(
+        after, storedEntry().revision().value(), "nothing is written without a transition");
   }
 }
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** The events about displaced tasks. */
+/** Log events of displaced tasks. */
 class DisplacementLogTest {
   private static final SteadyTime START = new SteadyTime(0);
   private static final JobSpec JOB = Specs.of(Specs.json("wk-1", "batch", 9));
@@ -58,7 +58,7 @@
             "zone-event displaced job=wk-1 tasks=1-2,5 attempts=7-8 tier=all zone=west"
                 + " waited_s=0.0 reason=zone-lost"),
         log.displaced().stream().map(ZoneEvent::line).toList());
-    assertTrue(log.isEmpty(), "each is logged once");
+    assertTrue(log.isEmpty(), "each task is logged once");
   }
 
   @ParameterizedTest(name = "pinned {0}, placeable {1}, held {2}: {3}")
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** The order and the rate in which work of a lost zone is released. */
+/** Order and rate in which the tasks of a lost zone are released. */
 class FailoverQueueTest {
   private static final ZoneFailoverSettings.Release RELEASE =
       new ZoneFailoverSettings.Release(15, 10);
@@ -69,7 +69,7 @@
     }
   }
 
-  /** The jobs of which tasks are released after so many seconds. */
+  /** Advances the time and returns the jobs of which tasks are released. */
   private List<String> releasedAfter(double seconds) {
     return releasedAfter(seconds, NO_OPEN_TIER);
   }
@@ -104,7 +104,7 @@
     assertEquals(List.of("wk-3"), releasedAfter(1, 2));
   }
 
-  /** Attempts of a higher tier that never end delay the rest for a bounded time. */
+  /** Attempts of a higher tier that never end must not hold lower tiers forever. */
   @Test
   void openAttemptsDelayLowerTiersForBoundedTime() {
     displace("wk-2", "chart", 1);
@@ -127,7 +127,7 @@
     assertEquals(List.of("wk-9"), releasedAfterLaterLoss());
   }
 
-  /** The job that still has no room does not delay the work of the next lost zone. */
+  /** A job that still has no capacity must not delay the tasks of the next lost zone. */
   private List<String> releasedAfterLaterLoss() {
     displace("wk-9", "climate", 1);
     return releasedAfter(1);
@@ -156,7 +156,7 @@
         peak = Math.max(peak, gang ? 0 : tasks.tasks().size());
       }
     }
-    assertEquals(5, peak, "46 tasks in 10 s are some 5 a second");
+    assertEquals(5, peak, "46 tasks in 10 s are about 5 per second");
     assertTrue(queue.held().isEmpty());
   }
 
@@ -169,7 +169,7 @@
     for (int i = 0; i < 60; i++) {
       releasedAfter(1);
     }
-    assertTrue(queue.held().isEmpty(), "4,000 tasks are released within a minute");
+    assertTrue(queue.held().isEmpty(), "4,000 tasks are released within 60 s");
   }
 
   @Test
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -27,7 +27,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** How lost and returning zones restrict the planner's snapshot and its plan. */
+/** Restriction of the planner's snapshot and plan by lost and recovering zones. */
 class PlanLimiterTest {
   private static final List<String> ZONES = List.of("north", "east", "west");
   private static final JobId ARRAY = new JobId("wk-1");
@@ -37,7 +37,7 @@
   private SteadyTime now = new SteadyTime(0);
   private ZoneFailover failover;
 
-  /** Machines n-0 to n-39 lie in the first zone, n-40 to n-79 in the second, and so on. */
+  /** Machines n-0 to n-39 are in the first zone, n-40 to n-79 in the second, and so on. */
   private final PlacementLookup placementLookup =
       new PlacementLookup() {
         @Override
@@ -81,7 +81,7 @@
     observe(1, 0);
   }
 
-  /** Lets time pass with so many impaired machines in the first zone. */
+  /** Advances the time with the given number of impaired machines in the first zone. */
   private void observe(double seconds, int impaired) {
     List<ZoneObservation> seen =
         List.of(
@@ -138,7 +138,8 @@
       started += startCount(limit(plan));
       now = now.plusSeconds(0.1);
     }
-    // At the first step the zone may start a tenth of its 40 machines a second, and one at once.
+    // The initial rate is a tenth of the zone's 40 machines per second; the bucket begins with one
+    // token.
     assertTrue(started >= 60 && started <= 4 * 20 + 5 * steps, started + " starts in 20 s");
     Plan elsewhere = new Plan();
     elsewhere.placements().add(placement(ARRAY, MACHINES, 30));
@@ -147,11 +148,11 @@
 
   @Test
   void startRateDoublesWithEachStep() {
-    RecoveryRateLimiter pacer = new RecoveryRateLimiter(ZoneFailoverSettings.DEFAULT.pace());
-    assertEquals(4, pacer.rate(0, 40));
-    assertEquals(32, pacer.rate(3, 40));
-    assertEquals(1, pacer.rate(0, 3), "one a second at least");
-    assertEquals(133, pacer.rate(0, 1333), 1, "it grows with the zone");
+    RecoveryRateLimiter limiter = new RecoveryRateLimiter(ZoneFailoverSettings.DEFAULT.pace());
+    assertEquals(4, limiter.rate(0, 40));
+    assertEquals(32, limiter.rate(3, 40));
+    assertEquals(1, limiter.rate(0, 3), "at least one start per second");
+    assertEquals(133, limiter.rate(0, 1333), 1, "the rate is proportional to the size of the zone");
   }
 
   @Test
@@ -164,7 +165,7 @@
     assertEquals(1, limited.placements().size());
     assertEquals(16, limited.placements().get(0).tasks().size());
     now = now.plusSeconds(1);
-    assertEquals(0, startCount(limit(plan)), "the overdraft has to be refilled first");
+    assertEquals(0, startCount(limit(plan)), "the overdrawn bucket has to be refilled first");
   }
 
   @Test
@@ -231,7 +232,7 @@
         List.of());
   }
 
-  /** The first zone's machine, offer and pending provisions that remain, by its state. */
+  /** Machine readiness, offers and pending provisions that remain, by state of the first zone. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "available, true, true, 3, 1",
@@ -278,13 +279,13 @@
     List<Snapshot.JobView> jobs = failover.filter(snapshot(array, gang, other)).jobs();
     assertEquals(IntList.of(0, 2, 4), jobs.get(0).pendingTasks());
     assertEquals(3, jobs.get(0).pendingCount());
-    assertTrue(jobs.get(1).blocked(), "a gang is held whole");
+    assertTrue(jobs.get(1).blocked(), "a gang is held as a whole");
     List<Snapshot.JobView> expectedJobs =
         failover.filter(snapshot(array, gang, other)).expectedJobs();
     assertEquals(
         List.of(2, 3),
         expectedJobs.stream().map(job -> job.spec().tasks()).toList(),
-        "room is kept for held tasks");
+        "capacity is reserved for held tasks");
     assertEquals(4, jobs.get(2).pendingCount(), "a task lost in an available zone is not held");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.SteadyTime;
 
-/** The states of zones, from scripts of impaired machines by time. */
+/** State transitions of zones for given numbers of impaired machines over time. */
 class ZoneHealthTest {
   private static final double LEASE_S = 24;
   private static final int MACHINES = 20;
@@ -62,7 +62,7 @@
     advance(60, 20);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
     advance(SETTINGS.detection().settleS() - 1);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "it has to be well for a while");
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "recovery requires the settling time to pass");
     advance(2);
     assertEquals(ZoneState.RECOVERING, state(0));
     advance(SETTINGS.pace().stepS() + 0.5);
@@ -71,7 +71,7 @@
     assertEquals(List.of("suspect", "unavailable", "recovering", "available"), states);
   }
 
-  /** A share between the thresholds changes nothing for good. */
+  /** A share between the thresholds makes the zone suspect for a limited time only. */
   @ParameterizedTest(name = "{0} of 20 impaired for {1} s")
   @CsvSource({
     "1, 600, AVAILABLE",
@@ -95,14 +95,18 @@
   void halfImpairedZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
     addAvailableZones(3);
     advance(30, 10);
-    assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half takes work");
+    assertEquals(ZoneState.AVAILABLE, state(0), "the healthy half accepts work");
     advance(5, 12);
-    assertEquals(ZoneState.AVAILABLE, state(0), "two more are two more");
+    assertEquals(
+        ZoneState.AVAILABLE, state(0), "two further failures do not make the zone suspect");
     advance(8, 19);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the rest is gone");
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the other machines are impaired");
   }
 
-  /** All zones at once mean the leader's own links; most of them at once are in doubt. */
+  /**
+   * The impairment of all zones indicates a network failure of the leader; that of most zones at
+   * once is confirmed as a loss only after the lease has expired.
+   */
   @ParameterizedTest(name = "{0} zones, impaired {1} {2} {3}, {4} s")
   @CsvSource({
     "3, 20, 20, 20, 600, SUSPECT",
@@ -135,23 +139,25 @@
     addAvailableZones(3);
     advance(15, 20);
     advance(12);
-    assertEquals(ZoneState.RECOVERING, state(0), "once is no flap");
+    assertEquals(ZoneState.RECOVERING, state(0), "a single loss does not suppress the zone");
     advance(15, 20);
-    assertTrue(zones.get(0).suppressed(), "twice within a minute is one");
+    assertTrue(zones.get(0).suppressed(), "two losses within a minute suppress the zone");
     advance(SETTINGS.detection().settleS() + 2);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "well, but still suppressed");
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "healthy, but still suppressed");
     for (int i = 0; i < 20; i++) {
       advance(15, 20);
       advance(2);
     }
     assertTrue(zones.get(0).penalty().value() <= SETTINGS.flaps().max());
-    // Half-life 30 s, from 2.5 to 0.75: less than two, after which it has been well for long.
+    // The penalty decays from 2.5 to 0.75 with a half-life of 30 s, which takes less than two
+    // half-lives; by then the settling time has passed.
     double waited = 0;
     while (state(0) == ZoneState.UNAVAILABLE) {
       advance(0.5);
       waited += 0.5;
     }
-    assertTrue(waited > SETTINGS.detection().settleS() && waited < 53, "out of use for " + waited);
+    assertTrue(
+        waited > SETTINGS.detection().settleS() && waited < 53, "out of use for " + waited + " s");
   }
 
   @Test
@@ -166,7 +172,9 @@
     assertEquals(0, zones.get(0).step());
   }
 
-  /** Machines whose first heartbeat is not due yet make a zone neither well nor lost. */
+  /**
+   * Machines that have not reported to a new leader yet must make a zone neither healthy nor lost.
+   */
   @Test
   void newLeaderIgnoresZoneWithUnreportedMachines() {
     addAvailableZones(3);
@@ -182,7 +190,7 @@
     assertEquals(ZoneState.RECOVERING, state(0));
   }
 
-  /** A list of machines that lags or is empty only changes the number of expected ones. */
+  /** A stale or empty list of machines only changes the number of expected machines. */
   @Test
   void zoneWithoutMachinesRecoversAfterDelay() {
     addAvailableZones(2);
@@ -193,9 +201,11 @@
     assertEquals(ZoneState.RECOVERING, state(0));
     addAvailableZones(1);
     List<ZoneObservation> singleMachine =
-        List.of(new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), withoutMachines.get(0));
+        List.of(
+            new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), withoutMachines.get(0));
     zones.set(0, ZoneHealth.available(now));
     advance(60, singleMachine);
-    assertEquals(ZoneState.AVAILABLE, state(0), "one machine is no zone");
+    assertEquals(
+        ZoneState.AVAILABLE, state(0), "a single machine is below the minimum size of a zone");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -13,9 +13,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/**
- * The record of all zones: what the next leader restores, and that invalid records are harmless.
- */
+/** Restoring the record of all zones, including invalid records. */
 class ZoneRecordTest {
   private static final long WALL_MILLIS = 1_700_000_000_000L;
   private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
@@ -35,15 +33,15 @@
             3);
     ObjectNode record =
         ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL_MILLIS);
-    assertTrue(Json.bytes(record).length < 200, "a few bytes a zone");
-    // Another process with another steady clock, three seconds later.
+    assertTrue(Json.bytes(record).length < 200, "the record takes a few bytes per zone");
+    // Another process with a different steady clock, three seconds later.
     SteadyTime later = new SteadyTime(42);
     ZoneHealth read = ZoneRecord.read(record, later, WALL_MILLIS + 3000).get("west");
     assertEquals(ZoneState.RECOVERING, read.state());
     assertEquals(10, later.secondsSince(read.since()), 0.01);
     assertEquals(33, later.secondsSince(read.penalty().at()), 0.01);
     assertTrue(read.suppressed());
-    assertEquals(null, read.healthySince(), "observations start anew");
+    assertEquals(null, read.healthySince(), "times of observations are not restored");
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
+++ b/src/test/java/org/ternhinge/zone/report/ZoneReportTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.zone.ZoneEvent;
 import org.ternhinge.zone.ZoneState;
 
-/** Reports on complete logs, on damaged ones, and on such with a duplicate attempt. */
+/** Reports on complete logs, malformed logs, and logs with a duplicate attempt. */
 class ZoneReportTest {
   private static final String PREFIX = "[main] INFO ZoneCoordinator - ";
 
@@ -58,7 +58,7 @@
     assertEquals(0, log.malformed());
   }
 
-  /** Logs of earlier versions have other words for two of the steps. */
+  /** Logs of earlier versions have other names for two of the steps. */
   @Test
   void legacyStepNamesAreParsed() {
     Stream<String> earlier =
@@ -80,7 +80,7 @@
     assertEquals(List.of(), history.duplicateAttempts());
   }
 
-  /** The events of two controllers' logs are sorted by time. */
+  /** Events from the logs of two controllers are sorted by time. */
   @Test
   void logsOfSeveralControllersAreMerged() {
     List<String> lines = lossAndRecovery();
@@ -110,7 +110,7 @@
     String page = Files.readString(out);
     assertEquals(3, page.split("data:image/png;base64,", -1).length - 1, "three plots");
     assertTrue(page.contains("<td>warnings</td><td>4</td><td>3</td>"), "totals by tier");
-    assertFalse(page.contains("src=\"http"), "it refers to no other file");
+    assertFalse(page.contains("src=\"http"), "the report refers to no other file");
   }
 
   @Test
@@ -136,7 +136,7 @@
     assertEquals(3, read.malformed());
     Path out = dir.resolve("out.html");
     assertEquals(ZoneReport.Result.PARTIAL, ZoneReport.write(read, out));
-    assertTrue(Files.readString(out).contains("3 lines left out"));
+    assertTrue(Files.readString(out).contains("3 malformed lines skipped"));
   }
 
   @Test
