--- a/src/main/java/org/ternhinge/zone/ZoneEvent.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEvent.java
@@ -94,7 +94,7 @@
           return step;
         }
       }
-      throw new IllegalArgumentException("unknown step of displaced tasks: " + label);
+      throw new IllegalArgumentException(label + " is not a known step of displaced tasks");
     }
   }
 
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -54,7 +54,7 @@
   private static String requiredField(Map<String, String> fields, String name) {
     String value = fields.get(name);
     if (value == null) {
-      throw new IllegalArgumentException("missing field " + name);
+      throw new IllegalArgumentException(name + ": field is missing");
     }
     return value;
   }
@@ -63,13 +63,13 @@
     String value = requiredField(fields, name);
     // Throws if the value is not a list of ranges.
     if (TaskRanges.decode(value).isEmpty()) {
-      throw new IllegalArgumentException("empty field " + name);
+      throw new IllegalArgumentException(name + ": field has no ranges");
     }
     return value;
   }
 
   private static ZoneState requiredState(Map<String, String> fields, String name) {
     return ZoneState.of(requiredField(fields, name))
-        .orElseThrow(() -> new IllegalArgumentException("unknown zone state in field " + name));
+        .orElseThrow(() -> new IllegalArgumentException(name + ": unknown zone state"));
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -157,7 +157,7 @@
       waited += 0.5;
     }
     assertTrue(
-        waited > SETTINGS.detection().settleS() && waited < 53, "out of use for " + waited + " s");
+        waited > SETTINGS.detection().settleS() && waited < 53, "seconds out of use: " + waited);
   }
 
   @Test
