--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -14,30 +14,31 @@
 import org.ternhinge.store.KeyValueStore;
 
 /**
- * One attempt of a candidate to become leader: it reads the last term, asks for a lease, and claims
- * the keys of the term and of the leader on condition that neither has changed since it was read.
+ * One attempt of a candidate to become the leader. It reads the last term, requests a lease, and
+ * writes the keys of the term and of the leader on condition that neither has changed since it was
+ * read.
  */
 final class LeadershipClaim {
   private static final double MILLIS_PER_S = 1000;
 
-  /** Hears of the result; called under the lock. */
+  /** Receives the result; called under the lock. */
   interface Listener {
     /**
-     * The claim was applied while its lease holds.
+     * The claim was applied and its lease is in force.
      *
-     * @param termRevision revision of the term's key
+     * @param termRevision revision of the term's key after the claim
      */
     void won(Term term, Revision termRevision, LeadershipLease lease);
 
     /**
      * The claim was not applied, or its outcome is unknown.
      *
-     * @param lostRace whether another node has claimed the leadership first
+     * @param lostRace whether another node claimed the leadership first
      */
     void failed(boolean lostRace);
 
-    /** The key-value store holds a lease no more that a claim was made with. */
-    void leaseEnded();
+    /** The key-value store reported that the lease of an earlier claim no longer exists. */
+    void leaseExpired();
   }
 
   private final Candidate candidate;
@@ -45,10 +46,10 @@
   private final Listener listener;
 
   /**
-   * Creates a claim that has read nothing yet.
+   * Creates a claim that is not started.
    *
-   * @param leaderRevision revision of the leader's key as it was read, {@link Revision#NONE} where
-   *     it is absent
+   * @param leaderRevision revision of the leader's key when it was read, {@link Revision#NONE} if
+   *     the key was absent
    */
   LeadershipClaim(Candidate candidate, Revision leaderRevision, Listener listener) {
     this.candidate = candidate;
@@ -56,10 +57,10 @@
     this.listener = listener;
   }
 
-  /** Makes the claim. */
+  /** Starts the claim by reading the last term. */
   void start() {
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate.store().get(Keys.TERM, RequestPriority.RENEWAL), this::handleTermRead);
   }
@@ -76,13 +77,16 @@
     SteadyTime sent = candidate.clock().now();
     long millis = (long) (candidate.tuning().leadershipS() * MILLIS_PER_S);
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate.store().grantLease(millis),
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
 
-  /** Where the answer was lost, a lease may be left that nobody uses; it ends by itself. */
+  /**
+   * If the response was lost, the store may hold an unused lease, which expires since it is not
+   * renewed.
+   */
   private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
@@ -95,11 +99,11 @@
             candidate.store(),
             candidate.clock(),
             candidate.tuning(),
-            candidate.locked(),
-            listener::leaseEnded);
-    // Renewed while the claim is under way: with a slow service its answer would come when the
-    // validity that counts from the request is all but over.
-    lease.keepAlive();
+            candidate.lockedExecutor(),
+            listener::leaseExpired);
+    // Renew while the claim is in progress: with a slow store, the response to the claim would
+    // arrive when the validity, which counts from the lease request, has almost ended.
+    lease.startRenewals();
     claim(lastTerm, lease);
   }
 
@@ -113,10 +117,10 @@
     LeaderRecord claimed = new LeaderRecord(candidate.node(), incarnation, term, true);
     List<Change> changes =
         List.of(
-            new Change.Put(Keys.TERM, TermRecord.claim(term, incarnation), 0),
+            new Change.Put(Keys.TERM, TermRecord.claimValue(term, incarnation), 0),
             new Change.Put(Keys.LEADER, claimed.toJson(), lease.id()));
     candidate
-        .locked()
+        .lockedExecutor()
         .whenAnswered(
             candidate
                 .store()
@@ -125,12 +129,12 @@
   }
 
   private void handleClaimAnswer(Term term, LeadershipLease lease, Outcome<Revision> outcome) {
-    if (outcome instanceof Outcome.Applied<Revision> applied && !lease.ended()) {
+    if (outcome instanceof Outcome.Applied<Revision> applied && !lease.expired()) {
       listener.won(term, applied.value(), lease);
       return;
     }
-    // Also an unknown outcome ends here: with its lease revoked, a claim that is applied late fails
-    // or leaves a term that nobody uses.
+    // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is
+    // applied late either fails or writes a term that stays unused.
     lease.release();
     listener.failed(outcome.isBecause(Reason.CONFLICT));
   }
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/LocalLeadership.java
@@ -8,21 +8,21 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 
-/** A leadership of this node, from a successful claim until it is lost. */
-final class OwnLeadership implements Authority {
+/** A leadership held by this node, from a successful claim until it is lost. */
+final class LocalLeadership implements Authority {
   private final Clock clock;
   private final LeadershipLease lease;
   private final Consumer<LeadershipLoss> onLost;
   private Term term;
   private Revision termRevision;
-  private boolean over;
+  private boolean ended;
 
   /**
-   * Creates a leadership that holds.
+   * Creates a leadership that is in force.
    *
    * @param onLost called once, under the lock
    */
-  OwnLeadership(
+  LocalLeadership(
       Term term,
       Revision termRevision,
       LeadershipLease lease,
@@ -53,28 +53,30 @@
 
   @Override
   public boolean isValid() {
-    return !over && clock.now().isBefore(lease.validUntil());
+    return !ended && clock.now().isBefore(lease.validUntil());
   }
 
   @Override
   public void onLost(LeadershipLoss loss) {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       onLost.accept(loss);
     }
   }
 
-  /** Until when the leadership certainly holds, unless it is lost before. */
+  /**
+   * The time until which the leadership is guaranteed to be in force, unless it is lost earlier.
+   */
   SteadyTime validUntil() {
     return lease.validUntil();
   }
 
-  /** Whether the key-value store has said that it holds the lease no more. */
-  boolean leaseEnded() {
-    return lease.ended();
+  /** Whether the key-value store has reported that the lease no longer exists. */
+  boolean leaseExpired() {
+    return lease.expired();
   }
 
-  /** Revokes the lease, and with it the leader's key. */
+  /** Revokes the lease, which removes the leader's key. */
   void releaseLease() {
     lease.release();
   }
--- a/src/main/java/org/ternhinge/leadership/DependencyResolver.java
+++ b/src/main/java/org/ternhinge/leadership/DependencyResolver.java
@@ -76,7 +76,7 @@
       onResolved.run();
       resolvePending();
     } else {
-      executor.later(RETRY_S, () -> retry(id));
+      executor.schedule(RETRY_S, () -> retry(id));
     }
   }
 
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -66,7 +66,7 @@
       // The recovery of the next leadership reads the missed changes page by page.
       authority.onLost(new LeadershipLoss.WatchFellBehind());
     } else {
-      executor.later(RETRY_S, this::watch);
+      executor.schedule(RETRY_S, this::watch);
     }
   }
 
--- a/src/main/java/org/ternhinge/leadership/LeadershipRole.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRole.java
@@ -54,7 +54,7 @@
    * other leader can be active yet.
    */
   public boolean mayAnswerHeartbeats() {
-    return election.mayAnswer();
+    return election.mayAnswerHeartbeats();
   }
 
   /** Whether this node is the leader and its leadership is valid. */
@@ -72,6 +72,6 @@
    * older version would accept such a job but ignore its dependencies.
    */
   public Optional<String> otherLeaderWithDependencies() {
-    return otherLeader().filter(leader -> election.leaderKnowsDependencies());
+    return otherLeader().filter(leader -> election.leaderSupportsDependencies());
   }
 }
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -14,12 +14,12 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * Answers workers' heartbeats. The leader answers them with commands; another node redirects the
- * worker to the leader, or relays for a worker that can't reach the leader. Guarded by the
+ * Handles workers' heartbeats. The leader responds with commands. Other nodes redirect the worker
+ * to the leader, or relay the heartbeats of a worker that can't reach the leader. Guarded by the
  * controller's lock.
  */
 public final class HeartbeatHandler {
-  /** Shorter than the time after which a worker drops the answer. */
+  /** Shorter than the time after which a worker discards the response. */
   private static final double RELAY_TIMEOUT_S = 2.5;
 
   private final LeadershipRole role;
@@ -34,41 +34,48 @@
     this.clock = clock;
   }
 
-  /** Answers a heartbeat; one that another node relays is not relayed a second time. */
-  public void handle(Request request, RequestOrigin origin, Consumer<Response> answer) {
+  /** Handles a heartbeat; one that another node has relayed is not relayed again. */
+  public void handle(Request request, RequestOrigin origin, Consumer<Response> responseCallback) {
     try {
-      handle(Heartbeat.read(request.body()), request, origin, answer);
+      handle(Heartbeat.read(request.body()), request, origin, responseCallback);
     } catch (WireException e) {
-      answer.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
+      responseCallback.accept(Responses.error(Responses.BAD_REQUEST, e.getMessage()));
     }
   }
 
   private void handle(
-      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
+      Heartbeat heartbeat,
+      Request request,
+      RequestOrigin origin,
+      Consumer<Response> responseCallback) {
     Optional<Leadership> leadership = role.current();
     if (leadership.isPresent() && !leadership.get().ready()) {
-      // Without the ledger a lease must not be renewed: a cancelled task might live on by it.
-      leadership.get().whenReady(() -> handle(heartbeat, request, origin, answer));
+      // A lease must not be renewed before the ledger is loaded: that might keep a cancelled task
+      // running.
+      leadership.get().whenReady(() -> handle(heartbeat, request, origin, responseCallback));
       return;
     }
-    if (leadership.isEmpty() || !answerAsLeader(leadership.get(), heartbeat, answer)) {
-      sendToLeader(heartbeat, request, origin, answer);
+    if (leadership.isEmpty() || !respondAsLeader(leadership.get(), heartbeat, responseCallback)) {
+      relayOrRedirect(heartbeat, request, origin, responseCallback);
     }
   }
 
-  /** Answers with this leadership's commands; false where it may not, or has just ended. */
-  private boolean answerAsLeader(
-      Leadership leadership, Heartbeat heartbeat, Consumer<Response> answer) {
+  /**
+   * Responds with the commands of this leadership; returns false without a response if the
+   * leadership may not respond or has just ended.
+   */
+  private boolean respondAsLeader(
+      Leadership leadership, Heartbeat heartbeat, Consumer<Response> responseCallback) {
     boolean valid = role.isValid();
     if (!role.mayAnswerHeartbeats() || !(valid || leadership.mayRenewLease(heartbeat))) {
       return false;
     }
     Optional<List<Command>> commands = leadership.processHeartbeat(heartbeat, valid);
     if (role.current().isEmpty()) {
-      // The heartbeat carried a higher term, which has ended the leadership.
+      // The heartbeat carried a higher term, which ended the leadership.
       return false;
     }
-    answer.accept(
+    responseCallback.accept(
         commands
             .map(list -> Command.answer(leadership.authority().term(), list))
             .map(body -> Response.of(Responses.OK, body))
@@ -76,16 +83,19 @@
     return true;
   }
 
-  private void sendToLeader(
-      Heartbeat heartbeat, Request request, RequestOrigin origin, Consumer<Response> answer) {
+  private void relayOrRedirect(
+      Heartbeat heartbeat,
+      Request request,
+      RequestOrigin origin,
+      Consumer<Response> responseCallback) {
     Optional<String> leader = role.otherLeader();
     if (leader.isEmpty() || origin == RequestOrigin.PEER) {
-      answer.accept(Responses.busy());
+      responseCallback.accept(Responses.busy());
     } else if (relayPolicy.shouldRelay(heartbeat.machine(), clock.now())) {
-      peers.askOrBusy(leader.get(), request, RELAY_TIMEOUT_S, answer);
+      peers.sendOrBusy(leader.get(), request, RELAY_TIMEOUT_S, responseCallback);
     } else {
       Redirect redirect = new Redirect(leader.get());
-      answer.accept(Response.of(Responses.MISDIRECTED, redirect.write()));
+      responseCallback.accept(Response.of(Responses.MISDIRECTED, redirect.write()));
     }
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -91,7 +91,7 @@
    */
   private void handlePage(MachineId after, Outcome<ListedMachine.Page> outcome) {
     if (RetryPolicy.isRateLimited(outcome)) {
-      executor.later(RetryPolicy.RATE_LIMITED_DELAY_S, () -> sendPageRequest(after));
+      executor.schedule(RetryPolicy.RATE_LIMITED_DELAY_S, () -> sendPageRequest(after));
       return;
     }
     if (outcome instanceof Outcome.Applied<ListedMachine.Page> applied) {
@@ -103,6 +103,6 @@
       }
       listener.onListing(listing, startedAt);
     }
-    executor.later(intervalS, this::start);
+    executor.schedule(intervalS, this::start);
   }
 }
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -122,7 +122,7 @@
   }
 
   private void sendAfter(double seconds, OpenProvision provision) {
-    executor.later(seconds, () -> send(provision));
+    executor.schedule(seconds, () -> send(provision));
   }
 
   private void handleOutcome(OpenProvision provision, Outcome<List<MachineId>> outcome) {
--- a/src/main/java/org/ternhinge/store/Change.java
+++ b/src/main/java/org/ternhinge/store/Change.java
@@ -16,7 +16,7 @@
    * @param lease id of the lease that the key is attached to, or {@link #NO_LEASE}
    */
   record Put(String key, JsonNode value, long lease) implements Change {
-    /** The key stays until it is deleted. */
+    /** Value of {@code lease} for a key that is kept until it is deleted. */
     public static final long NO_LEASE = 0;
   }
 
@@ -31,7 +31,7 @@
    * A change that a watch observed.
    *
    * @param key the key that changed
-   * @param value its new value, or null where the key was removed
+   * @param value its new value, or null if the key was removed
    * @param revision the revision of the change
    */
   record Observed(String key, JsonNode value, Revision revision) implements Change {}
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -6,13 +6,16 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Distinguishes lost zones from lost links of the leader itself, by comparing the zones. Where all
- * zones are impaired, the leader is assumed to be cut off; where many became so at once, no loss is
- * confirmed for a while.
+ * Distinguishes the loss of a zone from a network failure of the leader itself, by comparing all
+ * zones. If all zones are impaired, the leader is assumed to be partitioned; if many zones became
+ * impaired at the same time, the confirmation of a loss is delayed by the duration of a lease.
  */
 final class FleetAssessment {
-  /** The cause is in doubt where one in so many zones, and more than one, is impaired at once. */
-  private static final int DOUBT_RATIO = 2;
+  /**
+   * The cause is ambiguous if several zones, and at least one in this many, become impaired at the
+   * same time.
+   */
+  private static final int CORRELATED_SHARE_DIVISOR = 2;
 
   private final ZoneFailoverSettings settings;
   private final double leaseS;
@@ -20,26 +23,29 @@
   /**
    * Creates an assessment.
    *
-   * @param leaseS duration of a worker's lease in seconds, after which the tasks of a machine that
-   *     is not reached have ended, whatever the cause
+   * @param leaseS duration of a worker's lease in seconds, after which the tasks of an unreachable
+   *     machine have ended, whatever the cause
    */
   FleetAssessment(ZoneFailoverSettings settings, double leaseS) {
     this.settings = settings;
     this.leaseS = leaseS;
   }
 
-  /** The health of all zones after an observation of each, in the same order. */
+  /** Returns the health of all zones after an observation of each, in the same order. */
   List<ZoneHealth> assess(
       List<ZoneHealth> before, List<ZoneObservation> observations, SteadyTime now) {
     List<ZoneHealth> after = new ArrayList<>(before.size());
     for (int zone = 0; zone < before.size(); zone++) {
       boolean confirmable = isConfirmable(zone, before, observations, now);
-      after.add(before.get(zone).after(observations.get(zone), confirmable, settings, now));
+      after.add(before.get(zone).next(observations.get(zone), confirmable, settings, now));
     }
     return after;
   }
 
-  /** Whether the impairment of a zone may be its loss rather than that of the leader's links. */
+  /**
+   * Whether the impairment of a zone may be confirmed as its loss, rather than attributed to a
+   * network failure of the leader.
+   */
   private boolean isConfirmable(
       int zone, List<ZoneHealth> zones, List<ZoneObservation> observations, SteadyTime now) {
     SteadyTime onset = zones.get(zone).impairedSince();
@@ -48,20 +54,20 @@
     }
     int populated = 0;
     int impaired = 0;
-    int impairedTogether = 0;
+    int correlated = 0;
     for (int i = 0; i < zones.size(); i++) {
       if (observations.get(i).expected() > 0) {
         populated++;
         SteadyTime other = zones.get(i).impairedSince();
         impaired += other == null ? 0 : 1;
-        impairedTogether += other != null && isCorrelated(other, onset) ? 1 : 0;
+        correlated += other != null && isCorrelated(other, onset) ? 1 : 0;
       }
     }
     if (impaired == populated) {
       return false;
     }
-    boolean inDoubt = impairedTogether > 1 && impairedTogether * DOUBT_RATIO >= populated;
-    return !inDoubt || now.secondsSince(onset) >= leaseS;
+    boolean ambiguous = correlated > 1 && correlated * CORRELATED_SHARE_DIVISOR >= populated;
+    return !ambiguous || now.secondsSince(onset) >= leaseS;
   }
 
   private boolean isCorrelated(SteadyTime one, SteadyTime other) {
--- a/src/main/java/org/ternhinge/zone/PlanLimiter.java
+++ b/src/main/java/org/ternhinge/zone/PlanLimiter.java
@@ -10,59 +10,59 @@
 import org.ternhinge.schedule.Plan;
 
 /**
- * Removes from a plan what exceeds the pace of returning zones: starts there, moves of running
- * replicas, and releases of many machines at once.
+ * Removes from a plan what exceeds the limits that apply while zones recover: task starts in
+ * recovering zones, migrations of running replicas, and the release of many machines at once.
  */
 final class PlanLimiter {
-  private final ReturnPacer pacer;
-  private final PlacementFacts facts;
+  private final RecoveryRateLimiter rateLimiter;
+  private final PlacementLookup placementLookup;
   private final Map<String, Integer> startsByZone = new HashMap<>();
 
-  PlanLimiter(ReturnPacer pacer, PlacementFacts facts) {
-    this.pacer = pacer;
-    this.facts = facts;
+  PlanLimiter(RecoveryRateLimiter rateLimiter, PlacementLookup placementLookup) {
+    this.rateLimiter = rateLimiter;
+    this.placementLookup = placementLookup;
   }
 
   /**
-   * The plan within the limits.
+   * Returns the part of a plan that is within the limits.
    *
-   * @param pacedZones names of the zones with a limited number of starts
-   * @param maxReleases how many idle machines may be released now
+   * @param limitedZones names of the zones in which starts are rate-limited
+   * @param maxReleases maximum number of idle machines to release now
    */
-  Plan limited(Plan plan, Set<String> pacedZones, int maxReleases) {
+  Plan limited(Plan plan, Set<String> limitedZones, int maxReleases) {
     Plan limited = new Plan();
     for (Plan.Placement placement : plan.placements()) {
-      Plan.Placement permitted = limited(placement, pacedZones);
+      Plan.Placement permitted = limited(placement, limitedZones);
       if (!permitted.tasks().isEmpty()) {
         limited.placements().add(permitted);
       }
     }
     plan.preemptions().stream()
-        .filter(preemption -> !isMove(preemption))
+        .filter(preemption -> !isMigration(preemption))
         .forEach(limited.preemptions()::add);
     limited.scaleOuts().addAll(plan.scaleOuts());
     plan.releases().stream().limit(Math.max(0, maxReleases)).forEach(limited.releases()::add);
     return limited;
   }
 
-  /** The permitted starts in each of the paced zones. */
+  /** Returns the number of permitted starts in each rate-limited zone. */
   Map<String, Integer> startsByZone() {
     return startsByZone;
   }
 
-  private Plan.Placement limited(Plan.Placement placement, Set<String> pacedZones) {
-    return facts.isGang(placement.job())
-        ? wholeOrNone(placement, pacedZones)
-        : oneByOne(placement, pacedZones);
+  private Plan.Placement limited(Plan.Placement placement, Set<String> limitedZones) {
+    return placementLookup.isGang(placement.job())
+        ? limitGang(placement, limitedZones)
+        : limitTasks(placement, limitedZones);
   }
 
-  private Plan.Placement oneByOne(Plan.Placement placement, Set<String> pacedZones) {
+  private Plan.Placement limitTasks(Plan.Placement placement, Set<String> limitedZones) {
     List<Integer> tasks = new ArrayList<>();
     List<MachineId> machines = new ArrayList<>();
     for (int i = 0; i < placement.tasks().size(); i++) {
       MachineId machine = placement.machines().get(i);
-      Optional<String> pacedZone = facts.zoneOf(machine).filter(pacedZones::contains);
-      if (pacedZone.isEmpty() || startIfPermitted(pacedZone.get())) {
+      Optional<String> limitedZone = placementLookup.zoneOf(machine).filter(limitedZones::contains);
+      if (limitedZone.isEmpty() || tryStart(limitedZone.get())) {
         tasks.add(placement.tasks().get(i));
         machines.add(machine);
       }
@@ -70,35 +70,41 @@
     return new Plan.Placement(placement.job(), tasks, machines);
   }
 
-  private boolean startIfPermitted(String zone) {
-    if (!pacer.allows(zone)) {
+  private boolean tryStart(String zone) {
+    if (!rateLimiter.allows(zone)) {
       return false;
     }
-    start(zone);
+    countStart(zone);
     return true;
   }
 
-  private void start(String zone) {
-    pacer.take(zone, 1);
+  private void countStart(String zone) {
+    rateLimiter.take(zone, 1);
     startsByZone.merge(zone, 1, Integer::sum);
   }
 
-  /** A gang may overdraw the budget: otherwise one larger than the budget would never start. */
-  private Plan.Placement wholeOrNone(Plan.Placement placement, Set<String> pacedZones) {
+  /**
+   * Permits a gang as a whole or not at all. A gang may overdraw the bucket; otherwise a gang
+   * larger than the bucket's capacity could never start.
+   */
+  private Plan.Placement limitGang(Plan.Placement placement, Set<String> limitedZones) {
     List<String> starts =
         placement.machines().stream()
-            .flatMap(machine -> facts.zoneOf(machine).stream())
-            .filter(pacedZones::contains)
+            .flatMap(machine -> placementLookup.zoneOf(machine).stream())
+            .filter(limitedZones::contains)
             .toList();
-    if (!starts.stream().allMatch(pacer::allows)) {
+    if (!starts.stream().allMatch(rateLimiter::allows)) {
       return new Plan.Placement(placement.job(), List.of(), List.of());
     }
-    starts.forEach(this::start);
+    starts.forEach(this::countStart);
     return placement;
   }
 
-  /** Whether a preemption moves a running task of the job itself, and makes no room for another. */
-  private static boolean isMove(Plan.Preemption preemption) {
+  /**
+   * Whether a preemption migrates a running task of the job itself rather than freeing capacity for
+   * another job.
+   */
+  private static boolean isMigration(Plan.Preemption preemption) {
     return !preemption.victims().isEmpty()
         && preemption.victims().stream()
             .allMatch(victim -> victim.job().equals(preemption.forJob()));
--- a/src/main/java/org/ternhinge/zone/ReturnLimits.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryLimits.java
@@ -8,43 +8,43 @@
 import org.ternhinge.schedule.Plan;
 
 /**
- * Limits plans while a zone is not available: by the pace of returning zones, and by a rate of
- * machine releases. Guarded by its owner.
+ * Limits plans while a zone is not available: task starts in recovering zones and the release of
+ * machines are rate-limited. Not thread-safe; the owner synchronizes access.
  */
-final class ReturnLimits {
-  /** Share of the fleet's machines that may be released a second. */
+final class RecoveryLimits {
+  /** Share of the fleet's machines that may be released per second. */
   private static final double RELEASE_SHARE = 0.02;
 
-  private final ReturnPacer pacer;
-  private RateBudget releases;
+  private final RecoveryRateLimiter rateLimiter;
+  private ImmutableTokenBucket releases;
 
-  ReturnLimits(ReturnPacer pacer, SteadyTime now) {
-    this.pacer = pacer;
-    this.releases = RateBudget.starting(now);
+  RecoveryLimits(RecoveryRateLimiter rateLimiter, SteadyTime now) {
+    this.rateLimiter = rateLimiter;
+    this.releases = ImmutableTokenBucket.withOneToken(now);
   }
 
   /**
-   * The plan without what exceeds the limits.
+   * Returns the part of a plan that is within the limits.
    *
-   * @param events the list to which the starts in returning zones are added
+   * @param events the list to which events of starts in recovering zones are added
    */
   Plan limit(
       Plan plan,
       ZoneSnapshot snapshot,
-      PlacementFacts facts,
+      PlacementLookup placementLookup,
       List<ZoneEvent> events,
       SteadyTime now) {
-    pacer.refill(snapshot, now);
+    rateLimiter.refill(snapshot, now);
     releases = releases.refilled(Math.max(1, RELEASE_SHARE * fleetSize(snapshot)), now);
-    PlanLimiter limiter = new PlanLimiter(pacer, facts);
-    Plan limited = limiter.limited(plan, recoveringZones(snapshot), (int) releases.tokens());
+    PlanLimiter planLimiter = new PlanLimiter(rateLimiter, placementLookup);
+    Plan limited = planLimiter.limited(plan, recoveringZones(snapshot), (int) releases.tokens());
     releases = releases.minus(limited.releases().size());
-    limiter
+    planLimiter
         .startsByZone()
         .forEach(
             (zone, starts) ->
                 events.add(
-                    new ZoneEvent.ReturnStarts(zone, snapshot.zones().get(zone).step(), starts)));
+                    new ZoneEvent.RecoveryStarts(zone, snapshot.zones().get(zone).step(), starts)));
     return limited;
   }
 
--- a/src/main/java/org/ternhinge/zone/ZoneEventParser.java
+++ b/src/main/java/org/ternhinge/zone/ZoneEventParser.java
@@ -4,11 +4,14 @@
 import java.util.Optional;
 import org.ternhinge.model.TaskRanges;
 
-/** Parses the events of zones from a log, those of earlier versions included. */
+/** Parses zone events from a log, including those of earlier versions. */
 public final class ZoneEventParser {
   private ZoneEventParser() {}
 
-  /** Parses an event from its kind and fields; empty where these are not those of an event. */
+  /**
+   * Parses an event from its kind and fields; empty if the kind is unknown or a field is missing or
+   * invalid.
+   */
   public static Optional<ZoneEvent> parse(String kind, Map<String, String> fields) {
     try {
       return Optional.of(parseOrThrow(kind, fields));
@@ -21,50 +24,52 @@
     return switch (kind) {
       case "state" ->
           new ZoneEvent.StateChanged(
-              text(fields, "zone"),
-              state(fields, "from"),
-              state(fields, "to"),
-              Integer.parseInt(text(fields, "impaired")),
-              Integer.parseInt(text(fields, "expected")),
-              Double.parseDouble(text(fields, "penalty")),
-              Boolean.parseBoolean(text(fields, "suppressed")));
+              requiredField(fields, "zone"),
+              requiredState(fields, "from"),
+              requiredState(fields, "to"),
+              Integer.parseInt(requiredField(fields, "impaired")),
+              Integer.parseInt(requiredField(fields, "expected")),
+              Double.parseDouble(requiredField(fields, "penalty")),
+              Boolean.parseBoolean(requiredField(fields, "suppressed")));
       case "return-starts" ->
-          new ZoneEvent.ReturnStarts(
-              text(fields, "zone"),
-              Integer.parseInt(text(fields, "step")),
-              Integer.parseInt(text(fields, "starts")));
+          new ZoneEvent.RecoveryStarts(
+              requiredField(fields, "zone"),
+              Integer.parseInt(requiredField(fields, "step")),
+              Integer.parseInt(requiredField(fields, "starts")));
       default ->
           new ZoneEvent.WorkChanged(
               ZoneEvent.WorkStep.of(kind),
-              text(fields, "job"),
-              ranges(fields, "tasks"),
-              text(fields, "attempts").equals("-") ? "" : text(fields, "attempts"),
-              text(fields, "tier"),
-              text(fields, "zone"),
-              Double.parseDouble(text(fields, "waited_s")),
-              text(fields, "reason"));
+              requiredField(fields, "job"),
+              requiredRanges(fields, "tasks"),
+              requiredField(fields, "attempts").equals("-")
+                  ? ""
+                  : requiredField(fields, "attempts"),
+              requiredField(fields, "tier"),
+              requiredField(fields, "zone"),
+              Double.parseDouble(requiredField(fields, "waited_s")),
+              requiredField(fields, "reason"));
     };
   }
 
-  private static String text(Map<String, String> fields, String name) {
+  private static String requiredField(Map<String, String> fields, String name) {
     String value = fields.get(name);
     if (value == null) {
-      throw new IllegalArgumentException(name + " is missing");
+      throw new IllegalArgumentException(name + ": field is missing");
     }
     return value;
   }
 
-  private static String ranges(Map<String, String> fields, String name) {
-    String value = text(fields, name);
-    // Throws where these are no ranges.
+  private static String requiredRanges(Map<String, String> fields, String name) {
+    String value = requiredField(fields, name);
+    // Throws if the value is not a list of ranges.
     if (TaskRanges.decode(value).isEmpty()) {
-      throw new IllegalArgumentException(name + " is empty");
+      throw new IllegalArgumentException(name + ": field has no ranges");
     }
     return value;
   }
 
-  private static ZoneState state(Map<String, String> fields, String name) {
-    return ZoneState.of(text(fields, name))
-        .orElseThrow(() -> new IllegalArgumentException(name + " is not a state"));
+  private static ZoneState requiredState(Map<String, String> fields, String name) {
+    return ZoneState.of(requiredField(fields, name))
+        .orElseThrow(() -> new IllegalArgumentException(name + ": unknown zone state"));
   }
 }
--- a/src/main/java/org/ternhinge/zone/report/ZoneLog.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneLog.java
@@ -21,17 +21,17 @@
 import org.ternhinge.zone.ZoneEventParser;
 
 /**
- * The events of zones in a controller's log, in order of time. The log may be a concatenation of
- * those of several controllers.
+ * The zone events in a controller's log, in chronological order. The logs of several controllers
+ * may be concatenated.
  *
- * @param lines number of lines that were read
- * @param malformed number of lines with an event's mark that could not be parsed
+ * @param lines number of lines read
+ * @param malformed number of lines with an event marker that could not be parsed
  */
 public record ZoneLog(List<Entry> events, int lines, int malformed) {
-  /** An event, with the time of day and the term of the leader that logged it. */
+  /** An event with its wall-clock time and the term of the leader that logged it. */
   public record Entry(long atMillis, long term, ZoneEvent event) {}
 
-  /** Reads a log file; invalid bytes are replaced, which affects their line only. */
+  /** Reads a log file; invalid bytes are replaced, so they affect only their own line. */
   public static ZoneLog read(Path file) throws IOException {
     CharsetDecoder decoder =
         StandardCharsets.UTF_8
@@ -54,7 +54,7 @@
     return new ZoneLog(List.copyOf(reader.events), reader.lines, reader.malformed);
   }
 
-  /** Collects the events of one line after the other. */
+  /** Collects the events line by line. */
   private static final class Reader {
     private final List<Entry> events = new ArrayList<>();
     private int lines;
@@ -62,15 +62,16 @@
 
     void read(String line) {
       lines++;
-      int mark = line.indexOf(ZoneEvent.MARK + " ");
-      if (mark < 0) {
+      int markerIndex = line.indexOf(ZoneEvent.MARKER + " ");
+      if (markerIndex < 0) {
         return;
       }
-      Optional<Entry> entry = entry(line.substring(mark + ZoneEvent.MARK.length() + 1));
+      Optional<Entry> entry =
+          parseEntry(line.substring(markerIndex + ZoneEvent.MARKER.length() + 1));
       entry.ifPresentOrElse(events::add, () -> malformed++);
     }
 
-    private static Optional<Entry> entry(String text) {
+    private static Optional<Entry> parseEntry(String text) {
       String[] words = text.strip().split(" +", -1);
       Map<String, String> fields = new HashMap<>();
       for (int i = 1; i < words.length; i++) {
@@ -80,10 +81,10 @@
         }
         fields.put(words[i].substring(0, equals), words[i].substring(equals + 1));
       }
-      return ZoneEventParser.parse(words[0], fields).flatMap(event -> timed(event, fields));
+      return ZoneEventParser.parse(words[0], fields).flatMap(event -> withTimestamp(event, fields));
     }
 
-    private static Optional<Entry> timed(ZoneEvent event, Map<String, String> fields) {
+    private static Optional<Entry> withTimestamp(ZoneEvent event, Map<String, String> fields) {
       try {
         long atMillis = Long.parseLong(fields.getOrDefault("at", ""));
         long term = Long.parseLong(fields.getOrDefault("term", ""));
--- a/src/main/java/org/ternhinge/zone/report/ZoneReport.java
+++ b/src/main/java/org/ternhinge/zone/report/ZoneReport.java
@@ -31,16 +31,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the report on zones as one HTML file that needs nothing else. */
+/** Writes the report on zones as one self-contained HTML file. */
 public final class ZoneReport {
   /** The result of writing a report. */
   public enum Result {
-    /** The file was written from all events of the log. */
-    WHOLE,
-    /** The file was written; some lines could not be read. */
+    /** The report was written and includes all events of the log. */
+    COMPLETE,
+    /** The report was written; some lines could not be parsed. */
     PARTIAL,
-    /** The log holds no event that could be read; no file was written. */
-    NOTHING_USABLE
+    /** The log contains no valid event; no report was written. */
+    NO_EVENTS
   }
 
   private static final String CSS =
@@ -56,15 +56,15 @@
     this.history = new ZoneHistory(log.events());
   }
 
-  /** Writes the report on a log that was read. */
+  /** Writes the report on a log. */
   public static Result write(ZoneLog log, Path out) throws IOException {
     if (log.events().isEmpty()) {
-      return Result.NOTHING_USABLE;
+      return Result.NO_EVENTS;
     }
-    // The machine may have no display.
+    // The report may be created on a machine without a display.
     System.setProperty("java.awt.headless", "true");
     Files.writeString(out, new ZoneReport(log).page());
-    return log.malformed() > 0 ? Result.PARTIAL : Result.WHOLE;
+    return log.malformed() > 0 ? Result.PARTIAL : Result.COMPLETE;
   }
 
   private String page() throws IOException {
@@ -73,11 +73,11 @@
         html(
             head(meta().withCharset("utf-8"), title("Zones"), style(CSS).withType("text/css")),
             body(
-                h1("Loss and return of zones"),
+                h1("Loss and recovery of zones"),
                 p(
                     String.format(
                         Locale.ROOT,
-                        "%s to %s, %d events in %d lines, %d lines left out.",
+                        "%s to %s, %d events in %d lines, %d malformed lines skipped.",
                         Instant.ofEpochMilli(history.fromMillis()),
                         Instant.ofEpochMilli(history.toMillis()),
                         log.events().size(),
@@ -89,13 +89,13 @@
                     : image(charts.states()),
                 intervals(),
                 h2("Moves by tier"),
-                history.moves().isEmpty() ? p("Nothing was moved.") : image(charts.moves()),
+                history.moves().isEmpty() ? p("No tasks were moved.") : image(charts.moves()),
                 tiers(),
-                h2("Starts in zones that have returned"),
+                h2("Starts in recovering zones"),
                 history.starts().isEmpty() ? p("None.") : image(charts.starts()),
                 h2("Doubled attempts"),
                 duplicateAttempts(),
-                h2("Work that waited"),
+                h2("Delayed tasks"),
                 delays())));
   }
 
@@ -103,21 +103,21 @@
     return img().withSrc("data:image/png;base64," + Base64.getEncoder().encodeToString(png));
   }
 
-  private static TableTag rows(List<String> names, List<List<String>> rows) {
+  private static TableTag dataTable(List<String> names, List<List<String>> rows) {
     return table(
         thead(tr(each(names, name -> th(name)))),
         tbody(each(rows, row -> tr(each(row, cell -> td(cell))))));
   }
 
   private DomContent intervals() {
-    return rows(
+    return dataTable(
         List.of("zone", "state", "from", "seconds"),
         history.intervals().stream()
             .map(
                 interval ->
                     List.of(
                         interval.zone(),
-                        interval.state().word(),
+                        interval.state().label(),
                         Instant.ofEpochMilli(interval.fromMillis()).toString(),
                         seconds((interval.toMillis() - interval.fromMillis()) / 1000.0)))
             .toList());
@@ -128,7 +128,7 @@
   }
 
   private DomContent tiers() {
-    return rows(
+    return dataTable(
         List.of("tier", "displaced", "moved", "longest wait, s"),
         history.tiers().entrySet().stream()
             .map(
@@ -153,9 +153,9 @@
 
   private DomContent delays() {
     if (history.delays().isEmpty()) {
-      return p("None for longer than half a minute.");
+      return p("No job waited for more than 30 s.");
     }
-    return rows(
+    return dataTable(
         List.of("at", "job", "tier", "tasks", "reason", "waited, s"),
         history.delays().stream()
             .map(
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -25,7 +25,7 @@
 import org.ternhinge.store.Entry;
 import org.ternhinge.wire.Json;
 
-/** One claim of the leadership, and what the leadership that it brings answers. */
+/** A claim of the leadership, and the state of the leadership that results from it. */
 class LeadershipClaimTest {
   private final SimClock clock = new SimClock();
   private final StoreCore core = new StoreCore(clock);
@@ -40,13 +40,13 @@
 
   private final List<String> failures = new ArrayList<>();
   private final List<LeadershipLoss> losses = new ArrayList<>();
-  private OwnLeadership won;
-  private int leasesEnded;
+  private LocalLeadership won;
+  private int expiredLeases;
 
   private final class Recorder implements LeadershipClaim.Listener {
     @Override
     public void won(Term term, Revision termRevision, LeadershipLease lease) {
-      won = new OwnLeadership(term, termRevision, lease, clock, losses::add);
+      won = new LocalLeadership(term, termRevision, lease, clock, losses::add);
     }
 
     @Override
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void leaseEnded() {
-      leasesEnded++;
+    public void leaseExpired() {
+      expiredLeases++;
     }
   }
 
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void itIsWonWithTheNextTermWhereNothingHasChanged() {
+  void claimWithUnchangedKeysWinsNextTerm() {
     put(Keys.TERM, 6);
     claim(Revision.NONE);
     assertEquals(new Term(7), won.term());
@@ -85,33 +85,33 @@
   }
 
   @Test
-  void itIsLostWhereAnotherNodeHasClaimedTheLeadershipFirst() {
+  void claimFailsWhenAnotherNodeClaimedFirst() {
     put(Keys.LEADER, 1);
     claim(Revision.NONE);
     assertEquals(List.of("lost race"), failures);
-    assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "no term is used up");
+    assertEquals(Optional.empty(), core.get(Keys.TERM).entry(), "the term is not incremented");
     clock.runFor(60);
-    assertEquals(0, leasesEnded, "its lease was released");
+    assertEquals(0, expiredLeases, "the released lease must not be reported as expired");
   }
 
   /** The leadership after a claim that was applied. */
   @Nested
-  class AWonLeadership {
+  class WonLeadership {
     @BeforeEach
-    void claimFirst() {
+    void claimLeadership() {
       claim(Revision.NONE);
     }
 
     @Test
-    void holdsWhileItsLeaseIsRenewed() {
+    void staysValidWhileLeaseIsRenewed() {
       assertTrue(won.isValid());
       clock.runFor(60);
       assertTrue(won.isValid());
-      assertEquals(0, leasesEnded);
+      assertEquals(0, expiredLeases);
     }
 
     @Test
-    void followsARaisedTerm() {
+    void adoptsRaisedTerm() {
       won.onTermRaised(new Term(2), new Revision(99));
       assertEquals(new Term(2), won.term());
       assertEquals(new Revision(99), won.termRevision());
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void isLostOnce() {
+    void reportsLossOnce() {
       LeadershipLoss loss = new LeadershipLoss.WatchFellBehind();
       won.onLost(loss);
       won.onLost(new LeadershipLoss.LeaseExpired());
@@ -128,10 +128,10 @@
     }
 
     @Test
-    void leavesNoLeaderOnceItsLeaseIsReleased() {
+    void releasedLeaseRemovesLeaderKey() {
       won.releaseLease();
       assertEquals(Optional.empty(), core.get(Keys.LEADER).entry());
-      assertTrue(core.get(Keys.TERM).entry().isPresent(), "terms only grow");
+      assertTrue(core.get(Keys.TERM).entry().isPresent(), "the term must be kept");
     }
   }
 }
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
 
-/** How long a lease is relied on, by which renewals are answered and when. */
+/** Validity of a lease and times of its renewals, depending on when renewals are answered. */
 class LeadershipLeaseTest {
   private static final double VALIDITY_S = 6 * 0.999 - 0.3;
 
@@ -29,9 +29,9 @@
   private final SimClock clock = new SimClock();
   private final List<Renewal> renewals = new ArrayList<>();
   private final SteadyTime requested = clock.now();
-  private int timesEnded;
+  private int expirations;
 
-  /** A store whose renewals are answered by hand. */
+  /** A store whose renewals are answered by the test. */
   private final DirectStore store =
       new DirectStore(new StoreCore(clock)) {
         @Override
@@ -50,7 +50,7 @@
           clock,
           Tuning.DEFAULT,
           new LockedExecutor(new ReentrantLock()),
-          () -> timesEnded++);
+          () -> expirations++);
 
   private double validS() {
     return lease.validUntil().secondsSince(requested);
@@ -66,18 +66,18 @@
 
   @ParameterizedTest(name = "granted after {0} s, first renewal {1} s after the request")
   @CsvSource({"0.01, 2", "1.3, 2", "2.6, 2.6", "3.6, 3.6"})
-  void itCountsFromTheRequest(double grantedAfterS, double firstRenewalS) {
+  void validityCountsFromRequest(double grantedAfterS, double firstRenewalS) {
     clock.runFor(grantedAfterS);
-    lease.keepAlive();
+    lease.startRenewals();
     assertEquals(VALIDITY_S, validS(), 1e-6);
     clock.runFor(Math.max(0, firstRenewalS - grantedAfterS) + 0.01);
     assertEquals(firstRenewalS, sentS(0), 1e-6);
   }
 
-  /** With quick answers there is one renewal every two seconds, as ever. */
+  /** With fast responses there is one renewal every two seconds. */
   @Test
-  void quickAnswersKeepThePace() {
-    lease.keepAlive();
+  void fastResponsesKeepRenewalInterval() {
+    lease.startRenewals();
     for (int i = 0; i < 10; i++) {
       clock.runFor(2.005);
       assertEquals(i + 1, renewals.size());
@@ -86,10 +86,12 @@
     }
   }
 
-  /** The next renewal doesn't wait for a late answer, and there are never many of them. */
+  /**
+   * The next renewal doesn't wait for a late response, and the number of renewals stays bounded.
+   */
   @Test
-  void renewalsDoNotWaitForEachOther() {
-    lease.keepAlive();
+  void renewalsDoNotWaitForResponses() {
+    lease.startRenewals();
     clock.runFor(20);
     assertEquals(2, sentS(0), 1e-6);
     assertEquals(3.4, sentS(1), 1e-6);
@@ -98,8 +100,8 @@
   }
 
   @Test
-  void aLateAnswerCountsFromItsSending() {
-    lease.keepAlive();
+  void lateResponseExtendsValidityFromSendTime() {
+    lease.startRenewals();
     clock.runFor(7);
     assertEquals(VALIDITY_S, validS(), 1e-6);
     answer(0);
@@ -109,8 +111,8 @@
   }
 
   @Test
-  void anOlderRenewalsAnswerNeverShortensIt() {
-    lease.keepAlive();
+  void olderRenewalNeverShortensValidity() {
+    lease.startRenewals();
     clock.runFor(7);
     answer(2);
     assertEquals(4.8 + VALIDITY_S, validS(), 1e-6);
@@ -120,43 +122,43 @@
     assertEquals(4.8 + VALIDITY_S, validS(), 1e-6);
   }
 
-  /** Only the newest renewal's failure brings the next one forward. */
+  /** Only a failure of the newest renewal schedules an earlier next one. */
   @Test
-  void refusalsDoNotMultiplyTheRenewals() {
-    lease.keepAlive();
+  void refusalsDoNotMultiplyRenewals() {
+    lease.startRenewals();
     clock.runFor(60);
     int sent = renewals.size();
     for (int i = 0; i < sent; i++) {
       renewals.get(i).answer.complete(Outcome.notApplied(Reason.REFUSED, "503"));
     }
     clock.runFor(0.39);
-    assertTrue(renewals.size() <= sent + 1, (renewals.size() - sent) + " at once");
+    assertTrue(renewals.size() <= sent + 1, (renewals.size() - sent) + " renewals at once");
     clock.runFor(0.02);
-    assertTrue(renewals.size() >= sent + 1, "none after a refusal");
+    assertTrue(renewals.size() >= sent + 1, "no renewal after a refusal");
     assertEquals(VALIDITY_S, validS(), 1e-6);
   }
 
   @Test
-  void itEndsWhenTheServiceHoldsItNoMore() {
-    lease.keepAlive();
+  void leaseExpiresWhenStoreReportsItMissing() {
+    lease.startRenewals();
     clock.runFor(5);
     renewals.get(0).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
     renewals.get(1).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
-    assertTrue(lease.ended());
-    assertEquals(1, timesEnded);
+    assertTrue(lease.expired());
+    assertEquals(1, expirations);
     int sent = renewals.size();
     clock.runFor(30);
     assertEquals(sent, renewals.size());
   }
 
   @Test
-  void nothingCountsAfterItsRelease() {
-    lease.keepAlive();
+  void responsesAfterReleaseAreIgnored() {
+    lease.startRenewals();
     clock.runFor(3);
     lease.release();
     renewals.get(0).answer.complete(Outcome.notApplied(Reason.NOT_FOUND, ""));
-    assertFalse(lease.ended());
-    assertEquals(0, timesEnded);
+    assertFalse(lease.expired());
+    assertEquals(0, expirations);
     clock.runFor(30);
     assertEquals(1, renewals.size());
   }
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.zone.DisplacedWork.TaskState;
 import org.ternhinge.zone.ZoneObservation;
 
-/** Which machines count as expected, impaired and unheard, and what becomes of displaced tasks. */
+/** Counting of expected, impaired and unreported machines, and the states of displaced tasks. */
 class FleetObservationsTest {
   private static final int TIER = 3;
 
@@ -45,7 +45,10 @@
     return machine;
   }
 
-  /** With a heartbeat each 2 s, 8 s are left to find a new leader; 6 s are overdue. */
+  /**
+   * With a heartbeat interval of 2 s, workers have 8 s to find a new leader, and heartbeats are
+   * overdue after 6 s.
+   */
   @ParameterizedTest(name = "heard {0}, listed {1}, leaving {2}, after {3} s")
   @CsvSource({
     "true,  false, false, 1,   1, 0, 0",
@@ -56,14 +59,14 @@
     "false, true,  true,  8.1, 0, 0, 0",
     "false, false, false, 8.1, 0, 0, 0"
   })
-  void aMachineCountsByWhatIsKnownOfIt(
+  void machineIsCountedByHeartbeatListingAndCloudState(
       boolean heard,
       boolean listed,
       boolean leaving,
       double afterS,
       int expected,
       int impaired,
-      int unheard) {
+      int unreported) {
     MachineId id = new MachineId("n-1");
     Machine machine =
         heard ? fixture.addMachine("n-1") : fixture.machines.findOrAdd(id, fixture.now());
@@ -75,11 +78,11 @@
       machine.cloud().markReleasing();
     }
     fixture.clock.runFor(afterS);
-    assertEquals(new ZoneObservation(expected, impaired, unheard), east());
+    assertEquals(new ZoneObservation(expected, impaired, unreported), east());
   }
 
   @Test
-  void aMachineOfUnknownZoneCountsInThatOfItsAttempts() {
+  void machineOfUnknownZoneIsCountedInZoneOfItsAttempts() {
     Machine machine = fixture.addMachine("n-1");
     assertEquals(new ZoneObservation(0, 0, 0), east());
     fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
@@ -96,7 +99,7 @@
   }
 
   @Test
-  void aDisplacedTaskWaitsUntilItIsPlacedOrOver() {
+  void displacedTaskIsPendingUntilPlacedOrEnded() {
     Job job = fixture.addJob(Specs.json("wk-1", "batch", 1));
     JobId id = job.spec().id();
     assertEquals(TaskState.PENDING, observations().state(id, 0));
--- a/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
+++ b/src/test/java/org/ternhinge/failover/ZoneCoordinatorTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.zone.ZoneRecord;
 
-/** How a leadership takes over the record of zones, and when it writes it. */
+/** Restoring the record of zones at the start of a leadership, and writing it. */
 class ZoneCoordinatorTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final ZoneCoordinator zones = coordinator();
@@ -31,49 +31,52 @@
         fixture.context, fixture.machines, failures, ZoneFailoverSettings.DEFAULT);
   }
 
-  private int startsLeftOfOne() {
+  private int startsPermittedOfOne() {
     Plan plan = new Plan();
     plan.placements()
         .add(new Plan.Placement(new JobId("wk-1"), List.of(0), List.of(new MachineId("n-1"))));
     return zones.limit(plan).placements().size();
   }
 
-  private void record(String state) {
+  private void storeRecord(String state) {
     JsonNode value = Json.object().set("east", Json.object().put("s", state).put("p", 1.0));
     fixture.storeCore.compareAndSwap(
         new CompareAndSwap(List.of(), List.of(new Change.Put(ZoneRecord.KEY, value, 0))));
   }
 
-  private Entry recorded() {
+  private Entry storedEntry() {
     return fixture.storeCore.get(ZoneRecord.KEY).entry().orElseThrow();
   }
 
-  /** What an earlier leader held back is not known before, and would be started out of order. */
+  /**
+   * Before the record is read, the tasks held by an earlier leader are unknown and would be started
+   * out of order.
+   */
   @Test
-  void nothingIsPlacedBeforeTheRecordIsRead() {
+  void nothingIsPlacedBeforeRecordIsRead() {
     fixture.store.pauseReads();
     zones.recover();
-    assertEquals(0, startsLeftOfOne());
+    assertEquals(0, startsPermittedOfOne());
     fixture.store.resume();
     fixture.clock.runFor(0.1);
-    assertEquals(1, startsLeftOfOne());
+    assertEquals(1, startsPermittedOfOne());
   }
 
   @Test
-  void aRecordThatCanNotBeReadHoldsNothingUpForLong() {
+  void unreadableRecordDelaysPlacementForBoundedTime() {
     fixture.store.pauseReads();
     zones.recover();
     fixture.clock.runFor(1.9);
-    assertEquals(0, startsLeftOfOne());
+    assertEquals(0, startsPermittedOfOne());
     fixture.clock.runFor(0.2);
-    assertEquals(1, startsLeftOfOne());
+    assertEquals(1, startsPermittedOfOne());
   }
 
-  /** A write without the version that stands there would be a conflict and end the leadership. */
+  /** A write without the stored revision would be a conflict and end the leadership. */
   @Test
-  void theRecordIsWrittenOnItsVersionAndOnTransitionsOnly() {
-    record("available");
-    long before = recorded().revision().value();
+  void recordIsWrittenAtItsRevisionAndOnTransitionsOnly() {
+    storeRecord("available");
+    long before = storedEntry().revision().value();
     for (int i = 0; i < 4; i++) {
       Machine machine = fixture.addMachine("n-00000" + i);
       machine.setDescription(new MachineDescription("small", 0, "east", false));
@@ -83,16 +86,18 @@
     fixture.clock.runFor(10);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(before, recorded().revision().value(), "nothing is written before it is read");
+    assertEquals(
+        before, storedEntry().revision().value(), "nothing is written before the record is read");
     fixture.store.resume();
     fixture.clock.runFor(1);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals("suspect", recorded().value().path("east").path("s").asText());
-    long after = recorded().revision().value();
+    assertEquals("suspect", storedEntry().value().path("east").path("s").asText());
+    long after = storedEntry().revision().value();
     assertTrue(after > before);
     zones.check(fixture.now());
     fixture.clock.runFor(1);
-    assertEquals(after, recorded().revision().value(), "no transition, no write");
+    assertEquals(
+        after, storedEntry().revision().value(), "nothing is written without a transition");
   }
 }
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -49,7 +49,7 @@
           }
 
           @Override
-          public void deposed(LeadershipLoss loss) {}
+          public void leadershipLost(LeadershipLoss loss) {}
         });
     clock.runFor(1);
     return election;
@@ -100,7 +100,7 @@
     put("leader", leader, core.grant(60_000));
     Election election = election(new ArrayList<>());
     assertEquals(Optional.of("node-2"), election.leaderNode());
-    assertEquals(supported, election.leaderKnowsDependencies());
+    assertEquals(supported, election.leaderSupportsDependencies());
   }
 
   @Test
--- a/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
+++ b/src/test/java/org/ternhinge/term/LeadershipExecutorTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.sim.SimClock;
 
-/** Actions of a leadership run under the lock, and not after its end. */
+/** Actions of a leadership run under the lock, and are dropped after its end. */
 class LeadershipExecutorTest {
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
@@ -25,13 +25,13 @@
     ran.add(name);
   }
 
-  /** Answers and timers that come after a leadership must not act for it. */
+  /** Responses and timers that arrive after the end of a leadership must have no effect. */
   @ParameterizedTest(name = "stopped: {0}")
   @ValueSource(booleans = {false, true})
   void actionsRunUnderTheLockUntilTheLeadershipEnds(boolean stopped) {
     CompletableFuture<Outcome<String>> answer = new CompletableFuture<>();
     CompletableFuture<Outcome<String>> failed = new CompletableFuture<>();
-    executor.later(5, () -> run("timer"));
+    executor.schedule(5, () -> run("timer"));
     executor.whenAnswered(answer, outcome -> run("answer " + outcome));
     executor.whenAnswered(failed, outcome -> run("answer " + outcome));
     if (stopped) {
@@ -39,7 +39,7 @@
     }
     answer.complete(Outcome.applied("a"));
     failed.completeExceptionally(new IllegalStateException("lost"));
-    executor.locked(() -> run("action"));
+    executor.execute(() -> run("action"));
     clock.runFor(6);
     List<String> all =
         List.of(
@@ -48,7 +48,7 @@
             "action",
             "timer");
     assertEquals(stopped ? List.of() : all, ran);
-    assertEquals(stopped, executor.stopped());
+    assertEquals(stopped, executor.isStopped());
     assertFalse(lock.isLocked());
   }
 }
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** The events about displaced tasks. */
+/** Log events of displaced tasks. */
 class DisplacementLogTest {
   private static final SteadyTime START = new SteadyTime(0);
   private static final JobSpec JOB = Specs.of(Specs.json("wk-1", "batch", 9));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void tasksOfOneJobThatAreDisplacedTogetherShareAnEvent() {
+  void tasksOfOneJobDisplacedTogetherShareOneEvent() {
     log.add(JOB, 1, 7, "west");
     log.add(JOB, 2, 8, "west");
     log.add(JOB, 5, 0, "west");
@@ -58,7 +58,7 @@
             "zone-event displaced job=wk-1 tasks=1-2,5 attempts=7-8 tier=all zone=west"
                 + " waited_s=0.0 reason=zone-lost"),
         log.displaced().stream().map(ZoneEvent::line).toList());
-    assertTrue(log.isEmpty(), "each is logged once");
+    assertTrue(log.isEmpty(), "each task is logged once");
   }
 
   @ParameterizedTest(name = "pinned {0}, placeable {1}, held {2}: {3}")
@@ -68,7 +68,7 @@
     "false, true, false, no-room-or-limit",
     "false, true, true, higher-tier-first"
   })
-  void aDelayHasAReason(boolean pinned, boolean placeable, boolean isHeld, String reason) {
+  void delayEventStatesReason(boolean pinned, boolean placeable, boolean isHeld, String reason) {
     List<ZoneEvent> events =
         log.delayed(List.of(displacedJob(pinned, isHeld)), work(placeable), START.plusSeconds(30));
     assertEquals(
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void aDelayIsLoggedAtIntervalsUntilTheJobIsForgotten() {
+  void delayIsLoggedAtIntervalsUntilJobIsRemoved() {
     List<FailoverQueue.DisplacedJob> jobs = List.of(displacedJob(false, true));
     assertEquals(0, log.delayed(jobs, work(true), START.plusSeconds(29)).size());
     assertEquals(1, log.delayed(jobs, work(true), START.plusSeconds(30)).size());
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** The order and the rate in which work of a lost zone is released. */
+/** Order and rate in which the tasks of a lost zone are released. */
 class FailoverQueueTest {
   private static final ZoneFailoverSettings.Release RELEASE =
       new ZoneFailoverSettings.Release(15, 10);
@@ -69,14 +69,14 @@
     }
   }
 
-  /** The jobs of which tasks are released after so many seconds. */
+  /** Advances the time and returns the jobs of which tasks are released. */
   private List<String> releasedAfter(double seconds) {
     return releasedAfter(seconds, NO_OPEN_TIER);
   }
 
   private List<String> releasedAfter(double seconds, int firstOpenTier) {
     now = now.plusSeconds(seconds);
-    queue.settle(work);
+    queue.removeResolved(work);
     List<String> jobs = new ArrayList<>();
     queue
         .release(work, firstOpenTier, now)
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void lowerTiersWaitUntilHigherOnesArePlaced() {
+  void lowerTiersWaitUntilHigherTiersArePlaced() {
     displace("wk-3", "climate", 2);
     displace("wk-2", "chart", 2);
     displace("wk-1", "warning", 2);
@@ -98,15 +98,15 @@
   }
 
   @Test
-  void aLowerTierWaitsForHigherAttemptsThatAreStillOpen() {
+  void lowerTierWaitsForOpenAttemptsOfHigherTier() {
     displace("wk-3", "climate", 2);
     assertEquals(List.of(), releasedAfter(1, 0));
     assertEquals(List.of("wk-3"), releasedAfter(1, 2));
   }
 
-  /** Attempts of a higher tier that never end delay the rest for a bounded time. */
+  /** Attempts of a higher tier that never end must not hold lower tiers forever. */
   @Test
-  void openAttemptsDelayLowerTiersForABoundedTime() {
+  void openAttemptsDelayLowerTiersForBoundedTime() {
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
     assertEquals(List.of(), releasedAfter(14, 0));
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aHigherTierWithoutRoomDelaysLowerOnesForABoundedTime() {
+  void higherTierWithoutRoomDelaysLowerTiersForBoundedTime() {
     displace("wk-1", "warning", 1);
     displace("wk-2", "chart", 1);
     displace("wk-3", "climate", 1);
@@ -124,17 +124,17 @@
     assertEquals(List.of(), releasedAfter(13));
     assertEquals(List.of("wk-2"), releasedAfter(1));
     assertEquals(List.of("wk-3"), releasedAfter(15));
-    assertEquals(List.of("wk-9"), releasedOfALaterLoss());
+    assertEquals(List.of("wk-9"), releasedAfterLaterLoss());
   }
 
-  /** The job that still has no room does not delay the work of the next lost zone. */
-  private List<String> releasedOfALaterLoss() {
+  /** A job that still has no capacity must not delay the tasks of the next lost zone. */
+  private List<String> releasedAfterLaterLoss() {
     displace("wk-9", "climate", 1);
     return releasedAfter(1);
   }
 
   @Test
-  void jobsThatCanNotBePlacedDelayNothing() {
+  void unplaceableJobsDelayNoOthers() {
     displace("wk-1", "warning", 1);
     unplaceable.add(new JobId("wk-1"));
     displace(job("wk-4", "warning", "batch", 1, "west"));
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void tasksAreReleasedAtARateAndGangsWhole() {
+  void tasksAreReleasedAtBoundedRateAndGangsWhole() {
     queue = new FailoverQueue(RELEASE, order, 4, now);
     displace("wk-1", "warning", 40);
     displace(job("wk-2", "warning", "group", 6, null));
@@ -156,12 +156,12 @@
         peak = Math.max(peak, gang ? 0 : tasks.tasks().size());
       }
     }
-    assertEquals(5, peak, "46 tasks in 10 s are some 5 a second");
+    assertEquals(5, peak, "46 tasks in 10 s are about 5 per second");
     assertTrue(queue.held().isEmpty());
   }
 
   @Test
-  void theRateGrowsWithTheNumberOfDisplacedTasks() {
+  void releaseRateGrowsWithNumberOfDisplacedTasks() {
     queue = new FailoverQueue(RELEASE, order, 30, now);
     for (int i = 0; i < 40; i++) {
       displace("wk-" + i, "warning", 100);
@@ -169,11 +169,11 @@
     for (int i = 0; i < 60; i++) {
       releasedAfter(1);
     }
-    assertTrue(queue.held().isEmpty(), "4,000 tasks are released within a minute");
+    assertTrue(queue.held().isEmpty(), "4,000 tasks are released within 60 s");
   }
 
   @Test
-  void aTaskIsDisplacedOnceAndRemovedWhenItEnds() {
+  void taskIsDisplacedOnceAndRemovedWhenItEnds() {
     JobSpec spec = job("wk-1", "warning", "batch", 1, null);
     queue.displace(spec, 0, "west", now);
     queue.displace(spec, 0, "west", now);
@@ -181,11 +181,11 @@
     queue.displace(spec, 0, "west", now);
     assertTrue(queue.held().isEmpty(), "a released task is not held again");
     states.put(spec.id(), DisplacedWork.TaskState.ENDED);
-    assertTrue(queue.settle(work).isEmpty(), "a cancelled job is not moved");
+    assertTrue(queue.removeResolved(work).isEmpty(), "a cancelled job is not moved");
     assertTrue(queue.isEmpty());
     queue.displace(spec, 0, "west", now);
     states.put(spec.id(), DisplacedWork.TaskState.PLACED);
-    assertEquals(1, queue.settle(work).size());
+    assertEquals(1, queue.removeResolved(work).size());
     assertFalse(queue.held().containsKey(spec.id()));
   }
 }
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -27,7 +27,7 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
-/** How lost and returning zones restrict the planner's snapshot and its plan. */
+/** Restriction of the planner's snapshot and plan by lost and recovering zones. */
 class PlanLimiterTest {
   private static final List<String> ZONES = List.of("north", "east", "west");
   private static final JobId ARRAY = new JobId("wk-1");
@@ -37,9 +37,9 @@
   private SteadyTime now = new SteadyTime(0);
   private ZoneFailover failover;
 
-  /** Machines n-0 to n-39 lie in the first zone, n-40 to n-79 in the second, and so on. */
-  private final PlacementFacts facts =
-      new PlacementFacts() {
+  /** Machines n-0 to n-39 are in the first zone, n-40 to n-79 in the second, and so on. */
+  private final PlacementLookup placementLookup =
+      new PlacementLookup() {
         @Override
         public Optional<String> zoneOf(MachineId machine) {
           return Optional.of(ZONES.get(Integer.parseInt(machine.value().substring(2)) / MACHINES));
@@ -81,7 +81,7 @@
     observe(1, 0);
   }
 
-  /** Lets time pass with so many impaired machines in the first zone. */
+  /** Advances the time with the given number of impaired machines in the first zone. */
   private void observe(double seconds, int impaired) {
     List<ZoneObservation> seen =
         List.of(
@@ -94,14 +94,14 @@
     }
   }
 
-  private void loseAndReturn() {
+  private void loseAndRecover() {
     observe(6, MACHINES);
     assertEquals(ZoneState.UNAVAILABLE, failover.current().read().state("north"));
     observe(10.5, 0);
     assertEquals(ZoneState.RECOVERING, failover.current().read().state("north"));
   }
 
-  private static Plan.Placement place(JobId job, int firstMachine, int count) {
+  private static Plan.Placement placement(JobId job, int firstMachine, int count) {
     return new Plan.Placement(
         job,
         IntStream.range(0, count).boxed().toList(),
@@ -111,77 +111,78 @@
   }
 
   private Plan limit(Plan plan) {
-    return failover.limit(plan, facts, new ArrayList<>(), now);
+    return failover.limit(plan, placementLookup, new ArrayList<>(), now);
   }
 
-  private static int starts(Plan plan) {
+  private static int startCount(Plan plan) {
     return plan.placements().stream().mapToInt(place -> place.tasks().size()).sum();
   }
 
   // ---- plans ------------------------------------------------------------------------------------
 
   @Test
-  void aPlanIsUnchangedWhileAllZonesAreAvailable() {
+  void planIsUnchangedWhileAllZonesAreAvailable() {
     Plan plan = new Plan();
-    plan.placements().add(place(ARRAY, 0, 30));
+    plan.placements().add(placement(ARRAY, 0, 30));
     assertSame(plan, limit(plan));
   }
 
   @Test
-  void startsInAReturningZoneKeepToItsPace() {
-    loseAndReturn();
+  void startsInRecoveringZoneAreRateLimited() {
+    loseAndRecover();
     int started = 0;
     int steps = ZoneFailoverSettings.DEFAULT.pace().steps();
     for (int round = 0; round < 200; round++) {
       Plan plan = new Plan();
-      plan.placements().add(place(ARRAY, 0, 30));
-      started += starts(limit(plan));
+      plan.placements().add(placement(ARRAY, 0, 30));
+      started += startCount(limit(plan));
       now = now.plusSeconds(0.1);
     }
-    // At the first step the zone may start a tenth of its 40 machines a second, and one at once.
+    // The initial rate is a tenth of the zone's 40 machines per second; the bucket begins with one
+    // token.
     assertTrue(started >= 60 && started <= 4 * 20 + 5 * steps, started + " starts in 20 s");
     Plan elsewhere = new Plan();
-    elsewhere.placements().add(place(ARRAY, MACHINES, 30));
-    assertEquals(30, starts(limit(elsewhere)));
+    elsewhere.placements().add(placement(ARRAY, MACHINES, 30));
+    assertEquals(30, startCount(limit(elsewhere)));
   }
 
   @Test
-  void theRateDoublesWithEachStep() {
-    ReturnPacer pacer = new ReturnPacer(ZoneFailoverSettings.DEFAULT.pace());
-    assertEquals(4, pacer.rate(0, 40));
-    assertEquals(32, pacer.rate(3, 40));
-    assertEquals(1, pacer.rate(0, 3), "one a second at least");
-    assertEquals(133, pacer.rate(0, 1333), 1, "it grows with the zone");
+  void startRateDoublesWithEachStep() {
+    RecoveryRateLimiter limiter = new RecoveryRateLimiter(ZoneFailoverSettings.DEFAULT.pace());
+    assertEquals(4, limiter.rate(0, 40));
+    assertEquals(32, limiter.rate(3, 40));
+    assertEquals(1, limiter.rate(0, 3), "at least one start per second");
+    assertEquals(133, limiter.rate(0, 1333), 1, "the rate is proportional to the size of the zone");
   }
 
   @Test
-  void gangsStartWholeAndMayOverdrawTheBudget() {
-    loseAndReturn();
+  void gangsStartWholeAndMayOverdrawTokenBucket() {
+    loseAndRecover();
     Plan plan = new Plan();
-    plan.placements().add(place(GANG, 0, 16));
-    plan.placements().add(place(ARRAY, 20, 4));
+    plan.placements().add(placement(GANG, 0, 16));
+    plan.placements().add(placement(ARRAY, 20, 4));
     Plan limited = limit(plan);
     assertEquals(1, limited.placements().size());
     assertEquals(16, limited.placements().get(0).tasks().size());
     now = now.plusSeconds(1);
-    assertEquals(0, starts(limit(plan)), "the overdraft has to be refilled first");
+    assertEquals(0, startCount(limit(plan)), "the overdrawn bucket has to be refilled first");
   }
 
   @Test
-  void runningReplicasAreNotMovedAndMachinesAreReleasedAtARate() {
-    loseAndReturn();
+  void runningReplicasAreNotMovedAndMachineReleasesAreRateLimited() {
+    loseAndRecover();
     Plan plan = new Plan();
     MachineId machine = new MachineId("n-50");
     Resources room = Resources.need(1, 0, 1);
     plan.preemptions()
         .add(new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
-    Plan.Preemption forAnother =
+    Plan.Preemption preemptionForOtherJob =
         new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(GANG, 0)));
-    plan.preemptions().add(forAnother);
+    plan.preemptions().add(preemptionForOtherJob);
     plan.scaleOuts().add(new Plan.ScaleOut("small", "east", true, 3));
     IntStream.range(40, 80).forEach(i -> plan.releases().add(new MachineId("n-" + i)));
     Plan limited = limit(plan);
-    assertEquals(List.of(forAnother), limited.preemptions());
+    assertEquals(List.of(preemptionForOtherJob), limited.preemptions());
     assertEquals(plan.scaleOuts(), limited.scaleOuts());
     assertTrue(limited.releases().size() <= 4, limited.releases().size() + " released at once");
   }
@@ -232,7 +233,7 @@
         List.of());
   }
 
-  /** The first zone's machine, offer and pending provisions that remain, by its state. */
+  /** Machine readiness, offers and pending provisions that remain, by state of the first zone. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "available, true, true, 3, 1",
@@ -240,12 +241,12 @@
     "unavailable, false, false, 2, 0",
     "recovering, true, true, 3, 1"
   })
-  void thePlannerSeesAZoneByItsState(
+  void plannerSnapshotReflectsZoneState(
       String state, boolean shown, boolean ready, int offers, int pendingProvisions) {
     switch (state) {
       case "suspect" -> observe(1, MACHINES);
       case "unavailable" -> observe(6, MACHINES);
-      case "recovering" -> loseAndReturn();
+      case "recovering" -> loseAndRecover();
       default -> assertTrue(failover.current().read().isUnrestricted());
     }
     Snapshot seen = failover.filter(snapshot());
@@ -256,10 +257,10 @@
   }
 
   @Test
-  void machinesOfAReturningZoneWithoutBudgetAreNotReady() {
-    loseAndReturn();
+  void machinesOfRecoveringZoneWithoutTokensAreNotReady() {
+    loseAndRecover();
     Plan plan = new Plan();
-    plan.placements().add(place(ARRAY, 0, 30));
+    plan.placements().add(placement(ARRAY, 0, 30));
     limit(plan);
     Snapshot seen = failover.filter(snapshot());
     assertEquals(3, seen.machines().size());
@@ -267,7 +268,7 @@
   }
 
   @Test
-  void heldTasksAreHiddenAndBecomeExpectedJobs() {
+  void heldTasksAreRemovedAndBecomeExpectedJobs() {
     JobSpec array = Specs.of(Specs.json("wk-1", "batch", 5));
     JobSpec gang = Specs.of(Specs.json("wk-2", "group", 3));
     JobSpec other = Specs.of(Specs.json("wk-3", "batch", 4));
@@ -279,13 +280,13 @@
     List<Snapshot.JobView> jobs = failover.filter(snapshot(array, gang, other)).jobs();
     assertEquals(IntList.of(0, 2, 4), jobs.get(0).pendingTasks());
     assertEquals(3, jobs.get(0).pendingCount());
-    assertTrue(jobs.get(1).blocked(), "a gang is held whole");
+    assertTrue(jobs.get(1).blocked(), "a gang is held as a whole");
     List<Snapshot.JobView> expectedJobs =
         failover.filter(snapshot(array, gang, other)).expectedJobs();
     assertEquals(
         List.of(2, 3),
         expectedJobs.stream().map(job -> job.spec().tasks()).toList(),
-        "room is kept for held tasks");
+        "capacity is reserved for held tasks");
     assertEquals(4, jobs.get(2).pendingCount(), "a task lost in an available zone is not held");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.SteadyTime;
 
-/** The states of zones, from scripts of impaired machines by time. */
+/** State transitions of zones for given numbers of impaired machines over time. */
 class ZoneHealthTest {
   private static final double LEASE_S = 24;
   private static final int MACHINES = 20;
@@ -22,28 +22,28 @@
   private SteadyTime now = new SteadyTime(0);
   private final List<String> states = new ArrayList<>();
 
-  private void begin(int count) {
+  private void addAvailableZones(int count) {
     for (int i = 0; i < count; i++) {
       zones.add(ZoneHealth.available(now));
     }
   }
 
   /** Advances the time in steps of half a second and records each new state of the first zone. */
-  private void run(double seconds, int... impaired) {
+  private void advance(double seconds, int... impaired) {
     List<ZoneObservation> observations = new ArrayList<>();
     for (int zone = 0; zone < zones.size(); zone++) {
       observations.add(new ZoneObservation(MACHINES, zone < impaired.length ? impaired[zone] : 0));
     }
-    run(seconds, observations);
+    advance(seconds, observations);
   }
 
-  private void run(double seconds, List<ZoneObservation> observations) {
+  private void advance(double seconds, List<ZoneObservation> observations) {
     for (double t = 0; t < seconds; t += 0.5) {
       now = now.plusSeconds(0.5);
       ZoneState before = zones.get(0).state();
       zones = assessment.assess(zones, observations, now);
       if (zones.get(0).state() != before) {
-        states.add(zones.get(0).state().word());
+        states.add(zones.get(0).state().label());
       }
     }
   }
@@ -53,25 +53,25 @@
   }
 
   @Test
-  void aLostZoneIsSuspectAtOnceAndReturnsInSteps() {
-    begin(3);
-    run(10);
+  void lostZoneIsSuspectAtOnceAndRecoversInSteps() {
+    addAvailableZones(3);
+    advance(10);
     assertEquals(ZoneState.AVAILABLE, state(0));
-    run(0.5, 20);
+    advance(0.5, 20);
     assertEquals(ZoneState.SUSPECT, state(0));
-    run(60, 20);
+    advance(60, 20);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
-    run(SETTINGS.detection().settleS() - 1);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "it has to be well for a while");
-    run(2);
+    advance(SETTINGS.detection().settleS() - 1);
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "recovery requires the settling time to pass");
+    advance(2);
     assertEquals(ZoneState.RECOVERING, state(0));
-    run(SETTINGS.pace().stepS() + 0.5);
+    advance(SETTINGS.pace().stepS() + 0.5);
     assertEquals(1, zones.get(0).step());
-    run(SETTINGS.pace().stepS() * SETTINGS.pace().steps());
+    advance(SETTINGS.pace().stepS() * SETTINGS.pace().steps());
     assertEquals(List.of("suspect", "unavailable", "recovering", "available"), states);
   }
 
-  /** A share between the thresholds changes nothing for good. */
+  /** A share between the thresholds makes the zone suspect for a limited time only. */
   @ParameterizedTest(name = "{0} of 20 impaired for {1} s")
   @CsvSource({
     "1, 600, AVAILABLE",
@@ -85,24 +85,28 @@
     "16, 6, UNAVAILABLE",
     "20, 6, UNAVAILABLE"
   })
-  void theShareOfImpairedMachinesDecides(int impaired, double seconds, ZoneState expected) {
-    begin(3);
-    run(seconds, impaired);
+  void shareOfImpairedMachinesDeterminesState(int impaired, double seconds, ZoneState expected) {
+    addAvailableZones(3);
+    advance(seconds, impaired);
     assertEquals(expected, state(0));
   }
 
   @Test
-  void halfAZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
-    begin(3);
-    run(30, 10);
-    assertEquals(ZoneState.AVAILABLE, state(0), "its healthy half takes work");
-    run(5, 12);
-    assertEquals(ZoneState.AVAILABLE, state(0), "two more are two more");
-    run(8, 19);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the rest is gone");
+  void halfImpairedZoneCountsAsSingleFailuresAndFurtherLossesAreDetected() {
+    addAvailableZones(3);
+    advance(30, 10);
+    assertEquals(ZoneState.AVAILABLE, state(0), "the healthy half accepts work");
+    advance(5, 12);
+    assertEquals(
+        ZoneState.AVAILABLE, state(0), "two further failures do not make the zone suspect");
+    advance(8, 19);
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "nearly all of the other machines are impaired");
   }
 
-  /** All zones at once mean the leader's own links; most of them at once are in doubt. */
+  /**
+   * The impairment of all zones indicates a network failure of the leader; that of most zones at
+   * once is confirmed as a loss only after the lease has expired.
+   */
   @ParameterizedTest(name = "{0} zones, impaired {1} {2} {3}, {4} s")
   @CsvSource({
     "3, 20, 20, 20, 600, SUSPECT",
@@ -113,89 +117,95 @@
     "3, 20, 0, 0, 6, UNAVAILABLE",
     "2, 20, 0, 0, 6, UNAVAILABLE"
   })
-  void lostLinksOfTheLeaderAreDistinguishedFromLostZones(
+  void leaderNetworkFailureIsDistinguishedFromZoneLoss(
       int count, int first, int second, int third, double seconds, ZoneState expected) {
-    begin(count);
-    run(seconds, first, second, third);
+    addAvailableZones(count);
+    advance(seconds, first, second, third);
     assertEquals(expected, state(0));
   }
 
   @Test
-  void zonesThatAreLostOneAfterTheOtherAreBothUnavailable() {
-    begin(3);
-    run(20, 20);
-    run(6, 20, 20);
+  void zonesLostOneAfterTheOtherAreBothUnavailable() {
+    addAvailableZones(3);
+    advance(20, 20);
+    advance(6, 20, 20);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
     assertEquals(ZoneState.UNAVAILABLE, state(1));
     assertEquals(ZoneState.AVAILABLE, state(2));
   }
 
   @Test
-  void aZoneThatFlapsIsSuppressedForABoundedTime() {
-    begin(3);
-    run(15, 20);
-    run(12);
-    assertEquals(ZoneState.RECOVERING, state(0), "once is no flap");
-    run(15, 20);
-    assertTrue(zones.get(0).suppressed(), "twice within a minute is one");
-    run(SETTINGS.detection().settleS() + 2);
-    assertEquals(ZoneState.UNAVAILABLE, state(0), "well, but still suppressed");
+  void flappingZoneIsSuppressedForBoundedTime() {
+    addAvailableZones(3);
+    advance(15, 20);
+    advance(12);
+    assertEquals(ZoneState.RECOVERING, state(0), "a single loss does not suppress the zone");
+    advance(15, 20);
+    assertTrue(zones.get(0).suppressed(), "two losses within a minute suppress the zone");
+    advance(SETTINGS.detection().settleS() + 2);
+    assertEquals(ZoneState.UNAVAILABLE, state(0), "healthy, but still suppressed");
     for (int i = 0; i < 20; i++) {
-      run(15, 20);
-      run(2);
+      advance(15, 20);
+      advance(2);
     }
     assertTrue(zones.get(0).penalty().value() <= SETTINGS.flaps().max());
-    // Half-life 30 s, from 2.5 to 0.75: less than two, after which it has been well for long.
+    // The penalty decays from 2.5 to 0.75 with a half-life of 30 s, which takes less than two
+    // half-lives; by then the settling time has passed.
     double waited = 0;
     while (state(0) == ZoneState.UNAVAILABLE) {
-      run(0.5);
+      advance(0.5);
       waited += 0.5;
     }
-    assertTrue(waited > SETTINGS.detection().settleS() && waited < 53, "out of use for " + waited);
+    assertTrue(
+        waited > SETTINGS.detection().settleS() && waited < 53, "seconds out of use: " + waited);
   }
 
   @Test
-  void aLossDuringRecoveryMakesTheZoneSuspectAgain() {
-    begin(3);
-    run(15, 20);
-    run(18);
+  void lossDuringRecoveryMakesZoneSuspectAgain() {
+    addAvailableZones(3);
+    advance(15, 20);
+    advance(18);
     assertEquals(ZoneState.RECOVERING, state(0));
     assertTrue(zones.get(0).step() >= 1);
-    run(1, 8);
+    advance(1, 8);
     assertEquals(ZoneState.SUSPECT, state(0));
     assertEquals(0, zones.get(0).step());
   }
 
-  /** Machines whose first heartbeat is not due yet make a zone neither well nor lost. */
+  /**
+   * Machines that have not reported to a new leader yet must make a zone neither healthy nor lost.
+   */
   @Test
-  void aNewLeaderDrawsNoConclusionFromMachinesNotHeardYet() {
-    begin(3);
-    run(15, 20);
-    List<ZoneObservation> unheard =
+  void newLeaderIgnoresZoneWithUnreportedMachines() {
+    addAvailableZones(3);
+    advance(15, 20);
+    List<ZoneObservation> unreported =
         List.of(
             new ZoneObservation(0, 0, MACHINES),
             new ZoneObservation(MACHINES, 0),
             new ZoneObservation(MACHINES, 0));
-    run(120, unheard);
+    advance(120, unreported);
     assertEquals(ZoneState.UNAVAILABLE, state(0));
-    run(SETTINGS.detection().settleS() + 1);
+    advance(SETTINGS.detection().settleS() + 1);
     assertEquals(ZoneState.RECOVERING, state(0));
   }
 
-  /** A list of machines that lags or is empty only changes the number of expected ones. */
+  /** A stale or empty list of machines only changes the number of expected machines. */
   @Test
-  void aZoneWithoutMachinesRecoversAfterAWhile() {
-    begin(2);
-    run(15, 20);
-    List<ZoneObservation> gone =
+  void zoneWithoutMachinesRecoversAfterDelay() {
+    addAvailableZones(2);
+    advance(15, 20);
+    List<ZoneObservation> withoutMachines =
         List.of(new ZoneObservation(0, 0), new ZoneObservation(MACHINES, 0));
-    run(SETTINGS.detection().settleS() + SETTINGS.release().tierHoldS() + 1, gone);
+    advance(SETTINGS.detection().settleS() + SETTINGS.release().tierHoldS() + 1, withoutMachines);
     assertEquals(ZoneState.RECOVERING, state(0));
-    begin(1);
-    List<ZoneObservation> few =
-        List.of(new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), gone.get(0));
+    addAvailableZones(1);
+    List<ZoneObservation> singleMachine =
+        List.of(
+            new ZoneObservation(1, 1), new ZoneObservation(MACHINES, 0), withoutMachines.get(0));
     zones.set(0, ZoneHealth.available(now));
-    run(60, few);
-    assertEquals(ZoneState.AVAILABLE, state(0), "one machine is no zone");
+    advance(60, singleMachine);
+    assertEquals(
+        ZoneState.AVAILABLE, state(0), "a single machine is below the minimum size of a zone");
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -13,15 +13,13 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/**
- * The record of all zones: what the next leader restores, and that invalid records are harmless.
- */
+/** Restoring the record of all zones, including invalid records. */
 class ZoneRecordTest {
-  private static final long WALL = 1_700_000_000_000L;
+  private static final long WALL_MILLIS = 1_700_000_000_000L;
   private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
 
   @Test
-  void theNextLeaderContinuesFromTheRecord() {
+  void nextLeaderRestoresRecordedHealth() {
     ZoneHealth lost =
         new ZoneHealth(
             ZoneState.RECOVERING,
@@ -34,16 +32,16 @@
             1,
             3);
     ObjectNode record =
-        ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL);
-    assertTrue(Json.bytes(record).length < 200, "a few bytes a zone");
-    // Another process with another steady clock, three seconds later.
+        ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL_MILLIS);
+    assertTrue(Json.bytes(record).length < 200, "the record takes a few bytes per zone");
+    // Another process with a different steady clock, three seconds later.
     SteadyTime later = new SteadyTime(42);
-    ZoneHealth read = ZoneRecord.read(record, later, WALL + 3000).get("west");
+    ZoneHealth read = ZoneRecord.read(record, later, WALL_MILLIS + 3000).get("west");
     assertEquals(ZoneState.RECOVERING, read.state());
     assertEquals(10, later.secondsSince(read.since()), 0.01);
     assertEquals(33, later.secondsSince(read.penalty().at()), 0.01);
     assertTrue(read.suppressed());
-    assertEquals(null, read.wellSince(), "observations start anew");
+    assertEquals(null, read.healthySince(), "times of observations are not restored");
   }
 
   @ParameterizedTest
@@ -59,7 +57,7 @@
         "{\"west\":{\"s\":\"suspect\",\"t\":9999999999999999,\"p\":-4}}"
       })
   void invalidRecordsAreHarmless(String text) throws WireException {
-    ZoneRecord.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)), NOW, WALL)
+    ZoneRecord.read(Json.parse(text.getBytes(StandardCharsets.UTF_8)), NOW, WALL_MILLIS)
         .values()
         .forEach(
             health -> {
