--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -31,7 +31,7 @@
       return Optional.of(SubmissionRejection.NO_MACHINE_TYPE);
     }
     int tasksAtOnce = tasksAtOnce(spec);
-    if (!Ledger.within(team, spec.need().times(tasksAtOnce))) {
+    if (!Ledger.within(team, spec.taskResources().times(tasksAtOnce))) {
       return Optional.of(SubmissionRejection.ABOVE_TEAM_LIMIT);
     }
     if (spec.dependencies().contains(spec.id())) {
@@ -49,11 +49,11 @@
   }
 
   private static Optional<SubmissionRejection> rejectZones(JobSpec spec, int tasksAtOnce) {
-    boolean tooManyForOneZone = spec.scatter() && tasksAtOnce > spec.zoneLimit();
+    boolean tooManyForOneZone = spec.spreadAcrossZones() && tasksAtOnce > spec.zoneLimit();
     if (tooManyForOneZone && spec.zone().isPresent()) {
       return Optional.of(SubmissionRejection.SCATTERED_IN_ONE_ZONE);
     }
-    if (tooManyForOneZone && spec.together()) {
+    if (tooManyForOneZone && spec.singleZone()) {
       return Optional.of(SubmissionRejection.TOGETHER_AND_SCATTERED);
     }
     return Optional.empty();
@@ -66,6 +66,6 @@
   private static boolean fitsType(JobSpec spec, MachineType machineType) {
     return spec.allowsType(machineType.name())
         && (spec.zone().isEmpty() || machineType.zones().contains(spec.zone().get()))
-        && spec.need().fitsIn(machineType.capacity());
+        && spec.taskResources().fitsIn(machineType.capacity());
   }
 }
--- a/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
+++ b/src/main/java/org/ternhinge/attempt/AgentStatusSink.java
@@ -1,7 +1,7 @@
 package org.ternhinge.attempt;
 
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Heartbeat;
 
 /** Receives the status of worker agents, from heartbeats and from responses to commands. */
@@ -20,5 +20,5 @@
    *
    * @param now when the message was received
    */
-  Result apply(Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now);
+  Result apply(Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now);
 }
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -11,7 +11,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
@@ -46,7 +46,7 @@
   }
 
   /** Applies the tasks of a status that are attempts of the ledger on that machine. */
-  public void observeAll(Machine machine, Heartbeat status, SteadyTime now) {
+  public void observeAll(Machine machine, Heartbeat status, MonotonicTime now) {
     for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.open(task.task().index());
@@ -64,7 +64,7 @@
         && attempt.epoch().equals(status.epoch());
   }
 
-  private void observe(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
+  private void observe(Machine machine, Attempt attempt, TaskStatus task, MonotonicTime now) {
     if (task.ended()) {
       ended(machine, attempt, task.endReason(), now);
     } else {
@@ -72,7 +72,7 @@
     }
   }
 
-  private void running(Machine machine, Attempt attempt, AttemptState state, SteadyTime now) {
+  private void running(Machine machine, Attempt attempt, AttemptState state, MonotonicTime now) {
     AttemptState before = attempt.state();
     attempt.observe(state, now);
     JobSpec spec = attempt.job().spec();
@@ -105,7 +105,7 @@
     machine.useImage(spec.image(), spec.imageGb(), cacheGb);
   }
 
-  private void ended(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
+  private void ended(Machine machine, Attempt attempt, EndReason endReason, MonotonicTime now) {
     Job job = attempt.job();
     LOG.debug(
         "{} attempt {} on {} ended: {}", attempt.task(), attempt.number(), machine.id(), endReason);
@@ -117,7 +117,7 @@
   }
 
   /** Records what the end of a task tells about its machine and its job. */
-  private void recordOutcome(Machine machine, Job job, EndReason endReason, SteadyTime now) {
+  private void recordOutcome(Machine machine, Job job, EndReason endReason, MonotonicTime now) {
     switch (endReason) {
       case DONE -> failures.succeeded(machine, job, now);
       case ERROR -> failures.failed(machine, job, now);
--- a/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
+++ b/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
@@ -47,7 +47,7 @@
   }
 
   ClosingEvidence(EndReason reported) {
-    this.text = reported.word();
+    this.text = reported.wireName();
   }
 
   /** The evidence that a worker gives by reporting the end of a task. */
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -76,7 +76,7 @@
    * are dropped where the machine takes no direct commands.
    */
   void dispatch(Machine machine) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     if (machine.outbox().isInFlight() || machine.outbox().isEmpty()) {
       return;
     }
@@ -99,7 +99,7 @@
    * to its next heartbeat carries the commands, and messages to a whole zone that is cut off would
    * occupy all slots until they time out.
    */
-  private boolean acceptsDirectCommands(Machine machine, SteadyTime now) {
+  private boolean acceptsDirectCommands(Machine machine, MonotonicTime now) {
     if (!authority.valid() || !machine.agent().hasEndpoint() || machine.cloud().isTerminated()) {
       return false;
     }
@@ -117,7 +117,7 @@
   }
 
   /** Requests the status of a worker that seems unreachable, by a message without commands. */
-  public void probe(Machine machine, SteadyTime now) {
+  public void probe(Machine machine, MonotonicTime now) {
     sendCommands(machine, List.of(), now);
   }
 
@@ -130,7 +130,7 @@
     send(worker, epoch, List.of(), handler);
   }
 
-  private void sendCommands(Machine machine, List<Command> commands, SteadyTime now) {
+  private void sendCommands(Machine machine, List<Command> commands, MonotonicTime now) {
     machine.outbox().markInFlight();
     CommandMessage message = new CommandMessage(machine, machine.agent().epoch(), commands, now);
     Endpoint worker = machine.agent().endpoint().orElseThrow();
@@ -169,7 +169,7 @@
   }
 
   private void responded(CommandMessage message, Heartbeat status) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     message.settleStarts();
     message.machine().health().reachability().probeAnswered();
     metrics.commandAnswered(now.secondsSince(message.sentAt()));
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Command;
 
 /**
@@ -13,7 +13,7 @@
  * @param commands what it carries; none at all asks for the worker's status only
  */
 record CommandMessage(
-    Machine machine, AgentEpoch epoch, List<Command> commands, SteadyTime sentAt) {
+    Machine machine, AgentEpoch epoch, List<Command> commands, MonotonicTime sentAt) {
 
   /**
    * Settles the starts that it carries: each has been carried out, or never will be. Changes
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.locks.Lock;
 import java.util.function.Consumer;
-import org.ternhinge.http.SocketShares;
+import org.ternhinge.http.SocketBudget;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
@@ -33,7 +33,7 @@
     this.workers = services.workers();
     this.authority = context.authority();
     this.lock = services.lock();
-    this.maxInFlight = SocketShares.of(services.settings().maxSockets()).calls();
+    this.maxInFlight = SocketBudget.of(services.settings().maxSockets()).maxOutboundCalls();
   }
 
   /** How many more messages may be sent now. */
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -9,7 +9,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.OutstandingStarts;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Raises the leadership's own term to fence outstanding starts: direct starts without a response,
@@ -31,7 +31,7 @@
   private final MachineRegistry machines;
 
   /** When the last raise began; null before the first. */
-  private SteadyTime lastRaiseAt;
+  private MonotonicTime lastRaiseAt;
 
   private boolean raiseInProgress;
 
@@ -43,7 +43,7 @@
   }
 
   /** Whether a raise of the term is needed to close any of a machine's attempts. */
-  public boolean isNeededForAny(Machine machine, List<Attempt> attempts, SteadyTime now) {
+  public boolean isNeededForAny(Machine machine, List<Attempt> attempts, MonotonicTime now) {
     for (Attempt attempt : attempts) {
       if (isNeeded(machine, attempt, now)) {
         return true;
@@ -53,7 +53,7 @@
   }
 
   /** Whether a stopped attempt stays open only because a start of it may still arrive unfenced. */
-  public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
+  public boolean isNeeded(Machine machine, Attempt attempt, MonotonicTime now) {
     OutstandingStarts starts = machine.outstandingStarts();
     return attempt.stopping()
         && !attempt.isReported()
@@ -63,7 +63,7 @@
   }
 
   /** Raises the term, unless a raise is in progress or was made a short time ago. */
-  public void raise(SteadyTime now) {
+  public void raise(MonotonicTime now) {
     if (raiseInProgress || wasRaisedLately(now)) {
       return;
     }
@@ -72,7 +72,7 @@
     writer.raiseTerm(this::raised);
   }
 
-  private boolean wasRaisedLately(SteadyTime now) {
+  private boolean wasRaisedLately(MonotonicTime now) {
     return lastRaiseAt != null && now.secondsSince(lastRaiseAt) < MIN_INTERVAL_S;
   }
 
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -65,7 +65,7 @@
     service.start();
     Heartbeat.read(HEARTBEAT.getBytes(StandardCharsets.UTF_8)).write();
     TaskId task = new TaskId(new JobId("wk-1"), 0);
-    Command.answer(
+    Command.heartbeatResponse(
         new Term(1), List.of(new Command(Command.Op.START, task, new AttemptNumber(1), 0)));
     for (int i = 0; i < REQUESTS; i++) {
       Thread.sleep(PAUSE_MS);
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -17,12 +17,12 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.controller.ControllerNode;
 import org.ternhinge.election.Election;
-import org.ternhinge.http.HttpCaller;
+import org.ternhinge.http.PooledHttpClient;
 import org.ternhinge.http.HttpServer;
-import org.ternhinge.http.LoopClock;
+import org.ternhinge.http.EventLoopClock;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
-import org.ternhinge.http.SocketShares;
+import org.ternhinge.http.SocketBudget;
 import org.ternhinge.limit.KeyValueStoreBudget;
 import org.ternhinge.limit.TokenBucket;
 import org.ternhinge.metrics.Metrics;
@@ -46,18 +46,18 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final Clock clock = new LoopClock(loop);
+  private final Clock clock = new EventLoopClock(loop);
   private final Lock lock = new ReentrantLock();
-  private final SocketShares sockets;
-  private final HttpCaller http;
+  private final SocketBudget sockets;
+  private final PooledHttpClient http;
   private final KeyValueStoreBudget budget;
   private final ControllerServices services;
 
   private Service(Settings settings, Tuning tuning) {
     this.settings = settings;
     this.tuning = tuning;
-    this.sockets = SocketShares.of(settings.maxSockets());
-    this.http = new HttpCaller(loop, sockets);
+    this.sockets = SocketBudget.of(settings.maxSockets());
+    this.http = new PooledHttpClient(loop, sockets);
     this.budget =
         new KeyValueStoreBudget(
             clock,
@@ -134,12 +134,12 @@
     @Override
     public void ask(
         String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
-      link.ask(node, request, timeoutS, answer);
+      link.send(node, request, timeoutS, answer);
     }
 
     @Override
     public void reset(String node) {
-      link.reset(node);
+      link.closeConnection(node);
     }
   }
 }
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.http.Reply;
+import org.ternhinge.http.PooledHttpClient;
+import org.ternhinge.http.ClientResponse;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.ServiceClient;
 import org.ternhinge.limit.RequestPriority;
@@ -28,7 +28,7 @@
   private final TokenBucket tokens;
 
   /** Creates a client that takes a token for each call. */
-  public HttpCloud(HttpCaller http, Endpoint endpoint, TokenBucket tokens) {
+  public HttpCloud(PooledHttpClient http, Endpoint endpoint, TokenBucket tokens) {
     this.client = new ServiceClient(http, endpoint, this::errorOf);
     this.tokens = tokens;
   }
@@ -39,7 +39,7 @@
         () -> tokens.tryTake(priority, 1), request, TIMEOUTS, body -> Json.decode(body, reader));
   }
 
-  private <T> Outcome<T> errorOf(Reply reply) {
+  private <T> Outcome<T> errorOf(ClientResponse reply) {
     return switch (reply.status()) {
       case 400 -> Outcome.notApplied(Reason.INVALID, "400");
       case 429 -> {
@@ -71,12 +71,12 @@
   @Override
   public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest provision) {
     Request request = Request.post("/hosts", Json.bytes(provision.write()));
-    return send(request, RequestPriority.ATTEMPT, ProvisionRequest::readAnswer);
+    return send(request, RequestPriority.ATTEMPT, ProvisionRequest::readResponse);
   }
 
   @Override
   public CompletableFuture<Outcome<Integer>> release(List<MachineId> machines) {
-    Request request = Request.post("/hosts/release", ProvisionRequest.release(machines));
+    Request request = Request.post("/hosts/release", ProvisionRequest.releaseBody(machines));
     return send(request, RequestPriority.BOOKKEEPING, body -> machines.size());
   }
 
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -103,8 +103,8 @@
         tier.requiredName("name"),
         tier.names("teams"),
         tier.names("classes"),
-        parsedWords(tier, "types", JobKind::of),
-        parsedWords(tier, "priorities", Priority::of));
+        parsedWords(tier, "types", JobKind::fromWireName),
+        parsedWords(tier, "priorities", Priority::fromWireName));
   }
 
   /** Parses a word as it is written in job submissions. */
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -108,7 +108,7 @@
   }
 
   private void scheduleMetricsLog() {
-    services.clock().after(METRICS_INTERVAL_S, this::logMetrics);
+    services.clock().schedule(METRICS_INTERVAL_S, this::logMetrics);
   }
 
   private void logMetrics() {
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -157,14 +157,14 @@
   }
 
   private void readLeaderAfter(double seconds) {
-    clock.after(seconds, locked.guarded(this::readLeader));
+    clock.schedule(seconds, locked.guarded(this::readLeader));
   }
 
   private void readLeader() {
     if (own != null) {
       return;
     }
-    locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.RENEWAL), this::handleLeaderRead);
+    locked.whenComplete(store.get(Keys.LEADER, RequestPriority.RENEWAL), this::handleLeaderRead);
   }
 
   private void handleLeaderRead(Outcome<KeyValueStore.ReadResult> outcome) {
@@ -216,7 +216,7 @@
   // ---- while another node leads ---------------------------------------------------------------
 
   private void watch(Revision from) {
-    locked.whenAnswered(
+    locked.whenComplete(
         store.watch(Keys.LEADER, from, WATCH_S), outcome -> handleWatch(from, outcome));
   }
 
--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
@@ -60,7 +60,7 @@
   void start() {
     candidate
         .locked()
-        .whenAnswered(
+        .whenComplete(
             candidate.store().get(Keys.TERM, RequestPriority.RENEWAL), this::handleTermRead);
   }
 
@@ -73,17 +73,17 @@
   }
 
   private void requestLease(TermRecord lastTerm) {
-    SteadyTime sent = candidate.clock().now();
+    MonotonicTime sent = candidate.clock().now();
     long millis = (long) (candidate.tuning().leadershipS() * MILLIS_PER_S);
     candidate
         .locked()
-        .whenAnswered(
+        .whenComplete(
             candidate.store().grantLease(millis),
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
 
   /** Where the answer was lost, a lease may be left that nobody uses; it ends by itself. */
-  private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
+  private void handleLeaseGrant(TermRecord lastTerm, MonotonicTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
       return;
@@ -117,7 +117,7 @@
             new Change.Put(Keys.LEADER, claimed.toJson(), lease.id()));
     candidate
         .locked()
-        .whenAnswered(
+        .whenComplete(
             candidate
                 .store()
                 .compareAndSwap(new CompareAndSwap(conditions, changes), RequestPriority.RENEWAL),
@@ -132,6 +132,6 @@
     // Also an unknown outcome ends here: with its lease revoked, a claim that is applied late fails
     // or leaves a term that nobody uses.
     lease.release();
-    listener.failed(outcome.isBecause(Reason.CONFLICT));
+    listener.failed(outcome.isNotApplied(Reason.CONFLICT));
   }
 }
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.KeyValueStore;
 
 /**
@@ -28,8 +28,8 @@
   private final Tuning tuning;
   private final LockedExecutor locked;
   private final Runnable onEnded;
-  private SteadyTime lastSent;
-  private SteadyTime validUntil;
+  private MonotonicTime lastSent;
+  private MonotonicTime validUntil;
 
   /** Counts planned renewals; only the one planned last is sent. */
   private long planned;
@@ -49,7 +49,7 @@
    */
   LeadershipLease(
       long id,
-      SteadyTime requested,
+      MonotonicTime requested,
       KeyValueStore store,
       Clock clock,
       Tuning tuning,
@@ -75,7 +75,7 @@
   }
 
   /** Until when the lease certainly holds. */
-  SteadyTime validUntil() {
+  MonotonicTime validUntil() {
     return validUntil;
   }
 
@@ -87,10 +87,10 @@
   /** Ends the lease, and with it every key that hangs on it. */
   void release() {
     released = true;
-    AsyncCalls.ignore(store.revokeLease(id));
+    AsyncCalls.logExceptions(store.revokeLease(id));
   }
 
-  private SteadyTime validUntil(SteadyTime requestSent) {
+  private MonotonicTime validUntil(MonotonicTime requestSent) {
     return requestSent.plusSeconds(tuning.validityS());
   }
 
@@ -101,7 +101,7 @@
 
   private void renewAfter(double seconds) {
     long plan = ++planned;
-    clock.after(seconds, locked.guarded(() -> renewIfPlanned(plan)));
+    clock.schedule(seconds, locked.guarded(() -> renewIfPlanned(plan)));
   }
 
   private void renewIfPlanned(long plan) {
@@ -109,14 +109,14 @@
       return;
     }
     long number = ++sent;
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     lastSent = now;
     renewAfter(tuning.renewalOverdueS());
-    locked.whenAnswered(
+    locked.whenComplete(
         store.renewLease(id, tuning.validityS()), outcome -> renewed(number, now, outcome));
   }
 
-  private void renewed(long number, SteadyTime requestSent, Outcome<Long> outcome) {
+  private void renewed(long number, MonotonicTime requestSent, Outcome<Long> outcome) {
     if (released || ended) {
       return;
     }
@@ -126,7 +126,7 @@
       if (newest) {
         planNextRenewal();
       }
-    } else if (outcome.isBecause(Reason.NOT_FOUND)) {
+    } else if (outcome.isNotApplied(Reason.NOT_FOUND)) {
       ended = true;
       onEnded.run();
     } else if (newest) {
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/OwnLeadership.java
@@ -5,7 +5,7 @@
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 
 /** A leadership of this node, from a successful claim until it is lost. */
@@ -65,7 +65,7 @@
   }
 
   /** Until when the leadership certainly holds, unless it is lost before. */
-  SteadyTime validUntil() {
+  MonotonicTime validUntil() {
     return lease.validUntil();
   }
 
--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -4,7 +4,7 @@
 import org.ternhinge.ledger.Job;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.zone.ZoneFailover;
@@ -33,14 +33,14 @@
 
   /** Reports the displaced tasks of all zones that are lost by the adopted record. */
   void recover() {
-    SteadyTime now = clock.now();
-    for (Map.Entry<String, SteadyTime> lost : failover.lostSince().entrySet()) {
+    MonotonicTime now = clock.now();
+    for (Map.Entry<String, MonotonicTime> lost : failover.lostSince().entrySet()) {
       recoverZone(lost.getKey(), lost.getValue(), now);
     }
   }
 
-  private void recoverZone(String zone, SteadyTime lostAt, SteadyTime now) {
-    long lostMillis = clock.wallMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
+  private void recoverZone(String zone, MonotonicTime lostAt, MonotonicTime now) {
+    long lostMillis = clock.wallClockMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
     for (Job job : ledger.jobs()) {
       if (job.highest().value() > 0
           && !FleetView.isOver(job)
@@ -50,7 +50,7 @@
     }
   }
 
-  private void reportWaitingTasks(Job job, String zone, SteadyTime now) {
+  private void reportWaitingTasks(Job job, String zone, MonotonicTime now) {
     int task = job.nextWaiting(0);
     for (int i = 0; i < Snapshot.JobView.MAX_PENDING && task >= 0; i++) {
       failover.attemptLost(job.planned(), task, UNKNOWN_ATTEMPT, zone, now);
--- a/src/main/java/org/ternhinge/failover/FleetObservations.java
+++ b/src/main/java/org/ternhinge/failover/FleetObservations.java
@@ -15,7 +15,7 @@
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.machine.ZoneMachineCounts;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.zone.ZoneFailover;
@@ -45,7 +45,7 @@
   private final FleetView fleet;
   private final ToIntFunction<Job> tierOf;
 
-  private final SteadyTime now;
+  private final MonotonicTime now;
   private final boolean firstHeartbeatsOverdue;
 
   /**
@@ -60,7 +60,7 @@
       TaskFailures failures,
       FleetView fleet,
       ToIntFunction<Job> tierOf,
-      SteadyTime now) {
+      MonotonicTime now) {
     this.settings = context.services().settings();
     this.ledger = context.ledger();
     this.machines = machines;
--- a/src/main/java/org/ternhinge/failover/ZoneControl.java
+++ b/src/main/java/org/ternhinge/failover/ZoneControl.java
@@ -4,7 +4,7 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
@@ -21,7 +21,7 @@
         public void recover() {}
 
         @Override
-        public void check(SteadyTime now) {}
+        public void check(MonotonicTime now) {}
 
         @Override
         public void attemptClosed(Attempt attempt, boolean done) {}
@@ -54,7 +54,7 @@
   /**
    * Checks all zones; called periodically, under the lock, while the leadership certainly holds.
    */
-  void check(SteadyTime now);
+  void check(MonotonicTime now);
 
   /** The part of a snapshot that may be planned with; called without the controller's lock. */
   Snapshot filter(Snapshot full);
--- a/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
+++ b/src/main/java/org/ternhinge/failover/ZoneCoordinator.java
@@ -9,7 +9,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
@@ -53,7 +53,7 @@
   }
 
   private static ZoneFailover failover(
-      Settings settings, ZoneFailoverSettings failoverSettings, SteadyTime now) {
+      Settings settings, ZoneFailoverSettings failoverSettings, MonotonicTime now) {
     return new ZoneFailover(
         failoverSettings.forHeartbeats(settings.workers().overdueS()),
         settings.zones(),
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public void check(SteadyTime now) {
+  public void check(MonotonicTime now) {
     List<ZoneEvent> events = failover.observe(observations(now), now);
     eventLog.log(events);
     for (ZoneEvent event : events) {
@@ -83,7 +83,7 @@
     eventLog.logMetricsIfDue(failover.metrics(), now);
   }
 
-  private FleetObservations observations(SteadyTime now) {
+  private FleetObservations observations(MonotonicTime now) {
     return new FleetObservations(
         context, machines, failures, fleet, job -> failover.tierOf(job.planned()), now);
   }
--- a/src/main/java/org/ternhinge/failover/ZoneEventLog.java
+++ b/src/main/java/org/ternhinge/failover/ZoneEventLog.java
@@ -5,7 +5,7 @@
 import org.slf4j.LoggerFactory;
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.zone.FailoverMetrics;
 import org.ternhinge.zone.ZoneEvent;
@@ -22,7 +22,7 @@
 
   private final Clock clock;
   private final Authority authority;
-  private SteadyTime metricsLoggedAt;
+  private MonotonicTime metricsLoggedAt;
 
   ZoneEventLog(LeadershipContext context) {
     this.clock = context.services().clock();
@@ -34,13 +34,13 @@
     if (!LOG.isInfoEnabled()) {
       return;
     }
-    long wallMillis = clock.wallMillis();
+    long wallMillis = clock.wallClockMillis();
     for (ZoneEvent event : events) {
       LOG.info("{} term={} at={}", event.line(), authority.term(), wallMillis);
     }
   }
 
-  void logMetricsIfDue(FailoverMetrics metrics, SteadyTime now) {
+  void logMetricsIfDue(FailoverMetrics metrics, MonotonicTime now) {
     if (now.secondsSince(metricsLoggedAt) < METRICS_INTERVAL_S) {
       return;
     }
--- a/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordKeeper.java
@@ -4,7 +4,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.term.LeadershipContext;
@@ -31,7 +31,7 @@
   private boolean revisionKnown;
 
   private boolean writeDue;
-  private SteadyTime awaitedUntil;
+  private MonotonicTime awaitedUntil;
 
   /**
    * Creates a keeper that has not read the record.
@@ -68,7 +68,7 @@
       writeDue = false;
       context
           .writer()
-          .write(ZoneRecord.KEY, () -> failover.record(clock.now(), clock.wallMillis()));
+          .write(ZoneRecord.KEY, () -> failover.record(clock.now(), clock.wallClockMillis()));
     }
   }
 
@@ -93,7 +93,7 @@
 
   private void adopt(Entry entry) {
     context.writer().setRevision(entry.key(), entry.revision());
-    failover.restore(entry.value(), clock.now(), clock.wallMillis());
+    failover.restore(entry.value(), clock.now(), clock.wallClockMillis());
     onAdopted.run();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentEpochChange.java
@@ -7,7 +7,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Begins a new epoch of a worker agent. The agent's lease has expired or the agent was started
@@ -37,7 +37,7 @@
   }
 
   /** Begins an epoch that is newer than the present one. */
-  void begin(Machine machine, AgentEpoch epoch, SteadyTime now) {
+  void begin(Machine machine, AgentEpoch epoch, MonotonicTime now) {
     closeAttemptsBefore(machine, epoch);
     machine.outstandingStarts().clear();
     machine.outbox().clear();
@@ -57,7 +57,7 @@
     }
   }
 
-  private static boolean hasLeaseLapsed(Machine machine, SteadyTime now) {
+  private static boolean hasLeaseLapsed(Machine machine, MonotonicTime now) {
     return machine.agent().wasAnswered()
         && machine.agent().leaseExpiry().secondsSince(now) > MIN_LAPSE_S;
   }
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -13,7 +13,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineDescription;
 import org.ternhinge.machine.ReportedTasks;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Heartbeat;
 
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public Result apply(Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+  public Result apply(Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     if (machine.agent().isOutdated(status)) {
       return Result.OUTDATED;
     }
@@ -76,7 +76,7 @@
     return Result.APPLIED;
   }
 
-  private void updateEpochAndSequence(Machine machine, Heartbeat status, SteadyTime now) {
+  private void updateEpochAndSequence(Machine machine, Heartbeat status, MonotonicTime now) {
     AgentState agent = machine.agent();
     if (status.epoch().compareTo(agent.epoch()) > 0) {
       epochChange.begin(machine, status.epoch(), now);
@@ -95,7 +95,7 @@
     }
   }
 
-  private void updateLastHeard(Machine machine, SteadyTime now) {
+  private void updateLastHeard(Machine machine, MonotonicTime now) {
     boolean first = !machine.agent().isHeard();
     machine.agent().heard(now);
     if (first) {
@@ -111,7 +111,7 @@
     }
   }
 
-  private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
+  private void updateTasks(Machine machine, Heartbeat status, MonotonicTime now) {
     if (!machine.tasks().equals(status.tasks())) {
       reportedTasks.show(machine, status.tasks());
       observer.observeAll(machine, status, now);
@@ -119,7 +119,7 @@
   }
 
   private void reconcileAbsentAttempts(
-      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+      Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     if (absentAttempts.reconcile(machine, status, origin) == Finding.ANSWER_MISSED) {
       reachability.answerMissed(machine, now);
     }
--- a/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/FirstHeartbeatHandler.java
@@ -3,7 +3,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
@@ -28,7 +28,7 @@
   }
 
   /** The first heartbeat of a machine's worker has come. */
-  void handle(Machine machine, SteadyTime now) {
+  void handle(Machine machine, MonotonicTime now) {
     machine.invalidateView();
     if (ledger.attemptsOn(machine.id()).isEmpty()) {
       machine.markIdle(now);
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -10,7 +10,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -70,7 +70,7 @@
    * @param mayCommand whether commands may be given; otherwise an answer only renews the lease
    */
   public HeartbeatResult process(Heartbeat heartbeat, boolean mayCommand) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     if (higherTermCheck.endsLeadership(heartbeat)) {
       return NotAnswered.HIGHER_TERM;
     }
@@ -109,7 +109,7 @@
   }
 
   private HeartbeatResult answerCurrent(
-      Machine machine, Heartbeat heartbeat, boolean mayCommand, SteadyTime now) {
+      Machine machine, Heartbeat heartbeat, boolean mayCommand, MonotonicTime now) {
     if (hasMissedAnswer(machine, heartbeat)) {
       reachability.answerMissed(machine, now);
     }
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -16,7 +16,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Heartbeat;
@@ -89,7 +89,7 @@
   }
 
   /** Checks all machines; called periodically while the leadership certainly holds. */
-  public void check(SteadyTime now) {
+  public void check(MonotonicTime now) {
     boolean fenceNeeded = false;
     for (Machine machine : List.copyOf(machines.all())) {
       expireReservations(machine, now);
@@ -113,14 +113,14 @@
     }
   }
 
-  private void expireReservations(Machine machine, SteadyTime now) {
+  private void expireReservations(Machine machine, MonotonicTime now) {
     if (machine.expireReservations(now)) {
       rounds.requestRound();
     }
   }
 
   /** Probes a worker that commands seem not to reach: a response shows that they do. */
-  private void probeIfUnreachable(Machine machine, SteadyTime now) {
+  private void probeIfUnreachable(Machine machine, MonotonicTime now) {
     if (machine.agent().hasEndpoint()
         && !machine.outbox().isInFlight()
         && dispatcher.hasFreeSlot()
@@ -159,7 +159,7 @@
     return stopping;
   }
 
-  private void repeatOverdueStops(List<Attempt> stopping, SteadyTime now) {
+  private void repeatOverdueStops(List<Attempt> stopping, MonotonicTime now) {
     for (Attempt attempt : stopping) {
       if (isStopOverdue(attempt, now)) {
         attempts.stop(attempt, 0);
@@ -171,7 +171,7 @@
    * Whether a stop with grace was not carried out in time. Until a gang's tasks learn that their
    * peers are saving, and a heartbeat shows it, more time than the grace may pass.
    */
-  private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
+  private boolean isStopOverdue(Attempt attempt, MonotonicTime now) {
     double allowedS =
         attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
     return attempt.stopGraceS() > 0
--- a/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseRenewal.java
@@ -1,7 +1,7 @@
 package org.ternhinge.heartbeat;
 
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.ControllerServices;
 
 /**
@@ -17,7 +17,7 @@
   }
 
   /** The worker may count its lease from this time; an earlier one changes nothing. */
-  void renewFrom(Machine machine, SteadyTime time) {
+  void renewFrom(Machine machine, MonotonicTime time) {
     machine.agent().extendLease(time.plusSeconds(leaseS));
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.RoundTrigger;
 
 /**
@@ -28,7 +28,7 @@
   }
 
   /** A heartbeat shows no effect of the answer before it. */
-  void answerMissed(Machine machine, SteadyTime now) {
+  void answerMissed(Machine machine, MonotonicTime now) {
     machine.health().reachability().answerMissed(now, this::areOthersReachable);
     if (machine.health().reachability().unreachable()) {
       rounds.requestRound();
@@ -36,7 +36,7 @@
   }
 
   /** The worker's epoch has ended although its lease was renewed by answers. */
-  void leaseLapsed(Machine machine, SteadyTime now) {
+  void leaseLapsed(Machine machine, MonotonicTime now) {
     machine.health().reachability().leaseLapsed(now, this::areOthersReachable);
   }
 
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -7,7 +7,7 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
 
@@ -30,7 +30,7 @@
   }
 
   /** Handles the notice that a status carries, if it carries the first one. */
-  void handle(Machine machine, Heartbeat status, SteadyTime now) {
+  void handle(Machine machine, Heartbeat status, MonotonicTime now) {
     if (status.reclaimNoticeS().isEmpty() || machine.cloud().isReclaimed()) {
       return;
     }
--- a/src/main/java/org/ternhinge/http/Reply.java
+++ b/src/main/java/org/ternhinge/http/ClientResponse.java
@@ -1,7 +1,7 @@
 package org.ternhinge.http;
 
 /** A whole response as a client receives it. */
-public final class Reply {
+public final class ClientResponse {
   private final int status;
   private final byte[] body;
 
@@ -11,7 +11,7 @@
    * @param status HTTP status
    * @param body bytes of the body, which are not copied
    */
-  public Reply(int status, byte[] body) {
+  public ClientResponse(int status, byte[] body) {
     this.status = status;
     this.body = body;
   }
--- a/src/main/java/org/ternhinge/http/ReplyHandler.java
+++ b/src/main/java/org/ternhinge/http/ClientResponseHandler.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /** Completes the call that a client connection serves at present, and releases the connection. */
-final class ReplyHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+final class ClientResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final ConnectionPool pool;
 
   /** The call whose response is awaited; null while the connection is idle. */
@@ -20,7 +20,7 @@
    *
    * @param pool gets the connection back after each response
    */
-  ReplyHandler(ConnectionPool pool) {
+  ClientResponseHandler(ConnectionPool pool) {
     this.pool = pool;
   }
 
@@ -52,7 +52,7 @@
     } else {
       Channels.close(ctx);
     }
-    answered.finish(Outcome.applied(new Reply(response.status().code(), body)));
+    answered.finish(Outcome.applied(new ClientResponse(response.status().code(), body)));
   }
 
   @Override
--- a/src/main/java/org/ternhinge/http/LoopClock.java
+++ b/src/main/java/org/ternhinge/http/EventLoopClock.java
@@ -2,29 +2,29 @@
 
 import io.netty.channel.EventLoop;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** The system's clock, with timers that run on the event loop. */
-public final class LoopClock implements Clock {
+public final class EventLoopClock implements Clock {
   private final EventLoop loop;
 
   /** Creates a clock whose timers run on an event loop. */
-  public LoopClock(EventLoop loop) {
+  public EventLoopClock(EventLoop loop) {
     this.loop = loop;
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(System.nanoTime());
+  public MonotonicTime now() {
+    return new MonotonicTime(System.nanoTime());
   }
 
   @Override
-  public long wallMillis() {
+  public long wallClockMillis() {
     return System.currentTimeMillis();
   }
 
   @Override
-  public void after(double seconds, Runnable action) {
+  public void schedule(double seconds, Runnable action) {
     var unused = Channels.schedule(loop, seconds, action);
   }
 }
--- a/src/main/java/org/ternhinge/http/HttpServer.java
+++ b/src/main/java/org/ternhinge/http/HttpServer.java
@@ -46,7 +46,7 @@
    *
    * @param workersPath path that only workers request; their connections count as workers'
    */
-  public HttpServer(EventLoopGroup loop, Handler handler, SocketShares shares, String workersPath) {
+  public HttpServer(EventLoopGroup loop, Handler handler, SocketBudget shares, String workersPath) {
     this(loop, handler, shares, workersPath, inbound -> {});
   }
 
@@ -59,16 +59,16 @@
   public HttpServer(
       EventLoopGroup loop,
       Handler handler,
-      SocketShares shares,
+      SocketBudget shares,
       String workersPath,
-      HttpCaller client) {
+      PooledHttpClient client) {
     this(loop, handler, shares, workersPath, client::inboundConnectionsChanged);
   }
 
   private HttpServer(
       EventLoopGroup loop,
       Handler handler,
-      SocketShares shares,
+      SocketBudget shares,
       String workersPath,
       IntConsumer connectionListener) {
     this.loop = loop;
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -4,11 +4,11 @@
 import java.util.function.IntConsumer;
 
 /**
- * Counts the connections that are open to this process against their {@link SocketShares}. For use
+ * Counts the connections that are open to this process against their {@link SocketBudget}. For use
  * on the event loop alone.
  */
 final class InboundConnections {
-  private final SocketShares shares;
+  private final SocketBudget shares;
   private final IntConsumer listener;
   private int open;
   private int openToWorkers;
@@ -18,14 +18,14 @@
    *
    * @param listener gets the number of open connections after each change
    */
-  InboundConnections(SocketShares shares, IntConsumer listener) {
+  InboundConnections(SocketBudget shares, IntConsumer listener) {
     this.shares = shares;
     this.listener = listener;
   }
 
   /** Counts a new connection until it closes; false, and not counted, if there are too many. */
   boolean tryAdd(Channel channel) {
-    if (open >= shares.all()) {
+    if (open >= shares.maxInbound()) {
       return false;
     }
     change(1);
@@ -45,7 +45,7 @@
   }
 
   /** Whether more connections of workers are open than their share. */
-  boolean exceedsWorkerShare() {
-    return openToWorkers > shares.workers();
+  boolean exceedsWorkerLimit() {
+    return openToWorkers > shares.maxPersistentWorkers();
   }
 }
--- a/src/main/java/org/ternhinge/http/PendingCall.java
+++ b/src/main/java/org/ternhinge/http/PendingCall.java
@@ -17,14 +17,14 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /**
- * A request of {@link HttpCaller} from its start to its outcome. For use on the event loop alone,
+ * A request of {@link PooledHttpClient} from its start to its outcome. For use on the event loop alone,
  * except for {@link #result()}.
  */
 final class PendingCall {
   private final Endpoint endpoint;
   private final Request request;
   private final BooleanSupplier maySend;
-  private final CompletableFuture<Outcome<Reply>> result = new CompletableFuture<>();
+  private final CompletableFuture<Outcome<ClientResponse>> result = new CompletableFuture<>();
   private Future<?> timer;
 
   /** The connection that the request was written to; null until then. */
@@ -45,7 +45,7 @@
     return endpoint;
   }
 
-  CompletableFuture<Outcome<Reply>> result() {
+  CompletableFuture<Outcome<ClientResponse>> result() {
     return result;
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Ends the call; a second outcome has no effect. */
-  void finish(Outcome<Reply> outcome) {
+  void finish(Outcome<ClientResponse> outcome) {
     timer.cancel(false);
     result.complete(outcome);
   }
--- a/src/main/java/org/ternhinge/http/HttpCaller.java
+++ b/src/main/java/org/ternhinge/http/PooledHttpClient.java
@@ -24,7 +24,7 @@
  * exceptionally. A request that was written and not answered ends as {@link Outcome.Unknown}, never
  * as a failure: it may have been carried out, or may still be.
  */
-public final class HttpCaller {
+public final class PooledHttpClient {
   /**
    * Largest accepted response: several of the key-value store's largest pages. Only the response to
    * a watch is unbounded; one of 16 MB would not fit into the heap as a JSON tree.
@@ -34,7 +34,7 @@
   private static final int MILLIS_PER_S = 1000;
 
   private final EventLoop loop;
-  private final SocketShares shares;
+  private final SocketBudget shares;
   private final ConnectionPool pool;
 
   /**
@@ -43,19 +43,19 @@
    * @param shares limits the idle connections. With one to each of hundreds of workers, beside one
    *     from each of them, a process would come close to its limit of sockets
    */
-  public HttpCaller(EventLoop loop, SocketShares shares) {
+  public PooledHttpClient(EventLoop loop, SocketBudget shares) {
     this.loop = loop;
     this.shares = shares;
-    this.pool = new ConnectionPool(shares.kept());
+    this.pool = new ConnectionPool(shares.minIdleOutbound());
   }
 
   /** Adapts the limit of idle connections to the number of inbound ones; on the event loop. */
   void inboundConnectionsChanged(int inbound) {
-    pool.setMaxIdle(shares.keptBeside(inbound));
+    pool.setMaxIdle(shares.maxIdleOutbound(inbound));
   }
 
   /** Sends a request. */
-  public CompletableFuture<Outcome<Reply>> call(
+  public CompletableFuture<Outcome<ClientResponse>> call(
       Endpoint endpoint, Request request, CallTimeouts timeouts) {
     return start(new PendingCall(endpoint, request, () -> true), timeouts);
   }
@@ -66,12 +66,12 @@
    *
    * @param maySend evaluated on the event loop
    */
-  public CompletableFuture<Outcome<Reply>> callIf(
+  public CompletableFuture<Outcome<ClientResponse>> callIf(
       BooleanSupplier maySend, Endpoint endpoint, Request request, CallTimeouts timeouts) {
     return start(new PendingCall(endpoint, request, maySend), timeouts);
   }
 
-  private CompletableFuture<Outcome<Reply>> start(PendingCall call, CallTimeouts timeouts) {
+  private CompletableFuture<Outcome<ClientResponse>> start(PendingCall call, CallTimeouts timeouts) {
     if (loop.inEventLoop()) {
       startOnLoop(call, timeouts);
     } else {
@@ -115,7 +115,7 @@
             .pipeline()
             .addLast(new HttpClientCodec())
             .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
-            .addLast(new ReplyHandler(pool));
+            .addLast(new ClientResponseHandler(pool));
       }
     };
   }
@@ -126,12 +126,12 @@
       call.finish(Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
       return;
     }
-    channel.pipeline().get(ReplyHandler.class).await(call);
+    channel.pipeline().get(ClientResponseHandler.class).await(call);
     call.write(channel);
   }
 
   /** Closes the idle connections to an endpoint that is no longer of use. */
-  public void forget(Endpoint endpoint) {
+  public void closeIdleConnections(Endpoint endpoint) {
     loop.execute(() -> pool.closeAll(endpoint));
   }
 }
--- a/src/main/java/org/ternhinge/http/ServerConnection.java
+++ b/src/main/java/org/ternhinge/http/ServerConnection.java
@@ -81,7 +81,7 @@
       worker = true;
       connections.addWorker(ctx.channel());
     }
-    return worker && connections.exceedsWorkerShare();
+    return worker && connections.exceedsWorkerLimit();
   }
 
   private void send(ChannelHandlerContext ctx, Response response, boolean keepAlive) {
--- a/src/main/java/org/ternhinge/http/ServiceClient.java
+++ b/src/main/java/org/ternhinge/http/ServiceClient.java
@@ -20,15 +20,15 @@
   /** Maps a response with any status but 200 to an outcome. */
   public interface ErrorMapper {
     /** The outcome of a request that got this response. */
-    <T> Outcome<T> outcomeOf(Reply reply);
+    <T> Outcome<T> outcomeOf(ClientResponse reply);
   }
 
-  private final HttpCaller http;
+  private final PooledHttpClient http;
   private final Endpoint endpoint;
   private final ErrorMapper errors;
 
   /** Creates a client of the service at an endpoint. */
-  public ServiceClient(HttpCaller http, Endpoint endpoint, ErrorMapper errors) {
+  public ServiceClient(PooledHttpClient http, Endpoint endpoint, ErrorMapper errors) {
     this.http = http;
     this.endpoint = endpoint;
     this.errors = errors;
@@ -59,12 +59,12 @@
   }
 
   /** The outcome of a call that was answered with a status that the protocol does not define. */
-  public static <T> Outcome<T> unexpectedStatus(Reply reply) {
+  public static <T> Outcome<T> unexpectedStatus(ClientResponse reply) {
     return Outcome.unknown("status " + reply.status());
   }
 
   private <T> Outcome<T> decode(
-      Request request, Reply reply, Function<byte[], Outcome<T>> decoder) {
+      Request request, ClientResponse reply, Function<byte[], Outcome<T>> decoder) {
     try {
       return reply.status() == OK ? decoder.apply(reply.body()) : errors.outcomeOf(reply);
     } catch (RuntimeException e) {
--- a/src/main/java/org/ternhinge/http/SocketShares.java
+++ b/src/main/java/org/ternhinge/http/SocketBudget.java
@@ -5,12 +5,12 @@
  * workers, or a burst of commands to them, use up all sockets; users, health probes, other
  * controllers and the key-value store are then refused as if the process were dead.
  *
- * @param kept idle outbound connections, as long as the inbound ones use their share
- * @param calls outbound connections to workers in use at the same time
- * @param workers persistent inbound connections of workers; others are closed after each answer
- * @param all inbound connections that may be open
+ * @param minIdleOutbound idle outbound connections, as long as the inbound ones use their share
+ * @param maxOutboundCalls outbound connections to workers in use at the same time
+ * @param maxPersistentWorkers persistent inbound connections of workers; others are closed after each answer
+ * @param maxInbound inbound connections that may be open
  */
-public record SocketShares(int kept, int calls, int workers, int all) {
+public record SocketBudget(int minIdleOutbound, int maxOutboundCalls, int maxPersistentWorkers, int maxInbound) {
   /** Idle outbound connections, and calls, get one socket in this many each. */
   private static final int CALLS_FRACTION = 12;
 
@@ -21,11 +21,11 @@
   private static final int USERS_FRACTION = 10;
 
   /** Divides a limit of sockets. */
-  public static SocketShares of(int maxSockets) {
+  public static SocketBudget of(int maxSockets) {
     int kept = Math.max(1, maxSockets / CALLS_FRACTION);
     int calls = Math.max(1, maxSockets / CALLS_FRACTION);
     int all = Math.max(2, maxSockets - kept - calls - maxSockets / RESERVE_FRACTION);
-    return new SocketShares(kept, calls, all - Math.max(1, all / USERS_FRACTION), all);
+    return new SocketBudget(kept, calls, all - Math.max(1, all / USERS_FRACTION), all);
   }
 
   /**
@@ -33,7 +33,7 @@
    * unused part of the workers' share: a new connection for each command costs several times as
    * much as the command itself.
    */
-  int keptBeside(int inbound) {
-    return Math.max(kept, kept + workers - inbound);
+  int maxIdleOutbound(int inbound) {
+    return Math.max(minIdleOutbound, minIdleOutbound + maxPersistentWorkers - inbound);
   }
 }
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -8,7 +8,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.term.LeadershipContext;
 
@@ -60,7 +60,7 @@
     if (created.compareTo(recoveredAt) <= 0 || isKnown(id)) {
       return;
     }
-    SteadyTime now = context.services().clock().now();
+    MonotonicTime now = context.services().clock().now();
     ledger.add(job);
     LOG.debug("accepted {} of {}", id, job.spec().jobClass());
     arrivalRates.recordArrival(job.spec(), now);
@@ -71,7 +71,7 @@
   }
 
   /** Dependencies of the new job may have inherited its priority. */
-  private void refreshRaisedPriorities(SteadyTime now) {
+  private void refreshRaisedPriorities(MonotonicTime now) {
     for (Job raised : ledger.dependencies().drainRaised()) {
       for (Attempt attempt : raised.openAttempts()) {
         machines.findOrAdd(attempt.machine(), now).invalidateView();
--- a/src/main/java/org/ternhinge/leadership/JobWatch.java
+++ b/src/main/java/org/ternhinge/leadership/JobWatch.java
@@ -62,7 +62,7 @@
     if (outcome instanceof Outcome.Applied<KeyValueStore.WatchResult> applied) {
       process(applied.value());
       watch();
-    } else if (outcome.isBecause(Reason.TOO_OLD) || outcome.isBecause(Reason.TOO_LARGE)) {
+    } else if (outcome.isNotApplied(Reason.TOO_OLD) || outcome.isNotApplied(Reason.TOO_LARGE)) {
       // The next leadership's recovery reads all that was missed, page by page.
       authority.lost(new LeadershipLoss.WatchFellBehind());
     } else {
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.ControllerServices;
@@ -52,7 +52,7 @@
             });
   }
 
-  private void restore(LedgerLoader.Loaded loaded, SteadyTime now) {
+  private void restore(LedgerLoader.Loaded loaded, MonotonicTime now) {
     for (Job job : loaded.jobs()) {
       ledger.add(job);
     }
@@ -70,7 +70,7 @@
   }
 
   /** An earlier leader may have ended before it had stopped all tasks of a cancelled job. */
-  private void stopCancelledJobs(SteadyTime now) {
+  private void stopCancelledJobs(MonotonicTime now) {
     for (Job job : ledger.jobs()) {
       if (job.cancelled()) {
         for (Attempt attempt : job.openAttempts()) {
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -10,7 +10,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ReportedTaskCounts;
 import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.term.LeadershipContext;
@@ -56,8 +56,8 @@
    * When the lease of a machine has expired at the latest from which this leadership has received
    * no heartbeat. An earlier leader may have answered heartbeats for the grace that it was allowed.
    */
-  private static SteadyTime initialLeaseEnd(
-      Settings settings, Tuning tuning, SteadyTime electedAt) {
+  private static MonotonicTime initialLeaseEnd(
+      Settings settings, Tuning tuning, MonotonicTime electedAt) {
     double graceS = Election.grace(tuning, settings.workers()) * (1 + Settings.DRIFT);
     return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
--- a/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
+++ b/src/main/java/org/ternhinge/leadership/PeriodicChecks.java
@@ -1,7 +1,7 @@
 package org.ternhinge.leadership;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 
 /**
@@ -41,7 +41,7 @@
 
   private void checkLeases() {
     if (context.authority().valid()) {
-      SteadyTime now = clock.now();
+      MonotonicTime now = clock.now();
       workers.leaseMonitor.check(now);
       scaling.unusableMachines.check(now);
       fleet.zones.check(now);
--- a/src/main/java/org/ternhinge/leadership/WorkerComponents.java
+++ b/src/main/java/org/ternhinge/leadership/WorkerComponents.java
@@ -12,7 +12,7 @@
 import org.ternhinge.heartbeat.LeaseMonitor;
 import org.ternhinge.heartbeat.ReachabilityMonitor;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Heartbeat;
 
@@ -69,7 +69,7 @@
    * before the updater of agent states can be created, which depends on the dispatcher.
    */
   private AgentStatusSink.Result applyStatus(
-      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+      Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     return statusUpdater.apply(machine, status, origin, now);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -74,7 +74,7 @@
   }
 
   private Optional<AdmissionRefusal> checkTeamLimit(JobSpec spec, int tasks) {
-    Resources used = usage.ofTeam(spec.team()).plus(spec.need().times(tasks));
+    Resources used = usage.ofTeam(spec.team()).plus(spec.taskResources().times(tasks));
     return refuseIf(!Ledger.within(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
   }
 
@@ -155,7 +155,7 @@
       if (tasks > spec.zoneLimit()) {
         return Optional.of(AdmissionRefusal.ZONE_LIMIT);
       }
-      return refuseIf(spec.together() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
+      return refuseIf(spec.singleZone() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
     }
 
     private Optional<AdmissionRefusal> checkRoom(MachineAttributes machine) {
@@ -163,7 +163,7 @@
           roomByMachine
               .computeIfAbsent(
                   machine.machine(), id -> machine.capacity().minus(usage.ofMachine(id)))
-              .minus(spec.need());
+              .minus(spec.taskResources());
       roomByMachine.put(machine.machine(), room);
       boolean full = room.cpus() < 0 || room.gpus() < 0 || room.memory() < 0;
       return refuseIf(full, AdmissionRefusal.MACHINE_FULL);
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 
 /**
@@ -23,10 +23,10 @@
   private final AgentEpoch epoch;
   private final int zone;
   private final boolean recovered;
-  private final SteadyTime openedAt;
+  private final MonotonicTime openedAt;
 
   private AttemptState state;
-  private SteadyTime runningSince;
+  private MonotonicTime runningSince;
 
   /** The request to stop with the least grace so far; null where there was none. */
   private StopRequest stopRequest;
@@ -42,7 +42,7 @@
       AgentEpoch epoch,
       int zone,
       boolean recovered,
-      SteadyTime openedAt) {
+      MonotonicTime openedAt) {
     this.job = job;
     this.task = new TaskId(job.spec().id(), index);
     this.number = number;
@@ -90,7 +90,7 @@
   }
 
   /** When this leader opened it, or loaded it if an earlier one did. */
-  public SteadyTime openedAt() {
+  public MonotonicTime openedAt() {
     return openedAt;
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** When the worker was first seen to run it, or null before that. */
-  public SteadyTime runningSince() {
+  public MonotonicTime runningSince() {
     return runningSince;
   }
 
@@ -131,7 +131,7 @@
    * @param reported a {@linkplain AttemptState#isReported reported} state
    * @throws IllegalTransitionException if the state is no reported one or the attempt is closed
    */
-  public void observe(AttemptState reported, SteadyTime at) {
+  public void observe(AttemptState reported, MonotonicTime at) {
     if (!reported.isReported()) {
       throw new IllegalTransitionException(toString(), state, reported);
     }
@@ -169,7 +169,7 @@
   }
 
   /** Requests a stop; a later request replaces an earlier one only if its grace is shorter. */
-  public void stop(double graceS, SteadyTime at) {
+  public void stop(double graceS, MonotonicTime at) {
     if (stopRequest == null || graceS < stopRequest.graceS()) {
       stopRequest = new StopRequest(graceS, at);
     }
--- a/src/main/java/org/ternhinge/ledger/DependencyGraph.java
+++ b/src/main/java/org/ternhinge/ledger/DependencyGraph.java
@@ -155,7 +155,7 @@
     for (Job job : waiting) {
       job.unmetDependencies().remove(state.id());
       if (!job.hasUnmetDependencies()) {
-        job.readyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
+        job.readyMillis(Math.max(job.acceptedMillis(), clock.wallClockMillis()));
         someReady = true;
       }
     }
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import java.util.BitSet;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.JobSpec;
 
 /**
@@ -31,7 +31,7 @@
   private final Int2LongOpenHashMap revisions = new Int2LongOpenHashMap();
 
   private boolean opensAttempts;
-  private SteadyTime dirtySince;
+  private MonotonicTime dirtySince;
   private boolean repartitionWanted;
   private boolean repartitionTooLarge;
 
@@ -115,11 +115,11 @@
   }
 
   /** Since when the job waits in the write queue. */
-  SteadyTime dirtySince() {
+  MonotonicTime dirtySince() {
     return dirtySince;
   }
 
-  void dirtySince(SteadyTime at) {
+  void dirtySince(MonotonicTime at) {
     dirtySince = at;
   }
 
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.TaskStatus;
@@ -227,7 +227,7 @@
    * @return the reason against it, or nothing when the attempts are open
    */
   public Optional<AdmissionRefusal> open(
-      Job job, List<Placement> placements, Predicate<TaskId> stillShown, SteadyTime now) {
+      Job job, List<Placement> placements, Predicate<TaskId> stillShown, MonotonicTime now) {
     RepartitionPolicy.repartitionWaitingGang(job, valueBytes);
     Optional<AdmissionRefusal> refusal = admit(job, placements, stillShown);
     if (refusal.isEmpty()) {
@@ -242,7 +242,7 @@
     return admission.check(job, placements, stillShown);
   }
 
-  private void openAll(Job job, List<Placement> placements, SteadyTime now) {
+  private void openAll(Job job, List<Placement> placements, MonotonicTime now) {
     AttemptNumber number = job.highest().next();
     job.highest(number);
     job.record().opensAttempts(true);
@@ -300,7 +300,7 @@
 
   /** The jobs that may be written, as in {@link WriteQueue#ready}. */
   Map<WriteQueue.Urgency, List<Job>> readyToWrite(
-      SteadyTime batchedBefore, SteadyTime overdueBefore) {
+      MonotonicTime batchedBefore, MonotonicTime overdueBefore) {
     return writeQueue.ready(batchedBefore, overdueBefore);
   }
 
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.WireException;
@@ -85,7 +85,7 @@
       return;
     }
     Range range = unread.peek();
-    locked.whenAnswered(
+    locked.whenComplete(
         store.list(range.prefix(), range.lastKey(), PAGE_KEYS, RequestPriority.RENEWAL),
         outcome -> answered(range, outcome, onLoaded));
   }
@@ -96,7 +96,7 @@
       addPage(range, applied.value());
       load(onLoaded);
     } else {
-      clock.after(RETRY_S, locked.guarded(() -> load(onLoaded)));
+      clock.schedule(RETRY_S, locked.guarded(() -> load(onLoaded)));
     }
   }
 
@@ -112,7 +112,7 @@
 
   private Loaded finish() {
     Map<JobId, Job> found = new TreeMap<>();
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     for (Entry entry : jobs.entries()) {
       try {
         read(entry, found, now);
@@ -124,7 +124,7 @@
         new ArrayList<>(found.values()), provisions.entries(), releases.entries(), revision);
   }
 
-  private static void read(Entry entry, Map<JobId, Job> found, SteadyTime now)
+  private static void read(Entry entry, Map<JobId, Job> found, MonotonicTime now)
       throws WireException {
     String name = entry.key().substring(Keys.JOBS.length());
     int slash = name.indexOf('/');
@@ -142,7 +142,7 @@
   }
 
   /** Reads the record of a job that was just accepted. */
-  public static Job read(JsonNode value, Revision revision, SteadyTime now) throws WireException {
+  public static Job read(JsonNode value, Revision revision, MonotonicTime now) throws WireException {
     return RecordCodec.decodeFirst(value, revision, now);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -180,14 +180,14 @@
       return;
     }
     busy = true;
-    locked.whenAnswered(
+    locked.whenComplete(
         store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::handleAnswer);
   }
 
   private void schedulePoll() {
     if (!pollScheduled) {
       pollScheduled = true;
-      clock.after(POLL_S, locked.guarded(this::poll));
+      clock.schedule(POLL_S, locked.guarded(this::poll));
     }
   }
 
@@ -198,7 +198,7 @@
 
   private void retryAfter(double seconds) {
     busy = true;
-    clock.after(seconds, locked.guarded(this::retry));
+    clock.schedule(seconds, locked.guarded(this::retry));
   }
 
   private void retry() {
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskRanges;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
@@ -151,7 +151,7 @@
   }
 
   /** Reads the first segment. */
-  static Job decodeFirst(JsonNode value, Revision revision, SteadyTime now) throws WireException {
+  static Job decodeFirst(JsonNode value, Revision revision, MonotonicTime now) throws WireException {
     JsonNode spec = value.get(SPEC);
     if (spec == null) {
       throw new WireException(SPEC + ": missing");
@@ -178,7 +178,7 @@
   }
 
   /** Reads what a segment says of its tasks into the job. */
-  static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, SteadyTime now)
+  static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, MonotonicTime now)
       throws WireException {
     job.record().revision(segment, revision);
     if (job.record().merged().get(segment)) {
@@ -192,7 +192,7 @@
     }
   }
 
-  private static void decodeAttempts(Job job, String text, SteadyTime now) throws WireException {
+  private static void decodeAttempts(Job job, String text, MonotonicTime now) throws WireException {
     String[] fields = text.split(":", ATTEMPT_FIELDS);
     if (fields.length != ATTEMPT_FIELDS) {
       throw new WireException(OPEN + ": " + text);
--- a/src/main/java/org/ternhinge/ledger/ResourceUsage.java
+++ b/src/main/java/org/ternhinge/ledger/ResourceUsage.java
@@ -38,7 +38,7 @@
 
   /** Counts an attempt that opens. */
   void add(Attempt attempt) {
-    Resources need = attempt.job().spec().need();
+    Resources need = attempt.job().spec().taskResources();
     byTeam.merge(attempt.job().spec().team(), need, Resources::plus);
     byMachine.merge(attempt.machine(), need, Resources::plus);
     attempts.computeIfAbsent(attempt.machine(), machine -> new LinkedHashSet<>()).add(attempt);
@@ -46,7 +46,7 @@
 
   /** No longer counts an attempt that was counted. */
   void remove(Attempt attempt) {
-    Resources need = attempt.job().spec().need();
+    Resources need = attempt.job().spec().taskResources();
     MachineId machine = attempt.machine();
     byTeam.computeIfPresent(attempt.job().spec().team(), (team, used) -> used.minus(need));
     Set<Attempt> remaining = attempts.get(machine);
--- a/src/main/java/org/ternhinge/ledger/StopRequest.java
+++ b/src/main/java/org/ternhinge/ledger/StopRequest.java
@@ -1,6 +1,6 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The request to stop an attempt.
@@ -8,4 +8,4 @@
  * @param graceS seconds that the task has for a checkpoint from when it receives the stop
  * @param at when the request was made
  */
-public record StopRequest(double graceS, SteadyTime at) {}
+public record StopRequest(double graceS, MonotonicTime at) {}
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.ternhinge.ledger.WriteQueue.Urgency;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Chooses what goes into the next transaction. While changes are scarce, cancellations go first,
@@ -61,7 +61,7 @@
   }
 
   private void addByUrgency(TransactionDraft draft) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     Map<Urgency, List<Job>> ready =
         ledger.readyToWrite(now.plusSeconds(-BATCH_S), now.plusSeconds(-LATE_S));
     for (Urgency urgency : Urgency.values()) {
--- a/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionVerifier.java
@@ -85,7 +85,7 @@
       LedgerTransaction transaction,
       Consumer<Verdict> onVerdict,
       Consumer<Optional<Entry>> then) {
-    locked.whenAnswered(
+    locked.whenComplete(
         store.get(key, RequestPriority.ATTEMPT),
         outcome -> {
           if (stopped) {
@@ -94,7 +94,7 @@
           if (outcome instanceof Outcome.Applied<KeyValueStore.ReadResult> read) {
             then.accept(read.value().entry());
           } else {
-            clock.after(RETRY_S, locked.guarded(() -> verify(transaction, onVerdict)));
+            clock.schedule(RETRY_S, locked.guarded(() -> verify(transaction, onVerdict)));
           }
         });
   }
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Jobs with something to write, and how urgent it is. */
 final class WriteQueue {
@@ -56,7 +56,7 @@
    * @param batchedBefore ends of tasks that came later than this wait for more
    * @param overdueBefore ends of tasks that came before this no longer wait behind starts
    */
-  Map<Urgency, List<Job>> ready(SteadyTime batchedBefore, SteadyTime overdueBefore) {
+  Map<Urgency, List<Job>> ready(MonotonicTime batchedBefore, MonotonicTime overdueBefore) {
     Map<Urgency, List<Job>> ready = new EnumMap<>(Urgency.class);
     for (Urgency urgency : Urgency.values()) {
       ready.put(urgency, new ArrayList<>());
@@ -70,7 +70,7 @@
     return ready;
   }
 
-  private static Urgency urgency(Job job, SteadyTime overdueBefore) {
+  private static Urgency urgency(Job job, MonotonicTime overdueBefore) {
     if (job.cancelledByDependency()) {
       // Users see the cancellation already, and there may be thousands of such jobs.
       return Urgency.TASK_ENDS;
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.ternhinge.limit;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * A token bucket for calls to a system that limits their rate: a steady rate, and bursts of one
@@ -21,7 +21,7 @@
   private double ratePerS;
   private double capacity;
   private double tokens;
-  private SteadyTime refilledAt;
+  private MonotonicTime refilledAt;
 
   /**
    * Creates a full bucket.
@@ -81,7 +81,7 @@
   }
 
   private void refill() {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     tokens = Math.min(capacity, tokens + now.secondsSince(refilledAt) * ratePerS);
     refilledAt = now;
   }
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -4,7 +4,7 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Heartbeat;
 
@@ -18,8 +18,8 @@
   private long sequence = -1;
   private Term fencingToken = Term.NONE;
   private Term answeredTerm = Term.NONE;
-  private SteadyTime lastHeartbeat;
-  private SteadyTime leaseExpiry;
+  private MonotonicTime lastHeartbeat;
+  private MonotonicTime leaseExpiry;
   private Endpoint endpoint;
 
   /** The endpoint as in the agent's messages, so that an unchanged one is not parsed again. */
@@ -27,7 +27,7 @@
 
   private boolean termAnnounced;
 
-  AgentState(SteadyTime leaseExpiry) {
+  AgentState(MonotonicTime leaseExpiry) {
     this.leaseExpiry = leaseExpiry;
   }
 
@@ -77,7 +77,7 @@
   // ---- heartbeats and the lease -----------------------------------------------------------------
 
   /** A message that is newer than all earlier ones has arrived. */
-  public void heard(SteadyTime now) {
+  public void heard(MonotonicTime now) {
     lastHeartbeat = now;
   }
 
@@ -87,32 +87,32 @@
   }
 
   /** When the newest message arrived; null unless the agent {@linkplain #isHeard was heard}. */
-  public SteadyTime lastHeartbeat() {
+  public MonotonicTime lastHeartbeat() {
     return lastHeartbeat;
   }
 
   /** Seconds since the newest message; infinite where none has arrived. */
-  public double silentForS(SteadyTime now) {
+  public double silentForS(MonotonicTime now) {
     return isHeard() ? now.secondsSince(lastHeartbeat) : Double.POSITIVE_INFINITY;
   }
 
   /** Whether the agent has missed heartbeats, or was never heard. */
-  public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
+  public boolean isOverdue(Settings.Workers workers, MonotonicTime now) {
     return silentForS(now) >= workers.overdueS();
   }
 
   /** After this time the agent has killed its tasks, unless a later answer extends the lease. */
-  public SteadyTime leaseExpiry() {
+  public MonotonicTime leaseExpiry() {
     return leaseExpiry;
   }
 
   /** Whether the lease has certainly expired. */
-  public boolean isLeaseExpired(SteadyTime now) {
+  public boolean isLeaseExpired(MonotonicTime now) {
     return leaseExpiry.isBefore(now);
   }
 
   /** Extends the lease; an earlier expiry than the present one has no effect. */
-  public void extendLease(SteadyTime until) {
+  public void extendLease(MonotonicTime until) {
     leaseExpiry = until.max(leaseExpiry);
   }
 
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.MachineType;
 
 /**
@@ -58,7 +58,7 @@
       Comparator.comparing(machine -> machine.cloud().provisionedAt());
 
   /** A machine that has come up, with its boot time as a ratio to the nominal one. */
-  private record Boot(SteadyTime provisionedAt, SteadyTime upAt, double ratio) {}
+  private record Boot(MonotonicTime provisionedAt, MonotonicTime upAt, double ratio) {}
 
   /** The machines of one type in one zone. */
   private record Pool(String typeName, String zoneName) {}
@@ -74,7 +74,7 @@
     /** The ratio within which the {@link #IN_TIME_SHARE} of machines comes up. */
     private double expectedRatio = NOMINAL_RATIO;
 
-    void forgetBefore(SteadyTime time) {
+    void forgetBefore(MonotonicTime time) {
       while (!boots.isEmpty() && boots.peekFirst().upAt().isBefore(time)) {
         boots.removeFirst();
       }
@@ -83,21 +83,21 @@
 
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final Map<Pool, BootStatistics> statisticsByPool = new HashMap<>();
 
   /** Creates an instance without observed boots. */
   public BootTimes(
-      MachineRegistry machines, MachineTypeCatalog machineTypes, SteadyTime electedAt) {
+      MachineRegistry machines, MachineTypeCatalog machineTypes, MonotonicTime electedAt) {
     this.machines = machines;
     this.machineTypes = machineTypes;
     this.electedAt = electedAt;
   }
 
   /** Records the first heartbeat of a machine in this leadership. */
-  public void cameUp(Machine machine, SteadyTime now) {
+  public void cameUp(Machine machine, MonotonicTime now) {
     MachineType machineType = machineType(machine);
-    SteadyTime provisionedAt = machine.cloud().provisionedAt();
+    MonotonicTime provisionedAt = machine.cloud().provisionedAt();
     if (machineType == null || provisionedAt.isBefore(electedAt)) {
       // It may have come up under an earlier leader.
       return;
@@ -107,7 +107,7 @@
   }
 
   /** The machines that should be up but are not; they do not count as expected capacity. */
-  public Set<MachineId> late(SteadyTime now) {
+  public Set<MachineId> late(MonotonicTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
     for (BootStatistics statistics : statisticsByPool.values()) {
@@ -117,7 +117,7 @@
     return late;
   }
 
-  private void collectOverdue(SteadyTime now) {
+  private void collectOverdue(MonotonicTime now) {
     for (BootStatistics statistics : statisticsByPool.values()) {
       statistics.overdue = new ArrayList<>();
       statistics.forgetBefore(now.plusSeconds(-RECENT_S));
@@ -140,7 +140,7 @@
   }
 
   /** Adds the machines that are late for their pool, and the oldest of those that are overdue. */
-  private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
+  private void addLate(BootStatistics statistics, MonotonicTime now, Set<MachineId> late) {
     List<Machine> others = new ArrayList<>();
     for (Machine machine : statistics.overdue) {
       double ratio = ratioSoFar(machine, machineType(machine), now);
@@ -162,14 +162,14 @@
    * machines count with their ratio so far. Boots of machines that were provisioned long before the
    * overdue ones are left out, since conditions may have changed since.
    */
-  private double expectedRatio(BootStatistics statistics, SteadyTime now) {
+  private double expectedRatio(BootStatistics statistics, MonotonicTime now) {
     List<Double> ratios = new ArrayList<>();
     ratios.add(NOMINAL_RATIO);
-    SteadyTime comparedSince = null;
+    MonotonicTime comparedSince = null;
     for (Machine machine : statistics.overdue) {
       MachineType machineType = machineType(machine);
       ratios.add(ratioSoFar(machine, machineType, now));
-      SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
+      MonotonicTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
       comparedSince =
           comparedSince == null || since.isBefore(comparedSince) ? since : comparedSince;
     }
@@ -184,13 +184,13 @@
   }
 
   /** The boot time of a machine so far, as a ratio to the nominal one. */
-  private static double ratioSoFar(Machine machine, MachineType machineType, SteadyTime now) {
+  private static double ratioSoFar(Machine machine, MachineType machineType, MonotonicTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
 
   /** Whether a machine that has not come up is to be released since it probably never will. */
-  public boolean isGivenUp(Machine machine, SteadyTime now) {
+  public boolean isGivenUp(Machine machine, MonotonicTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -1,42 +1,42 @@
 package org.ternhinge.machine;
 
 import java.util.Optional;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The state of one machine as the cloud sees it: when it was provisioned, what listings show of it,
  * and whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
  */
 public final class CloudStatus {
-  private final SteadyTime knownSince;
-  private SteadyTime provisionedAt;
-  private SteadyTime listedAt;
+  private final MonotonicTime knownSince;
+  private MonotonicTime provisionedAt;
+  private MonotonicTime listedAt;
   private boolean listedRunning;
-  private SteadyTime reclaimAt;
+  private MonotonicTime reclaimAt;
   private boolean releasing;
   private boolean terminated;
 
-  CloudStatus(SteadyTime now) {
+  CloudStatus(MonotonicTime now) {
     this.knownSince = now;
     this.provisionedAt = now;
   }
 
   /** When the machine became known in this leadership; it was provisioned before. */
-  public SteadyTime knownSince() {
+  public MonotonicTime knownSince() {
     return knownSince;
   }
 
   /** The latest time at which the machine can have been provisioned. */
-  public SteadyTime provisionedAt() {
+  public MonotonicTime provisionedAt() {
     return provisionedAt;
   }
 
-  void provisionedAt(SteadyTime at) {
+  void provisionedAt(MonotonicTime at) {
     provisionedAt = at;
   }
 
   /** A listing of the cloud shows the machine. */
-  public void listed(SteadyTime at, boolean running) {
+  public void listed(MonotonicTime at, boolean running) {
     listedAt = at;
     listedRunning = running;
   }
@@ -52,19 +52,19 @@
   }
 
   /** When the machine was last known to exist for the cloud. */
-  public SteadyTime lastKnownAt() {
+  public MonotonicTime lastKnownAt() {
     return listedAt == null ? knownSince : listedAt;
   }
 
   /** The cloud has given notice that it reclaims the spot machine; the first notice stands. */
-  public void reclaimAt(SteadyTime at) {
+  public void reclaimAt(MonotonicTime at) {
     if (reclaimAt == null) {
       reclaimAt = at;
     }
   }
 
   /** When the cloud reclaims the machine, if it has given notice. */
-  public Optional<SteadyTime> reclaimAt() {
+  public Optional<MonotonicTime> reclaimAt() {
     return Optional.ofNullable(reclaimAt);
   }
 
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Command;
 
 /**
@@ -12,7 +12,7 @@
 public final class CommandOutbox {
   private final Deque<Command> waiting = new ArrayDeque<>();
   private boolean inFlight;
-  private SteadyTime pausedUntil;
+  private MonotonicTime pausedUntil;
 
   /** Appends a command. */
   public void add(Command command) {
@@ -50,12 +50,12 @@
   }
 
   /** A message has failed: nothing is sent directly before this time. */
-  public void pauseUntil(SteadyTime time) {
+  public void pauseUntil(MonotonicTime time) {
     pausedUntil = time;
   }
 
   /** Whether direct messages are paused since one has failed lately. */
-  public boolean isPaused(SteadyTime now) {
+  public boolean isPaused(MonotonicTime now) {
     return pausedUntil != null && now.isBefore(pausedUntil);
   }
 }
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -1,7 +1,7 @@
 package org.ternhinge.machine;
 
 import java.util.function.BooleanSupplier;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Whether answers and commands reach the worker of one machine. Its heartbeats may arrive while
@@ -20,8 +20,8 @@
 
   private int missedAnswers;
   private boolean unreachable;
-  private SteadyTime unreachableSince;
-  private SteadyTime probedAt;
+  private MonotonicTime unreachableSince;
+  private MonotonicTime probedAt;
 
   /**
    * A later heartbeat shows no effect of the last answer.
@@ -29,7 +29,7 @@
    * @param othersReachable whether enough other workers are reachable, so that the fault is not
    *     this node's own; evaluated only where it decides, since it visits every machine
    */
-  public void answerMissed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void answerMissed(MonotonicTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
     if (missedAnswers >= UNREACHABLE_AFTER && !unreachable && othersReachable.getAsBoolean()) {
       unreachable = true;
@@ -38,7 +38,7 @@
   }
 
   /** The worker's epoch has ended although its heartbeats were answered. */
-  public void leaseLapsed(SteadyTime now, BooleanSupplier othersReachable) {
+  public void leaseLapsed(MonotonicTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     answerMissed(now, othersReachable);
   }
@@ -63,12 +63,12 @@
   }
 
   /** Seconds for which the worker has been unreachable; 0 where it is reachable. */
-  public double unreachableFor(SteadyTime now) {
+  public double unreachableFor(MonotonicTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
   /** Whether a probe is due; the next one is due an interval after a call that returns true. */
-  public boolean isProbeDue(SteadyTime now) {
+  public boolean isProbeDue(MonotonicTime now) {
     if (!unreachable || (probedAt != null && now.secondsSince(probedAt) < PROBE_INTERVAL_S)) {
       return false;
     }
--- a/src/main/java/org/ternhinge/machine/JobBackoff.java
+++ b/src/main/java/org/ternhinge/machine/JobBackoff.java
@@ -11,7 +11,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Back-off of jobs whose tasks fail on every machine. Guarded by the controller's lock.
@@ -62,7 +62,7 @@
    *
    * @param changesPerS changes per second that the key-value store accepts
    */
-  JobBackoff(Ledger ledger, double changesPerS, SteadyTime now) {
+  JobBackoff(Ledger ledger, double changesPerS, MonotonicTime now) {
     this.ledger = ledger;
     this.slots = new RetrySlots(CHANGES_PER_RETRY / (changesPerS * RETRY_SHARE), now);
   }
@@ -70,7 +70,7 @@
   // ---- what has happened to tasks ---------------------------------------------------------------
 
   /** Jobs that backed off under an earlier leader continue at the level that they had reached. */
-  public void recover(Collection<Job> jobs, SteadyTime now) {
+  public void recover(Collection<Job> jobs, MonotonicTime now) {
     for (Job job : jobs) {
       if (job.backoffLevel() > 0) {
         backOff(job, job.backoffLevel(), now);
@@ -90,14 +90,14 @@
   }
 
   /** Records a failed task, and returns all failures of its job since the last success. */
-  JobFailures failed(Machine machine, Job job, SteadyTime now) {
+  JobFailures failed(Machine machine, Job job, MonotonicTime now) {
     JobFailures failures = failuresOf(job);
     failures.failedOn(machine.id(), now);
     return failures;
   }
 
   /** Lets a job that is not known to be healthy back off if it has failed on enough machines. */
-  void backOffIfAtFault(Job job, JobFailures failures, SteadyTime now) {
+  void backOffIfAtFault(Job job, JobFailures failures, MonotonicTime now) {
     boolean atFault = failures.triesSingleTasks() || failures.machineCount() >= BACKOFF_MACHINES;
     // Tasks that ran at the same time fail at the same time, which counts as one try.
     if (atFault && !failures.isBlocked(now)) {
@@ -106,15 +106,15 @@
   }
 
   /** Blocks a job for a short time since a worker could not get its description yet. */
-  void unknownJob(Job job, SteadyTime now) {
+  void unknownJob(Job job, MonotonicTime now) {
     JobFailures failures = failuresOf(job);
     if (!failures.isBlocked(now)) {
       failures.startAfter(now.plusSeconds(UNKNOWN_END_S));
     }
   }
 
-  private void backOff(Job job, int level, SteadyTime now) {
-    SteadyTime until = slots.take(now.plusSeconds(backoffS(level)), now);
+  private void backOff(Job job, int level, MonotonicTime now) {
+    MonotonicTime until = slots.take(now.plusSeconds(backoffS(level)), now);
     failuresOf(job).backOff(level, until);
     ledger.setBackoffLevel(job, level);
     LOG.info(
@@ -130,7 +130,7 @@
   // ---- what follows for placements --------------------------------------------------------------
 
   /** Whether no task of a job may be started now. */
-  public boolean isBlocked(Job job, SteadyTime now) {
+  public boolean isBlocked(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     if (failures == null) {
       return false;
@@ -143,7 +143,7 @@
   }
 
   /** Whether only one task of a job may be started at a time, since the job backs off. */
-  public boolean triesSingleTask(Job job, SteadyTime now) {
+  public boolean triesSingleTask(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures != null
         && failures.triesSingleTasks()
@@ -152,7 +152,7 @@
   }
 
   /** The machines on which no task of a job should be placed now. */
-  public Set<MachineId> avoidedBy(Job job, SteadyTime now) {
+  public Set<MachineId> avoidedBy(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures == null ? Set.of() : failures.avoidedMachines(now);
   }
@@ -160,12 +160,12 @@
   // ---- what follows for the health of machines --------------------------------------------------
 
   /** Whether a task of a job has succeeded, or has been running for a while. */
-  static boolean isHealthy(Job job, SteadyTime now) {
+  static boolean isHealthy(Job job, MonotonicTime now) {
     if (job.doneCount() > 0) {
       return true;
     }
     for (Attempt attempt : job.openAttempts()) {
-      SteadyTime since = attempt.runningSince();
+      MonotonicTime since = attempt.runningSince();
       if (since != null && now.secondsSince(since) > HEALTHY_RUN_S) {
         return true;
       }
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The failures of one job's tasks since one of them last succeeded: the machines on which they
@@ -20,16 +20,16 @@
   static final double AVOID_S = 45;
 
   /** Time of the last failure on each machine. */
-  private final Map<MachineId, SteadyTime> lastFailures = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> lastFailures = new HashMap<>();
 
   /** Number of times that the back-off has grown; 0 while the job does not back off. */
   private int backoffLevel;
 
   /** No task of the job is started before this time; null where there is no limit. */
-  private SteadyTime startsAfter;
+  private MonotonicTime startsAfter;
 
   /** Records that a task has failed on a machine. */
-  void failedOn(MachineId machine, SteadyTime now) {
+  void failedOn(MachineId machine, MonotonicTime now) {
     lastFailures.put(machine, now);
   }
 
@@ -48,18 +48,18 @@
   }
 
   /** Blocks the job until a time, which replaces an earlier limit. */
-  void startAfter(SteadyTime time) {
+  void startAfter(MonotonicTime time) {
     startsAfter = time;
   }
 
   /** Blocks the job until a time and raises its back-off to a level. */
-  void backOff(int level, SteadyTime until) {
+  void backOff(int level, MonotonicTime until) {
     backoffLevel = level;
     startsAfter = until;
   }
 
   /** Whether no task of the job may be started now. */
-  boolean isBlocked(SteadyTime now) {
+  boolean isBlocked(MonotonicTime now) {
     return startsAfter != null && now.isBefore(startsAfter);
   }
 
@@ -69,7 +69,7 @@
   }
 
   /** The machines on which no task of the job should be placed now. */
-  Set<MachineId> avoidedMachines(SteadyTime now) {
+  Set<MachineId> avoidedMachines(MonotonicTime now) {
     Set<MachineId> avoided = new HashSet<>();
     lastFailures.forEach(
         (machine, failedAt) -> {
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.TaskStatus;
 
@@ -29,7 +29,7 @@
    * @param room the size of the room for one task
    * @param until when the reservation expires
    */
-  public record Reservation(JobId job, Resources room, SteadyTime until) {}
+  public record Reservation(JobId job, Resources room, MonotonicTime until) {}
 
   private final MachineId id;
   private final CloudStatus cloud;
@@ -42,7 +42,7 @@
   private MachineDescription description = MachineDescription.UNKNOWN;
   private List<TaskStatus> tasks = List.of();
   private long tasksRevision;
-  private SteadyTime idleSince;
+  private MonotonicTime idleSince;
 
   /** The planner's cached view; null where it is out of date. */
   private Snapshot.MachineView view;
@@ -52,7 +52,7 @@
    *
    * @param leaseExpiry latest expiry of the lease of its worker
    */
-  Machine(MachineId id, SteadyTime now, SteadyTime leaseExpiry) {
+  Machine(MachineId id, MonotonicTime now, MonotonicTime leaseExpiry) {
     this.id = id;
     this.cloud = new CloudStatus(now);
     this.agent = new AgentState(leaseExpiry);
@@ -105,7 +105,7 @@
   }
 
   /** Sets the latest time at which it can have been provisioned. */
-  public void provisionedAt(SteadyTime at) {
+  public void provisionedAt(MonotonicTime at) {
     cloud.provisionedAt(at);
     invalidateView();
   }
@@ -152,12 +152,12 @@
   }
 
   /** Since when no attempt has been open on it. */
-  public SteadyTime idleSince() {
+  public MonotonicTime idleSince() {
     return idleSince;
   }
 
   /** No attempt is open on it from now on. */
-  public void markIdle(SteadyTime now) {
+  public void markIdle(MonotonicTime now) {
     idleSince = now;
     invalidateView();
   }
@@ -187,7 +187,7 @@
   }
 
   /** Removes the expired reservations, and returns whether there were any. */
-  public boolean expireReservations(SteadyTime now) {
+  public boolean expireReservations(MonotonicTime now) {
     boolean expired =
         !reservations.isEmpty()
             && reservations.removeIf(reservation -> reservation.until().isBefore(now));
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -1,13 +1,13 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Whether one machine is fit for tasks. Guarded by the controller's lock. */
 public final class MachineHealth {
   private final MachineFailures failures = new MachineFailures();
   private final CommandReachability reachability = new CommandReachability();
-  private SteadyTime quarantinedUntil;
-  private SteadyTime noRoomUntil;
+  private MonotonicTime quarantinedUntil;
+  private MonotonicTime noRoomUntil;
 
   /** Failures of tasks since one last succeeded on the machine. */
   MachineFailures failures() {
@@ -20,11 +20,11 @@
   }
 
   /** Whether the machine is quarantined since tasks fail on it. */
-  public boolean isQuarantined(SteadyTime now) {
+  public boolean isQuarantined(MonotonicTime now) {
     return quarantinedUntil != null && now.isBefore(quarantinedUntil);
   }
 
-  void quarantineUntil(SteadyTime time) {
+  void quarantineUntil(MonotonicTime time) {
     quarantinedUntil = time;
   }
 
@@ -33,12 +33,12 @@
   }
 
   /** The machine has refused a task for want of room: nothing is placed on it before this time. */
-  void refusesTasksUntil(SteadyTime time) {
+  void refusesTasksUntil(MonotonicTime time) {
     noRoomUntil = time;
   }
 
   /** Whether the machine has not lately refused a task for want of room. */
-  public boolean acceptsTasks(SteadyTime now) {
+  public boolean acceptsTasks(MonotonicTime now) {
     return noRoomUntil == null || noRoomUntil.isBefore(now);
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The machines that are known in one leadership, and the names of those that are certainly gone. A
@@ -21,7 +21,7 @@
 
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
   private final Set<MachineId> removed = new HashSet<>();
-  private final SteadyTime initialLeaseEnd;
+  private final MonotonicTime initialLeaseEnd;
 
   /**
    * Creates a registry without machines.
@@ -29,12 +29,12 @@
    * @param initialLeaseEnd latest expiry of the lease of a machine without a heartbeat in this
    *     leadership, whichever earlier leader renewed it last
    */
-  public MachineRegistry(SteadyTime initialLeaseEnd) {
+  public MachineRegistry(MonotonicTime initialLeaseEnd) {
     this.initialLeaseEnd = initialLeaseEnd;
   }
 
   /** The machine of this name, which is added if it is not known. */
-  public Machine findOrAdd(MachineId id, SteadyTime now) {
+  public Machine findOrAdd(MachineId id, MonotonicTime now) {
     return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseEnd));
   }
 
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -1,7 +1,7 @@
 package org.ternhinge.machine;
 
 import java.util.TreeSet;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Spreads the retries of all failing jobs over time. Each retry costs changes of the key-value
@@ -10,7 +10,7 @@
  */
 final class RetrySlots {
   private final double slotS;
-  private final SteadyTime origin;
+  private final MonotonicTime origin;
   private final TreeSet<Long> reserved = new TreeSet<>();
 
   /**
@@ -18,13 +18,13 @@
    *
    * @param slotS length of a slot, in seconds
    */
-  RetrySlots(double slotS, SteadyTime origin) {
+  RetrySlots(double slotS, MonotonicTime origin) {
     this.slotS = slotS;
     this.origin = origin;
   }
 
   /** Reserves the first free slot that begins at a time or later, and returns its beginning. */
-  SteadyTime take(SteadyTime earliest, SteadyTime now) {
+  MonotonicTime take(MonotonicTime earliest, MonotonicTime now) {
     reserved.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
     long slot = (long) Math.ceil(earliest.secondsSince(origin) / slotS);
     while (!reserved.add(slot)) {
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -7,7 +7,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Attributes the failures of tasks to machines or to jobs, and quarantines machines that are at
@@ -41,7 +41,7 @@
    *
    * @param changesPerS changes per second that the key-value store accepts
    */
-  public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
+  public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, MonotonicTime now) {
     this.machines = machines;
     this.jobBackoff = new JobBackoff(ledger, changesPerS, now);
   }
@@ -52,7 +52,7 @@
   }
 
   /** A task has succeeded: neither its machine nor its job is at fault. */
-  public void succeeded(Machine machine, Job job, SteadyTime now) {
+  public void succeeded(Machine machine, Job job, MonotonicTime now) {
     if (!machine.health().isQuarantined(now)) {
       machine.health().failures().clear();
     }
@@ -63,13 +63,13 @@
   }
 
   /** A job that had failed on a machine has proved healthy. */
-  private void attributeToMachine(Machine machine, Job job, SteadyTime now) {
+  private void attributeToMachine(Machine machine, Job job, MonotonicTime now) {
     machine.health().failures().jobIsHealthy(job.spec().id());
     updateQuarantine(machine, now);
   }
 
   /** A task has failed by itself. */
-  public void failed(Machine machine, Job job, SteadyTime now) {
+  public void failed(Machine machine, Job job, MonotonicTime now) {
     JobId id = job.spec().id();
     JobFailures jobFailures = jobBackoff.failed(machine, job, now);
     if (JobBackoff.isHealthy(job, now)) {
@@ -86,23 +86,23 @@
   }
 
   /** A machine has refused a task for want of room. */
-  public void noRoom(Machine machine, SteadyTime now) {
+  public void noRoom(Machine machine, MonotonicTime now) {
     machine.health().refusesTasksUntil(now.plusSeconds(NO_ROOM_S));
   }
 
   /** A worker has refused a task since it could not get the job's description yet. */
-  public void unknownJob(Job job, SteadyTime now) {
+  public void unknownJob(Job job, MonotonicTime now) {
     jobBackoff.unknownJob(job, now);
   }
 
-  private void updateQuarantines(Set<MachineId> ids, SteadyTime now) {
+  private void updateQuarantines(Set<MachineId> ids, MonotonicTime now) {
     for (MachineId id : ids) {
       machines.find(id).ifPresent(machine -> updateQuarantine(machine, now));
     }
   }
 
   /** Starts or ends the quarantine of a machine as the failures attributed to it require. */
-  private void updateQuarantine(Machine machine, SteadyTime now) {
+  private void updateQuarantine(Machine machine, MonotonicTime now) {
     boolean quarantine = shouldQuarantine(machine);
     if (quarantine && !machine.health().isQuarantined(now)) {
       machine.health().quarantineUntil(now.plusSeconds(QUARANTINE_S));
--- a/src/main/java/org/ternhinge/model/AsyncCalls.java
+++ b/src/main/java/org/ternhinge/model/AsyncCalls.java
@@ -19,7 +19,7 @@
    *
    * @param handler gets {@link Outcome.Unknown} where the call completed exceptionally
    */
-  public static <T> void whenAnswered(
+  public static <T> void whenComplete(
       CompletionStage<Outcome<T>> call, Consumer<? super Outcome<T>> handler) {
     var unused = call.whenComplete((outcome, error) -> handle(outcome, error, handler));
   }
@@ -44,7 +44,7 @@
   }
 
   /** Ignores the result of a call on which nothing depends; an exception is still logged. */
-  public static void ignore(CompletionStage<?> call) {
+  public static void logExceptions(CompletionStage<?> call) {
     var unused = call.whenComplete((result, error) -> logFailure(error));
   }
 
--- a/src/main/java/org/ternhinge/model/Clock.java
+++ b/src/main/java/org/ternhinge/model/Clock.java
@@ -4,11 +4,11 @@
 public interface Clock {
 
   /** The present time of the steady clock, which never goes back. */
-  SteadyTime now();
+  MonotonicTime now();
 
   /** Time of day in milliseconds since 1970, accurate to the clock error of the settings. */
-  long wallMillis();
+  long wallClockMillis();
 
   /** Runs an action once after a delay in seconds, on the thread that owns the clock. */
-  void after(double seconds, Runnable action);
+  void schedule(double seconds, Runnable action);
 }
--- a/src/main/java/org/ternhinge/model/LockedExecutor.java
+++ b/src/main/java/org/ternhinge/model/LockedExecutor.java
@@ -43,8 +43,8 @@
    *
    * @param handler gets {@link Outcome.Unknown} where the call completed exceptionally
    */
-  public <T> void whenAnswered(
+  public <T> void whenComplete(
       CompletionStage<Outcome<T>> call, Consumer<? super Outcome<T>> handler) {
-    AsyncCalls.whenAnswered(call, outcome -> execute(() -> handler.accept(outcome)));
+    AsyncCalls.whenComplete(call, outcome -> execute(() -> handler.accept(outcome)));
   }
 }
--- a/src/main/java/org/ternhinge/model/SteadyTime.java
+++ b/src/main/java/org/ternhinge/model/MonotonicTime.java
@@ -6,31 +6,31 @@
  *
  * @param nanos nanoseconds since an arbitrary origin, which may overflow
  */
-public record SteadyTime(long nanos) implements Comparable<SteadyTime> {
+public record MonotonicTime(long nanos) implements Comparable<MonotonicTime> {
   private static final double NANOS_PER_S = 1e9;
 
   /** The time that is a number of seconds later. */
-  public SteadyTime plusSeconds(double seconds) {
-    return new SteadyTime(nanos + (long) (seconds * NANOS_PER_S));
+  public MonotonicTime plusSeconds(double seconds) {
+    return new MonotonicTime(nanos + (long) (seconds * NANOS_PER_S));
   }
 
   /** Seconds from an earlier time to this one. */
-  public double secondsSince(SteadyTime earlier) {
+  public double secondsSince(MonotonicTime earlier) {
     return (nanos - earlier.nanos) / NANOS_PER_S;
   }
 
   /** Whether this time comes before the other. */
-  public boolean isBefore(SteadyTime other) {
+  public boolean isBefore(MonotonicTime other) {
     return nanos - other.nanos < 0;
   }
 
   /** The later of both times. */
-  public SteadyTime max(SteadyTime other) {
+  public MonotonicTime max(MonotonicTime other) {
     return isBefore(other) ? other : this;
   }
 
   @Override
-  public int compareTo(SteadyTime other) {
+  public int compareTo(MonotonicTime other) {
     return Long.compare(nanos - other.nanos, 0);
   }
 }
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -88,7 +88,7 @@
   }
 
   /** Whether the request was not carried out, for this reason. */
-  default boolean isBecause(Reason reason) {
+  default boolean isNotApplied(Reason reason) {
     return this instanceof NotApplied<T> notApplied && notApplied.reason() == reason;
   }
 }
--- a/src/main/java/org/ternhinge/model/Resources.java
+++ b/src/main/java/org/ternhinge/model/Resources.java
@@ -27,7 +27,7 @@
    * @param gpus accelerators
    * @param memoryGb GB of memory
    */
-  public static Resources need(double cpus, double gpus, double memoryGb) {
+  public static Resources ofRequest(double cpus, double gpus, double memoryGb) {
     return new Resources(roundUp(cpus), roundUp(gpus), roundUp(memoryGb));
   }
 
@@ -38,7 +38,7 @@
    * @param gpus accelerators
    * @param memoryGb GB of memory
    */
-  public static Resources offer(double cpus, double gpus, double memoryGb) {
+  public static Resources ofCapacity(double cpus, double gpus, double memoryGb) {
     return new Resources(roundDown(cpus), roundDown(gpus), roundDown(memoryGb));
   }
 
@@ -74,7 +74,7 @@
    * How many tasks of this size fit into free resources; 0 where a component of those is negative,
    * and {@link Integer#MAX_VALUE} for a task that needs nothing.
    */
-  public int timesIn(Resources free) {
+  public int countFittingIn(Resources free) {
     long count = Integer.MAX_VALUE;
     if (cpus > 0) {
       count = Math.min(count, Math.floorDiv(free.cpus, cpus));
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -57,7 +57,7 @@
    *
    * @throws RuntimeException when the frame is malformed
    */
-  static Frame read(ByteBuffer in) {
+  static Frame decode(ByteBuffer in) {
     long id = in.getLong();
     byte type = in.get();
     if (type == REQUEST) {
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -96,12 +96,12 @@
    * @param timeoutS limit of the whole call, in seconds
    * @param answer gets the response once, or nothing when none came in time; on the event loop
    */
-  public void ask(
+  public void send(
       String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
-    loop.execute(() -> askOnLoop(node, request, timeoutS, answer));
+    loop.execute(() -> sendOnLoop(node, request, timeoutS, answer));
   }
 
-  private void askOnLoop(
+  private void sendOnLoop(
       String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
     Frame.RequestFrame frame = new Frame.RequestFrame(++lastId, request);
     pendingById.put(frame.id(), answer);
@@ -151,7 +151,7 @@
   }
 
   /** Closes the connection to a node that did not answer; the next request opens a new one. */
-  public void reset(String node) {
+  public void closeConnection(String node) {
     loop.execute(
         () -> {
           Channel channel = channelByNode.remove(node);
@@ -169,7 +169,7 @@
   private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
-      Frame frame = Frame.read(in.nioBuffer());
+      Frame frame = Frame.decode(in.nioBuffer());
       if (frame instanceof Frame.ResponseFrame answered) {
         complete(answered.id(), Optional.of(answered.response()));
       } else if (frame instanceof Frame.RequestFrame asked) {
--- a/src/main/java/org/ternhinge/request/AnswerDeadline.java
+++ b/src/main/java/org/ternhinge/request/AnswerDeadline.java
@@ -34,7 +34,7 @@
             unanswered.accept(response);
           }
         };
-    clock.after(seconds, () -> first.accept(Responses.busy()));
+    clock.schedule(seconds, () -> first.accept(Responses.busy()));
     return first;
   }
 }
--- a/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -64,7 +64,7 @@
 
   /** Loads the types from the key-value store or else the cloud, and retries until it has them. */
   public void load() {
-    locked.whenAnswered(
+    locked.whenComplete(
         store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::storeAnswered);
   }
 
@@ -93,7 +93,7 @@
         LOG.warn("stored machine types are unreadable: {}", e.getMessage());
       }
     }
-    locked.whenAnswered(cloud.machineTypes(), this::cloudAnswered);
+    locked.whenComplete(cloud.machineTypes(), this::cloudAnswered);
   }
 
   private void cloudAnswered(Outcome<List<MachineType>> outcome) {
@@ -101,7 +101,7 @@
       loaded(applied.value());
       storeCopy(applied.value());
     } else {
-      clock.after(RETRY_S, locked.guarded(this::load));
+      clock.schedule(RETRY_S, locked.guarded(this::load));
     }
   }
 
@@ -115,6 +115,6 @@
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
     CompareAndSwap compareAndSwap =
         new CompareAndSwap(List.of(KeyCondition.absent(Keys.MACHINE_TYPES)), List.of(copy));
-    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
+    AsyncCalls.logExceptions(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
   }
 }
--- a/src/main/java/org/ternhinge/request/ConnectivityProbe.java
+++ b/src/main/java/org/ternhinge/request/ConnectivityProbe.java
@@ -53,12 +53,12 @@
 
   /** Begins to check at a fixed interval, for as long as the process runs. */
   public void start() {
-    clock.after(CHECK_INTERVAL_S, this::check);
+    clock.schedule(CHECK_INTERVAL_S, this::check);
   }
 
   private void check() {
     locked.execute(this::probeWhatIsQuiet);
-    clock.after(CHECK_INTERVAL_S, this::check);
+    clock.schedule(CHECK_INTERVAL_S, this::check);
   }
 
   /** Other controllers matter only while the key-value store is quiet. */
@@ -66,7 +66,7 @@
     if (!connectivity.isStoreQuiet()) {
       return;
     }
-    locked.whenAnswered(store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::storeAnswered);
+    locked.whenComplete(store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::storeAnswered);
     if (connectivity.arePeersQuiet() && !otherNodes.isEmpty()) {
       String node = otherNodes.get(nextProbed++ % otherNodes.size());
       peers.askOrBusy(node, PROBE, PEER_TIMEOUT_S, ignored -> {});
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -12,7 +12,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.JobState;
 
 /**
@@ -25,7 +25,7 @@
   sealed interface Result permits Passed, Rejected, Unavailable {}
 
   /** All dependencies exist and none is a service. */
-  record Passed(DependencyVerdict verdict) implements Result {}
+  record Passed(DependencyCheckResult verdict) implements Result {}
 
   /**
    * The job can never run.
@@ -61,7 +61,7 @@
   private void checkNext(Deque<JobId> unchecked, boolean anyCancelled, Consumer<Result> then) {
     JobId next = unchecked.poll();
     if (next == null) {
-      then.accept(new Passed(new DependencyVerdict(anyCancelled)));
+      then.accept(new Passed(new DependencyCheckResult(anyCancelled)));
       return;
     }
     find(next, result -> checked(next, result, unchecked, anyCancelled, then));
--- a/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
+++ b/src/main/java/org/ternhinge/request/DependentSubmissionPath.java
@@ -1,7 +1,7 @@
 package org.ternhinge.request;
 
 import java.util.Optional;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 
 /**
  * The paths by which controllers forward jobs with dependencies to each other. A version that would
@@ -21,17 +21,17 @@
   }
 
   /** The path for a job whose dependencies were checked with this result, or were not checked. */
-  static String of(Optional<DependencyVerdict> verdict) {
+  static String of(Optional<DependencyCheckResult> verdict) {
     return verdict
         .map(known -> known.cancelled() ? SOME_CANCELLED : NONE_CANCELLED)
         .orElse(UNCHECKED);
   }
 
   /** The sender's result of the dependency check, if the path carries one. */
-  static Optional<DependencyVerdict> verdictIn(String path) {
+  static Optional<DependencyCheckResult> verdictIn(String path) {
     return switch (path) {
-      case NONE_CANCELLED -> Optional.of(new DependencyVerdict(false));
-      case SOME_CANCELLED -> Optional.of(new DependencyVerdict(true));
+      case NONE_CANCELLED -> Optional.of(new DependencyCheckResult(false));
+      case SOME_CANCELLED -> Optional.of(new DependencyCheckResult(true));
       default -> Optional.empty();
     };
   }
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -70,7 +70,7 @@
     }
     answer.accept(
         commands
-            .map(list -> Command.answer(leadership.authority().term(), list))
+            .map(list -> Command.heartbeatResponse(leadership.authority().term(), list))
             .map(body -> Response.of(Responses.OK, body))
             .orElse(Responses.busy()));
     return true;
--- a/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatRelayPolicy.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Decides which workers' heartbeats this node relays to the leader. A worker that was redirected to
@@ -23,14 +23,14 @@
   /** What was last decided for a worker. */
   private sealed interface Decision permits Redirected, Relayed {}
 
-  private record Redirected(SteadyTime at) implements Decision {}
+  private record Redirected(MonotonicTime at) implements Decision {}
 
-  private record Relayed(SteadyTime until) implements Decision {}
+  private record Relayed(MonotonicTime until) implements Decision {}
 
   private final Map<MachineId, Decision> decisions = new HashMap<>();
 
   /** Whether this heartbeat is to be relayed; otherwise the caller redirects the worker. */
-  boolean shouldRelay(MachineId worker, SteadyTime now) {
+  boolean shouldRelay(MachineId worker, MonotonicTime now) {
     Decision last = decisions.get(worker);
     if (last instanceof Relayed relayed && now.isBefore(relayed.until())) {
       return true;
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -140,7 +140,7 @@
     }
 
     private void readEntry(JobId job, String key, Consumer<Entry> present, Runnable absent) {
-      AsyncCalls.whenAnswered(
+      AsyncCalls.whenComplete(
           store.get(key, priority), outcome -> entryRead(job, outcome, present, absent));
     }
 
--- a/src/main/java/org/ternhinge/request/JobQueries.java
+++ b/src/main/java/org/ternhinge/request/JobQueries.java
@@ -44,6 +44,6 @@
   }
 
   private static Response fullState(JobState state) {
-    return Response.of(Responses.OK, state.full());
+    return Response.of(Responses.OK, state.detailBody());
   }
 }
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -9,7 +9,7 @@
 import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Finds the leader by asking all other controllers. A node that the key-value store refuses, or
@@ -28,7 +28,7 @@
    *
    * @param storedLeader who led by the key-value store at that time
    */
-  private record FoundLeader(String node, SteadyTime at, Optional<String> storedLeader) {}
+  private record FoundLeader(String node, MonotonicTime at, Optional<String> storedLeader) {}
 
   private final LeadershipRole role;
   private final PeerClient peers;
@@ -37,7 +37,7 @@
   private final Clock clock;
   private final LockedExecutor locked;
   private Optional<FoundLeader> found = Optional.empty();
-  private SteadyTime nextSearchAt;
+  private MonotonicTime nextSearchAt;
 
   /**
    * Creates a search that has found no leader yet.
--- a/src/main/java/org/ternhinge/request/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/request/NodeConnectivity.java
@@ -1,7 +1,7 @@
 package org.ternhinge.request;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * When the key-value store and the other controllers answered this node last, and what follows from
@@ -25,8 +25,8 @@
 
   private final Clock clock;
   private final boolean hasPeers;
-  private SteadyTime storeAnsweredAt;
-  private SteadyTime peerAnsweredAt;
+  private MonotonicTime storeAnsweredAt;
+  private MonotonicTime peerAnsweredAt;
 
   /**
    * Creates the state of a node that has just been answered by all.
@@ -72,7 +72,7 @@
         && secondsSince(peerAnsweredAt) > ISOLATED_S;
   }
 
-  private double secondsSince(SteadyTime answeredAt) {
+  private double secondsSince(MonotonicTime answeredAt) {
     return clock.now().secondsSince(answeredAt);
   }
 }
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.ternhinge.http.Response;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.ErrorBody;
 import org.ternhinge.wire.JobState;
 
@@ -29,7 +29,7 @@
   }
 
   /** As {@link #busy}, with the result of the dependency check for the controller that asked. */
-  static Response busy(DependencyVerdict verdict) {
+  static Response busy(DependencyCheckResult verdict) {
     return new Response(UNAVAILABLE, verdict.write(), RETRY_AFTER_S);
   }
 
@@ -55,7 +55,7 @@
 
   /** The state of a job that was accepted before, or was just cancelled. */
   static Response known(JobState state) {
-    return Response.of(OK, state.brief());
+    return Response.of(OK, state.summaryBody());
   }
 
   /** The answer to a lookup; 404 for a job that was never accepted. */
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.ternhinge.http.Response;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 
 /** Where a submission is forwarded that this node can't write itself. */
 interface SubmissionFallback {
@@ -13,7 +13,7 @@
    * @param verdict the result of the dependency check, if it was made
    * @param answer gets the final answer, or a busy one if no node accepts the submission
    */
-  void forward(Optional<DependencyVerdict> verdict, Consumer<Response> answer);
+  void forward(Optional<DependencyCheckResult> verdict, Consumer<Response> answer);
 
   /** The fallback of a submission that has been forwarded to all others before. */
   static SubmissionFallback none() {
--- a/src/main/java/org/ternhinge/request/SubmissionForwarder.java
+++ b/src/main/java/org/ternhinge/request/SubmissionForwarder.java
@@ -10,8 +10,8 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.wire.DependencyCheckResult;
 
 /**
  * Forwards a submission that this node can't write itself to other controllers, one after the
@@ -43,7 +43,7 @@
   private final PeerClient peers;
   private final List<String> otherNodes;
   private final Clock clock;
-  private final Map<String, SteadyTime> unresponsiveUntil = new HashMap<>();
+  private final Map<String, MonotonicTime> unresponsiveUntil = new HashMap<>();
   private int firstOfNext;
 
   /**
@@ -59,7 +59,7 @@
 
   /** Whether a node has just left a submission without an answer. */
   boolean isUnresponsive(String node) {
-    SteadyTime until = unresponsiveUntil.get(node);
+    MonotonicTime until = unresponsiveUntil.get(node);
     return until != null && clock.now().isBefore(until);
   }
 
@@ -79,7 +79,7 @@
       Optional<String> leader,
       Request request,
       boolean dependent,
-      Optional<DependencyVerdict> verdict,
+      Optional<DependencyCheckResult> verdict,
       Consumer<Response> answer) {
     Request toFollowers = dependent ? dependentRequest(request, verdict) : request;
     Deque<Attempt> attempts = new ArrayDeque<>();
@@ -94,14 +94,14 @@
   void forwardToFollowers(
       String leader,
       Request request,
-      Optional<DependencyVerdict> verdict,
+      Optional<DependencyCheckResult> verdict,
       Consumer<Response> answer) {
     Deque<Attempt> attempts = new ArrayDeque<>();
     addFollowers(attempts, Optional.of(leader), dependentRequest(request, verdict));
     tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), answer);
   }
 
-  private static Request dependentRequest(Request request, Optional<DependencyVerdict> verdict) {
+  private static Request dependentRequest(Request request, Optional<DependencyCheckResult> verdict) {
     return new Request(request.method(), DependentSubmissionPath.of(verdict), request.body());
   }
 
@@ -116,7 +116,7 @@
     }
   }
 
-  private void tryNext(Deque<Attempt> attempts, SteadyTime deadline, Consumer<Response> answer) {
+  private void tryNext(Deque<Attempt> attempts, MonotonicTime deadline, Consumer<Response> answer) {
     Attempt attempt = attempts.poll();
     if (attempt == null || !clock.now().isBefore(deadline)) {
       answer.accept(Responses.busy());
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -10,7 +10,7 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.JobId;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.Json;
@@ -61,7 +61,7 @@
       return;
     }
     if (origin == RequestOrigin.PEER) {
-      Optional<DependencyVerdict> verdict = DependentSubmissionPath.verdictIn(request.path());
+      Optional<DependencyCheckResult> verdict = DependentSubmissionPath.verdictIn(request.path());
       writer.accept(valid.get(), verdict, SubmissionFallback.backToPeer(), answer);
     } else {
       acceptFromUser(valid.get(), request, answer);
@@ -146,6 +146,6 @@
         request,
         Responses.ifBusy(
             answer,
-            busy -> writer.accept(spec, DependencyVerdict.read(busy.body()), followers, answer)));
+            busy -> writer.accept(spec, DependencyCheckResult.read(busy.body()), followers, answer)));
   }
 }
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -22,7 +22,7 @@
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.WireException;
@@ -84,7 +84,7 @@
    */
   void accept(
       JobSpec spec,
-      Optional<DependencyVerdict> verdict,
+      Optional<DependencyCheckResult> verdict,
       SubmissionFallback fallback,
       Consumer<Response> answer) {
     Submission submission = new Submission(spec, fallback, answer);
@@ -119,8 +119,8 @@
     }
   }
 
-  private void write(Submission submission, Optional<DependencyVerdict> verdict) {
-    ObjectNode record = RecordCodec.encodeNew(submission.spec(), clock.wallMillis(), maxValueBytes);
+  private void write(Submission submission, Optional<DependencyCheckResult> verdict) {
+    ObjectNode record = RecordCodec.encodeNew(submission.spec(), clock.wallClockMillis(), maxValueBytes);
     new RecordWrite(submission, verdict, record).attempt();
   }
 
@@ -129,11 +129,11 @@
     private final JobId id;
     private final SubmissionFallback fallback;
     private final Consumer<Response> answer;
-    private final Optional<DependencyVerdict> verdict;
+    private final Optional<DependencyCheckResult> verdict;
     private final ObjectNode record;
     private int attemptsLeft = MAX_ATTEMPTS;
 
-    RecordWrite(Submission submission, Optional<DependencyVerdict> verdict, ObjectNode record) {
+    RecordWrite(Submission submission, Optional<DependencyCheckResult> verdict, ObjectNode record) {
       this.id = submission.spec().id();
       this.fallback = submission.fallback();
       this.answer = submission.answer();
@@ -146,7 +146,7 @@
       List<KeyCondition> absent =
           List.of(KeyCondition.absent(Keys.job(id)), KeyCondition.absent(Keys.end(id)));
       Change put = new Change.Put(Keys.job(id), record, 0);
-      locked.whenAnswered(
+      locked.whenComplete(
           store.compareAndSwap(new CompareAndSwap(absent, List.of(put)), RequestPriority.ACCEPT),
           this::answered);
     }
@@ -154,7 +154,7 @@
     private void answered(Outcome<Revision> outcome) {
       if (outcome instanceof Outcome.Applied<Revision> applied) {
         notifyLeadership(applied.value());
-        answer.accept(Response.of(Responses.CREATED, initialState().brief()));
+        answer.accept(Response.of(Responses.CREATED, initialState().summaryBody()));
       } else if (outcome instanceof Outcome.NotApplied<Revision> notApplied) {
         notWritten(notApplied.reason());
       } else if (attemptsLeft > 0) {
@@ -174,7 +174,7 @@
     }
 
     private JobState initialState() {
-      JobState.Phase phase = verdict.map(DependencyVerdict::phase).orElse(JobState.Phase.QUEUED);
+      JobState.Phase phase = verdict.map(DependencyCheckResult::phase).orElse(JobState.Phase.QUEUED);
       return new JobState(id, phase, 0, 0);
     }
 
--- a/src/main/java/org/ternhinge/round/ArrivalRates.java
+++ b/src/main/java/org/ternhinge/round/ArrivalRates.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.ternhinge.config.Objective;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.JobSpec;
 
@@ -28,7 +28,7 @@
   /** The kind of objective that limits the wait until the first start. */
   private static final String WAIT_OBJECTIVE = "wait";
 
-  private record Arrival(JobSpec spec, SteadyTime at) {}
+  private record Arrival(JobSpec spec, MonotonicTime at) {}
 
   /** The shortest permitted wait of each class that has an objective for it, in seconds. */
   private final Map<String, Double> maxWaitSByClass = new HashMap<>();
@@ -47,7 +47,7 @@
   }
 
   /** Counts the arrival of a job, if jobs of its class can't wait until a machine has booted. */
-  public void recordArrival(JobSpec spec, SteadyTime at) {
+  public void recordArrival(JobSpec spec, MonotonicTime at) {
     Double maxWaitS = maxWaitSByClass.get(spec.jobClass());
     if (maxWaitS != null && maxWaitS < LOOKAHEAD_S) {
       recentByClass
@@ -57,7 +57,7 @@
   }
 
   /** The jobs that are expected within the lookahead, copies of the latest ones of their class. */
-  List<Snapshot.JobView> expectedJobs(SteadyTime now, int zoneCount) {
+  List<Snapshot.JobView> expectedJobs(MonotonicTime now, int zoneCount) {
     List<Snapshot.JobView> expectedJobs = new ArrayList<>();
     for (ArrayDeque<Arrival> recent : recentByClass.values()) {
       dropOld(recent, now);
@@ -70,14 +70,14 @@
     return expectedJobs;
   }
 
-  private static void dropOld(ArrayDeque<Arrival> recent, SteadyTime now) {
+  private static void dropOld(ArrayDeque<Arrival> recent, MonotonicTime now) {
     while (!recent.isEmpty() && now.secondsSince(recent.peekFirst().at()) > WINDOW_S) {
       recent.pollFirst();
     }
   }
 
   /** The mean of the arrivals within the lookahead plus their standard deviation. */
-  private static int expectedCount(ArrayDeque<Arrival> recent, SteadyTime now) {
+  private static int expectedCount(ArrayDeque<Arrival> recent, MonotonicTime now) {
     double spanS = Math.min(WINDOW_S, now.secondsSince(recent.peekFirst().at()));
     double mean = recent.size() / Math.max(MIN_SPAN_S, spanS) * LOOKAHEAD_S;
     return (int) Math.min(recent.size(), mean + Math.sqrt(mean));
--- a/src/main/java/org/ternhinge/round/FleetLog.java
+++ b/src/main/java/org/ternhinge/round/FleetLog.java
@@ -9,7 +9,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Writes one line for each machine to the debug log at intervals: its state and what runs on it.
@@ -25,7 +25,7 @@
   private final Ledger ledger;
   private final MachineRegistry machines;
   private final SnapshotBuilder snapshots;
-  private SteadyTime lastLogged;
+  private MonotonicTime lastLogged;
 
   /** Creates the log of one leadership. */
   public FleetLog(Clock clock, Ledger ledger, MachineRegistry machines, SnapshotBuilder snapshots) {
@@ -38,14 +38,14 @@
 
   /** Describes the fleet if the interval since the last time is over. */
   public void logIfDue() {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     if (LOG.isDebugEnabled() && now.secondsSince(lastLogged) >= INTERVAL_S) {
       lastLogged = now;
       machines.all().forEach(machine -> log(machine, now));
     }
   }
 
-  private void log(Machine machine, SteadyTime now) {
+  private void log(Machine machine, MonotonicTime now) {
     Map<String, Integer> attemptsByClass = new TreeMap<>();
     for (Attempt attempt : ledger.attemptsOn(machine.id())) {
       attemptsByClass.merge(
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -18,7 +18,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.JobSpec;
@@ -51,7 +51,7 @@
    *
    * @param reservedTasks the number of tasks of each job that room is reserved for
    */
-  List<Snapshot.JobView> list(SteadyTime now, Map<JobId, Integer> reservedTasks) {
+  List<Snapshot.JobView> list(MonotonicTime now, Map<JobId, Integer> reservedTasks) {
     Map<String, Resources> requestedByTeam = new HashMap<>();
     List<Snapshot.JobView> views = new ArrayList<>();
     for (Job job : unfinished()) {
@@ -61,7 +61,7 @@
         continue;
       }
       Resources requested =
-          requestedByTeam.merge(spec.team(), spec.need().times(spec.tasks()), Resources::plus);
+          requestedByTeam.merge(spec.team(), spec.taskResources().times(spec.tasks()), Resources::plus);
       if (job.waitingCount() > 0) {
         views.add(
             view(
@@ -75,7 +75,7 @@
   }
 
   /** The jobs whose first tasks started after too long a wait and of which none is done yet. */
-  Set<JobId> lateStartedJobs(SteadyTime now) {
+  Set<JobId> lateStartedJobs(MonotonicTime now) {
     Set<JobId> jobs = new HashSet<>();
     for (Job job : ledger.jobs()) {
       if (!job.spec().isService() && !job.cancelled() && hasStartedLate(job, now)) {
@@ -85,7 +85,7 @@
     return jobs;
   }
 
-  private boolean hasStartedLate(Job job, SteadyTime now) {
+  private boolean hasStartedLate(Job job, MonotonicTime now) {
     JobRanking.Progress progress = progress(job);
     if (progress.open() == 0 || progress.done() > 0 || progress.waitedS() <= JobRanking.OVERDUE_S) {
       return false;
@@ -114,7 +114,7 @@
   }
 
   private Snapshot.JobView view(
-      Job job, boolean withinGuarantee, int reservedTasks, SteadyTime now) {
+      Job job, boolean withinGuarantee, int reservedTasks, MonotonicTime now) {
     JobSpec spec = job.planned();
     JobRanking.Progress progress = progress(job);
     int maxStarts = failures.jobBackoff().triesSingleTask(job, now) ? 1 : Integer.MAX_VALUE;
@@ -133,7 +133,7 @@
   }
 
   private JobRanking.Progress progress(Job job) {
-    double waitedS = Math.max(0, clock.wallMillis() - job.readyMillis()) / MILLIS_PER_S;
+    double waitedS = Math.max(0, clock.wallClockMillis() - job.readyMillis()) / MILLIS_PER_S;
     return new JobRanking.Progress(
         job.waitingCount(), job.doneCount(), job.openAttempts().size(), waitedS);
   }
--- a/src/main/java/org/ternhinge/round/MachineViews.java
+++ b/src/main/java/org/ternhinge/round/MachineViews.java
@@ -15,7 +15,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
@@ -45,11 +45,11 @@
   }
 
   /** Whether tasks may be placed on a machine now. */
-  boolean isPlaceable(Machine machine, SteadyTime now) {
+  boolean isPlaceable(Machine machine, MonotonicTime now) {
     return isUsable(machine, now) && isReady(machine, now);
   }
 
-  private boolean isReady(Machine machine, SteadyTime now) {
+  private boolean isReady(Machine machine, MonotonicTime now) {
     return machine.agent().isHeard()
         && machine.agent().hasEndpoint()
         && machine.agent().isEpochOpen()
@@ -62,7 +62,7 @@
    * Whether a machine may take tasks, if not now then later. One that commands don't reach may not,
    * or nothing would be provisioned in its place.
    */
-  private boolean isUsable(Machine machine, SteadyTime now) {
+  private boolean isUsable(Machine machine, MonotonicTime now) {
     return machine.cloud().isStaying()
         && machine.description().zone() >= 0
         && machineTypes.typeOf(machine).isPresent()
@@ -71,7 +71,7 @@
   }
 
   /** The views of all machines that are ready or expected to be so. */
-  List<Snapshot.MachineView> list(SteadyTime now) {
+  List<Snapshot.MachineView> list(MonotonicTime now) {
     List<Snapshot.MachineView> views = new ArrayList<>(machines.all().size());
     Set<MachineId> lateToBoot = bootTimes.late(now);
     for (Machine machine : machines.all()) {
@@ -87,7 +87,7 @@
   }
 
   /** Whether a machine that is not ready is likely to become so soon. */
-  private static boolean isExpected(Machine machine, Set<MachineId> lateToBoot, SteadyTime now) {
+  private static boolean isExpected(Machine machine, Set<MachineId> lateToBoot, MonotonicTime now) {
     return machine.agent().isHeard()
         ? machine.agent().silentForS(now) <= MAX_SILENCE_S
         : !lateToBoot.contains(machine.id());
--- a/src/main/java/org/ternhinge/round/PlanExecutor.java
+++ b/src/main/java/org/ternhinge/round/PlanExecutor.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.scaling.MachineReleaser;
@@ -76,7 +76,7 @@
 
   /** Carries out what still holds; called under the lock while the leadership certainly holds. */
   void execute(Plan plan) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     for (Plan.Placement placement : plan.placements()) {
       place(placement, now);
     }
@@ -94,7 +94,7 @@
 
   // ---- placements -------------------------------------------------------------------------------
 
-  private void place(Plan.Placement planned, SteadyTime now) {
+  private void place(Plan.Placement planned, MonotonicTime now) {
     Job job = ledger.job(planned.job());
     if (job == null) {
       return;
@@ -127,7 +127,7 @@
   }
 
   /** The placements whose machine still takes tasks. */
-  private List<Ledger.Placement> placements(Plan.Placement planned, Job job, SteadyTime now) {
+  private List<Ledger.Placement> placements(Plan.Placement planned, Job job, MonotonicTime now) {
     List<Ledger.Placement> placements = new ArrayList<>();
     for (int i = 0; i < planned.tasks().size(); i++) {
       int index = planned.tasks().get(i);
@@ -165,13 +165,13 @@
   // ---- preemptions and releases -----------------------------------------------------------------
 
   /** Stops tasks on a machine, and reserves their room for the job that they are stopped for. */
-  private void preempt(Plan.Preemption preemption, SteadyTime now) {
+  private void preempt(Plan.Preemption preemption, MonotonicTime now) {
     Machine machine = machines.find(preemption.machine()).orElse(null);
     if (machine == null) {
       // It was removed after the snapshot.
       return;
     }
-    SteadyTime until = now.plusSeconds(RESERVATION_S);
+    MonotonicTime until = now.plusSeconds(RESERVATION_S);
     machine.reserve(new Machine.Reservation(preemption.forJob(), preemption.room(), until));
     for (Plan.Victim victim : preemption.victims()) {
       stop(victim, preemption.forJob());
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -11,7 +11,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Planner;
 import org.ternhinge.schedule.Snapshot;
@@ -52,7 +52,7 @@
   private boolean enabled;
   private boolean requested;
   private boolean running;
-  private SteadyTime lastStart;
+  private MonotonicTime lastStart;
   private double lastDurationS;
 
   /** Creates the rounds of one leadership; none runs before {@link #enable}. */
@@ -91,7 +91,7 @@
     double pauseS = Math.min(tuning.roundS(), lastDurationS * PAUSE_FACTOR);
     double intervalS = Math.max(tuning.roundGapS(), pauseS);
     double delayS = Math.max(MIN_DELAY_S, intervalS - clock.now().secondsSince(lastStart));
-    clock.after(delayS, () -> scheduler.execute(this::round));
+    clock.schedule(delayS, () -> scheduler.execute(this::round));
   }
 
   private void round() {
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -8,7 +8,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
@@ -28,7 +28,7 @@
   private final FleetState fleet;
   private final ArrivalRates arrivalRates;
   private final ScaleOutOptions scaleOutOptions;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final MachineViews machineViews;
   private final JobViews jobViews;
 
@@ -50,12 +50,12 @@
   }
 
   /** Whether tasks may be placed on a machine now. */
-  boolean isPlaceable(Machine machine, SteadyTime now) {
+  boolean isPlaceable(Machine machine, MonotonicTime now) {
     return machineViews.isPlaceable(machine, now);
   }
 
   /** Takes a snapshot of the present state. */
-  Snapshot snapshot(SteadyTime now) {
+  Snapshot snapshot(MonotonicTime now) {
     List<Snapshot.MachineView> machines = machineViews.list(now);
     return new Snapshot(
         machines,
@@ -81,7 +81,7 @@
    * Whether every live machine has reported to this leader, or has had time to. Until then, tasks
    * would be sent to places of last resort while better machines have not reported yet.
    */
-  private boolean isInventoryComplete(SteadyTime now) {
+  private boolean isInventoryComplete(MonotonicTime now) {
     double firstReportsS = FIRST_REPORT_INTERVALS * settings.workers().heartbeatIntervalS();
     if (now.secondsSince(electedAt) > firstReportsS) {
       return true;
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -6,7 +6,7 @@
 import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.config.Settings;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.ListedMachine;
 
@@ -29,7 +29,7 @@
 
   private final CommandDispatcher dispatcher;
   private final TermAnnouncer termAnnouncer;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final double awaitedS;
 
   /** Zones, by index, in which the term was announced to a worker. */
@@ -49,7 +49,7 @@
   }
 
   /** Determines how many announcements a new listing permits. */
-  void beginListing(SteadyTime now) {
+  void beginListing(MonotonicTime now) {
     announcementsLeft =
         now.secondsSince(electedAt) < awaitedS
             ? 0
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -13,7 +13,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.ListedMachine;
@@ -63,8 +63,8 @@
     reader.start();
   }
 
-  private void reconcile(List<ListedMachine> listing, SteadyTime startedAt) {
-    SteadyTime now = clock.now();
+  private void reconcile(List<ListedMachine> listing, MonotonicTime startedAt) {
+    MonotonicTime now = clock.now();
     Set<MachineId> listedIds = new HashSet<>();
     termAnnouncer.beginListing(now);
     for (ListedMachine listed : listing) {
@@ -79,7 +79,7 @@
     rounds.requestRound();
   }
 
-  private void reconcile(ListedMachine listed, SteadyTime now) {
+  private void reconcile(ListedMachine listed, MonotonicTime now) {
     Machine machine = machines.findOrAdd(listed.machine(), now);
     describe(machine, listed, now);
     termAnnouncer.announceIfDue(machine, listed);
@@ -90,12 +90,12 @@
     }
   }
 
-  private void describe(Machine machine, ListedMachine listed, SteadyTime now) {
+  private void describe(Machine machine, ListedMachine listed, MonotonicTime now) {
     if (!machine.description().isKnown()) {
       machine.describe(
           MachineDescription.of(listed.type(), listed.zone(), listed.spot(), settings.zones()));
     }
-    SteadyTime provisionedAt = now.plusSeconds(-listed.ageS());
+    MonotonicTime provisionedAt = now.plusSeconds(-listed.ageS());
     if (provisionedAt.isBefore(machine.cloud().provisionedAt())) {
       // The listing lags, so the machine is at least as old as listed.
       machine.provisionedAt(provisionedAt);
@@ -117,7 +117,7 @@
    * last showed it or, if none has, when it became known in this leadership: by a heartbeat, by the
    * answer to a provision request or by a recovered attempt.
    */
-  private void removeMissing(Set<MachineId> listedIds, SteadyTime startedAt) {
+  private void removeMissing(Set<MachineId> listedIds, MonotonicTime startedAt) {
     double maxListingAgeS =
         2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.ListedMachine;
@@ -25,7 +25,7 @@
      *
      * @param startedAt when the request for its first page was made
      */
-    void listed(List<ListedMachine> listing, SteadyTime startedAt);
+    void listed(List<ListedMachine> listing, MonotonicTime startedAt);
   }
 
   /** Machines in one page. */
@@ -47,10 +47,10 @@
   /** The machines in the pages of the current listing so far. */
   private final List<ListedMachine> listing = new ArrayList<>();
 
-  private SteadyTime startedAt;
+  private MonotonicTime startedAt;
 
   /** When the current page was first requested. */
-  private SteadyTime pageDueSince;
+  private MonotonicTime pageDueSince;
 
   /**
    * Creates a reader that has not started.
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.BucketedRecords;
@@ -116,7 +116,7 @@
       sendAfter(retryPolicy.failedDelayS(), provision);
       return;
     }
-    locked.whenAnswered(
+    locked.whenComplete(
         cloud.provision(provision.request()), outcome -> answered(provision, outcome));
   }
 
@@ -138,7 +138,7 @@
   }
 
   private void provisioned(OpenProvision provision, List<MachineId> ids) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     Set<MachineId> unseen = new HashSet<>();
     for (MachineId id : ids) {
       if (!machines.wasRemoved(id) && !isSeen(addMachine(provision.request(), id, now))) {
@@ -155,7 +155,7 @@
     rounds.requestRound();
   }
 
-  private Machine addMachine(ProvisionRequest request, MachineId id, SteadyTime now) {
+  private Machine addMachine(ProvisionRequest request, MachineId id, MonotonicTime now) {
     Machine machine = machines.findOrAdd(id, now);
     if (!machine.description().isKnown()) {
       machine.describe(
@@ -205,7 +205,7 @@
   // ---- state for the planner --------------------------------------------------------------------
 
   /** Whether an offer is not to be requested now, since the cloud lacked capacity for it. */
-  boolean isPaused(OfferKey offer, SteadyTime now) {
+  boolean isPaused(OfferKey offer, MonotonicTime now) {
     return offerBackoff.isPaused(offer, now);
   }
 
--- a/src/main/java/org/ternhinge/scaling/MachineReleaser.java
+++ b/src/main/java/org/ternhinge/scaling/MachineReleaser.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.BucketedRecords;
 import org.ternhinge.term.LeadershipContext;
@@ -33,7 +33,7 @@
   private final LeadershipExecutor executor;
   private final MachineRegistry machines;
   private final RoundTrigger rounds;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final Cloud cloud;
   private final Authority authority;
   private final LockedExecutor locked;
@@ -96,7 +96,7 @@
     for (Machine machine : batch) {
       ids.add(machine.id());
     }
-    locked.whenAnswered(cloud.release(ids), outcome -> answered(batch, outcome));
+    locked.whenComplete(cloud.release(ids), outcome -> answered(batch, outcome));
   }
 
   private void answered(List<Machine> batch, Outcome<Integer> outcome) {
--- a/src/main/java/org/ternhinge/scaling/OfferBackoff.java
+++ b/src/main/java/org/ternhinge/scaling/OfferBackoff.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Exponential back-off of offers for which the cloud lacked capacity. Guarded by the controller's
@@ -14,12 +14,12 @@
 
   private static final double MAX_PAUSE_S = 30;
 
-  private record Pause(SteadyTime until, double lengthS) {}
+  private record Pause(MonotonicTime until, double lengthS) {}
 
   private final Map<OfferKey, Pause> pauses = new HashMap<>();
 
   /** Pauses an offer for which the cloud lacked capacity. */
-  void pause(OfferKey offer, SteadyTime now) {
+  void pause(OfferKey offer, MonotonicTime now) {
     Pause last = pauses.get(offer);
     double lengthS = last == null ? FIRST_PAUSE_S : Math.min(MAX_PAUSE_S, last.lengthS() * 2);
     pauses.put(offer, new Pause(now.plusSeconds(lengthS), lengthS));
@@ -31,7 +31,7 @@
   }
 
   /** Whether an offer is not to be requested now. */
-  boolean isPaused(OfferKey offer, SteadyTime now) {
+  boolean isPaused(OfferKey offer, MonotonicTime now) {
     Pause pause = pauses.get(offer);
     return pause != null && !pause.until().isBefore(now);
   }
--- a/src/main/java/org/ternhinge/scaling/RetryPolicy.java
+++ b/src/main/java/org/ternhinge/scaling/RetryPolicy.java
@@ -22,7 +22,7 @@
    * @param outcome of the request
    */
   static boolean isRateLimited(Outcome<?> outcome) {
-    return outcome.isBecause(Reason.RATE_LIMITED);
+    return outcome.isNotApplied(Reason.RATE_LIMITED);
   }
 
   /**
--- a/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
+++ b/src/main/java/org/ternhinge/scaling/ScaleOutOptions.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.ternhinge.machine.BootTimes;
 import org.ternhinge.machine.MachineTypeCatalog;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
@@ -37,7 +37,7 @@
   }
 
   /** What can be provisioned now: all offers but those that back off for want of capacity. */
-  public List<Snapshot.Offer> offers(SteadyTime now) {
+  public List<Snapshot.Offer> offers(MonotonicTime now) {
     List<Snapshot.Offer> offers = new ArrayList<>();
     for (MachineType type : machineTypes.all()) {
       for (String zone : type.zones()) {
@@ -51,7 +51,7 @@
   }
 
   private void addOffer(
-      MachineType type, String zone, boolean spot, SteadyTime now, List<Snapshot.Offer> offers) {
+      MachineType type, String zone, boolean spot, MonotonicTime now, List<Snapshot.Offer> offers) {
     if (!provisioner.isPaused(new OfferKey(type.name(), zone, spot), now)) {
       int zoneIndex = zones.indexOf(zone);
       double bootS = bootTimes.expectedS(type, zone);
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -11,7 +11,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ZoneMachineCounts;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
@@ -54,7 +54,7 @@
 
   private final Settings settings;
   private final Ledger ledger;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
   private final MachineReleaser releaser;
@@ -77,7 +77,7 @@
   }
 
   /** Releases the idle machines that can't be used now. */
-  public void check(SteadyTime now) {
+  public void check(MonotonicTime now) {
     boolean[] silentZones = silentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
       if (isIdle(machine)) {
@@ -99,7 +99,7 @@
   }
 
   /** For each zone, whether so many machines are silent that the cause must be the network. */
-  private boolean[] silentZones(SteadyTime now) {
+  private boolean[] silentZones(MonotonicTime now) {
     List<ZoneMachineCounts.Count> machineCounts =
         ZoneMachineCounts.of(
             machines.all(),
@@ -119,7 +119,7 @@
 
   /** Why a machine can't be used; empty where it can, or where its type is not known. */
   private Optional<ReleaseReason> reasonToRelease(
-      Machine machine, boolean[] silentZones, SteadyTime now) {
+      Machine machine, boolean[] silentZones, MonotonicTime now) {
     Optional<MachineType> type = machineTypes.typeOf(machine);
     if (type.isEmpty()) {
       return Optional.empty();
@@ -142,7 +142,7 @@
    * Whether a machine has not come up within the time allowed. The time counts from its provision
    * request, whichever leader made it; but a machine that is up has to find a new leader first.
    */
-  private boolean hasNeverComeUp(Machine machine, MachineType type, SteadyTime now) {
+  private boolean hasNeverComeUp(Machine machine, MachineType type, MonotonicTime now) {
     if (machine.agent().isHeard()) {
       return false;
     }
@@ -156,7 +156,7 @@
         && bootTimes.isGivenUp(machine, now);
   }
 
-  private boolean isSilent(Machine machine, boolean[] silentZones, SteadyTime now) {
+  private boolean isSilent(Machine machine, boolean[] silentZones, MonotonicTime now) {
     int zone = machine.description().zone();
     boolean inSilentZone = zone >= 0 && silentZones[zone];
     int leases = inSilentZone ? SILENT_LEASES_IN_SILENT_ZONE : SILENT_LEASES;
@@ -165,7 +165,7 @@
         && machine.agent().leaseExpiry().plusSeconds(allowedS).isBefore(now);
   }
 
-  private boolean isUnreachable(Machine machine, SteadyTime now) {
+  private boolean isUnreachable(Machine machine, MonotonicTime now) {
     return machine.health().reachability().unreachableFor(now)
         > UNREACHABLE_LEASES * settings.workers().leaseS();
   }
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -27,19 +27,19 @@
 
   private static Optional<JobSpec> findSample(Snapshot snapshot) {
     for (JobView job : snapshot.jobs()) {
-      if (job.spec().need().gpus() > 0) {
+      if (job.spec().taskResources().gpus() > 0) {
         return Optional.of(job.spec());
       }
     }
     for (MachineView machine : snapshot.machines()) {
       for (AttemptView attempt : machine.attempts()) {
-        if (attempt.spec().need().gpus() > 0) {
+        if (attempt.spec().taskResources().gpus() > 0) {
           return Optional.of(attempt.spec());
         }
       }
     }
     for (JobView job : snapshot.expectedJobs()) {
-      if (job.spec().need().gpus() > 0) {
+      if (job.spec().taskResources().gpus() > 0) {
         return Optional.of(job.spec());
       }
     }
@@ -55,24 +55,24 @@
    */
   int lostPlaces(JobSpec spec, MachineCapacity machine) {
     Resources capacity = machine.machineType().capacity();
-    if (capacity.gpus() == 0 || spec.need().gpus() > 0) {
+    if (capacity.gpus() == 0 || spec.taskResources().gpus() > 0) {
       return 0;
     }
     if (sampleJob != null && (!machine.allows(sampleJob) || yieldsToSample(spec))) {
       return 0;
     }
-    Resources task = sampleJob == null ? assumedTask(capacity) : sampleJob.need();
+    Resources task = sampleJob == null ? assumedTask(capacity) : sampleJob.taskResources();
     Resources room = machine.freeAndArrays();
-    int places = task.timesIn(room);
+    int places = task.countFittingIn(room);
     if (spec.kind() != JobKind.ARRAY) {
-      return places - task.timesIn(room.minus(spec.need()));
+      return places - task.countFittingIn(room.minus(spec.taskResources()));
     }
     if (places == 0) {
       return 0;
     }
     Resources spare = room.minus(task.times(places));
     Resources arrays = room.minus(machine.free());
-    return arrays.plus(spec.need()).fitsIn(spare) ? 0 : 1;
+    return arrays.plus(spec.taskResources()).fitsIn(spare) ? 0 : 1;
   }
 
   /** Whether a job is an array that is preempted when a task with accelerators arrives. */
@@ -98,7 +98,7 @@
       return 0;
     }
     Resources room = machine.free();
-    int places = sampleJob.need().timesIn(room);
-    return places == 0 ? 0 : places - sampleJob.need().timesIn(room.minus(spec.need()));
+    int places = sampleJob.taskResources().countFittingIn(room);
+    return places == 0 ? 0 : places - sampleJob.taskResources().countFittingIn(room.minus(spec.taskResources()));
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.wire.JobSpec;
@@ -90,7 +90,7 @@
         || !machine.view().reservations().isEmpty()) {
       return false;
     }
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     for (AttemptView attempt : machine.view().attempts()) {
       if (!attempt.spec().isService()
           || attempt.stopping()
@@ -212,7 +212,7 @@
   /** The cost of a place; an accelerated machine is a target only if services alone run on it. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
     double pricePerPlace =
-        price(machine) / Math.max(1, spec.need().timesIn(machine.machineType().capacity()));
+        price(machine) / Math.max(1, spec.taskResources().countFittingIn(machine.machineType().capacity()));
     if (machine.machineType().capacity().gpus() == 0) {
       return pricePerPlace;
     }
@@ -228,7 +228,7 @@
   /** Whether a scattered service may have another replica in the zone of a machine. */
   private boolean zoneAllows(JobSpec spec, MachineCapacity from, MachineCapacity to) {
     return from.zone() == to.zone()
-        || !spec.scatter()
+        || !spec.spreadAcrossZones()
         || replicasByZone.get(spec)[to.zone()] < spec.zoneLimit();
   }
 }
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -163,7 +163,7 @@
     for (MachineCapacity machine : hosts(spec)) {
       if ((zone == PlanBuilder.ANY_ZONE || machine.zone() == zone)
           && machine.allows(spec)
-          && (mayPreempt || machine.freeCpus() >= spec.need().cpus())
+          && (mayPreempt || machine.freeCpus() >= spec.taskResources().cpus())
           && !PlanBuilder.isAvoided(job, machine)) {
         builder.countEvaluation();
         preemption.addGangPlaces(job, machine, mayPreempt, places);
@@ -176,7 +176,7 @@
 
   /** The machines that a task fits on when they are empty; shared by gangs of the same size. */
   private List<MachineCapacity> hosts(JobSpec spec) {
-    return hostsByNeed.computeIfAbsent(spec.need(), this::findHosts);
+    return hostsByNeed.computeIfAbsent(spec.taskResources(), this::findHosts);
   }
 
   private List<MachineCapacity> findHosts(Resources need) {
--- a/src/main/java/org/ternhinge/schedule/MachineCapacity.java
+++ b/src/main/java/org/ternhinge/schedule/MachineCapacity.java
@@ -72,7 +72,7 @@
         lowestPriority = spec.priority();
       }
       if (accelerated && spec.kind() == JobKind.ARRAY) {
-        addArrayRoom(spec.need());
+        addArrayRoom(spec.taskResources());
       }
     }
   }
@@ -157,7 +157,7 @@
 
   /** Whether a task fits into what is free and not reserved for another job. */
   boolean fits(JobSpec spec) {
-    Resources need = spec.need();
+    Resources need = spec.taskResources();
     if (need.cpus() > cpus || need.gpus() > gpus || need.memory() > memory) {
       return false;
     }
@@ -206,7 +206,7 @@
 
   /** Subtracts a task's resources for the time of a search; {@link #unassume} adds them again. */
   void assume(JobSpec spec) {
-    Resources need = spec.need();
+    Resources need = spec.taskResources();
     cpus -= need.cpus();
     gpus -= need.gpus();
     memory -= need.memory();
@@ -217,7 +217,7 @@
     assume(spec);
     used = true;
     if (spec.kind() == JobKind.ARRAY) {
-      addArrayRoom(spec.need());
+      addArrayRoom(spec.taskResources());
     } else if (spec.isService()) {
       placedServices = placedServices.isEmpty() ? new ArrayList<>(2) : placedServices;
       placedServices.add(spec);
@@ -230,7 +230,7 @@
 
   /** Reverts {@link #assume}. */
   void unassume(JobSpec spec) {
-    Resources need = spec.need();
+    Resources need = spec.taskResources();
     cpus += need.cpus();
     gpus += need.gpus();
     memory += need.memory();
@@ -271,10 +271,10 @@
       preempted = preempted.isEmpty() ? new ArrayList<>() : preempted;
       for (AttemptView attempt : victims) {
         preempted.add(attempt);
-        freed = freed.plus(attempt.spec().need());
+        freed = freed.plus(attempt.spec().taskResources());
       }
     }
-    Resources need = forJob.need();
+    Resources need = forJob.taskResources();
     Resources freeNow =
         new Resources(
             Math.max(0, Math.min(cpus, need.cpus())),
--- a/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
+++ b/src/main/java/org/ternhinge/schedule/PlacementConstraints.java
@@ -22,7 +22,7 @@
 
   /** All constraints of a job. */
   static PlacementConstraints of(JobSpec spec) {
-    return of(spec, spec.scatter(), spec.together());
+    return of(spec, spec.spreadAcrossZones(), spec.singleZone());
   }
 
   /** The constraints that a single machine can check: how tasks spread over zones is left out. */
@@ -58,6 +58,6 @@
   @Override
   public int hashCode() {
     int flags = (spotAllowed ? 1 : 0) + (scatter ? 2 : 0) + (together ? 4 : 0);
-    return 31 * flags + 8 * kind.word().hashCode() + priority.level();
+    return 31 * flags + 8 * kind.wireName().hashCode() + priority.level();
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -83,7 +83,7 @@
   static long smallestRequestCpus(List<JobView> jobs) {
     long smallest = Long.MAX_VALUE;
     for (JobView job : jobs) {
-      smallest = Math.min(smallest, job.spec().need().cpus());
+      smallest = Math.min(smallest, job.spec().taskResources().cpus());
     }
     return smallest;
   }
@@ -109,7 +109,7 @@
       planned.add(new Plan.Victim(attempt.spec().id(), attempt.index()));
     }
     plan.preemptions()
-        .add(new Plan.Preemption(machine.view().id(), forJob.id(), forJob.need(), planned));
+        .add(new Plan.Preemption(machine.view().id(), forJob.id(), forJob.taskResources(), planned));
   }
 
   /** Provisions machines of an offer. */
@@ -138,7 +138,7 @@
   /** Adds tasks of a job to its team's use. */
   void charge(JobSpec spec, int tasks) {
     if (tasks > 0) {
-      teamUse.merge(spec.team(), spec.need().times(tasks), Resources::plus);
+      teamUse.merge(spec.team(), spec.taskResources().times(tasks), Resources::plus);
     }
   }
 
@@ -160,7 +160,7 @@
     for (MachineView machine : snapshot.machines()) {
       for (AttemptView attempt : machine.attempts()) {
         if (attempt.spec().kind() == JobKind.ARRAY) {
-          arrayUse.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
+          arrayUse.merge(attempt.spec().team(), attempt.spec().taskResources(), Resources::plus);
         }
       }
     }
@@ -172,10 +172,10 @@
     Resources use = teamUse(spec.team()).minus(ignoredUse);
     long tasks = Integer.MAX_VALUE;
     if (team.cpusMax() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.need().cpus()));
+      tasks = Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.taskResources().cpus()));
     }
-    if (team.gpusMax() > 0 && spec.need().gpus() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.need().gpus()));
+    if (team.gpusMax() > 0 && spec.taskResources().gpus() > 0) {
+      tasks = Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.taskResources().gpus()));
     }
     return (int) Math.max(0, tasks);
   }
@@ -189,7 +189,7 @@
 
   /** The zones to try one by one for all of a job's tasks together, or {@link #ANY_ZONE} alone. */
   static int[] candidateZones(JobView job) {
-    if (!job.spec().together()) {
+    if (!job.spec().singleZone()) {
       return new int[] {ANY_ZONE};
     }
     return IntStream.range(0, job.openByZone().size()).toArray();
@@ -200,7 +200,7 @@
     if (tasksByZone[zone] >= spec.zoneLimit()) {
       return false;
     }
-    if (spec.together()) {
+    if (spec.singleZone()) {
       for (int other = 0; other < tasksByZone.length; other++) {
         if (other != zone && tasksByZone[other] > 0) {
           return false;
@@ -244,6 +244,6 @@
       score += machine.siblingScore(spec);
     }
     long capacityCpus = Math.max(1, machine.machineType().capacity().cpus());
-    return score + UNUSED_MACHINE_S * (machine.freeCpus() - spec.need().cpus()) / capacityCpus;
+    return score + UNUSED_MACHINE_S * (machine.freeCpus() - spec.taskResources().cpus()) / capacityCpus;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.ternhinge.config.Team;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.UnplaceableRequests.Search;
@@ -42,7 +42,7 @@
 
   PreemptionPlanner(PlanBuilder builder) {
     this.builder = builder;
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     this.cheapestFirst = Comparator.comparingDouble(attempt -> preemptionCost(attempt, now));
     this.lowestPriority = lowestPriority(builder.machines());
   }
@@ -123,21 +123,21 @@
     if (candidates.isEmpty() || !builder.scopeIncludes(scope, spec, machine)) {
       return;
     }
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     Resources room = machine.roomAfterPreemptions(spec.id());
     List<AttemptView> victims = new ArrayList<>();
     double cost = 0;
     long freedCpus = 0;
     for (AttemptView candidate : candidates) {
-      if (spec.need().fitsIn(room) && limitPermits(spec, freedCpus, scope)) {
+      if (spec.taskResources().fitsIn(room) && limitPermits(spec, freedCpus, scope)) {
         break;
       }
       victims.add(candidate);
-      freedCpus += candidate.spec().need().cpus();
-      room = room.plus(candidate.spec().need());
+      freedCpus += candidate.spec().taskResources().cpus();
+      room = room.plus(candidate.spec().taskResources());
       cost += preemptionCost(candidate, now);
     }
-    boolean enough = limitPermits(spec, freedCpus, scope) && spec.need().fitsIn(room);
+    boolean enough = limitPermits(spec, freedCpus, scope) && spec.taskResources().fitsIn(room);
     if (!victims.isEmpty() && enough) {
       options.add(new Option(machine, victims, builder.score(spec, machine) + cost));
     }
@@ -147,7 +147,7 @@
    * Whether the freed CPU lets a task start within the team's limit, where the scope requires it.
    */
   private static boolean limitPermits(JobSpec spec, long freedCpus, PlacementScope scope) {
-    return !scope.ownTeam() || spec.need().cpus() <= freedCpus;
+    return !scope.ownTeam() || spec.taskResources().cpus() <= freedCpus;
   }
 
   // ---- gangs ------------------------------------------------------------------------------------
@@ -167,26 +167,26 @@
     JobSpec spec = job.spec();
     Resources room = machine.roomAfterPreemptions(spec.id());
     boolean othersMayYield = mayPreempt && !nothingYields(job, machine.lowestPriority());
-    if (!othersMayYield && !spec.need().fitsIn(room)) {
+    if (!othersMayYield && !spec.taskResources().fitsIn(room)) {
       return;
     }
     double cost = builder.score(spec, machine);
-    while (spec.need().fitsIn(room)) {
+    while (spec.taskResources().fitsIn(room)) {
       places.add(new GangReservations.GangPlace(machine, List.of(), cost));
-      room = room.minus(spec.need());
+      room = room.minus(spec.taskResources());
     }
     if (!othersMayYield) {
       return;
     }
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     List<AttemptView> victims = new ArrayList<>();
     for (AttemptView attempt : candidates(job, machine, PlacementScope.PLAIN)) {
       victims.add(attempt);
-      room = room.plus(attempt.spec().need());
+      room = room.plus(attempt.spec().taskResources());
       cost += VICTIM_COST + preemptionCost(attempt, now);
-      if (spec.need().fitsIn(room)) {
+      if (spec.taskResources().fitsIn(room)) {
         places.add(new GangReservations.GangPlace(machine, List.copyOf(victims), cost));
-        room = room.minus(spec.need());
+        room = room.minus(spec.taskResources());
         victims.clear();
       }
     }
@@ -209,7 +209,7 @@
     JobSpec spec = job.spec();
     List<AttemptView> candidates = List.of();
     for (AttemptView attempt : machine.view().attempts()) {
-      boolean losesAccelerator = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
+      boolean losesAccelerator = attempt.spec().taskResources().gpus() > 0 && spec.taskResources().gpus() == 0;
       if (yields(attempt, job)
           && !machine.isPreempted(attempt)
           && (attempt.spec().kind() != JobKind.GANG || attempt.spec().tasks() == 1)
@@ -266,14 +266,14 @@
     }
     // No Resources are created, as this runs for each task of each machine.
     Resources use = builder.teamUse(victim.team());
-    Resources freed = victim.need();
+    Resources freed = victim.taskResources();
     boolean countsGpus = freed.gpus() > 0 && team.gpus() > 0;
     return use.cpus() - freed.cpus() >= team.cpus()
         && (!countsGpus || use.gpus() - freed.gpus() >= team.gpus());
   }
 
   /** The cost of a preemption: CPU seconds of lost work, and what makes the task worth keeping. */
-  private static double preemptionCost(AttemptView attempt, SteadyTime now) {
+  private static double preemptionCost(AttemptView attempt, MonotonicTime now) {
     JobSpec spec = attempt.spec();
     double lostS = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
     if (spec.checkpointIntervalS() > 0) {
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -133,7 +133,7 @@
     for (int i = 0; i < provisioned.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
-      int fitting = spec.need().timesIn(offer.machineType().capacity());
+      int fitting = spec.taskResources().countFittingIn(offer.machineType().capacity());
       if (fitting > 0
           && PlanBuilder.zoneAllows(spec, zones, offer.zone())
           && provisioned[i] < offer.maxCount()
@@ -173,7 +173,7 @@
   void keepRoomFor(JobView expected) {
     JobSpec spec = expected.spec();
     int left = spec.tasks();
-    TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.ofSingleMachine(spec));
+    TaskShape shape = new TaskShape(spec.taskResources(), PlacementConstraints.ofSingleMachine(spec));
     ArrayDeque<MachineCapacity> machines =
         roomByShape.computeIfAbsent(shape, key -> busyMachinesFirst());
     while (left > 0 && !machines.isEmpty()) {
@@ -195,9 +195,9 @@
     }
     int kept = 0;
     Resources room = roomWithPreemption(machine, spec);
-    while (kept < most && spec.need().fitsIn(room)) {
+    while (kept < most && spec.taskResources().fitsIn(room)) {
       machine.place(spec);
-      room = room.minus(spec.need());
+      room = room.minus(spec.taskResources());
       kept++;
     }
     return kept;
@@ -232,9 +232,9 @@
     for (AttemptView attempt : machine.view().attempts()) {
       JobSpec running = attempt.spec();
       if (running.priority().compareTo(spec.priority()) > 0 && running.kind() != JobKind.GANG) {
-        cpus += running.need().cpus();
-        gpus += running.need().gpus();
-        memory += running.need().memory();
+        cpus += running.taskResources().cpus();
+        gpus += running.taskResources().gpus();
+        memory += running.taskResources().memory();
       }
     }
     return new Resources(cpus, gpus, memory);
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
@@ -37,7 +37,7 @@
     Set<JobId> lateStartedJobs,
     boolean inventoryComplete,
     double maxIdleS,
-    SteadyTime now) {
+    MonotonicTime now) {
 
   /**
    * A machine.
@@ -56,8 +56,8 @@
       Resources free,
       boolean ready,
       Set<String> images,
-      SteadyTime idleSince,
-      SteadyTime provisionedAt,
+      MonotonicTime idleSince,
+      MonotonicTime provisionedAt,
       List<AttemptView> attempts,
       List<Reservation> reservations) {
 
@@ -88,7 +88,7 @@
    * @param index index of its task in the job
    * @param runningSince null while it is not running
    */
-  public record AttemptView(JobSpec spec, int index, boolean stopping, SteadyTime runningSince) {}
+  public record AttemptView(JobSpec spec, int index, boolean stopping, MonotonicTime runningSince) {}
 
   /**
    * A job with pending tasks: tasks that are neither done nor have an open attempt.
--- a/src/main/java/org/ternhinge/schedule/TaskPlacer.java
+++ b/src/main/java/org/ternhinge/schedule/TaskPlacer.java
@@ -114,7 +114,7 @@
    */
   boolean placeGang(JobView job) {
     JobSpec spec = job.spec();
-    TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.of(spec));
+    TaskShape shape = new TaskShape(spec.taskResources(), PlacementConstraints.of(spec));
     boolean reserved = job.reservedTasks() > 0;
     if (!reserved && spec.tasks() >= unplaceableGangs.getOrDefault(shape, Integer.MAX_VALUE)) {
       return false;
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -80,7 +80,7 @@
       return false;
     }
     for (Resources unplaceable : needsByKey.getOrDefault(key(job, scope), List.of())) {
-      if (unplaceable.fitsIn(job.spec().need())) {
+      if (unplaceable.fitsIn(job.spec().taskResources())) {
         return true;
       }
     }
@@ -98,10 +98,10 @@
       return;
     }
     for (int tasks : tasksByZone) {
-      if (tasks >= spec.zoneLimit() || (spec.together() && tasks > 0)) {
+      if (tasks >= spec.zoneLimit() || (spec.singleZone() && tasks > 0)) {
         return;
       }
     }
-    needsByKey.computeIfAbsent(key(job, scope), key -> new ArrayList<>()).add(spec.need());
+    needsByKey.computeIfAbsent(key(job, scope), key -> new ArrayList<>()).add(spec.taskResources());
   }
 }
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.http.Reply;
+import org.ternhinge.http.PooledHttpClient;
+import org.ternhinge.http.ClientResponse;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.ServiceClient;
 import org.ternhinge.limit.RequestPriority;
@@ -45,7 +45,7 @@
    * @param responseTimeouts of calls, by how quickly the service answers
    */
   public HttpKeyValueStore(
-      HttpCaller http,
+      PooledHttpClient http,
       Endpoint endpoint,
       TokenBucket requests,
       TokenBucket writes,
@@ -65,7 +65,7 @@
         body -> Json.decode(body, reader));
   }
 
-  private <T> Outcome<T> errorOf(Reply reply) {
+  private <T> Outcome<T> errorOf(ClientResponse reply) {
     return switch (reply.status()) {
       case 404 -> Outcome.notApplied(Reason.NOT_FOUND, "");
       case 409 -> conflict(reply.body());
@@ -121,7 +121,7 @@
   }
 
   private static Outcome<ReadResult> emptyIfNotFound(Outcome<ReadResult> outcome) {
-    return outcome.isBecause(Reason.NOT_FOUND)
+    return outcome.isNotApplied(Reason.NOT_FOUND)
         ? Outcome.applied(new ReadResult(Optional.empty()))
         : outcome;
   }
@@ -158,7 +158,7 @@
   }
 
   private Outcome<Revision> pauseWritesIfTooMany(Outcome<Revision> outcome) {
-    if (outcome.isBecause(Reason.TOO_MANY_REQUESTS)) {
+    if (outcome.isNotApplied(Reason.TOO_MANY_REQUESTS)) {
       writes.drain();
     }
     return outcome;
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
@@ -128,7 +128,7 @@
   public <T> CompletableFuture<Outcome<T>> measure(
       Kind kind, DoubleFunction<CompletableFuture<Outcome<T>>> send) {
     double timeoutS = timeoutS(kind);
-    SteadyTime sent = clock.now();
+    MonotonicTime sent = clock.now();
     return send.apply(timeoutS)
         .whenComplete((outcome, error) -> record(outcome, sinceS(sent), timeoutS));
   }
@@ -138,12 +138,12 @@
    * it may have waited far longer than other calls do.
    */
   public <T> CompletableFuture<Outcome<T>> observe(CompletableFuture<Outcome<T>> call) {
-    SteadyTime sent = clock.now();
+    MonotonicTime sent = clock.now();
     return call.whenComplete(
         (outcome, error) -> record(outcome, sinceS(sent), Double.POSITIVE_INFINITY));
   }
 
-  private double sinceS(SteadyTime sent) {
+  private double sinceS(MonotonicTime sent) {
     return clock.now().secondsSince(sent);
   }
 
--- a/src/main/java/org/ternhinge/term/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -3,7 +3,7 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * What the components of one leadership are built on.
@@ -23,7 +23,7 @@
     Ledger ledger,
     LedgerWriter writer,
     RoundTrigger rounds,
-    SteadyTime electedAt) {
+    MonotonicTime electedAt) {
 
   /**
    * Creates a store of many small entries in few records.
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -53,7 +53,7 @@
 
   /** Runs an action under the lock after a delay, unless the leadership is over by then. */
   public void later(double seconds, Runnable action) {
-    clock.after(seconds, () -> locked(action));
+    clock.schedule(seconds, () -> locked(action));
   }
 
   /**
@@ -62,6 +62,6 @@
    * @param next gets the outcome, {@link Outcome.Unknown} where the call failed without one
    */
   public <T> void whenAnswered(CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> next) {
-    AsyncCalls.whenAnswered(answer, outcome -> locked(() -> next.accept(outcome)));
+    AsyncCalls.whenComplete(answer, outcome -> locked(() -> next.accept(outcome)));
   }
 }
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -29,10 +29,10 @@
     /** Removes an ended attempt from the heartbeats. */
     FORGET("clear");
 
-    private final String word;
+    private final String wireName;
 
     Op(String word) {
-      this.word = word;
+      this.wireName = word;
     }
   }
 
@@ -42,11 +42,11 @@
    * @param term fencing token of the leader
    * @param commands in the order of their execution
    */
-  public static byte[] answer(Term term, List<Command> commands) {
+  public static byte[] heartbeatResponse(Term term, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
     out.beginObject();
     out.field("valdmerki", term.value());
-    writeList(out, commands);
+    writeCommands(out, commands);
     out.endObject();
     return out.bytes();
   }
@@ -58,21 +58,21 @@
    * @param epoch incarnation of the worker that the commands are meant for
    * @param commands in the order of their execution
    */
-  public static byte[] body(Term term, AgentEpoch epoch, List<Command> commands) {
+  public static byte[] directCommandsBody(Term term, AgentEpoch epoch, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
     out.beginObject();
     out.field("valdmerki", term.value());
     out.field("vakt", epoch.value());
-    writeList(out, commands);
+    writeCommands(out, commands);
     out.endObject();
     return out.bytes();
   }
 
-  private static void writeList(JsonStreamWriter out, List<Command> commands) {
+  private static void writeCommands(JsonStreamWriter out, List<Command> commands) {
     out.beginList("skipanir");
     for (Command command : commands) {
       out.beginObject();
-      out.field("skipun", command.op.word);
+      out.field("skipun", command.op.wireName);
       out.field("verkbiti", command.task.toString());
       out.field("tilraun", command.attempt.value());
       if (command.op == Op.STOP) {
@@ -89,7 +89,7 @@
     for (JsonNode item : Json.list(body, "skipanir")) {
       String word = Json.text(item, "skipun");
       for (Op op : Op.values()) {
-        if (op.word.equals(word)) {
+        if (op.wireName.equals(word)) {
           out.add(read(item, op));
         }
       }
--- a/src/main/java/org/ternhinge/wire/DependencyVerdict.java
+++ b/src/main/java/org/ternhinge/wire/DependencyCheckResult.java
@@ -10,7 +10,7 @@
  *
  * @param cancelled whether any dependency is cancelled, and therefore the new job as well
  */
-public record DependencyVerdict(boolean cancelled) {
+public record DependencyCheckResult(boolean cancelled) {
   /** Field in the body of a 503 between controllers; older versions ignore it. */
   private static final String FIELD = "dependencies_cancelled";
 
@@ -25,12 +25,12 @@
   }
 
   /** Reads the verdict in the body of an answer, if there is one. */
-  public static Optional<DependencyVerdict> read(byte[] body) {
+  public static Optional<DependencyCheckResult> read(byte[] body) {
     try {
       JsonNode value = Json.parse(body).get(FIELD);
       return value == null || !value.isBoolean()
           ? Optional.empty()
-          : Optional.of(new DependencyVerdict(value.booleanValue()));
+          : Optional.of(new DependencyCheckResult(value.booleanValue()));
     } catch (WireException e) {
       return Optional.empty();
     }
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -21,17 +21,17 @@
   /** The start was refused: no such job or task, or the job has not been submitted. */
   UNKNOWN;
 
-  private final String word = name().toLowerCase(Locale.ROOT);
+  private final String wireName = name().toLowerCase(Locale.ROOT);
 
   /** The reason as messages carry it. */
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** Parses the reason of a message. */
-  static EndReason of(String word) throws WireException {
+  static EndReason fromWireName(String word) throws WireException {
     for (EndReason reason : values()) {
-      if (reason.word().equals(word)) {
+      if (reason.wireName().equals(word)) {
         return reason;
       }
     }
--- a/src/main/java/org/ternhinge/wire/HeartbeatReader.java
+++ b/src/main/java/org/ternhinge/wire/HeartbeatReader.java
@@ -118,8 +118,8 @@
       switch (field) {
         case "verkbiti" -> task = TaskIds.parse(in.text(field), field);
         case "tilraun" -> attempt = in.count(field);
-        case "astand" -> state = TaskState.of(in.text(field));
-        case "astaeda" -> endReason = in.isNull() ? null : EndReason.of(in.text(field));
+        case "astand" -> state = TaskState.fromWireName(in.text(field));
+        case "astaeda" -> endReason = in.isNull() ? null : EndReason.fromWireName(in.text(field));
         case "saved" -> saved = !in.isNull() && in.flag(field);
         default -> in.skip();
       }
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -9,21 +9,21 @@
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
 
-  private final String word;
+  private final String wireName;
 
   JobKind(String word) {
-    this.word = word;
+    this.wireName = word;
   }
 
   /** The kind as messages carry it. */
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** Parses the kind of a message. */
-  public static JobKind of(String word) throws WireException {
+  public static JobKind fromWireName(String word) throws WireException {
     for (JobKind kind : values()) {
-      if (kind.word.equals(word)) {
+      if (kind.wireName.equals(word)) {
         return kind;
       }
     }
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -18,7 +18,7 @@
  * @param kind whether its tasks are independent, start together, or run until cancelled
  * @param priority priority for preemption and order
  * @param tasks number of tasks, from 1 to {@link #MAX_TASKS}
- * @param need resources of each task, rounded up from {@code cpus}, {@code gpus} and {@code
+ * @param taskResources resources of each task, rounded up from {@code cpus}, {@code gpus} and {@code
  *     memoryGb}
  * @param cpus CPUs of each task, as submitted
  * @param gpus accelerators of each task, as submitted
@@ -27,8 +27,8 @@
  * @param imageGb size of the image in GB
  * @param types allowed machine types; empty allows any
  * @param zone the only allowed zone; empty allows any
- * @param together whether all tasks have to be in the same zone
- * @param scatter whether at most half of the tasks, rounded up, may be in one zone
+ * @param singleZone whether all tasks have to be in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks, rounded up, may be in one zone
  * @param spotAllowed whether tasks may run on spot machines
  * @param estimateS the user's estimate of a task's run time in seconds, without the fetch of its
  *     image; often wrong, and 0 for services
@@ -46,7 +46,7 @@
     JobKind kind,
     Priority priority,
     int tasks,
-    Resources need,
+    Resources taskResources,
     double cpus,
     double gpus,
     double memoryGb,
@@ -54,8 +54,8 @@
     double imageGb,
     List<String> types,
     Optional<String> zone,
-    boolean together,
-    boolean scatter,
+    boolean singleZone,
+    boolean spreadAcrossZones,
     boolean spotAllowed,
     double estimateS,
     double checkpointIntervalS,
@@ -96,7 +96,7 @@
 
   /** Whether a submission is of a service, without reading all of it. */
   public static boolean isService(JsonNode body) {
-    return body.path(JobSpecJson.KIND).asText().equals(JobKind.SERVICE.word());
+    return body.path(JobSpecJson.KIND).asText().equals(JobKind.SERVICE.wireName());
   }
 
   /** The submission as JSON. */
@@ -122,7 +122,7 @@
         kind,
         otherPriority,
         otherTasks,
-        need,
+        taskResources,
         cpus,
         gpus,
         memoryGb,
@@ -130,8 +130,8 @@
         imageGb,
         types,
         zone,
-        together,
-        scatter,
+        singleZone,
+        spreadAcrossZones,
         spotAllowed,
         estimateS,
         checkpointIntervalS,
@@ -152,7 +152,7 @@
 
   /** The most tasks that may be in one zone at the same time. */
   public int zoneLimit() {
-    return scatter ? (tasks + 1) / 2 : tasks;
+    return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
 
   /** Whether tasks may run on machines of a type. */
--- a/src/main/java/org/ternhinge/wire/JobSpecJson.java
+++ b/src/main/java/org/ternhinge/wire/JobSpecJson.java
@@ -53,10 +53,10 @@
         id,
         name(body, "runflokkur"),
         name(body, "eigandi"),
-        JobKind.of(Json.text(body, KIND)),
-        Priority.of(Json.text(body, "forgang")),
+        JobKind.fromWireName(Json.text(body, KIND)),
+        Priority.fromWireName(Json.text(body, "forgang")),
         (int) tasks,
-        Resources.need(cpus, gpus, memoryGb),
+        Resources.ofRequest(cpus, gpus, memoryGb),
         cpus,
         gpus,
         memoryGb,
@@ -122,7 +122,7 @@
     ObjectNode out = Json.object();
     out.put("ref", spec.id().value());
     out.put("runflokkur", spec.jobClass()).put("eigandi", spec.team());
-    out.put(KIND, spec.kind().word()).put("forgang", spec.priority().word());
+    out.put(KIND, spec.kind().wireName()).put("forgang", spec.priority().wireName());
     out.put("verkbitar", spec.tasks());
     out.put("cpus", spec.cpus()).put("accelerators", spec.gpus());
     out.put("memory_gb", spec.memoryGb());
@@ -132,7 +132,7 @@
       spec.types().forEach(names::add);
     }
     spec.zone().ifPresent(zone -> out.put("svaedi", zone));
-    out.put("together", spec.together()).put("scatter", spec.scatter());
+    out.put("together", spec.singleZone()).put("scatter", spec.spreadAcrossZones());
     out.put("lanvelar", spec.spotAllowed());
     out.put("aaetlun_s", spec.estimateS());
     out.put("vista_bil_s", spec.checkpointIntervalS()).put("vistun_s", spec.checkpointSaveS());
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -24,29 +24,29 @@
     /** Cancelled by its user, or because a dependency was. */
     CANCELLED("cancelled");
 
-    private final String word;
+    private final String wireName;
 
     Phase(String word) {
-      this.word = word;
+      this.wireName = word;
     }
 
     /** The phase as messages carry it. */
-    public String word() {
-      return word;
+    public String wireName() {
+      return wireName;
     }
   }
 
   /** The body of the answer to a submission or a cancellation. */
-  public byte[] brief() {
+  public byte[] summaryBody() {
     return Json.bytes(head());
   }
 
   /** The body of the answer to a query, with the counts of tasks. */
-  public byte[] full() {
+  public byte[] detailBody() {
     return Json.bytes(head().put("done", done).put("running", running));
   }
 
   private ObjectNode head() {
-    return Json.object().put("ref", id.value()).put("astand", phase.word());
+    return Json.object().put("ref", id.value()).put("astand", phase.wireName());
   }
 }
--- a/src/main/java/org/ternhinge/wire/MachineType.java
+++ b/src/main/java/org/ternhinge/wire/MachineType.java
@@ -50,7 +50,7 @@
       out.add(
           new MachineType(
               Json.text(item, "name"),
-              Resources.offer(cpus, gpus, memory),
+              Resources.ofCapacity(cpus, gpus, memory),
               cpus,
               gpus,
               memory,
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -25,14 +25,14 @@
   }
 
   /** The priority as messages carry it. */
-  public String word() {
+  public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
   /** Parses the priority of a message. */
-  public static Priority of(String word) throws WireException {
+  public static Priority fromWireName(String word) throws WireException {
     for (Priority priority : values()) {
-      if (priority.word().equals(word)) {
+      if (priority.wireName().equals(word)) {
         return priority;
       }
     }
