--- a/src/main/java/org/ternhinge/wire/ProvisionRequest.java
+++ b/src/main/java/org/ternhinge/wire/ProvisionRequest.java
@@ -38,7 +38,7 @@
   }
 
   /** Reads the names of the machines that were provisioned. */
-  public static List<MachineId> readAnswer(JsonNode body) throws WireException {
+  public static List<MachineId> readResponse(JsonNode body) throws WireException {
     List<MachineId> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "velar")) {
       out.add(new MachineId(item.asText()));
@@ -47,7 +47,7 @@
   }
 
   /** The body of a request to release machines. */
-  public static byte[] release(List<MachineId> machines) {
+  public static byte[] releaseBody(List<MachineId> machines) {
     ObjectNode out = Json.object();
     ArrayNode names = out.putArray("velar");
     machines.forEach(machine -> names.add(machine.value()));
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -16,21 +16,21 @@
   /** Cached, since {@link #values()} copies the array and is needed for each reported task. */
   private static final TaskState[] ALL = values();
 
-  private final String word;
+  private final String wireName;
 
   TaskState(String word) {
-    this.word = word;
+    this.wireName = word;
   }
 
   /** The state as messages carry it. */
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** Parses the state of a message. */
-  static TaskState of(String word) throws WireException {
+  static TaskState fromWireName(String word) throws WireException {
     for (TaskState state : ALL) {
-      if (state.word.equals(word)) {
+      if (state.wireName.equals(word)) {
         return state;
       }
     }
--- a/src/main/java/org/ternhinge/wire/TaskStatus.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -25,9 +25,9 @@
   /** Writes the status into an empty object. */
   void write(ObjectNode out) {
     out.put("verkbiti", task.toString()).put("tilraun", attempt.value());
-    out.put("astand", state.word());
+    out.put("astand", state.wireName());
     if (endReason != null) {
-      out.put("astaeda", endReason.word());
+      out.put("astaeda", endReason.wireName());
     }
     if (saved) {
       out.put("saved", true);
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkers.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.http.Reply;
+import org.ternhinge.http.PooledHttpClient;
+import org.ternhinge.http.ClientResponse;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.ServiceClient;
 import org.ternhinge.model.AgentEpoch;
@@ -21,10 +21,10 @@
 public final class HttpWorkers implements Workers {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(3);
 
-  private final HttpCaller http;
+  private final PooledHttpClient http;
 
   /** Creates a client for all workers. */
-  public HttpWorkers(HttpCaller http) {
+  public HttpWorkers(PooledHttpClient http) {
     this.http = http;
   }
 
@@ -35,12 +35,12 @@
       AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
-    Request request = Request.post("/commands", Command.body(term, epoch, commands));
+    Request request = Request.post("/commands", Command.directCommandsBody(term, epoch, commands));
     return http.callIf(maySend, worker, request, TIMEOUTS)
         .thenApply(outcome -> outcome.flatMap(HttpWorkers::decode));
   }
 
-  private static Outcome<Answer> decode(Reply reply) {
+  private static Outcome<Answer> decode(ClientResponse reply) {
     try {
       return switch (reply.status()) {
         case 200 -> Outcome.applied(new Answer.Executed(Heartbeat.read(reply.body())));
@@ -55,6 +55,6 @@
 
   @Override
   public void forget(Endpoint worker) {
-    http.forget(worker);
+    http.closeIdleConnections(worker);
   }
 }
--- a/src/main/java/org/ternhinge/zone/DisplacementLog.java
+++ b/src/main/java/org/ternhinge/zone/DisplacementLog.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.pcollections.PSet;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskRanges;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.zone.ZoneEvent.WorkStep;
@@ -57,7 +57,7 @@
 
   private final FailoverOrder order;
   private final Map<JobId, NewlyDisplaced> newlyDisplaced = new LinkedHashMap<>();
-  private final Map<JobId, SteadyTime> delayLoggedAt = new HashMap<>();
+  private final Map<JobId, MonotonicTime> delayLoggedAt = new HashMap<>();
 
   DisplacementLog(FailoverOrder order) {
     this.order = order;
@@ -86,21 +86,21 @@
   }
 
   /** An event for tasks whose turn has come. */
-  ZoneEvent released(FailoverQueue.JobTasks tasks, SteadyTime now) {
+  ZoneEvent released(FailoverQueue.JobTasks tasks, MonotonicTime now) {
     return event(WorkStep.RELEASED, tasks, DisplacementReason.TURN, now);
   }
 
   /** An event for tasks that have new attempts. */
-  ZoneEvent moved(FailoverQueue.JobTasks tasks, SteadyTime now) {
+  ZoneEvent moved(FailoverQueue.JobTasks tasks, MonotonicTime now) {
     return event(WorkStep.MOVED, tasks, DisplacementReason.PLACED, now);
   }
 
   /** Events for the jobs that have waited for another interval. */
   List<ZoneEvent> delayed(
-      List<FailoverQueue.DisplacedJob> jobs, DisplacedWork work, SteadyTime now) {
+      List<FailoverQueue.DisplacedJob> jobs, DisplacedWork work, MonotonicTime now) {
     List<ZoneEvent> events = new ArrayList<>();
     for (FailoverQueue.DisplacedJob job : jobs) {
-      SteadyTime last = delayLoggedAt.getOrDefault(job.spec().id(), job.since());
+      MonotonicTime last = delayLoggedAt.getOrDefault(job.spec().id(), job.since());
       if (now.secondsSince(last) >= DELAY_INTERVAL_S) {
         delayLoggedAt.put(job.spec().id(), now);
         FailoverQueue.JobTasks all =
@@ -132,7 +132,7 @@
   }
 
   private ZoneEvent event(
-      WorkStep step, FailoverQueue.JobTasks tasks, DisplacementReason reason, SteadyTime now) {
+      WorkStep step, FailoverQueue.JobTasks tasks, DisplacementReason reason, MonotonicTime now) {
     FailoverQueue.DisplacedJob job = tasks.job();
     return new ZoneEvent.WorkChanged(
         step,
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -10,7 +10,7 @@
 import org.pcollections.TreePSet;
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.JobSpec;
 
 /**
@@ -39,7 +39,7 @@
       boolean pinned,
       PSet<Integer> held,
       PSet<Integer> released,
-      SteadyTime since) {
+      MonotonicTime since) {
     private DisplacedJob with(PSet<Integer> nowHeld, PSet<Integer> nowReleased) {
       return new DisplacedJob(spec, tier, zone, pinned, nowHeld, nowReleased, since);
     }
@@ -73,7 +73,7 @@
    * @param minRate lowest rate at which tasks are released, a second
    */
   FailoverQueue(
-      ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, SteadyTime now) {
+      ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, MonotonicTime now) {
     this.settings = settings;
     this.order = order;
     this.minRate = minRate;
@@ -86,7 +86,7 @@
   }
 
   /** Adds a task that has lost its attempt with a zone; one that is released is not held again. */
-  void displace(JobSpec spec, int task, String zone, SteadyTime now) {
+  void displace(JobSpec spec, int task, String zone, MonotonicTime now) {
     DisplacedJob before = displaced.get(spec.id());
     if (before == null) {
       boolean pinned = spec.zone().equals(Optional.of(zone));
@@ -136,7 +136,7 @@
    *
    * @param firstOpenTier the most important tier of which attempts in lost zones are still open
    */
-  List<JobTasks> release(DisplacedWork work, int firstOpenTier, SteadyTime now) {
+  List<JobTasks> release(DisplacedWork work, int firstOpenTier, MonotonicTime now) {
     budget = budget.refilled(rate(), now);
     List<DisplacedJob> jobs = new ArrayList<>(displaced.values());
     jobs.sort(RELEASE_ORDER);
@@ -161,7 +161,7 @@
     return Math.max(minRate, peakHeld / settings.drainS());
   }
 
-  private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, SteadyTime now) {
+  private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, MonotonicTime now) {
     for (DisplacedJob job : sorted) {
       if (blocks(job, work, now)) {
         return job.tier;
@@ -170,14 +170,14 @@
     return order.size();
   }
 
-  private boolean blocks(DisplacedJob job, DisplacedWork work, SteadyTime now) {
+  private boolean blocks(DisplacedJob job, DisplacedWork work, MonotonicTime now) {
     double waitedS = now.secondsSince(job.since);
     return !job.pinned
         && work.isPlaceable(job.spec.id())
         && waitedS < (job.tier + 1) * settings.tierHoldS();
   }
 
-  private boolean isDue(DisplacedJob job, SteadyTime now) {
+  private boolean isDue(DisplacedJob job, MonotonicTime now) {
     return now.secondsSince(job.since) >= job.tier * settings.tierHoldS();
   }
 
--- a/src/main/java/org/ternhinge/zone/FleetAssessment.java
+++ b/src/main/java/org/ternhinge/zone/FleetAssessment.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Distinguishes lost zones from lost links of the leader itself, by comparing the zones. Where all
@@ -30,7 +30,7 @@
 
   /** The health of all zones after an observation of each, in the same order. */
   List<ZoneHealth> assess(
-      List<ZoneHealth> before, List<ZoneObservation> observations, SteadyTime now) {
+      List<ZoneHealth> before, List<ZoneObservation> observations, MonotonicTime now) {
     List<ZoneHealth> after = new ArrayList<>(before.size());
     for (int zone = 0; zone < before.size(); zone++) {
       boolean confirmable = isConfirmable(zone, before, observations, now);
@@ -41,8 +41,8 @@
 
   /** Whether the impairment of a zone may be its loss rather than that of the leader's links. */
   private boolean isConfirmable(
-      int zone, List<ZoneHealth> zones, List<ZoneObservation> observations, SteadyTime now) {
-    SteadyTime onset = zones.get(zone).impairedSince();
+      int zone, List<ZoneHealth> zones, List<ZoneObservation> observations, MonotonicTime now) {
+    MonotonicTime onset = zones.get(zone).impairedSince();
     if (onset == null) {
       return false;
     }
@@ -52,7 +52,7 @@
     for (int i = 0; i < zones.size(); i++) {
       if (observations.get(i).expected() > 0) {
         populated++;
-        SteadyTime other = zones.get(i).impairedSince();
+        MonotonicTime other = zones.get(i).impairedSince();
         impaired += other == null ? 0 : 1;
         impairedTogether += other != null && isCorrelated(other, onset) ? 1 : 0;
       }
@@ -64,7 +64,7 @@
     return !inDoubt || now.secondsSince(onset) >= leaseS;
   }
 
-  private boolean isCorrelated(SteadyTime one, SteadyTime other) {
+  private boolean isCorrelated(MonotonicTime one, MonotonicTime other) {
     return Math.abs(one.secondsSince(other)) <= settings.detection().correlationS();
   }
 }
--- a/src/main/java/org/ternhinge/zone/RateBudget.java
+++ b/src/main/java/org/ternhinge/zone/RateBudget.java
@@ -1,6 +1,6 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * A token bucket as an immutable value, whose rate may change over time. It holds the tokens of one
@@ -10,14 +10,14 @@
  * @param tokens number of tokens at that time; negative after an overdraft
  * @param at time of that number
  */
-record RateBudget(double tokens, SteadyTime at) {
+record RateBudget(double tokens, MonotonicTime at) {
   /** A budget with one token. */
-  static RateBudget starting(SteadyTime now) {
+  static RateBudget starting(MonotonicTime now) {
     return new RateBudget(1, now);
   }
 
   /** The budget with the tokens that were added since its time. */
-  RateBudget refilled(double perSecond, SteadyTime now) {
+  RateBudget refilled(double perSecond, MonotonicTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
     double capacity = perSecond + 1;
     return new RateBudget(Math.min(capacity, tokens + perSecond * elapsedS), now);
--- a/src/main/java/org/ternhinge/zone/ReturnLimits.java
+++ b/src/main/java/org/ternhinge/zone/ReturnLimits.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 
 /**
@@ -18,7 +18,7 @@
   private final ReturnPacer pacer;
   private RateBudget releases;
 
-  ReturnLimits(ReturnPacer pacer, SteadyTime now) {
+  ReturnLimits(ReturnPacer pacer, MonotonicTime now) {
     this.pacer = pacer;
     this.releases = RateBudget.starting(now);
   }
@@ -33,7 +33,7 @@
       ZoneSnapshot snapshot,
       PlacementFacts facts,
       List<ZoneEvent> events,
-      SteadyTime now) {
+      MonotonicTime now) {
     pacer.refill(snapshot, now);
     releases = releases.refilled(Math.max(1, RELEASE_SHARE * fleetSize(snapshot)), now);
     PlanLimiter limiter = new PlanLimiter(pacer, facts);
--- a/src/main/java/org/ternhinge/zone/ReturnPacer.java
+++ b/src/main/java/org/ternhinge/zone/ReturnPacer.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Limits how many tasks start in zones that are recovering: few at first, twice as many with each
@@ -23,7 +23,7 @@
   }
 
   /** Refills the budgets; zones that are not recovering have none. */
-  void refill(ZoneSnapshot zones, SteadyTime now) {
+  void refill(ZoneSnapshot zones, MonotonicTime now) {
     budgets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
     zones
         .zones()
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.JobSpec;
@@ -47,7 +47,7 @@
       List<String> names,
       double leaseS,
       double minReleaseRate,
-      SteadyTime now) {
+      MonotonicTime now) {
     this.order = new FailoverOrder(settings.tiers());
     this.zones = new ZoneTable(settings, names, leaseS, now);
     this.queue = new FailoverQueue(settings.release(), order, minReleaseRate, now);
@@ -74,18 +74,18 @@
   // ---- record -----------------------------------------------------------------------------------
 
   /** The zones as a record for the next leader. */
-  public ObjectNode record(SteadyTime now, long wallMillis) {
+  public ObjectNode record(MonotonicTime now, long wallMillis) {
     return zones.record(now, wallMillis);
   }
 
   /** Restores the record of an earlier leader; names that are not zones are ignored. */
-  public void restore(JsonNode record, SteadyTime now, long wallMillis) {
+  public void restore(JsonNode record, MonotonicTime now, long wallMillis) {
     zones.restore(record, now, wallMillis);
     publish(now);
   }
 
   /** The zones that take no new work or only little of it, with the time since when. */
-  public Map<String, SteadyTime> lostSince() {
+  public Map<String, MonotonicTime> lostSince() {
     return zones.lostSince();
   }
 
@@ -97,7 +97,7 @@
    *
    * @param attempt number of the attempt; 0 where it is not known
    */
-  public void attemptLost(JobSpec job, int task, long attempt, String zone, SteadyTime now) {
+  public void attemptLost(JobSpec job, int task, long attempt, String zone, MonotonicTime now) {
     if (current.read().state(zone) == ZoneState.AVAILABLE) {
       return;
     }
@@ -112,7 +112,7 @@
    *
    * @return what to log, state changes first
    */
-  public List<ZoneEvent> observe(Observations observed, SteadyTime now) {
+  public List<ZoneEvent> observe(Observations observed, MonotonicTime now) {
     zones.observed(observed.zones());
     if (queue.isEmpty() && displacements.isEmpty() && zones.isAllHealthy()) {
       // The usual case: there is nothing to decide or to publish.
@@ -129,7 +129,7 @@
     return events;
   }
 
-  private void settle(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
+  private void settle(DisplacedWork work, List<ZoneEvent> events, MonotonicTime now) {
     for (FailoverQueue.JobTasks placed : queue.settle(work)) {
       double waitedS = now.secondsSince(placed.job().since());
       metrics.moved(order.name(placed.job().tier()), waitedS, placed.tasks().size());
@@ -138,7 +138,7 @@
     displacements.retain(queue.jobs());
   }
 
-  private void release(Observations observed, List<ZoneEvent> events, SteadyTime now) {
+  private void release(Observations observed, List<ZoneEvent> events, MonotonicTime now) {
     int firstOpenTier = order.size();
     for (String zone : zones.lostSince().keySet()) {
       for (int tier : observed.openTiers(zone)) {
@@ -150,7 +150,7 @@
     }
   }
 
-  private void publish(SteadyTime now) {
+  private void publish(MonotonicTime now) {
     ZoneSnapshot next = new ZoneSnapshot(zones.status(pacer, now), queue.held());
     pacer.refill(next, now);
     current.update(present -> next);
@@ -168,7 +168,7 @@
    *
    * @param events the list to which the starts in returning zones are added
    */
-  public Plan limit(Plan plan, PlacementFacts facts, List<ZoneEvent> events, SteadyTime now) {
+  public Plan limit(Plan plan, PlacementFacts facts, List<ZoneEvent> events, MonotonicTime now) {
     ZoneSnapshot present = current.read();
     if (present.allAvailable()) {
       return plan;
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -1,7 +1,7 @@
 package org.ternhinge.zone;
 
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The state machine of one zone, as an immutable value: each observation gives the next one.
@@ -19,17 +19,17 @@
  */
 record ZoneHealth(
     ZoneState state,
-    SteadyTime since,
-    SteadyTime impairedSince,
-    SteadyTime lostSince,
-    SteadyTime wellSince,
+    MonotonicTime since,
+    MonotonicTime impairedSince,
+    MonotonicTime lostSince,
+    MonotonicTime wellSince,
     FlapPenalty penalty,
     boolean suppressed,
     int step,
     int tolerated) {
 
   /** The initial health of a zone. */
-  static ZoneHealth available(SteadyTime now) {
+  static ZoneHealth available(MonotonicTime now) {
     return new ZoneHealth(
         ZoneState.AVAILABLE, now, null, null, null, FlapPenalty.none(now), false, 0, 0);
   }
@@ -44,7 +44,7 @@
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
-      SteadyTime now) {
+      MonotonicTime now) {
     if (!observation.isConclusive()) {
       // A new leader draws no conclusion from machines that have not reported yet.
       return this;
@@ -65,7 +65,7 @@
 
   /** The same state with the times since which the share of impaired machines is what it is. */
   private ZoneHealth measured(
-      ZoneObservation observation, ZoneFailoverSettings.Detection detection, SteadyTime now) {
+      ZoneObservation observation, ZoneFailoverSettings.Detection detection, MonotonicTime now) {
     int stillTolerated = Math.min(tolerated, observation.impaired());
     double share = observation.share(stillTolerated);
     boolean enoughMachines = observation.expected() - stillTolerated >= detection.minMachines();
@@ -81,14 +81,14 @@
         stillTolerated);
   }
 
-  private static SteadyTime sinceWhen(boolean holds, SteadyTime before, SteadyTime now) {
+  private static MonotonicTime sinceWhen(boolean holds, MonotonicTime before, MonotonicTime now) {
     if (!holds) {
       return null;
     }
     return before == null ? now : before;
   }
 
-  private ZoneHealth suspected(SteadyTime now) {
+  private ZoneHealth suspected(MonotonicTime now) {
     return to(ZoneState.SUSPECT, tolerated, now);
   }
 
@@ -96,7 +96,7 @@
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
-      SteadyTime now) {
+      MonotonicTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
     if (confirmable && lasts(lostSince, detection.confirmS(), now)) {
       return lost(settings.flaps(), now);
@@ -110,11 +110,11 @@
     return partlyImpaired ? to(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
-  private ZoneHealth lost(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth lost(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
     return to(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
   }
 
-  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
     FlapPenalty more = penalty.increased(now, flaps);
     boolean suppress = suppressed || more.value() > flaps.suppressAt();
     return new ZoneHealth(
@@ -122,7 +122,7 @@
   }
 
   private ZoneHealth afterLoss(
-      ZoneObservation observation, ZoneFailoverSettings settings, SteadyTime now) {
+      ZoneObservation observation, ZoneFailoverSettings settings, MonotonicTime now) {
     ZoneFailoverSettings.Flaps flaps = settings.flaps();
     boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
     ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
@@ -135,7 +135,7 @@
     return tryAgain ? to(ZoneState.RECOVERING, 0, now) : current;
   }
 
-  private ZoneHealth afterReturn(ZoneFailoverSettings settings, SteadyTime now) {
+  private ZoneHealth afterReturn(ZoneFailoverSettings settings, MonotonicTime now) {
     if (impairedSince != null) {
       return suspected(now);
     }
@@ -146,12 +146,12 @@
     return reached == step ? this : withStep(reached);
   }
 
-  private static boolean lasts(SteadyTime from, double seconds, SteadyTime now) {
+  private static boolean lasts(MonotonicTime from, double seconds, MonotonicTime now) {
     return from != null && now.secondsSince(from) >= seconds;
   }
 
   /** The zone in another state, in which it begins unsuppressed and at the first step. */
-  private ZoneHealth to(ZoneState other, int otherTolerated, SteadyTime now) {
+  private ZoneHealth to(ZoneState other, int otherTolerated, MonotonicTime now) {
     return new ZoneHealth(
         other, now, impairedSince, lostSince, wellSince, penalty, false, 0, otherTolerated);
   }
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Json;
 
 /**
@@ -33,13 +33,13 @@
    *
    * @param wallMillis the present time of day
    */
-  static ObjectNode write(Map<String, ZoneHealth> zones, SteadyTime now, long wallMillis) {
+  static ObjectNode write(Map<String, ZoneHealth> zones, MonotonicTime now, long wallMillis) {
     ObjectNode record = Json.object();
     zones.forEach((name, health) -> record.set(name, write(health, now, wallMillis)));
     return record;
   }
 
-  private static ObjectNode write(ZoneHealth health, SteadyTime now, long wallMillis) {
+  private static ObjectNode write(ZoneHealth health, MonotonicTime now, long wallMillis) {
     long ageMillis = (long) (now.secondsSince(health.since()) * MILLIS_PER_S);
     ObjectNode out = Json.object().put(STATE, health.state().word());
     out.put(SINCE_MILLIS, wallMillis - ageMillis).put(PENALTY, health.penalty().value());
@@ -50,7 +50,7 @@
   }
 
   /** The zones with a valid state in a record. */
-  static Map<String, ZoneHealth> read(JsonNode record, SteadyTime now, long wallMillis) {
+  static Map<String, ZoneHealth> read(JsonNode record, MonotonicTime now, long wallMillis) {
     Map<String, ZoneHealth> zones = new LinkedHashMap<>();
     record
         .properties()
@@ -64,15 +64,15 @@
     return zones;
   }
 
-  private static ZoneHealth read(ZoneState state, JsonNode value, SteadyTime now, long wallMillis) {
-    SteadyTime since = time(value, SINCE_MILLIS, now, wallMillis);
+  private static ZoneHealth read(ZoneState state, JsonNode value, MonotonicTime now, long wallMillis) {
+    MonotonicTime since = time(value, SINCE_MILLIS, now, wallMillis);
     double penalty = Math.max(0, value.path(PENALTY).asDouble(0));
     FlapPenalty flaps = new FlapPenalty(penalty, time(value, PENALTY_MILLIS, now, wallMillis));
     boolean suppressed = value.path(SUPPRESSED).asBoolean(false);
     return new ZoneHealth(state, since, null, null, null, flaps, suppressed, 0, 0);
   }
 
-  private static SteadyTime time(JsonNode value, String field, SteadyTime now, long wallMillis) {
+  private static MonotonicTime time(JsonNode value, String field, MonotonicTime now, long wallMillis) {
     double ageS = (wallMillis - value.path(field).asLong(wallMillis)) / MILLIS_PER_S;
     return now.plusSeconds(-Math.min(MAX_AGE_S, Math.max(0, ageS)));
   }
--- a/src/main/java/org/ternhinge/zone/ZoneTable.java
+++ b/src/main/java/org/ternhinge/zone/ZoneTable.java
@@ -9,7 +9,7 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The health of all zones of one leadership with the latest observation of each, in the order of
@@ -27,7 +27,7 @@
    *
    * @param leaseS duration of a worker's lease, in seconds
    */
-  ZoneTable(ZoneFailoverSettings settings, List<String> names, double leaseS, SteadyTime now) {
+  ZoneTable(ZoneFailoverSettings settings, List<String> names, double leaseS, MonotonicTime now) {
     this.settings = settings;
     this.names = List.copyOf(names);
     this.assessment = new FleetAssessment(settings, leaseS);
@@ -53,7 +53,7 @@
   }
 
   /** Updates the health of each zone from the latest observations; returns the state changes. */
-  List<ZoneEvent> assess(SteadyTime now) {
+  List<ZoneEvent> assess(MonotonicTime now) {
     List<ZoneEvent> events = new ArrayList<>();
     List<ZoneHealth> after = assessment.assess(zones, observations, now);
     for (int zone = 0; zone < names.size(); zone++) {
@@ -65,7 +65,7 @@
     return events;
   }
 
-  private ZoneEvent stateChanged(int zone, ZoneState from, SteadyTime now) {
+  private ZoneEvent stateChanged(int zone, ZoneState from, MonotonicTime now) {
     ZoneHealth health = zones.get(zone);
     return new ZoneEvent.StateChanged(
         names.get(zone),
@@ -78,8 +78,8 @@
   }
 
   /** The zones that take no new work or only little of it, with the time since when. */
-  Map<String, SteadyTime> lostSince() {
-    Map<String, SteadyTime> lost = new LinkedHashMap<>();
+  Map<String, MonotonicTime> lostSince() {
+    Map<String, MonotonicTime> lost = new LinkedHashMap<>();
     for (int i = 0; i < names.size(); i++) {
       ZoneState state = zones.get(i).state();
       if (state == ZoneState.UNAVAILABLE || state == ZoneState.RECOVERING) {
@@ -90,7 +90,7 @@
   }
 
   /** The status of all zones by name. */
-  PMap<String, ZoneStatus> status(ReturnPacer pacer, SteadyTime now) {
+  PMap<String, ZoneStatus> status(ReturnPacer pacer, MonotonicTime now) {
     PMap<String, ZoneStatus> status = HashTreePMap.empty();
     for (int i = 0; i < names.size(); i++) {
       status = status.plus(names.get(i), status(i, pacer, now));
@@ -98,7 +98,7 @@
     return status;
   }
 
-  private ZoneStatus status(int zone, ReturnPacer pacer, SteadyTime now) {
+  private ZoneStatus status(int zone, ReturnPacer pacer, MonotonicTime now) {
     ZoneHealth health = zones.get(zone);
     return new ZoneStatus(
         health.state(),
@@ -110,7 +110,7 @@
   }
 
   /** The record of all zones for the next leader. */
-  ObjectNode record(SteadyTime now, long wallMillis) {
+  ObjectNode record(MonotonicTime now, long wallMillis) {
     Map<String, ZoneHealth> byName = new LinkedHashMap<>();
     for (int i = 0; i < names.size(); i++) {
       byName.put(names.get(i), zones.get(i));
@@ -119,7 +119,7 @@
   }
 
   /** Restores the record of an earlier leader; names that are not zones are ignored. */
-  void restore(JsonNode record, SteadyTime now, long wallMillis) {
+  void restore(JsonNode record, MonotonicTime now, long wallMillis) {
     Map<String, ZoneHealth> recorded = ZoneRecord.read(record, now, wallMillis);
     for (int i = 0; i < names.size(); i++) {
       ZoneHealth health = recorded.get(names.get(i));
--- a/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/ClosingEvidenceTest.java
@@ -13,7 +13,7 @@
   @EnumSource(EndReason.class)
   void aReportedEndIsLoggedInTheWordOfTheMessage(EndReason reason) {
     ClosingEvidence evidence = ClosingEvidence.reported(reason);
-    assertEquals(reason.word(), evidence.text());
+    assertEquals(reason.wireName(), evidence.text());
     assertEquals("REPORTED_" + reason.name(), evidence.name());
   }
 
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -22,7 +22,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimMachineTypes;
 import org.ternhinge.sim.StoreCore;
 import org.ternhinge.store.Change;
@@ -85,17 +85,17 @@
   /** The real clock, for leases. */
   private final class RealClock implements Clock {
     @Override
-    public SteadyTime now() {
-      return new SteadyTime(System.nanoTime());
+    public MonotonicTime now() {
+      return new MonotonicTime(System.nanoTime());
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMillis() {
       return System.currentTimeMillis();
     }
 
     @Override
-    public void after(double seconds, Runnable action) {
+    public void schedule(double seconds, Runnable action) {
       var unused =
           timers.schedule(() -> locked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
     }
@@ -208,7 +208,7 @@
     if (outcome instanceof Outcome.Applied<Long> a) {
       reply(exchange, 200, Json.object().put(field, a.value()));
     } else {
-      boolean notFound = outcome.isBecause(Outcome.Reason.NOT_FOUND);
+      boolean notFound = outcome.isNotApplied(Outcome.Reason.NOT_FOUND);
       ObjectNode out = Json.object();
       out.putArray("failed");
       reply(exchange, notFound ? 404 : 409, out);
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -81,9 +81,9 @@
       }
       double from = cluster.clock.seconds();
       refuseTheLeader(refusedS, outageS, heartbeatsTo);
-      cluster.clock.after(cancelledS, () -> cancelled.forEach(users::cancel));
+      cluster.clock.schedule(cancelledS, () -> cancelled.forEach(users::cancel));
       double refusedFor = cluster.clock.seconds() - from;
-      cluster.clock.after(
+      cluster.clock.schedule(
           Math.max(0, refusedS - refusedFor), () -> cluster.storeFaults.outage(outageS));
       run(refusedS + outageS + 30);
       for (int i = 0; i < cluster.nodeCount(); i++) {
@@ -144,8 +144,8 @@
     cluster.storeFaults.slowDown(120, latencyS);
     run(6);
     cluster.storeFaults.refuse(cluster.leader(), 9);
-    cluster.clock.after(7.5, () -> users.cancel(cancelled));
-    cluster.clock.after(9, () -> cluster.storeFaults.outage(55));
+    cluster.clock.schedule(7.5, () -> users.cancel(cancelled));
+    cluster.clock.schedule(9, () -> cluster.storeFaults.outage(55));
     run(120);
     assertRulesHoldToTheEnd();
     assertCancelled(cancelled);
@@ -183,9 +183,9 @@
     run(15);
     cluster.storeFaults.refuseLeaders(10, 12, 8);
     cluster.storeFaults.lateWrites(lateShare, 120);
-    cluster.clock.after(50, () -> users.cancel(cancelled));
+    cluster.clock.schedule(50, () -> users.cancel(cancelled));
     if (outageS > 0) {
-      cluster.clock.after(40, () -> cluster.storeFaults.outage(outageS));
+      cluster.clock.schedule(40, () -> cluster.storeFaults.outage(outageS));
     }
     run(120);
     assertRulesHoldToTheEnd();
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -139,7 +139,7 @@
     cluster.world.jobs.add(spec);
     ObjectNode record = Json.object();
     record.set("s", spec.write());
-    record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 0).put("d", "");
+    record.put("t", cluster.world.clock.wallClockMillis()).put("p", 127).put("h", 0).put("d", "");
     record.putArray("o");
     cluster.world.store.put(List.of(new Change.Put("j/wk-1", record, 0)));
     cluster.users.assumeAccepted(spec);
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -74,7 +74,7 @@
   private final JobLookup lookup = new JobLookup(store);
 
   private void put(Change change) {
-    AsyncCalls.ignore(
+    AsyncCalls.logExceptions(
         store.compareAndSwap(
             new CompareAndSwap(List.of(), List.of(change)), RequestPriority.ACCEPT));
   }
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.ternhinge.http.SocketShares;
+import org.ternhinge.http.SocketBudget;
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
@@ -70,7 +70,7 @@
     long calls =
         to.scaleOuts - from.scaleOuts + to.releases - from.releases + to.lists - from.lists;
     assertTrue(calls <= cloudRps * (span + 2), calls + " calls of the cloud in " + span + " s");
-    int sockets = SocketShares.of(world.settings("node-0").maxSockets()).calls();
+    int sockets = SocketBudget.of(world.settings("node-0").maxSockets()).maxOutboundCalls();
     assertTrue(
         world.counts.mostCommandCallsAtOnce() <= sockets,
         world.counts.mostCommandCallsAtOnce() + " direct commands at once");
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -102,7 +102,7 @@
       ObjectNode record = Json.object();
       if (from == 0) {
         record.set("s", spec.write());
-        record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 1);
+        record.put("t", cluster.world.clock.wallClockMillis()).put("p", 127).put("h", 1);
         if (kind.equals("cancelled")) {
           record.put("c", true);
         }
@@ -135,7 +135,7 @@
   @CsvSource({"391, 0", "392, 12", "393, 30"})
   void workGoesOnUnderLowerLimits(long seed, double at) {
     cluster = new DependentJobs(seed, 0, new SimCluster.Size(3, 10, 200, 30));
-    cluster.world.clock.after(at, cluster.world.storeFaults::lowerLimits);
+    cluster.world.clock.schedule(at, cluster.world.storeFaults::lowerLimits);
     int led = cluster.world.counts.leaderships();
     List<JobId> firsts = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -81,7 +81,7 @@
       }
     }
     cluster.controllers.crash(cluster.leader(), awayS);
-    cluster.clock.after(9, () -> users.cancel(cancelled));
+    cluster.clock.schedule(9, () -> users.cancel(cancelled));
     run(240);
     assertRulesHoldToTheEnd();
     assertDone(job);
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.StoreCore;
@@ -24,11 +24,11 @@
 class LeadershipLeaseTest {
   private static final double VALIDITY_S = 6 * 0.999 - 0.3;
 
-  private record Renewal(SteadyTime sent, CompletableFuture<Outcome<Long>> answer) {}
+  private record Renewal(MonotonicTime sent, CompletableFuture<Outcome<Long>> answer) {}
 
   private final SimClock clock = new SimClock();
   private final List<Renewal> renewals = new ArrayList<>();
-  private final SteadyTime requested = clock.now();
+  private final MonotonicTime requested = clock.now();
   private int timesEnded;
 
   /** A store whose renewals are answered by hand. */
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -30,7 +30,7 @@
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.sim.Specs;
@@ -89,7 +89,7 @@
     return assertInstanceOf(Answered.class, process(heartbeat)).commands();
   }
 
-  private SteadyTime leaseFromNow() {
+  private MonotonicTime leaseFromNow() {
     return fixture.now().plusSeconds(LEASE_S);
   }
 
@@ -149,7 +149,7 @@
     void anOutdatedHeartbeatChangesNothingButIsAnsweredWithStops() {
       Attempt attempt = fixture.open(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(5).showing(attempt, TaskState.RUNNING).build());
-      SteadyTime received = fixture.now();
+      MonotonicTime received = fixture.now();
       attempt.stop(0, received);
       fixture.clock.runFor(1);
       Heartbeat outdated = fixture.heartbeat(machine).sequence(4).build();
@@ -235,7 +235,7 @@
     void onlyTheFirstNoticeCounts() {
       Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
       notice(attempt, 1, 30);
-      SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
+      MonotonicTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
       fixture.clock.runFor(1);
       notice(attempt, 2, 28);
       assertEquals(reclaimAt, machine.cloud().reclaimAt().orElseThrow());
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -49,7 +49,7 @@
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
-    Resources room = Resources.offer(1, 0, 1);
+    Resources room = Resources.ofCapacity(1, 0, 1);
     machine.reserve(new Machine.Reservation(forJob, room, fixture.now().plusSeconds(12)));
     fixture.clock.runFor(ageS);
     monitor.check(fixture.now());
--- a/src/test/java/org/ternhinge/http/HttpTest.java
+++ b/src/test/java/org/ternhinge/http/HttpTest.java
@@ -40,11 +40,11 @@
   private final List<Socket> sockets = new ArrayList<>();
   private Endpoint here;
 
-  private void serve(SocketShares shares, int replyBytes) throws InterruptedException {
+  private void serve(SocketBudget shares, int replyBytes) throws InterruptedException {
     serve(shares, Response.of(200, new byte[replyBytes]));
   }
 
-  private void serve(SocketShares shares, Response response) throws InterruptedException {
+  private void serve(SocketBudget shares, Response response) throws InterruptedException {
     Channel channel =
         new HttpServer(group, (request, to) -> to.accept(response), shares, "/work")
             .listen(new Endpoint("127.0.0.1", 0));
@@ -63,13 +63,13 @@
   @ParameterizedTest(name = "{0} sockets, {1} machines")
   @CsvSource({"1500, 860", "1800, 1240", "2219, 1526", "2885, 1695", "64, 1", "8, 1"})
   void sharesReserveSocketsForUsersAndFitTheLimit(int limit, int machines) {
-    SocketShares shares = SocketShares.of(limit);
-    assertTrue(shares.workers() >= machines, shares.workers() + " kept connections for workers");
-    assertTrue(shares.all() > shares.workers(), "users find a socket");
-    for (int open = 0; open <= shares.all(); open++) {
+    SocketBudget shares = SocketBudget.of(limit);
+    assertTrue(shares.maxPersistentWorkers() >= machines, shares.maxPersistentWorkers() + " kept connections for workers");
+    assertTrue(shares.maxInbound() > shares.maxPersistentWorkers(), "users find a socket");
+    for (int open = 0; open <= shares.maxInbound(); open++) {
       assertTrue(
-          shares.keptBeside(open) + open + shares.calls() <= limit, open + " open, of " + shares);
-      assertTrue(shares.keptBeside(open) >= shares.kept());
+          shares.maxIdleOutbound(open) + open + shares.maxOutboundCalls() <= limit, open + " open, of " + shares);
+      assertTrue(shares.maxIdleOutbound(open) >= shares.minIdleOutbound());
     }
   }
 
@@ -103,7 +103,7 @@
 
   @Test
   void workersBeyondTheirShareAreServedAndUsersFindASocket() throws Exception {
-    serve(new SocketShares(1, 1, 2, 4), 0);
+    serve(new SocketBudget(1, 1, 2, 4), 0);
     Socket first = connect();
     Socket second = connect();
     assertTrue(ask(first, "/work"));
@@ -122,11 +122,11 @@
   /** The watch of the key-value store has no bound of its own. */
   @Test
   void anAnswerThatIsTooLargeEndsAReadForGood() throws Exception {
-    serve(SocketShares.of(64), 3 << 20);
-    HttpCaller caller = new HttpCaller(group.next(), SocketShares.of(64));
-    Outcome<Reply> read = caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
-    assertTrue(read.isBecause(Reason.TOO_LARGE), read.toString());
-    Outcome<Reply> write =
+    serve(SocketBudget.of(64), 3 << 20);
+    PooledHttpClient caller = new PooledHttpClient(group.next(), SocketBudget.of(64));
+    Outcome<ClientResponse> read = caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
+    assertTrue(read.isNotApplied(Reason.TOO_LARGE), read.toString());
+    Outcome<ClientResponse> write =
         caller.call(here, Request.post("/", new byte[2]), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertTrue(write instanceof Outcome.Unknown, "it may have been carried out");
   }
@@ -143,20 +143,20 @@
                   arrived.incrementAndGet();
                   to.accept(Response.of(200));
                 },
-                SocketShares.of(64),
+                SocketBudget.of(64),
                 "/work")
             .listen(new Endpoint("127.0.0.1", 0));
     here = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
-    HttpCaller caller = new HttpCaller(group.next(), SocketShares.of(64));
+    PooledHttpClient caller = new PooledHttpClient(group.next(), SocketBudget.of(64));
     if (kept) {
       caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     }
-    Outcome<Reply> outcome =
+    Outcome<ClientResponse> outcome =
         caller
             .callIf(() -> maySend, here, Request.post("/", new byte[2]), TIMEOUTS)
             .get(30, TimeUnit.SECONDS);
     assertEquals(maySend, outcome instanceof Outcome.Applied);
-    assertEquals(!maySend, outcome.isBecause(Reason.WITHDRAWN));
+    assertEquals(!maySend, outcome.isNotApplied(Reason.WITHDRAWN));
     // The connection serves the next call.
     caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, arrived.get());
@@ -166,7 +166,7 @@
   @ParameterizedTest(name = "{0}, retry after {1} s")
   @CsvSource({"503, 1, 1", "503, 17, 17", "503, 0, ", "200, 0, ", "422, 0, "})
   void aRetryTimeIsAHeader(int status, int retryAfterS, String header) throws Exception {
-    serve(SocketShares.of(64), new Response(status, new byte[2], retryAfterS));
+    serve(SocketBudget.of(64), new Response(status, new byte[2], retryAfterS));
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://" + here.host() + ":" + here.port() + "/"))
             .version(HttpClient.Version.HTTP_1_1)
--- a/src/test/java/org/ternhinge/http/LoopbackServer.java
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -13,11 +13,11 @@
 
 /** A server on loopback that answers every request with the same response, and a client for it. */
 public final class LoopbackServer implements AutoCloseable {
-  private static final SocketShares SHARES = SocketShares.of(64);
+  private static final SocketBudget SHARES = SocketBudget.of(64);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final HttpCaller client = new HttpCaller(group.next(), SHARES);
+  private final PooledHttpClient client = new PooledHttpClient(group.next(), SHARES);
   private final List<Request> requests = new CopyOnWriteArrayList<>();
   private final Endpoint endpoint;
 
@@ -36,7 +36,7 @@
   }
 
   /** A client on the same event loop. */
-  public HttpCaller client() {
+  public PooledHttpClient client() {
     return client;
   }
 
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -32,7 +32,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
@@ -105,7 +105,7 @@
   }
 
   private AgentStatusSink.Result recordStatus(
-      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+      Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     statuses.add(status);
     return AgentStatusSink.Result.APPLIED;
   }
@@ -165,7 +165,7 @@
 
   /** A job that the key-value store and the ledger hold. */
   public Job job(ObjectNode json) {
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
+    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallClockMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
     core.compareAndSwap(new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
     Revision revision = core.get(key).entry().orElseThrow().revision();
@@ -188,7 +188,7 @@
             0,
             "east",
             false,
-            Resources.offer(8, 0, 64));
+            Resources.ofCapacity(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, site)), task -> false, clock.now());
     writer.pump();
     return job.open(index);
@@ -205,7 +205,7 @@
   }
 
   /** The time of the simulated clock. */
-  public SteadyTime now() {
+  public MonotonicTime now() {
     return clock.now();
   }
 }
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -49,7 +49,7 @@
     CompletableFuture<Outcome<Revision>> answer = new CompletableFuture<>();
     paused.add(
         () ->
-            AsyncCalls.whenAnswered(
+            AsyncCalls.whenComplete(
                 super.compareAndSwap(compareAndSwap, priority), answer::complete));
     return answer;
   }
@@ -60,7 +60,7 @@
       return super.get(key, priority);
     }
     CompletableFuture<Outcome<ReadResult>> answer = new CompletableFuture<>();
-    paused.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), answer::complete));
+    paused.add(() -> AsyncCalls.whenComplete(super.get(key, priority), answer::complete));
     return answer;
   }
 }
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
@@ -153,7 +153,7 @@
     @Test
     void theRunningTimeBeginsWithTheFirstOfRepeatedStatuses() {
       Attempt attempt = inState(AttemptState.FETCHING);
-      SteadyTime first = clock.now();
+      MonotonicTime first = clock.now();
       attempt.observe(AttemptState.RUNNING, first);
       attempt.observe(AttemptState.RUNNING, first.plusSeconds(5));
       assertEquals(first, attempt.runningSince());
@@ -176,7 +176,7 @@
     void aLaterRequestCountsOnlyIfItsGraceIsShorter(
         double firstS, double secondS, double expectedS, double expectedAtS) {
       Attempt attempt = attempt(false);
-      SteadyTime start = clock.now();
+      MonotonicTime start = clock.now();
       attempt.stop(firstS, start);
       attempt.stop(secondS, start.plusSeconds(1));
       StopRequest expected = new StopRequest(expectedS, start.plusSeconds(expectedAtS));
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.WireException;
 
@@ -22,11 +22,11 @@
     ObjectNode record =
         RecordCodec.encodeNew(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
     assertFalse(record.has("e"));
-    Job job = RecordCodec.decodeFirst(record, Revision.NONE, new SteadyTime(0));
+    Job job = RecordCodec.decodeFirst(record, Revision.NONE, new MonotonicTime(0));
     job.backoffLevel(level);
     ObjectNode written = RecordCodec.encode(job, 0);
     assertEquals(level > 0, written.has("e"));
-    Job read = RecordCodec.decodeFirst(written, Revision.NONE, new SteadyTime(0));
+    Job read = RecordCodec.decodeFirst(written, Revision.NONE, new MonotonicTime(0));
     assertEquals(level, read.backoffLevel());
     written.remove("e");
     assertEquals(record, written, "what a version that does not know it keeps");
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -74,7 +74,7 @@
         .forEach(
             n -> {
               String state =
-                  ledger.findState(jobs.get(n)).map(s -> s.phase().word()).orElse("unsure");
+                  ledger.findState(jobs.get(n)).map(s -> s.phase().wireName()).orElse("unsure");
               out.add(n + ":" + state);
             });
     return String.join(" ", out);
@@ -171,8 +171,8 @@
     accept("2", "high", "1");
     accept("1", "low");
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals("high", jobs.get("1").planned().priority().word());
-    assertEquals("low", jobs.get("1").spec().priority().word(), "its record stays");
+    assertEquals("high", jobs.get("1").planned().priority().wireName());
+    assertEquals("low", jobs.get("1").spec().priority().wireName(), "its record stays");
     end("1", Phase.DONE);
     assertNull(refusal(jobs.get("2")));
   }
@@ -182,11 +182,11 @@
     accept("1", "low");
     accept("2", "normal", "1");
     accept("3", "low", "2");
-    assertEquals("normal", jobs.get("1").planned().priority().word());
-    assertEquals("normal", jobs.get("2").planned().priority().word());
+    assertEquals("normal", jobs.get("1").planned().priority().wireName());
+    assertEquals("normal", jobs.get("2").planned().priority().wireName());
     accept("4", "high", "3");
     for (String name : List.of("1", "2", "3")) {
-      assertEquals("high", jobs.get(name).planned().priority().word());
+      assertEquals("high", jobs.get(name).planned().priority().wireName());
     }
   }
 
--- a/src/test/java/org/ternhinge/ledger/LargeMachines.java
+++ b/src/test/java/org/ternhinge/ledger/LargeMachines.java
@@ -21,7 +21,7 @@
         zone,
         zone == 0 ? "east" : "west",
         false,
-        Resources.offer(64, 0, 256));
+        Resources.ofCapacity(64, 0, 256));
   }
 
   /** Placements of the tasks from one index, inclusive, to another one, exclusive. */
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.SubmissionBuilder;
@@ -30,7 +30,7 @@
 /** Admission of attempts and the state of jobs. */
 class LedgerTest {
   private static final int VALUE_BYTES = 8 * 1024;
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private final Ledger ledger =
       new Ledger(Map.of("red", new Team("red", 4000, 10_000, 0, 0)), VALUE_BYTES, new SimClock());
 
@@ -49,7 +49,7 @@
         zone,
         zone == 0 ? "east" : "west",
         spot,
-        Resources.offer(8, 0, 64));
+        Resources.ofCapacity(8, 0, 64));
   }
 
   private static final MachineAttributes A = site("n-1", 0, "small", false);
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -96,7 +96,7 @@
       Outcome<Revision> outcome =
           mute && !carriedOut ? Outcome.unknown("no answer") : core.compareAndSwap(compareAndSwap);
       afterEach.run();
-      clock.after(0.01, () -> out.complete(mute ? Outcome.unknown("no answer") : outcome));
+      clock.schedule(0.01, () -> out.complete(mute ? Outcome.unknown("no answer") : outcome));
       return out;
     }
 
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -310,7 +310,7 @@
               zone,
               zone == 0 ? "east" : "west",
               false,
-              Resources.offer(64, 0, 256));
+              Resources.ofCapacity(64, 0, 256));
       places.add(new Placement(i, site));
     }
     assertEquals(Optional.empty(), ledger.open(job, places, t -> false, clock.now()));
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 
 /** The urgency of writes. */
 class RecordWriteTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
 
   /** Starts are sent in the order of the opens; a stream of the same collection has another. */
   @Test
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Team;
 import org.ternhinge.ledger.Ledger.Placement;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
@@ -25,7 +25,7 @@
  * Whatever is admitted fits the key-value store's limit on values, and goes on fitting as it ends.
  */
 class SegmentCapacityTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
 
   private static ObjectNode json(String kind, int tasks) {
     return Specs.json("wk-1", kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
--- a/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
@@ -39,7 +39,7 @@
   }
 
   private static void open(Job job, int index) {
-    SteadyTime now = new SimClock().now();
+    MonotonicTime now = new SimClock().now();
     MachineAttributes site = TestMachines.on("n-1", 1);
     AttemptNumber number = new AttemptNumber(1);
     job.openMap()
--- a/src/test/java/org/ternhinge/ledger/TestMachines.java
+++ b/src/test/java/org/ternhinge/ledger/TestMachines.java
@@ -16,6 +16,6 @@
         0,
         "east",
         false,
-        Resources.offer(8, 0, 64));
+        Resources.ofCapacity(8, 0, 64));
   }
 }
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.ledger.WriteQueue.Urgency;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
 
@@ -28,7 +28,7 @@
   }
 
   private Map<Urgency, List<Job>> ready() {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     return queue.ready(now.plusSeconds(-GATHER_S), now.plusSeconds(-LATE_S));
   }
 
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -15,14 +15,14 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Heartbeat;
 
 /** Epochs, the order of messages, the lease and the fencing token of a worker agent. */
 class AgentStateTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
-  private static final SteadyTime LEASE_EXPIRY = NOW.plusSeconds(30);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
+  private static final MonotonicTime LEASE_EXPIRY = NOW.plusSeconds(30);
 
   private final AgentState agent = new AgentState(LEASE_EXPIRY);
 
--- a/src/test/java/org/ternhinge/machine/BootTimesTest.java
+++ b/src/test/java/org/ternhinge/machine/BootTimesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ternhinge.leadership.LeadershipFixture;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.MachineType;
 
 /** Which machines are late or given up, with a nominal boot time of 20 s. */
@@ -25,7 +25,7 @@
   private static final MachineType SMALL = TestMachineTypes.type("small", BOOT_S, "east", "west");
 
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final SteadyTime start = fixture.now();
+  private final MonotonicTime start = fixture.now();
   private final MachineRegistry machines = new MachineRegistry(start);
   private final MachineTypeCatalog types =
       new MachineTypeCatalog(null, fixture.executor, List.of(SMALL));
@@ -38,7 +38,7 @@
   }
 
   private void comeUp(Machine machine, double afterS) {
-    SteadyTime now = start.plusSeconds(afterS);
+    MonotonicTime now = start.plusSeconds(afterS);
     machine.agent().heard(now);
     bootTimes.cameUp(machine, now);
   }
@@ -49,10 +49,10 @@
 
   static Stream<Named<Consumer<Machine>>> reasonsNotToWait() {
     return Stream.of(
-        Named.of("heard", m -> m.agent().heard(new SteadyTime(0))),
+        Named.of("heard", m -> m.agent().heard(new MonotonicTime(0))),
         Named.of("released", m -> m.cloud().markReleasing()),
         Named.of("terminated", m -> m.cloud().markTerminated()),
-        Named.of("listed as running", m -> m.cloud().listed(new SteadyTime(0), true)));
+        Named.of("listed as running", m -> m.cloud().listed(new MonotonicTime(0), true)));
   }
 
   /** Machines that do not count as expected capacity. */
--- a/src/test/java/org/ternhinge/machine/CloudStatusTest.java
+++ b/src/test/java/org/ternhinge/machine/CloudStatusTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** A machine as the cloud sees it. */
 class CloudStatusTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
-  private static final SteadyTime LATER = NOW.plusSeconds(9);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
+  private static final MonotonicTime LATER = NOW.plusSeconds(9);
   private final CloudStatus cloud = new CloudStatus(NOW);
 
   @Test
--- a/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandOutboxTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.Command;
 
 /** The commands that wait for one worker. */
 class CommandOutboxTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private final CommandOutbox outbox = new CommandOutbox();
 
   private static Command command(int index) {
--- a/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
+++ b/src/test/java/org/ternhinge/machine/CommandReachabilityTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** When a machine counts as unreachable by commands, and how often it is probed then. */
 class CommandReachabilityTest {
-  private static final SteadyTime START = new SteadyTime(0);
+  private static final MonotonicTime START = new MonotonicTime(0);
   private final CommandReachability reachability = new CommandReachability();
 
   /** N: no effect, E: took effect, A: answered, L: lease lapsed; small: others have it too. */
--- a/src/test/java/org/ternhinge/machine/JobFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/JobFailuresTest.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
 
 /** Back-off and avoided machines of a job that fails. */
@@ -16,7 +16,7 @@
    */
   @Test
   void aMachineIsAvoidedForAWhileAndCountedForEver() {
-    SteadyTime start = new SimClock().now();
+    MonotonicTime start = new SimClock().now();
     MachineId first = new MachineId("n-1");
     MachineId second = new MachineId("n-2");
     JobFailures failures = new JobFailures();
--- a/src/test/java/org/ternhinge/machine/MachineHealthTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineHealthTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Quarantine, refusals and the failures that are attributed to a machine. */
 class MachineHealthTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final JobId JOB = new JobId("wk-1");
   private static final JobId OTHER_JOB = new JobId("wk-2");
   private final MachineHealth health = new MachineHealth();
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Machines that come, go and must not come back. */
 class MachineRegistryTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final MachineId FIRST = new MachineId("n-1");
   private static final MachineId SECOND = new MachineId("n-2");
-  private final SteadyTime leaseEnd = NOW.plusSeconds(40);
+  private final MonotonicTime leaseEnd = NOW.plusSeconds(40);
   private final MachineRegistry registry = new MachineRegistry(leaseEnd);
 
   @Test
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -19,12 +19,12 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot;
 
 /** The cached view of a machine, and the state that it is built of. */
 class MachineTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final JobId JOB = new JobId("wk-1");
   private static final JobId OTHER_JOB = new JobId("wk-2");
 
@@ -53,7 +53,7 @@
   }
 
   private static Machine.Reservation reservation(JobId job, double untilS) {
-    return new Machine.Reservation(job, Resources.offer(1, 0, 1), NOW.plusSeconds(untilS));
+    return new Machine.Reservation(job, Resources.ofCapacity(1, 0, 1), NOW.plusSeconds(untilS));
   }
 
   /** When the planner's view is built again. */
--- a/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ReportedTaskCountsTest.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.TaskState;
@@ -17,7 +17,7 @@
 
 /** Which tasks the heartbeats of machines list. */
 class ReportedTaskCountsTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final TaskId TASK = new TaskId(new JobId("wk-1"), 0);
   private static final TaskStatus RUNNING = status(TaskState.RUNNING, null);
   private static final TaskStatus ENDED = status(TaskState.ENDED, EndReason.DONE);
--- a/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
+++ b/src/test/java/org/ternhinge/machine/RetrySlotsTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Retries of all jobs at a bounded rate. */
 class RetrySlotsTest {
-  private static final SteadyTime ORIGIN = new SteadyTime(0);
+  private static final MonotonicTime ORIGIN = new MonotonicTime(0);
   private final RetrySlots slots = new RetrySlots(0.5, ORIGIN);
 
-  private static SteadyTime at(double seconds) {
+  private static MonotonicTime at(double seconds) {
     return ORIGIN.plusSeconds(seconds);
   }
 
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 
 /** Whether failures of tasks are attributed to machines or to jobs, and what follows. */
@@ -25,7 +25,7 @@
   private static final double SLOT_S = 0.02;
 
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final SteadyTime start = fixture.now();
+  private final MonotonicTime start = fixture.now();
   private final TaskFailures failures =
       new TaskFailures(fixture.ledger, fixture.machines, CHANGES_PER_S, start);
   private final JobBackoff backoff = failures.jobBackoff();
@@ -46,7 +46,7 @@
     return healthy;
   }
 
-  private void failOnThreeMachines(SteadyTime now) {
+  private void failOnThreeMachines(MonotonicTime now) {
     for (Machine machine : List.of(first, second, third)) {
       failures.failed(machine, job, now);
     }
@@ -175,7 +175,7 @@
     @Test
     void blocksFurtherTasksWhileOneIsTried() {
       failOnThreeMachines(start);
-      SteadyTime later = start.plusSeconds(10);
+      MonotonicTime later = start.plusSeconds(10);
       assertFalse(backoff.isBlocked(job, later));
       fixture.open(job, 0, first);
       assertTrue(backoff.isBlocked(job, later));
--- a/src/test/java/org/ternhinge/machine/TestMachineTypes.java
+++ b/src/test/java/org/ternhinge/machine/TestMachineTypes.java
@@ -11,6 +11,6 @@
   /** A type of 8 CPUs that is offered in some zones. */
   public static MachineType type(String name, double bootS, String... zones) {
     return new MachineType(
-        name, Resources.offer(8, 0, 64), 8, 0, 64, 100, 1, 1.0, 0.4, bootS, List.of(zones));
+        name, Resources.ofCapacity(8, 0, 64), 8, 0, 64, 100, 1, 1.0, 0.4, bootS, List.of(zones));
   }
 }
--- a/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
+++ b/src/test/java/org/ternhinge/machine/ZoneMachineCountsTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Machines of a group by zone. */
 class ZoneMachineCountsTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final List<String> ZONES = List.of("east", "west", "south");
 
   private static Machine machine(String zone) {
--- a/src/test/java/org/ternhinge/model/LockedExecutorTest.java
+++ b/src/test/java/org/ternhinge/model/LockedExecutorTest.java
@@ -27,7 +27,7 @@
     executor.execute(this::note);
     executor.guarded(this::note).run();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(call, result -> note());
+    executor.whenComplete(call, result -> note());
     call.complete(Outcome.applied("answer"));
     assertEquals(List.of(true, true, true), held);
     assertFalse(lock.isLocked());
@@ -48,7 +48,7 @@
   void aHandlerGetsAnOutcomeHoweverTheCallEnds(boolean fails) {
     List<Outcome<String>> results = new ArrayList<>();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(call, results::add);
+    executor.whenComplete(call, results::add);
     if (fails) {
       call.completeExceptionally(new IllegalStateException("no answer"));
     } else {
@@ -61,12 +61,12 @@
   @Test
   void theLockIsFreeAgainAfterAHandlerThatThrows() {
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(
+    executor.whenComplete(
         call,
         result -> {
           throw new IllegalStateException("in the handler");
         });
-    executor.whenAnswered(call, result -> note());
+    executor.whenComplete(call, result -> note());
     call.complete(Outcome.applied("answer"));
     assertEquals(List.of(true), held);
     assertFalse(lock.isLocked());
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ModelTest.java
@@ -44,10 +44,10 @@
 
   @Test
   void sumsOfManyTasksNeverOverfill() {
-    Resources third = Resources.need(1.0 / 3, 0, 0.1);
-    assertEquals(2, third.timesIn(Resources.offer(1, 0, 10)), "a third is rounded up");
-    Resources tenth = Resources.need(0.1, 0, 0.1);
-    assertEquals(10, tenth.timesIn(Resources.offer(1, 0, 1)), "tenths stay exact");
+    Resources third = Resources.ofRequest(1.0 / 3, 0, 0.1);
+    assertEquals(2, third.countFittingIn(Resources.ofCapacity(1, 0, 10)), "a third is rounded up");
+    Resources tenth = Resources.ofRequest(0.1, 0, 0.1);
+    assertEquals(10, tenth.countFittingIn(Resources.ofCapacity(1, 0, 1)), "tenths stay exact");
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -28,12 +28,12 @@
   void requestsAndResponsesSurviveTheLink() {
     Request asked = new Request("POST", "/submissions/wk-1/cancel", new byte[] {1, 2});
     RequestFrame request =
-        assertInstanceOf(RequestFrame.class, Frame.read(body(new RequestFrame(7, asked).encode())));
+        assertInstanceOf(RequestFrame.class, Frame.decode(body(new RequestFrame(7, asked).encode())));
     assertEquals(7, request.id());
     assertEquals(asked.path(), request.request().path());
     assertArrayEquals(asked.body(), request.request().body());
     ByteBuffer answer = new ResponseFrame(8, new Response(503, new byte[3], 2)).encode();
-    ResponseFrame response = assertInstanceOf(ResponseFrame.class, Frame.read(body(answer)));
+    ResponseFrame response = assertInstanceOf(ResponseFrame.class, Frame.decode(body(answer)));
     assertEquals(8, response.id());
     assertEquals(503, response.response().status());
     assertEquals(2, response.response().retryAfterS());
@@ -44,14 +44,14 @@
   void cutOffFramesThrow(int length) {
     ByteBuffer frame = body(new RequestFrame(7, Request.get("/submissions/wk-1")).encode());
     frame.limit(4 + length);
-    assertThrows(RuntimeException.class, () -> Frame.read(frame));
+    assertThrows(RuntimeException.class, () -> Frame.decode(frame));
   }
 
   @Test
   void aLengthThatLiesThrows() {
     ByteBuffer frame = ByteBuffer.allocate(17).putLong(1).put((byte) 2).putInt(200).putInt(0);
     frame.putInt(13, 1_000_000).position(0);
-    assertThrows(RuntimeException.class, () -> Frame.read(frame));
+    assertThrows(RuntimeException.class, () -> Frame.decode(frame));
   }
 
   /** What the version in production sends: during an upgrade both versions are on the link. */
@@ -112,7 +112,7 @@
   }
 
   private static Frame parse(String hex) {
-    return Frame.read(body(ByteBuffer.wrap(HexFormat.of().parseHex(hex))));
+    return Frame.decode(body(ByteBuffer.wrap(HexFormat.of().parseHex(hex))));
   }
 
   private static String hexOf(ByteBuffer frame) {
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -44,7 +44,7 @@
   private static Optional<Response> ask(PeerLink link, String node, double timeoutS)
       throws Exception {
     CompletableFuture<Optional<Response>> answer = new CompletableFuture<>();
-    link.ask(node, REQUEST, timeoutS, answer::complete);
+    link.send(node, REQUEST, timeoutS, answer::complete);
     return answer.get(30, TimeUnit.SECONDS);
   }
 
@@ -56,7 +56,7 @@
       Response response = ask(link, "node-1", LONG_S).orElseThrow();
       assertEquals(201, response.status());
       assertArrayEquals(REQUEST.body(), response.body());
-      link.reset("node-1");
+      link.closeConnection("node-1");
     }
   }
 
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -96,7 +96,7 @@
   @Test
   void anUnreadableCopyIsIgnored() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
-    AsyncCalls.ignore(
+    AsyncCalls.logExceptions(
         store.compareAndSwap(
             new CompareAndSwap(List.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
--- a/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
+++ b/src/test/java/org/ternhinge/request/HeartbeatRelayPolicyTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** When a worker's heartbeat is relayed to the leader. */
 class HeartbeatRelayPolicyTest {
@@ -24,7 +24,7 @@
     HeartbeatRelayPolicy policy = new HeartbeatRelayPolicy();
     StringBuilder seen = new StringBuilder();
     for (String t : times.split(" ", -1)) {
-      SteadyTime at = new SteadyTime(0).plusSeconds(Double.parseDouble(t));
+      MonotonicTime at = new MonotonicTime(0).plusSeconds(Double.parseDouble(t));
       seen.append(policy.shouldRelay(WORKER, at) ? '-' : 'R');
     }
     assertEquals(expected, seen.toString());
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -39,7 +39,7 @@
   private void put(String key, ObjectNode value) {
     CompareAndSwap compareAndSwap =
         new CompareAndSwap(List.of(), List.of(new Change.Put(key, value, 0)));
-    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
+    AsyncCalls.logExceptions(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
   }
 
   /** Stores jobs such as {@code 1:batch 2:done 3:cancelled 4:batch<1.3}. */
@@ -68,7 +68,7 @@
 
   private String found() {
     if (result instanceof JobLookup.Found found) {
-      return found.state().phase().word() + (found.service() ? " service" : "");
+      return found.state().phase().wireName() + (found.service() ? " service" : "");
     }
     return result instanceof JobLookup.Absent ? "absent" : "unavailable";
   }
--- a/src/test/java/org/ternhinge/request/SharedLookupsTest.java
+++ b/src/test/java/org/ternhinge/request/SharedLookupsTest.java
@@ -30,7 +30,7 @@
   }
 
   private static String phase(JobLookup.Result result) {
-    return ((JobLookup.Found) result).state().phase().word();
+    return ((JobLookup.Found) result).state().phase().wireName();
   }
 
   private void answer(int lookup, JobState.Phase phase) {
--- a/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
+++ b/src/test/java/org/ternhinge/request/SubmissionForwarderTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 
 /** To which nodes a submission is forwarded, and which answer is passed on. */
 class SubmissionForwarderTest {
@@ -30,7 +30,7 @@
   private final List<String> paths = new ArrayList<>();
   private final List<String> reset = new ArrayList<>();
   private Response answer;
-  private Optional<DependencyVerdict> verdict = Optional.empty();
+  private Optional<DependencyCheckResult> verdict = Optional.empty();
 
   private final PeerTransport peers =
       new PeerTransport() {
@@ -139,12 +139,12 @@
   @ParameterizedTest(name = "cancelled {0}")
   @CsvSource({"false", "true"})
   void theResultOfTheDependencyCheckIsForwarded(boolean cancelled) {
-    verdict = Optional.of(new DependencyVerdict(cancelled));
+    verdict = Optional.of(new DependencyCheckResult(cancelled));
     answers("b=201");
     forward(null, true);
     assertTrue(DependentSubmissionPath.matches(paths.get(0)));
     assertEquals(verdict, DependentSubmissionPath.verdictIn(paths.get(0)));
-    assertEquals(verdict, DependencyVerdict.read(verdict.get().write()));
+    assertEquals(verdict, DependencyCheckResult.read(verdict.get().write()));
   }
 
   @ParameterizedTest(name = "{0}")
@@ -157,6 +157,6 @@
   })
   void anAnswerWithoutVerdictHasNone(String body) {
     assertEquals(
-        Optional.empty(), DependencyVerdict.read(body.getBytes(StandardCharsets.US_ASCII)));
+        Optional.empty(), DependencyCheckResult.read(body.getBytes(StandardCharsets.US_ASCII)));
   }
 }
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Objective;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 
 /** Which jobs are expected to arrive next. */
 class ArrivalRatesTest {
-  private static final SteadyTime START = new SteadyTime(0);
+  private static final MonotonicTime START = new MonotonicTime(0);
 
   /**
    * Room is kept for 45 s of arrivals and their deviation, where jobs have to start sooner than a
@@ -39,7 +39,7 @@
                 new Objective("wait", Optional.of("c"), maxWaitS),
                 new Objective("finished", Optional.of("c"), 1),
                 new Objective("wait", Optional.empty(), 1)));
-    SteadyTime now = START;
+    MonotonicTime now = START;
     for (int i = 0; i < arrivals; i++) {
       now = START.plusSeconds(i * apartS);
       rates.recordArrival(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
--- a/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
+++ b/src/test/java/org/ternhinge/scaling/OfferBackoffTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Pauses of offers for which the cloud lacks capacity. */
 class OfferBackoffTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final OfferKey OFFER = new OfferKey("small", "east", true);
   private final OfferBackoff backoff = new OfferBackoff();
 
--- a/src/test/java/org/ternhinge/scaling/ScalingFixture.java
+++ b/src/test/java/org/ternhinge/scaling/ScalingFixture.java
@@ -10,7 +10,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.TestMachineTypes;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
@@ -20,7 +20,7 @@
 
   final LeadershipFixture leadership = new LeadershipFixture();
   final ScriptedCloud cloud = new ScriptedCloud();
-  final SteadyTime start = leadership.now();
+  final MonotonicTime start = leadership.now();
   final LeadershipContext context =
       new LeadershipContext(
           leadership.services(cloud),
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 
 /** Which idle machines are released, with leases of 10 s and a nominal boot time of 20 s. */
@@ -20,7 +20,7 @@
   private static final double LEASE_S = 10;
 
   private final ScalingFixture fixture = new ScalingFixture();
-  private final SteadyTime start = fixture.start;
+  private final MonotonicTime start = fixture.start;
   private final UnusableMachineCheck check =
       new UnusableMachineCheck(
           fixture.context,
--- a/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
+++ b/src/test/java/org/ternhinge/schedule/MachinesWithRoomTest.java
@@ -13,7 +13,7 @@
   private static final JobSpec WHOLE_MACHINE = spec("wk-1", "batch", 1, Map.of("cpus", 4.0));
 
   private final MachinesWithRoom machinesWithRoom =
-      new MachinesWithRoom(WHOLE_MACHINE.need().cpus());
+      new MachinesWithRoom(WHOLE_MACHINE.taskResources().cpus());
 
   private MachineCapacity add(String name) {
     MachineCapacity machine = new MachineCapacity(machine(name, PLAIN, 0, Set.of()));
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
@@ -25,11 +25,11 @@
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
-      new MachineType("plain", Resources.offer(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
+      new MachineType("plain", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
   static final MachineType FAST =
-      new MachineType("fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
+      new MachineType("fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
 
-  static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
+  static final MonotonicTime NOW = new MonotonicTime(1_000_000_000_000L);
 
   /** Seconds without a start after which a job is overdue. */
   private static final double OVERDUE_S = 120;
@@ -46,8 +46,8 @@
       String name, MachineType machineType, int zone, Set<String> images, AttemptView... attempts) {
     Resources free = machineType.capacity();
     for (AttemptView attempt : attempts) {
-      free = free.minus(attempt.spec().need());
-      use.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
+      free = free.minus(attempt.spec().taskResources());
+      use.merge(attempt.spec().team(), attempt.spec().taskResources(), Resources::plus);
     }
     MachineView machine =
         new MachineView(
--- a/src/test/java/org/ternhinge/sim/CancellationCheck.java
+++ b/src/test/java/org/ternhinge/sim/CancellationCheck.java
@@ -35,7 +35,7 @@
   /** A user has received the answer that a job is cancelled. */
   void confirmed(JobId id) {
     if (confirmedAt.putIfAbsent(id, clock.seconds()) == null) {
-      clock.after(ClusterSettings.CANCEL_S + TOLERANCE_S, () -> assertNoTaskRuns(id));
+      clock.schedule(ClusterSettings.CANCEL_S + TOLERANCE_S, () -> assertNoTaskRuns(id));
     }
   }
 
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -58,7 +58,7 @@
   private <T> CompletableFuture<Outcome<T>> send(double limitS, Supplier<Outcome<T>> work) {
     calls++;
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
-    clock.after(limitS, () -> result.complete(Outcome.unknown("no answer in time")));
+    clock.schedule(limitS, () -> result.complete(Outcome.unknown("no answer in time")));
     afterDelay(
         () -> {
           Outcome<T> outcome = refuses ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
@@ -68,13 +68,13 @@
   }
 
   private void afterDelay(Runnable action) {
-    clock.after(delayS.getAsDouble(), action);
+    clock.schedule(delayS.getAsDouble(), action);
   }
 
   @Override
   public CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<WatchResult>> result = new CompletableFuture<>();
-    clock.after(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
+    clock.schedule(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
     afterDelay(
         () ->
             core()
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.ternhinge.http.Request;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.WireException;
 
@@ -17,7 +17,7 @@
   private final SimCluster cluster;
   private final Map<MachineId, byte[]> last = new HashMap<>();
   private double duplicateShare;
-  private SteadyTime duplicateUntil;
+  private MonotonicTime duplicateUntil;
 
   HeartbeatHistory(SimCluster cluster) {
     this.cluster = cluster;
@@ -40,7 +40,7 @@
     if (duplicates && cluster.random.nextDouble() < duplicateShare) {
       double late = 1 + cluster.random.nextDouble() * LATEST_LEASES * ClusterSettings.LEASE_S;
       int to = cluster.random.nextInt(cluster.nodeCount());
-      cluster.clock.after(
+      cluster.clock.schedule(
           late, () -> cluster.controllers.deliver(to, request(heartbeat), answer -> {}));
     }
   }
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Faults of machines and of their links: cuts, lost commands, lost heartbeats, hangs, restarts, and
@@ -23,14 +23,14 @@
   /** Machines whose next heartbeat is delayed, with the delay in seconds. */
   private final Map<MachineId, Double> heartbeatDelaysS = new HashMap<>();
 
-  private final Map<String, SteadyTime> zonesCutUntil = new HashMap<>();
+  private final Map<String, MonotonicTime> zonesCutUntil = new HashMap<>();
 
   MachineFaults(SimCluster cluster, RandomGenerator random) {
     this.cluster = cluster;
     this.random = random;
   }
 
-  private SteadyTime in(double seconds) {
+  private MonotonicTime in(double seconds) {
     return cluster.clock.now().plusSeconds(seconds);
   }
 
@@ -186,7 +186,7 @@
     if (seconds == null) {
       return false;
     }
-    cluster.clock.after(seconds, () -> deliverLate(heartbeat));
+    cluster.clock.schedule(seconds, () -> deliverLate(heartbeat));
     return true;
   }
 
--- a/src/test/java/org/ternhinge/sim/MachineHang.java
+++ b/src/test/java/org/ternhinge/sim/MachineHang.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Whether a machine hangs. While it does, it executes nothing, and what arrives waits in order; its
@@ -11,8 +11,8 @@
 final class MachineHang {
   private final SimClock clock;
   private final List<Runnable> waiting = new ArrayList<>();
-  private SteadyTime until;
-  private SteadyTime from;
+  private MonotonicTime until;
+  private MonotonicTime from;
   private double earlierHangsS;
 
   MachineHang(SimClock clock) {
@@ -25,7 +25,7 @@
 
   /** Stops executing for so long; a hang that is under way may become longer. */
   void begin(double seconds) {
-    SteadyTime end = clock.now().plusSeconds(seconds);
+    MonotonicTime end = clock.now().plusSeconds(seconds);
     if (until == null) {
       from = clock.now();
       until = end;
@@ -64,7 +64,7 @@
   /** Runs an action after so many seconds in which the machine did execute. */
   void afterWork(double seconds, Runnable action) {
     double before = hungSeconds();
-    clock.after(
+    clock.schedule(
         seconds,
         () -> {
           double lost = hungSeconds() - before;
--- a/src/test/java/org/ternhinge/sim/MachineLinks.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinks.java
@@ -1,13 +1,13 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** The links of one machine: which messages to and from it are lost at present. */
 final class MachineLinks {
   private final SimClock clock;
-  private SteadyTime cutUntil;
-  private SteadyTime inboundLostUntil;
-  private SteadyTime heartbeatsLostUntil;
+  private MonotonicTime cutUntil;
+  private MonotonicTime inboundLostUntil;
+  private MonotonicTime heartbeatsLostUntil;
 
   /** Creates links that lose nothing. */
   MachineLinks(SimClock clock) {
@@ -23,7 +23,7 @@
   }
 
   /** Until a time nothing passes in either direction. */
-  void cutUntil(SteadyTime end) {
+  void cutUntil(MonotonicTime end) {
     cutUntil = end;
   }
 
@@ -54,11 +54,11 @@
     return !isCut() && !losesInbound() && !losesHeartbeats();
   }
 
-  private SteadyTime in(double seconds) {
+  private MonotonicTime in(double seconds) {
     return clock.now().plusSeconds(seconds);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean lasts(MonotonicTime until) {
     return clock.now().isBefore(until);
   }
 }
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Faults of the network between controllers, zones and the region, and slow links. */
 public final class NetworkFaults {
@@ -21,11 +21,11 @@
   private final SimNetwork network;
   private final SimKeyValueStore store;
   private final RandomGenerator random;
-  private final SteadyTime[] cutFromWorkersUntil;
-  private final SteadyTime[] cutFromPeersUntil;
+  private final MonotonicTime[] cutFromWorkersUntil;
+  private final MonotonicTime[] cutFromPeersUntil;
   private String zoneCut;
-  private SteadyTime zoneCutUntil;
-  private SteadyTime partitionedUntil;
+  private MonotonicTime zoneCutUntil;
+  private MonotonicTime partitionedUntil;
 
   NetworkFaults(
       SimClock clock,
@@ -37,20 +37,20 @@
     this.network = network;
     this.store = store;
     this.random = random;
-    this.cutFromWorkersUntil = new SteadyTime[controllers];
-    this.cutFromPeersUntil = new SteadyTime[controllers];
+    this.cutFromWorkersUntil = new MonotonicTime[controllers];
+    this.cutFromPeersUntil = new MonotonicTime[controllers];
   }
 
-  private SteadyTime in(double seconds) {
+  private MonotonicTime in(double seconds) {
     return clock.now().plusSeconds(seconds);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean lasts(MonotonicTime until) {
     return until != null && clock.now().isBefore(until);
   }
 
   /** Like {@link #lasts}, its last moment included. */
-  private boolean lastsThrough(SteadyTime until) {
+  private boolean lastsThrough(MonotonicTime until) {
     return until != null && !until.isBefore(clock.now());
   }
 
@@ -101,7 +101,7 @@
   public void cutZone(String zone, double seconds) {
     zoneCut = zone;
     zoneCutUntil = in(seconds);
-    clock.after(seconds + WAKE_AFTER_S, store::wakeWatches);
+    clock.schedule(seconds + WAKE_AFTER_S, store::wakeWatches);
   }
 
   /** The two zones can't reach each other, while each reaches the region. */
@@ -128,7 +128,7 @@
   }
 
   private double endsIn(String one, String other) {
-    SteadyTime until = cutOff(one, other) ? zoneCutUntil : partitionedUntil;
+    MonotonicTime until = cutOff(one, other) ? zoneCutUntil : partitionedUntil;
     return until.secondsSince(clock.now());
   }
 
@@ -156,7 +156,7 @@
     }
     boolean refused = random.nextBoolean();
     if (!refused) {
-      clock.after(endsIn(one, other) + AFTER_CUT_S, () -> work.accept(answer -> {}));
+      clock.schedule(endsIn(one, other) + AFTER_CUT_S, () -> work.accept(answer -> {}));
     }
     return network.fail(refused, timeoutS);
   }
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -30,7 +30,7 @@
     }
     Map<String, Integer> zones = tasksByZone.computeIfAbsent(task.job(), unused -> new HashMap<>());
     zones.merge(machine.zone, 1, Integer::sum);
-    if (spec.together() && zones.size() > 1) {
+    if (spec.singleZone() && zones.size() > 1) {
       violations.add("wrong_place: " + task + " apart from its gang");
     }
     if (zones.get(machine.zone) > spec.zoneLimit()) {
--- a/src/test/java/org/ternhinge/sim/QuotaCheck.java
+++ b/src/test/java/org/ternhinge/sim/QuotaCheck.java
@@ -21,7 +21,7 @@
   @Override
   public void started(Start start) {
     JobSpec spec = start.spec();
-    Resources sum = used.merge(spec.team(), spec.need(), Resources::plus);
+    Resources sum = used.merge(spec.team(), spec.taskResources(), Resources::plus);
     if (!within(teams.get(spec.team()), sum)) {
       violations.add("quota: " + spec.team() + " uses " + sum);
     }
@@ -29,13 +29,13 @@
 
   @Override
   public void left(SimWorker machine, TaskId task, JobSpec spec) {
-    used.computeIfPresent(spec.team(), (team, sum) -> sum.minus(spec.need()));
+    used.computeIfPresent(spec.team(), (team, sum) -> sum.minus(spec.taskResources()));
   }
 
   /** Whether a job's team could run so many more of its tasks. */
   boolean hasRoomFor(JobSpec spec, int tasks) {
-    Resources sum = used.getOrDefault(spec.team(), Resources.offer(0, 0, 0));
-    return within(teams.get(spec.team()), sum.plus(spec.need().times(tasks)));
+    Resources sum = used.getOrDefault(spec.team(), Resources.ofCapacity(0, 0, 0));
+    return within(teams.get(spec.team()), sum.plus(spec.taskResources().times(tasks)));
   }
 
   private static boolean within(Team team, Resources sum) {
--- a/src/test/java/org/ternhinge/sim/SimClock.java
+++ b/src/test/java/org/ternhinge/sim/SimClock.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Virtual time: events run in order of their time, then of their making. */
 public final class SimClock implements Clock {
@@ -15,8 +15,8 @@
   private long made;
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(nanos);
+  public MonotonicTime now() {
+    return new MonotonicTime(nanos);
   }
 
   /** Seconds since the clock began. */
@@ -25,12 +25,12 @@
   }
 
   @Override
-  public long wallMillis() {
+  public long wallClockMillis() {
     return 1_700_000_000_000L + nanos / 1_000_000;
   }
 
   @Override
-  public void after(double seconds, Runnable action) {
+  public void schedule(double seconds, Runnable action) {
     events.add(new Event(nanos + Math.max(0, (long) (seconds * 1e9)), made++, action));
   }
 
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -88,7 +88,7 @@
             && !page.get(page.size() - 1).equals(provisioned.get(provisioned.size() - 1));
     ListedMachine.Page answer = new ListedMachine.Page(page, more);
     CompletableFuture<Outcome<ListedMachine.Page>> out = new CompletableFuture<>();
-    cluster.clock.after(LIST_S, () -> out.complete(Outcome.applied(answer)));
+    cluster.clock.schedule(LIST_S, () -> out.complete(Outcome.applied(answer)));
     return owner.guard(out);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -37,10 +37,10 @@
       return counted(send(endpoint, term, epoch, commands, maySend));
     }
     CompletableFuture<Outcome<Answer>> answer = new CompletableFuture<>();
-    owner.after(
+    owner.schedule(
         cluster.connectS,
         () ->
-            AsyncCalls.whenAnswered(
+            AsyncCalls.whenComplete(
                 send(endpoint, term, epoch, commands, maySend), answer::complete));
     return counted(answer);
   }
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -10,7 +10,7 @@
 import org.ternhinge.http.Request;
 import org.ternhinge.http.Response;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.request.PeerTransport;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.term.ControllerServices;
@@ -32,7 +32,7 @@
   private boolean alive = true;
 
   /** Until then the process is paused while its clocks run on. */
-  private SteadyTime pausedUntil = new SteadyTime(0);
+  private MonotonicTime pausedUntil = new MonotonicTime(0);
 
   SimController(SimCluster cluster, int index) {
     this.cluster = cluster;
@@ -54,7 +54,7 @@
             new SimCommandClient(cluster, this),
             this,
             lock,
-            action -> after(HAND_OVER_S, action),
+            action -> schedule(HAND_OVER_S, action),
             cluster.metrics);
     Election election =
         new Election(
@@ -110,7 +110,7 @@
     }
     double leftS = pausedUntil.secondsSince(now());
     if (leftS > 0) {
-      cluster.clock.after(leftS, () -> whenRunning(action));
+      cluster.clock.schedule(leftS, () -> whenRunning(action));
     } else {
       action.run();
     }
@@ -158,17 +158,17 @@
   }
 
   @Override
-  public SteadyTime now() {
+  public MonotonicTime now() {
     return cluster.clock.now();
   }
 
   @Override
-  public long wallMillis() {
-    return cluster.clock.wallMillis();
+  public long wallClockMillis() {
+    return cluster.clock.wallClockMillis();
   }
 
   @Override
-  public void after(double seconds, Runnable action) {
-    cluster.clock.after(seconds, () -> whenRunning(action));
+  public void schedule(double seconds, Runnable action) {
+    cluster.clock.schedule(seconds, () -> whenRunning(action));
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimControllers.java
+++ b/src/test/java/org/ternhinge/sim/SimControllers.java
@@ -60,7 +60,7 @@
     }
     processes[index].kill();
     processes[index] = null;
-    cluster.clock.after(backAfterS, () -> start(index));
+    cluster.clock.schedule(backAfterS, () -> start(index));
   }
 
   /** Pauses a controller's process for a while; its clocks run on. */
@@ -94,7 +94,7 @@
             () -> false,
             USER_TIMEOUT_S,
             to -> deliver(index, request, response -> to.accept(Outcome.applied(response))));
-    AsyncCalls.whenAnswered(call, outcome -> answer.accept(responseOf(outcome).orElse(null)));
+    AsyncCalls.whenComplete(call, outcome -> answer.accept(responseOf(outcome).orElse(null)));
   }
 
   /** Delivers a heartbeat to a controller; the answer is null where none comes within a second. */
@@ -128,7 +128,7 @@
             () -> faults.cutFromPeers(from.index()) || faults.cutFromPeers(index),
             timeoutS,
             back -> deliverFromPeer(index, request, back));
-    AsyncCalls.whenAnswered(from.guard(call), outcome -> answer.accept(responseOf(outcome)));
+    AsyncCalls.whenComplete(from.guard(call), outcome -> answer.accept(responseOf(outcome)));
   }
 
   private void deliverFromPeer(int index, Request request, Consumer<Outcome<Response>> back) {
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
@@ -31,15 +31,15 @@
   private final SimClock clock;
   private final StoreCore contents;
   private final StoreLimits limits;
-  private final SteadyTime[] refusedUntil;
-  private SteadyTime outageUntil;
+  private final MonotonicTime[] refusedUntil;
+  private MonotonicTime outageUntil;
   private Consumer<Change> changeListener = change -> {};
 
   SimKeyValueStore(SimClock clock, int controllers, SimCluster.Limits limits) {
     this.clock = clock;
     this.contents = new StoreCore(clock);
     this.limits = new StoreLimits(clock, limits);
-    this.refusedUntil = new SteadyTime[controllers];
+    this.refusedUntil = new MonotonicTime[controllers];
   }
 
   /** Passes every change of an applied transaction to a listener. */
@@ -57,14 +57,14 @@
   void outage(double seconds) {
     outageUntil = clock.now().plusSeconds(seconds);
     contents.hold(seconds);
-    clock.after(seconds, contents::renewAll);
-    clock.after(seconds + AFTER_S, this::wakeWatches);
+    clock.schedule(seconds, contents::renewAll);
+    clock.schedule(seconds + AFTER_S, this::wakeWatches);
   }
 
   /** Refuses one controller alone, whose leases may run out meanwhile. */
   void refuse(int controller, double seconds) {
     refusedUntil[controller] = clock.now().plusSeconds(seconds);
-    clock.after(seconds + AFTER_S, this::wakeWatches);
+    clock.schedule(seconds + AFTER_S, this::wakeWatches);
   }
 
   /** Whether a controller is refused now, alone or with all others. */
@@ -72,7 +72,7 @@
     return lasts(outageUntil) || lasts(refusedUntil[controller]);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean lasts(MonotonicTime until) {
     return until != null && !until.isBefore(clock.now());
   }
 
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -30,25 +30,25 @@
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
     if (cut.get()) {
       if (!holdsBack || random.nextDouble() < 0.5) {
-        clock.after(1, () -> result.complete(Outcome.notApplied(Reason.NO_CONNECTION, "cut")));
+        clock.schedule(1, () -> result.complete(Outcome.notApplied(Reason.NO_CONNECTION, "cut")));
         return result;
       }
       // Held back by the cut and delivered long after the sender has given up.
-      clock.after(timeoutS, () -> result.complete(Outcome.unknown("cut")));
-      clock.after(5 + random.nextDouble() * 60, () -> work.accept(o -> {}));
+      clock.schedule(timeoutS, () -> result.complete(Outcome.unknown("cut")));
+      clock.schedule(5 + random.nextDouble() * 60, () -> work.accept(o -> {}));
       return result;
     }
     boolean late = random.nextDouble() < lossShare;
     boolean lost = random.nextDouble() < lossShare;
     double there = late ? timeoutS * (0.5 + random.nextDouble() * 8) : delay();
-    clock.after(timeoutS, () -> result.complete(Outcome.unknown("timeout")));
-    clock.after(
+    clock.schedule(timeoutS, () -> result.complete(Outcome.unknown("timeout")));
+    clock.schedule(
         there,
         () ->
             work.accept(
                 o -> {
                   if (!lost) {
-                    clock.after(delay(), () -> result.complete(o));
+                    clock.schedule(delay(), () -> result.complete(o));
                   }
                 }));
     return result;
@@ -57,7 +57,7 @@
   /** A call whose request is lost: refused at once or never answered. */
   <T> CompletableFuture<Outcome<T>> fail(boolean refused, double timeoutS) {
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
-    clock.after(
+    clock.schedule(
         refused ? Math.min(1, timeoutS) : timeoutS,
         () ->
             result.complete(
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/SimStock.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.ListedMachine;
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
@@ -20,7 +20,7 @@
   private final SimCluster cluster;
   private final Map<String, List<MachineId>> provisions = new HashMap<>();
   private final TreeMap<MachineId, Booting> booting = new TreeMap<>();
-  private final Map<MachineId, SteadyTime> provisionedAt = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> provisionedAt = new HashMap<>();
   private int everProvisioned;
 
   SimStock(SimCluster cluster) {
@@ -76,7 +76,7 @@
     double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
     double bootS = usualS * cluster.bootFaults.factor(request);
     if (!cluster.bootFaults.neverComesUp(everProvisioned - 1)) {
-      cluster.clock.after(bootS, () -> comesUp(id));
+      cluster.clock.schedule(bootS, () -> comesUp(id));
     }
     return id;
   }
@@ -99,7 +99,7 @@
 
   /** All machines that are provisioned, as they were some time ago, in the order of their names. */
   List<ListedMachine> list() {
-    SteadyTime then = cluster.clock.now().plusSeconds(-cluster.bootFaults.listLagS());
+    MonotonicTime then = cluster.clock.now().plusSeconds(-cluster.bootFaults.listLagS());
     TreeMap<MachineId, ListedMachine> machines = new TreeMap<>();
     booting.forEach(
         (id, machine) -> {
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -135,7 +135,7 @@
     cluster.counts.storeChanges(swap.changes().size());
     double late = faults.lateBy();
     if (late > 0) {
-      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), swap));
+      cluster.clock.schedule(late, () -> service.compareAndSwap(owner.index(), swap));
       return timeouts.measure(
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -31,7 +31,7 @@
   final MachineType machineType;
   final String zone;
   final boolean spot;
-  final SteadyTime startedAt;
+  final MonotonicTime startedAt;
   private final MachineHang hang;
   private final MachineLinks links;
   private final SimTaskRunner tasks;
@@ -40,7 +40,7 @@
   private int epoch = 1;
   private long sequence;
   private Term fencingToken = Term.NONE;
-  private SteadyTime leaseFrom;
+  private MonotonicTime leaseFrom;
 
   /** Heartbeats that were sent. */
   private int heartbeats;
@@ -97,7 +97,7 @@
   /** Stops executing; a hang that is under way may become longer. */
   void hang(double seconds) {
     hang.begin(seconds);
-    cluster.clock.after(seconds, this::resume);
+    cluster.clock.schedule(seconds, this::resume);
   }
 
   private void resume() {
@@ -125,7 +125,7 @@
   // ---- lease ----------------------------------------------------------------------------------
 
   private void watchLease() {
-    cluster.clock.after(
+    cluster.clock.schedule(
         LEASE_CHECK_S,
         () -> {
           if (dead) {
@@ -162,7 +162,7 @@
   /** Sends a heartbeat after a short delay, unless another one is sent meanwhile. */
   private void heartbeatSoon() {
     int before = heartbeats;
-    cluster.clock.after(
+    cluster.clock.schedule(
         HEARTBEAT_GAP_S,
         () -> {
           if (!dead && !hung() && heartbeats == before) {
@@ -191,15 +191,15 @@
     }
     int number = ++heartbeats;
     int inEpoch = epoch;
-    SteadyTime sent = cluster.clock.now();
+    MonotonicTime sent = cluster.clock.now();
     byte[] body = Json.bytes(nextHeartbeat().write());
     cluster.machines.heartbeatHistory().sent(id, body);
-    AsyncCalls.whenAnswered(
+    AsyncCalls.whenComplete(
         transport.send(body, target.controller()),
         outcome -> answered(outcome, inEpoch, sent, number));
   }
 
-  private void answered(Outcome<Response> outcome, int inEpoch, SteadyTime sent, int number) {
+  private void answered(Outcome<Response> outcome, int inEpoch, MonotonicTime sent, int number) {
     if (dead) {
       return;
     }
@@ -220,7 +220,7 @@
     } else {
       nextS = target.next();
     }
-    cluster.clock.after(
+    cluster.clock.schedule(
         nextS,
         () -> {
           if (heartbeats == number) {
@@ -230,7 +230,7 @@
   }
 
   /** Applies an answer to a heartbeat: its fencing token, its lease renewal and its commands. */
-  private void accept(byte[] body, SteadyTime sent) {
+  private void accept(byte[] body, MonotonicTime sent) {
     Term answered = HeartbeatResponses.fencingToken(body);
     if (answered.compareTo(fencingToken) < 0) {
       return;
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -54,7 +54,7 @@
     if (!cluster.quota.hasRoomFor(spec, wanted)) {
       return false;
     }
-    if (!spec.together()) {
+    if (!spec.singleZone()) {
       return placesIn(null, spec, wanted) >= wanted;
     }
     for (String zone : cluster.settings.zones()) {
@@ -70,15 +70,15 @@
     Map<String, Integer> byZone = new HashMap<>(cluster.placement.tasksByZone(spec.id()));
     int places = 0;
     for (SimWorker worker : cluster.machines.live()) {
-      boolean elsewhere = spec.together() && elsewhere(byZone, worker.zone);
+      boolean elsewhere = spec.singleZone() && elsewhere(byZone, worker.zone);
       if (!isReachable(worker) || !allowed(spec, worker, zone) || elsewhere) {
         continue;
       }
       Resources left = cluster.tasks.free(worker);
       while (places < wanted
-          && spec.need().fitsIn(left)
+          && spec.taskResources().fitsIn(left)
           && byZone.getOrDefault(worker.zone, 0) < spec.zoneLimit()) {
-        left = left.minus(spec.need());
+        left = left.minus(spec.taskResources());
         byZone.merge(worker.zone, 1, Integer::sum);
         places++;
       }
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/StoreCore.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -24,7 +24,7 @@
 public final class StoreCore {
   private record Value(JsonNode value, long revision, long lease) {}
 
-  private record Lease(double lifeS, SteadyTime ends) {}
+  private record Lease(double lifeS, MonotonicTime ends) {}
 
   private record Watch(
       String prefix,
@@ -116,7 +116,7 @@
   }
 
   private void expireLater(long id, double seconds) {
-    clock.after(
+    clock.schedule(
         seconds + 0.05,
         () -> {
           Lease lease = leases.get(id);
@@ -181,13 +181,13 @@
     Watch watch = new Watch(prefix, from, suspended, to);
     if (!answer(watch, false)) {
       watches.add(watch);
-      clock.after(waitS, () -> endWatch(watch));
+      clock.schedule(waitS, () -> endWatch(watch));
     }
   }
 
   private void endWatch(Watch watch) {
     if (watch.suspended.getAsBoolean()) {
-      clock.after(0.1, () -> endWatch(watch));
+      clock.schedule(0.1, () -> endWatch(watch));
     } else if (watches.remove(watch)) {
       answer(watch, true);
     }
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -1,7 +1,7 @@
 package org.ternhinge.sim;
 
 import java.util.random.RandomGenerator;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Faults of the key-value store: outages, refusals of single controllers, late transactions, slow
@@ -15,9 +15,9 @@
   private final SimKeyValueStore service;
   private final RandomGenerator random;
   private double lateShare;
-  private SteadyTime lateUntil;
+  private MonotonicTime lateUntil;
   private double latencyS;
-  private SteadyTime slowUntil;
+  private MonotonicTime slowUntil;
 
   StoreFaults(SimClock clock, SimKeyValueStore service, RandomGenerator random) {
     this.clock = clock;
@@ -25,7 +25,7 @@
     this.random = random;
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean lasts(MonotonicTime until) {
     return until != null && clock.now().isBefore(until);
   }
 
@@ -42,7 +42,7 @@
   /** Again and again the service refuses whoever leads by then. */
   public void refuseLeaders(int times, double everyS, double refusedS) {
     for (int i = 0; i < times; i++) {
-      clock.after(i * everyS, () -> refuseLeader(refusedS));
+      clock.schedule(i * everyS, () -> refuseLeader(refusedS));
     }
   }
 
@@ -77,7 +77,7 @@
       work.run();
       return;
     }
-    clock.after(latencyS * (0.25 + random.nextDouble() * 0.75) / 2, work);
+    clock.schedule(latencyS * (0.25 + random.nextDouble() * 0.75) / 2, work);
   }
 
   /**
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
@@ -40,7 +40,7 @@
     assertEquals("img-7", spec.image());
     assertEquals(List.of("small", "fast"), spec.types());
     assertEquals(Optional.of("west"), spec.zone());
-    assertTrue(spec.together() && spec.isGang());
+    assertTrue(spec.singleZone() && spec.isGang());
     assertEquals(40, spec.estimateS());
     assertEquals(30, spec.checkpointIntervalS());
     assertEquals(5, spec.checkpointSaveS());
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -156,7 +156,7 @@
     for (var e : running.entrySet()) {
       if (e.getValue().contains(machine.id())) {
         JobSpec spec = jobs.spec(e.getKey().job());
-        left = left.minus(spec.need());
+        left = left.minus(spec.taskResources());
       }
     }
     return left;
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -34,7 +34,7 @@
         UserRequests.cancellation(id),
         answer -> {
           if (!accept(id, accepted, answer) && repeats > 0) {
-            cluster.clock.after(REPEATED_AFTER_S, () -> send(id, repeats - 1));
+            cluster.clock.schedule(REPEATED_AFTER_S, () -> send(id, repeats - 1));
           }
         });
   }
@@ -50,7 +50,7 @@
         UserRequests.cancellation(id),
         answer -> {
           if (!accept(id, accepted, answer)) {
-            cluster.clock.after(REPEATED_AFTER_S, () -> cancelAt(controller, id, then));
+            cluster.clock.schedule(REPEATED_AFTER_S, () -> cancelAt(controller, id, then));
           } else if (answer.status() == 200) {
             then.run();
           }
@@ -88,8 +88,8 @@
           double[] delays = {0, random.nextDouble() * 0.05, 0.2 + random.nextDouble()};
           cancel(id);
           for (double delay : delays) {
-            cluster.clock.after(delay, () -> polls.poll(id));
-            cluster.clock.after(delay, () -> polls.repeatSubmission(id, jobs.body(id)));
+            cluster.clock.schedule(delay, () -> polls.poll(id));
+            cluster.clock.schedule(delay, () -> polls.repeatSubmission(id, jobs.body(id)));
           }
         });
   }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -61,7 +61,7 @@
     } else if (status == 400 || status == 422) {
       jobs.violation("refused: " + spec.id() + " with " + status);
     } else if (now < jobs.submittedAt(spec.id()) + REPEATED_FOR_S) {
-      cluster.clock.after(REPEATED_AFTER_S, () -> send(request, spec));
+      cluster.clock.schedule(REPEATED_AFTER_S, () -> send(request, spec));
     }
   }
 
@@ -86,7 +86,7 @@
   void submitPending() {
     for (Pending waiting : List.copyOf(pending)) {
       if (isReady(waiting) && pending.remove(waiting)) {
-        cluster.clock.after(Math.max(0, waiting.lateS), () -> submit(waiting.body));
+        cluster.clock.schedule(Math.max(0, waiting.lateS), () -> submit(waiting.body));
       }
     }
   }
--- a/src/test/java/org/ternhinge/wire/CommandTest.java
+++ b/src/test/java/org/ternhinge/wire/CommandTest.java
@@ -23,7 +23,7 @@
             new Command(Op.START, TASK, ATTEMPT, 0),
             new Command(Op.STOP, TASK, ATTEMPT, 4.5),
             new Command(Op.FORGET, TASK, ATTEMPT, 0));
-    assertEquals(commands, Command.read(Json.parse(Command.answer(new Term(41), commands))));
+    assertEquals(commands, Command.read(Json.parse(Command.heartbeatResponse(new Term(41), commands))));
   }
 
   @Test
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -72,11 +72,11 @@
     List<Command> commands =
         op == null ? List.of() : List.of(new Command(op, task, new AttemptNumber(2), 4.5));
     String json = expected.replace('\'', '"');
-    assertEquals(Json.parse(bytes(json)), Json.parse(Command.answer(new Term(41), commands)));
+    assertEquals(Json.parse(bytes(json)), Json.parse(Command.heartbeatResponse(new Term(41), commands)));
     String order = json.replace("41,", "41,\"vakt\":7,");
     assertEquals(
         Json.parse(bytes(order)),
-        Json.parse(Command.body(new Term(41), new AgentEpoch(7), commands)));
+        Json.parse(Command.directCommandsBody(new Term(41), new AgentEpoch(7), commands)));
   }
 
   @Test
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -11,14 +11,14 @@
 import org.pcollections.TreePSet;
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
 /** The events about displaced tasks. */
 class DisplacementLogTest {
-  private static final SteadyTime START = new SteadyTime(0);
+  private static final MonotonicTime START = new MonotonicTime(0);
   private static final JobSpec JOB = Specs.of(Specs.json("wk-1", "batch", 9));
 
   private final DisplacementLog log =
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
@@ -34,7 +34,7 @@
 
   private final Map<JobId, DisplacedWork.TaskState> states = new HashMap<>();
   private final Set<JobId> unplaceable = new HashSet<>();
-  private SteadyTime now = new SteadyTime(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private FailoverQueue queue = new FailoverQueue(RELEASE, order, 1000, now);
 
   private final DisplacedWork work =
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.sim.SimMachineTypes;
@@ -34,7 +34,7 @@
   private static final JobId GANG = new JobId("wk-2");
   private static final int MACHINES = 40;
 
-  private SteadyTime now = new SteadyTime(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private ZoneFailover failover;
 
   /** Machines n-0 to n-39 lie in the first zone, n-40 to n-79 in the second, and so on. */
@@ -172,7 +172,7 @@
     loseAndReturn();
     Plan plan = new Plan();
     MachineId machine = new MachineId("n-50");
-    Resources room = Resources.need(1, 0, 1);
+    Resources room = Resources.ofRequest(1, 0, 1);
     plan.preemptions()
         .add(new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
     Plan.Preemption forAnother =
@@ -212,7 +212,7 @@
         Set.of(),
         true,
         40,
-        new SteadyTime(0));
+        new MonotonicTime(0));
   }
 
   private static Snapshot.MachineView machine(int zone) {
@@ -225,8 +225,8 @@
         SimMachineTypes.ALL.get(0).capacity(),
         true,
         Set.of(),
-        new SteadyTime(0),
-        new SteadyTime(0),
+        new MonotonicTime(0),
+        new MonotonicTime(0),
         List.of(),
         List.of());
   }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** The states of zones, from scripts of impaired machines by time. */
 class ZoneHealthTest {
@@ -19,7 +19,7 @@
 
   private final FleetAssessment assessment = new FleetAssessment(SETTINGS, LEASE_S);
   private List<ZoneHealth> zones = new ArrayList<>();
-  private SteadyTime now = new SteadyTime(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private final List<String> states = new ArrayList<>();
 
   private void begin(int count) {
--- a/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneRecordTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
@@ -18,7 +18,7 @@
  */
 class ZoneRecordTest {
   private static final long WALL = 1_700_000_000_000L;
-  private static final SteadyTime NOW = new SteadyTime(500_000_000_000L);
+  private static final MonotonicTime NOW = new MonotonicTime(500_000_000_000L);
 
   @Test
   void theNextLeaderContinuesFromTheRecord() {
@@ -37,7 +37,7 @@
         ZoneRecord.write(Map.of("west", lost, "east", ZoneHealth.available(NOW)), NOW, WALL);
     assertTrue(Json.bytes(record).length < 200, "a few bytes a zone");
     // Another process with another steady clock, three seconds later.
-    SteadyTime later = new SteadyTime(42);
+    MonotonicTime later = new MonotonicTime(42);
     ZoneHealth read = ZoneRecord.read(record, later, WALL + 3000).get("west");
     assertEquals(ZoneState.RECOVERING, read.state());
     assertEquals(10, later.secondsSince(read.since()), 0.01);
