--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -49,7 +49,7 @@
   }
 
   private static Optional<SubmissionRejection> rejectZones(JobSpec spec, int tasksAtOnce) {
-    boolean tooManyForOneZone = spec.spreadAcrossZones() && tasksAtOnce > spec.zoneLimit();
+    boolean tooManyForOneZone = spec.spreadAcrossZones() && tasksAtOnce > spec.maxTasksPerZone();
     if (tooManyForOneZone && spec.zone().isPresent()) {
       return Optional.of(SubmissionRejection.SCATTERED_IN_ONE_ZONE);
     }
--- a/src/main/java/org/ternhinge/http/BoundedAggregator.java
+++ b/src/main/java/org/ternhinge/http/BoundedAggregator.java
@@ -22,10 +22,10 @@
 
   @Override
   protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-    FullHttpResponse refusal =
+    FullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.BAD_REQUEST);
-    refusal.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    ctx.writeAndFlush(refusal).addListener(ChannelFutureListener.CLOSE);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
   }
 }
--- a/src/main/java/org/ternhinge/http/ClientResponseHandler.java
+++ b/src/main/java/org/ternhinge/http/ClientResponseHandler.java
@@ -13,7 +13,7 @@
   private final ConnectionPool pool;
 
   /** The call whose response is awaited; null while the connection is idle. */
-  private PendingCall call;
+  private PendingCall pendingCall;
 
   /**
    * Creates the handler of one connection.
@@ -25,48 +25,48 @@
   }
 
   /** The next response on this connection belongs to the call. */
-  void await(PendingCall next) {
-    call = next;
+  void expect(PendingCall next) {
+    pendingCall = next;
   }
 
-  private PendingCall takeCall() {
-    PendingCall current = call;
-    call = null;
+  private PendingCall takePendingCall() {
+    PendingCall current = pendingCall;
+    pendingCall = null;
     return current;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    PendingCall answered = takeCall();
-    if (answered == null || response.decoderResult().isFailure()) {
+    PendingCall completed = takePendingCall();
+    if (completed == null || response.decoderResult().isFailure()) {
       Channels.close(ctx);
-      if (answered != null) {
-        answered.finish(Outcome.unknown("unreadable answer"));
+      if (completed != null) {
+        completed.complete(Outcome.unknown("unreadable answer"));
       }
       return;
     }
     byte[] body = new byte[response.content().readableBytes()];
     response.content().readBytes(body);
     if (HttpUtil.isKeepAlive(response)) {
-      pool.release(answered.endpoint(), ctx.channel());
+      pool.release(completed.endpoint(), ctx.channel());
     } else {
       Channels.close(ctx);
     }
-    answered.finish(Outcome.applied(new ClientResponse(response.status().code(), body)));
+    completed.complete(Outcome.applied(new ClientResponse(response.status().code(), body)));
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (call != null) {
-      takeCall().finish(Outcome.unknown("connection lost"));
+    if (pendingCall != null) {
+      takePendingCall().complete(Outcome.unknown("connection lost"));
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (cause instanceof TooLongFrameException && call != null && call.isGet()) {
+    if (cause instanceof TooLongFrameException && pendingCall != null && pendingCall.isGet()) {
       // The same request would get the same response: its sender has to read in pages instead.
-      takeCall().finish(Outcome.notApplied(Reason.TOO_LARGE, "answer too large"));
+      takePendingCall().complete(Outcome.notApplied(Reason.TOO_LARGE, "answer too large"));
     }
     Channels.close(ctx);
   }
--- a/src/main/java/org/ternhinge/http/HttpServer.java
+++ b/src/main/java/org/ternhinge/http/HttpServer.java
@@ -31,9 +31,9 @@
     /**
      * Answers a request, now or later, from any thread.
      *
-     * @param answer to be called exactly once
+     * @param responder to be called exactly once
      */
-    void handle(Request request, Consumer<Response> answer);
+    void handle(Request request, Consumer<Response> responder);
   }
 
   private final EventLoopGroup loop;
@@ -46,8 +46,8 @@
    *
    * @param workersPath path that only workers request; their connections count as workers'
    */
-  public HttpServer(EventLoopGroup loop, Handler handler, SocketBudget shares, String workersPath) {
-    this(loop, handler, shares, workersPath, inbound -> {});
+  public HttpServer(EventLoopGroup loop, Handler handler, SocketBudget budget, String workersPath) {
+    this(loop, handler, budget, workersPath, inbound -> {});
   }
 
   /**
@@ -59,22 +59,22 @@
   public HttpServer(
       EventLoopGroup loop,
       Handler handler,
-      SocketBudget shares,
+      SocketBudget budget,
       String workersPath,
       PooledHttpClient client) {
-    this(loop, handler, shares, workersPath, client::inboundConnectionsChanged);
+    this(loop, handler, budget, workersPath, client::inboundConnectionsChanged);
   }
 
   private HttpServer(
       EventLoopGroup loop,
       Handler handler,
-      SocketBudget shares,
+      SocketBudget budget,
       String workersPath,
       IntConsumer connectionListener) {
     this.loop = loop;
     this.handler = handler;
     this.workersPath = workersPath;
-    this.connections = new InboundConnections(shares, connectionListener);
+    this.connections = new InboundConnections(budget, connectionListener);
   }
 
   /**
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -8,44 +8,44 @@
  * on the event loop alone.
  */
 final class InboundConnections {
-  private final SocketBudget shares;
+  private final SocketBudget budget;
   private final IntConsumer listener;
-  private int open;
-  private int openToWorkers;
+  private int openConnections;
+  private int openWorkerConnections;
 
   /**
    * Creates a counter at zero.
    *
    * @param listener gets the number of open connections after each change
    */
-  InboundConnections(SocketBudget shares, IntConsumer listener) {
-    this.shares = shares;
+  InboundConnections(SocketBudget budget, IntConsumer listener) {
+    this.budget = budget;
     this.listener = listener;
   }
 
   /** Counts a new connection until it closes; false, and not counted, if there are too many. */
   boolean tryAdd(Channel channel) {
-    if (open >= shares.maxInbound()) {
+    if (openConnections >= budget.maxInbound()) {
       return false;
     }
-    change(1);
-    Channels.onClose(channel, () -> change(-1));
+    adjust(1);
+    Channels.onClose(channel, () -> adjust(-1));
     return true;
   }
 
-  private void change(int difference) {
-    open += difference;
-    listener.accept(open);
+  private void adjust(int delta) {
+    openConnections += delta;
+    listener.accept(openConnections);
   }
 
   /** Counts a connection, which {@link #tryAdd} has counted, as a worker's until it closes. */
   void addWorker(Channel channel) {
-    openToWorkers++;
-    Channels.onClose(channel, () -> openToWorkers--);
+    openWorkerConnections++;
+    Channels.onClose(channel, () -> openWorkerConnections--);
   }
 
   /** Whether more connections of workers are open than their share. */
   boolean exceedsWorkerLimit() {
-    return openToWorkers > shares.maxPersistentWorkers();
+    return openWorkerConnections > budget.maxPersistentWorkers();
   }
 }
--- a/src/main/java/org/ternhinge/http/PendingCall.java
+++ b/src/main/java/org/ternhinge/http/PendingCall.java
@@ -67,8 +67,8 @@
   }
 
   /** Writes the request to a connection. */
-  void write(Channel to) {
-    channel = to;
+  void write(Channel connection) {
+    channel = connection;
     byte[] body = request.body();
     boolean hasBody = body.length > 0;
     ByteBuf content = hasBody ? Unpooled.wrappedBuffer(body) : Unpooled.EMPTY_BUFFER;
@@ -85,15 +85,15 @@
 
   private void timeOut() {
     if (channel == null) {
-      finish(Outcome.notApplied(Reason.NO_CONNECTION, "no connection in time"));
+      complete(Outcome.notApplied(Reason.NO_CONNECTION, "no connection in time"));
     } else {
-      finish(Outcome.unknown("no answer in time"));
+      complete(Outcome.unknown("no answer in time"));
       Channels.close(channel);
     }
   }
 
   /** Ends the call; a second outcome has no effect. */
-  void finish(Outcome<ClientResponse> outcome) {
+  void complete(Outcome<ClientResponse> outcome) {
     timer.cancel(false);
     result.complete(outcome);
   }
--- a/src/main/java/org/ternhinge/http/PooledHttpClient.java
+++ b/src/main/java/org/ternhinge/http/PooledHttpClient.java
@@ -34,24 +34,24 @@
   private static final int MILLIS_PER_S = 1000;
 
   private final EventLoop loop;
-  private final SocketBudget shares;
+  private final SocketBudget budget;
   private final ConnectionPool pool;
 
   /**
    * Creates a client without connections.
    *
-   * @param shares limits the idle connections. With one to each of hundreds of workers, beside one
+   * @param budget limits the idle connections. With one to each of hundreds of workers, beside one
    *     from each of them, a process would come close to its limit of sockets
    */
-  public PooledHttpClient(EventLoop loop, SocketBudget shares) {
+  public PooledHttpClient(EventLoop loop, SocketBudget budget) {
     this.loop = loop;
-    this.shares = shares;
-    this.pool = new ConnectionPool(shares.minIdleOutbound());
+    this.budget = budget;
+    this.pool = new ConnectionPool(budget.minIdleOutbound());
   }
 
   /** Adapts the limit of idle connections to the number of inbound ones; on the event loop. */
   void inboundConnectionsChanged(int inbound) {
-    pool.setMaxIdle(shares.maxIdleOutbound(inbound));
+    pool.setMaxIdle(budget.maxIdleOutbound(inbound));
   }
 
   /** Sends a request. */
@@ -87,7 +87,7 @@
   }
 
   private void connect(PendingCall call, double connectTimeoutS) {
-    ChannelFuture connecting =
+    ChannelFuture connectFuture =
         new Bootstrap()
             .group(loop)
             .channel(NioSocketChannel.class)
@@ -95,14 +95,14 @@
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (connectTimeoutS * MILLIS_PER_S))
             .handler(initializer())
             .connect(call.endpoint().host(), call.endpoint().port());
-    connecting.addListener(
+    connectFuture.addListener(
         done -> {
           if (!done.isSuccess()) {
-            call.finish(Outcome.notApplied(Reason.NO_CONNECTION, String.valueOf(done.cause())));
+            call.complete(Outcome.notApplied(Reason.NO_CONNECTION, String.valueOf(done.cause())));
           } else if (call.isDone()) {
-            pool.release(call.endpoint(), connecting.channel());
+            pool.release(call.endpoint(), connectFuture.channel());
           } else {
-            send(call, connecting.channel());
+            send(call, connectFuture.channel());
           }
         });
   }
@@ -123,10 +123,10 @@
   private void send(PendingCall call, Channel channel) {
     if (!call.maySend()) {
       pool.release(call.endpoint(), channel);
-      call.finish(Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
+      call.complete(Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
       return;
     }
-    channel.pipeline().get(ClientResponseHandler.class).await(call);
+    channel.pipeline().get(ClientResponseHandler.class).expect(call);
     call.write(channel);
   }
 
--- a/src/main/java/org/ternhinge/http/ServerConnection.java
+++ b/src/main/java/org/ternhinge/http/ServerConnection.java
@@ -31,7 +31,7 @@
   private final InboundConnections connections;
   private final String workersPath;
   private boolean awaitingResponse;
-  private boolean worker;
+  private boolean fromWorker;
 
   /**
    * Creates the handler of one connection.
@@ -50,8 +50,8 @@
       send(ctx, Response.of(HttpResponseStatus.BAD_REQUEST.code()), false);
       return;
     }
-    Request request = read(message);
-    boolean keepAlive = HttpUtil.isKeepAlive(message) && !exceedsShare(ctx, request.path());
+    Request request = toRequest(message);
+    boolean keepAlive = HttpUtil.isKeepAlive(message) && !exceedsWorkerLimit(ctx, request.path());
     awaitingResponse = true;
     try {
       handler.handle(
@@ -62,7 +62,7 @@
     }
   }
 
-  private static Request read(FullHttpRequest message) {
+  private static Request toRequest(FullHttpRequest message) {
     byte[] body = new byte[message.content().readableBytes()];
     message.content().readBytes(body);
     String uri = message.uri();
@@ -76,12 +76,12 @@
    * have to reconnect for each request, so that users and health probes find a socket however many
    * machines there are.
    */
-  private boolean exceedsShare(ChannelHandlerContext ctx, String path) {
-    if (!worker && path.equals(workersPath)) {
-      worker = true;
+  private boolean exceedsWorkerLimit(ChannelHandlerContext ctx, String path) {
+    if (!fromWorker && path.equals(workersPath)) {
+      fromWorker = true;
       connections.addWorker(ctx.channel());
     }
-    return worker && connections.exceedsWorkerLimit();
+    return fromWorker && connections.exceedsWorkerLimit();
   }
 
   private void send(ChannelHandlerContext ctx, Response response, boolean keepAlive) {
@@ -89,13 +89,13 @@
     if (!ctx.channel().isActive()) {
       return;
     }
-    var done = ctx.writeAndFlush(message(response, keepAlive));
+    var written = ctx.writeAndFlush(toHttpMessage(response, keepAlive));
     if (!keepAlive) {
-      var unused = done.addListener(ChannelFutureListener.CLOSE);
+      var unused = written.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  private static FullHttpResponse message(Response response, boolean keepAlive) {
+  private static FullHttpResponse toHttpMessage(Response response, boolean keepAlive) {
     FullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
--- a/src/main/java/org/ternhinge/http/ServiceClient.java
+++ b/src/main/java/org/ternhinge/http/ServiceClient.java
@@ -20,7 +20,7 @@
   /** Maps a response with any status but 200 to an outcome. */
   public interface ErrorMapper {
     /** The outcome of a request that got this response. */
-    <T> Outcome<T> outcomeOf(ClientResponse reply);
+    <T> Outcome<T> outcomeOf(ClientResponse response);
   }
 
   private final PooledHttpClient http;
@@ -47,26 +47,26 @@
       CallTimeouts timeouts,
       Function<byte[], Outcome<T>> decoder) {
     if (!tryTakeToken.getAsBoolean()) {
-      return CompletableFuture.completedFuture(noTokens());
+      return CompletableFuture.completedFuture(rateLimited());
     }
     return http.call(endpoint, request, timeouts)
-        .thenApply(outcome -> outcome.flatMap(reply -> decode(request, reply, decoder)));
+        .thenApply(outcome -> outcome.flatMap(response -> decode(request, response, decoder)));
   }
 
   /** The outcome of a call for which no token was left; nothing was sent. */
-  public static <T> Outcome<T> noTokens() {
+  public static <T> Outcome<T> rateLimited() {
     return Outcome.notApplied(Reason.RATE_LIMITED, "no tokens");
   }
 
   /** The outcome of a call that was answered with a status that the protocol does not define. */
-  public static <T> Outcome<T> unexpectedStatus(ClientResponse reply) {
-    return Outcome.unknown("status " + reply.status());
+  public static <T> Outcome<T> unexpectedStatus(ClientResponse response) {
+    return Outcome.unknown("status " + response.status());
   }
 
   private <T> Outcome<T> decode(
-      Request request, ClientResponse reply, Function<byte[], Outcome<T>> decoder) {
+      Request request, ClientResponse response, Function<byte[], Outcome<T>> decoder) {
     try {
-      return reply.status() == OK ? decoder.apply(reply.body()) : errors.outcomeOf(reply);
+      return response.status() == OK ? decoder.apply(response.body()) : errors.outcomeOf(response);
     } catch (RuntimeException e) {
       LOG.error("the answer to {} {} can't be decoded", request.method(), request.path(), e);
       return Outcome.unknown(e.toString());
--- a/src/main/java/org/ternhinge/ledger/Admission.java
+++ b/src/main/java/org/ternhinge/ledger/Admission.java
@@ -152,7 +152,7 @@
 
     private Optional<AdmissionRefusal> checkZone(int zone) {
       int tasks = tasksByZone.merge(zone, 1, Integer::sum);
-      if (tasks > spec.zoneLimit()) {
+      if (tasks > spec.maxTasksPerZone()) {
         return Optional.of(AdmissionRefusal.ZONE_LIMIT);
       }
       return refuseIf(spec.singleZone() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
--- a/src/main/java/org/ternhinge/model/Resources.java
+++ b/src/main/java/org/ternhinge/model/Resources.java
@@ -13,7 +13,7 @@
   /** Nothing at all. */
   public static final Resources ZERO = new Resources(0, 0, 0);
 
-  private static final double UNITS_PER_WHOLE = 1000;
+  private static final double MILLIS_PER_UNIT = 1000;
 
   /** Error of a decimal number in binary, in units, which must not count as a whole unit. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
@@ -43,11 +43,11 @@
   }
 
   private static long roundUp(double amount) {
-    return (long) Math.ceil(amount * UNITS_PER_WHOLE - ROUNDING_TOLERANCE);
+    return (long) Math.ceil(amount * MILLIS_PER_UNIT - ROUNDING_TOLERANCE);
   }
 
   private static long roundDown(double amount) {
-    return (long) Math.floor(amount * UNITS_PER_WHOLE + ROUNDING_TOLERANCE);
+    return (long) Math.floor(amount * MILLIS_PER_UNIT + ROUNDING_TOLERANCE);
   }
 
   /** The sum of both. */
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -32,11 +32,11 @@
     public ByteBuffer encode() {
       byte[] method = request.method().getBytes(StandardCharsets.UTF_8);
       byte[] path = request.path().getBytes(StandardCharsets.UTF_8);
-      int size = size(method) + size(path) + size(request.body());
-      ByteBuffer out = begin(id, REQUEST, size);
-      put(out, method);
-      put(out, path);
-      put(out, request.body());
+      int size = encodedSize(method) + encodedSize(path) + encodedSize(request.body());
+      ByteBuffer out = allocateWithHeader(id, REQUEST, size);
+      writeBytes(out, method);
+      writeBytes(out, path);
+      writeBytes(out, request.body());
       return out.flip();
     }
   }
@@ -45,9 +45,9 @@
   record ResponseFrame(long id, Response response) implements Frame {
     @Override
     public ByteBuffer encode() {
-      ByteBuffer out = begin(id, RESPONSE, 2 * Integer.BYTES + size(response.body()));
+      ByteBuffer out = allocateWithHeader(id, RESPONSE, 2 * Integer.BYTES + encodedSize(response.body()));
       out.putInt(response.status()).putInt(response.retryAfterS());
-      put(out, response.body());
+      writeBytes(out, response.body());
       return out.flip();
     }
   }
@@ -61,32 +61,32 @@
     long id = in.getLong();
     byte type = in.get();
     if (type == REQUEST) {
-      String method = new String(take(in), StandardCharsets.UTF_8);
-      String path = new String(take(in), StandardCharsets.UTF_8);
-      return new RequestFrame(id, new Request(method, path, take(in)));
+      String method = new String(readBytes(in), StandardCharsets.UTF_8);
+      String path = new String(readBytes(in), StandardCharsets.UTF_8);
+      return new RequestFrame(id, new Request(method, path, readBytes(in)));
     }
     if (type == RESPONSE) {
       int status = in.getInt();
       int retryAfterS = in.getInt();
-      return new ResponseFrame(id, new Response(status, take(in), retryAfterS));
+      return new ResponseFrame(id, new Response(status, readBytes(in), retryAfterS));
     }
     throw new IllegalArgumentException("frame type " + type);
   }
 
-  private static ByteBuffer begin(long id, byte type, int contentBytes) {
+  private static ByteBuffer allocateWithHeader(long id, byte type, int contentBytes) {
     int size = Long.BYTES + Byte.BYTES + contentBytes;
     return ByteBuffer.allocate(LENGTH_BYTES + size).putInt(size).putLong(id).put(type);
   }
 
-  private static int size(byte[] bytes) {
+  private static int encodedSize(byte[] bytes) {
     return LENGTH_BYTES + bytes.length;
   }
 
-  private static void put(ByteBuffer out, byte[] bytes) {
+  private static void writeBytes(ByteBuffer out, byte[] bytes) {
     out.putInt(bytes.length).put(bytes);
   }
 
-  private static byte[] take(ByteBuffer in) {
+  private static byte[] readBytes(ByteBuffer in) {
     int length = in.getInt();
     if (length < 0 || length > in.remaining()) {
       throw new IllegalArgumentException("length " + length);
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -94,17 +94,17 @@
    * Sends a request to another controller.
    *
    * @param timeoutS limit of the whole call, in seconds
-   * @param answer gets the response once, or nothing when none came in time; on the event loop
+   * @param callback gets the response once, or nothing when none came in time; on the event loop
    */
   public void send(
-      String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
-    loop.execute(() -> sendOnLoop(node, request, timeoutS, answer));
+      String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
+    loop.execute(() -> sendOnLoop(node, request, timeoutS, callback));
   }
 
   private void sendOnLoop(
-      String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
+      String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
     Frame.RequestFrame frame = new Frame.RequestFrame(++lastId, request);
-    pendingById.put(frame.id(), answer);
+    pendingById.put(frame.id(), callback);
     var unused = Channels.schedule(loop, timeoutS, () -> complete(frame.id(), Optional.empty()));
     Channel open = channelByNode.get(node);
     Endpoint endpoint = peers.get(node);
@@ -117,7 +117,7 @@
     }
   }
 
-  private void connect(String node, Endpoint endpoint, Frame first) {
+  private void connect(String node, Endpoint endpoint, Frame firstFrame) {
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -125,28 +125,28 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(initializer())
         .connect(endpoint.host(), endpoint.port())
-        .addListener((ChannelFuture done) -> connected(node, done, first));
+        .addListener((ChannelFuture connectFuture) -> onConnected(node, connectFuture, firstFrame));
   }
 
-  private void connected(String node, ChannelFuture done, Frame first) {
-    if (!done.isSuccess()) {
-      complete(first.id(), Optional.empty());
+  private void onConnected(String node, ChannelFuture connectFuture, Frame firstFrame) {
+    if (!connectFuture.isSuccess()) {
+      complete(firstFrame.id(), Optional.empty());
       return;
     }
-    Channel channel = done.channel();
+    Channel channel = connectFuture.channel();
     Channel previous = channelByNode.put(node, channel);
     if (previous != null && previous != channel) {
       Channels.close(previous);
     }
     Channels.onClose(channel, () -> channelByNode.remove(node, channel));
-    write(channel, first);
+    write(channel, firstFrame);
   }
 
   /** Completes a request unless it is completed already. */
   private void complete(long id, Optional<Response> response) {
-    Consumer<Optional<Response>> answer = pendingById.remove(id);
-    if (answer != null) {
-      answer.accept(response);
+    Consumer<Optional<Response>> callback = pendingById.remove(id);
+    if (callback != null) {
+      callback.accept(response);
     }
   }
 
@@ -170,10 +170,10 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
       Frame frame = Frame.decode(in.nioBuffer());
-      if (frame instanceof Frame.ResponseFrame answered) {
-        complete(answered.id(), Optional.of(answered.response()));
-      } else if (frame instanceof Frame.RequestFrame asked) {
-        handler.handle(asked.request(), response -> respond(ctx, asked.id(), response));
+      if (frame instanceof Frame.ResponseFrame responseFrame) {
+        complete(responseFrame.id(), Optional.of(responseFrame.response()));
+      } else if (frame instanceof Frame.RequestFrame requestFrame) {
+        handler.handle(requestFrame.request(), response -> respond(ctx, requestFrame.id(), response));
       }
     }
 
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -174,7 +174,7 @@
     }
 
     private JobState initialState() {
-      JobState.Phase phase = verdict.map(DependencyCheckResult::phase).orElse(JobState.Phase.QUEUED);
+      JobState.Phase phase = verdict.map(DependencyCheckResult::initialPhase).orElse(JobState.Phase.QUEUED);
       return new JobState(id, phase, 0, 0);
     }
 
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -229,6 +229,6 @@
   private boolean zoneAllows(JobSpec spec, MachineCapacity from, MachineCapacity to) {
     return from.zone() == to.zone()
         || !spec.spreadAcrossZones()
-        || replicasByZone.get(spec)[to.zone()] < spec.zoneLimit();
+        || replicasByZone.get(spec)[to.zone()] < spec.maxTasksPerZone();
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -197,7 +197,7 @@
 
   /** Whether another task of a job may go to a zone, given its tasks by zone. */
   static boolean zoneAllows(JobSpec spec, int[] tasksByZone, int zone) {
-    if (tasksByZone[zone] >= spec.zoneLimit()) {
+    if (tasksByZone[zone] >= spec.maxTasksPerZone()) {
       return false;
     }
     if (spec.singleZone()) {
--- a/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
+++ b/src/main/java/org/ternhinge/schedule/UnplaceableRequests.java
@@ -98,7 +98,7 @@
       return;
     }
     for (int tasks : tasksByZone) {
-      if (tasks >= spec.zoneLimit() || (spec.singleZone() && tasks > 0)) {
+      if (tasks >= spec.maxTasksPerZone() || (spec.singleZone() && tasks > 0)) {
         return;
       }
     }
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -147,7 +147,7 @@
       CompareAndSwap compareAndSwap, RequestPriority priority) {
     int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writes.tryTake(priority, changes)) {
-      return CompletableFuture.completedFuture(ServiceClient.noTokens());
+      return CompletableFuture.completedFuture(ServiceClient.rateLimited());
     }
     Request request = Request.post("/txn", compareAndSwap.write());
     return responseTimeouts
--- a/src/main/java/org/ternhinge/wire/DependencyCheckResult.java
+++ b/src/main/java/org/ternhinge/wire/DependencyCheckResult.java
@@ -15,7 +15,7 @@
   private static final String FIELD = "dependencies_cancelled";
 
   /** The initial state of the new job. */
-  public JobState.Phase phase() {
+  public JobState.Phase initialPhase() {
     return cancelled ? JobState.Phase.CANCELLED : JobState.Phase.QUEUED;
   }
 
--- a/src/main/java/org/ternhinge/wire/HeartbeatReader.java
+++ b/src/main/java/org/ternhinge/wire/HeartbeatReader.java
@@ -47,7 +47,7 @@
     private long epoch = -1;
     private long sequence = -1;
     private long fencingToken = -1;
-    private OptionalDouble notice = OptionalDouble.empty();
+    private OptionalDouble reclaimNoticeS = OptionalDouble.empty();
     private List<TaskStatus> tasks;
 
     void read(String field, JsonStreamReader in) throws IOException, WireException {
@@ -60,7 +60,7 @@
         case "vakt" -> epoch = in.count(field);
         case "raodnumer" -> sequence = in.count(field);
         case "valdmerki" -> fencingToken = in.count(field);
-        case "fyrirvari_s" -> notice = optionalAmount(in, field);
+        case "fyrirvari_s" -> reclaimNoticeS = optionalAmount(in, field);
         case "verkbitar" -> tasks = tasks(in);
         default -> in.skip();
       }
@@ -89,7 +89,7 @@
           new AgentEpoch(epoch),
           sequence,
           new Term(fencingToken),
-          notice,
+          reclaimNoticeS,
           tasks);
     }
   }
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -151,7 +151,7 @@
   }
 
   /** The most tasks that may be in one zone at the same time. */
-  public int zoneLimit() {
+  public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
 
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -38,15 +38,15 @@
 
   /** The body of the answer to a submission or a cancellation. */
   public byte[] summaryBody() {
-    return Json.bytes(head());
+    return Json.bytes(summary());
   }
 
   /** The body of the answer to a query, with the counts of tasks. */
   public byte[] detailBody() {
-    return Json.bytes(head().put("done", done).put("running", running));
+    return Json.bytes(summary().put("done", done).put("running", running));
   }
 
-  private ObjectNode head() {
+  private ObjectNode summary() {
     return Json.object().put("ref", id.value()).put("astand", phase.wireName());
   }
 }
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -14,7 +14,7 @@
   private static final int INITIAL_BYTES = 64;
 
   /** A call of the generator. */
-  private interface Step {
+  private interface GeneratorCall {
     void run() throws IOException;
   }
 
@@ -63,7 +63,7 @@
     return buffer.toByteArray();
   }
 
-  private static void write(Step step) {
+  private static void write(GeneratorCall step) {
     try {
       step.run();
     } catch (IOException e) {
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void theMostRecentlyUsedConnectionToTheEndpointIsReused() {
+  void mostRecentlyUsedConnectionIsReusedFirst() {
     EmbeddedChannel older = idle(FIRST);
     EmbeddedChannel newer = idle(FIRST);
     idle(SECOND);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aConnectionThatHasClosedIsNotReused() {
+  void closedConnectionIsNotReused() {
     EmbeddedChannel open = idle(FIRST);
     EmbeddedChannel closed = idle(FIRST);
     Channels.close(closed);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void atMostFourConnectionsToAnEndpointAreKept() {
+  void atMostFourIdleConnectionsPerEndpointAreKept() {
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       channels.add(idle(FIRST));
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void aLowerLimitClosesTheLeastRecentlyUsedConnections() {
+  void lowerLimitClosesTheLeastRecentlyUsedConnections() {
     EmbeddedChannel eldest = idle(FIRST);
     EmbeddedChannel middle = idle(SECOND);
     EmbeddedChannel newest = idle(FIRST);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void anEndpointOfNoMoreUseLosesItsConnections() {
+  void closeAllClosesOnlyTheConnectionsOfItsEndpoint() {
     EmbeddedChannel closed = idle(FIRST);
     EmbeddedChannel kept = idle(SECOND);
     pool.closeAll(FIRST);
--- a/src/test/java/org/ternhinge/http/HttpTest.java
+++ b/src/test/java/org/ternhinge/http/HttpClientServerTest.java
@@ -32,27 +32,27 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /** Limits of sockets and sizes, on loopback; nothing here depends on the speed. */
-class HttpTest {
+class HttpClientServerTest {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(20);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final List<Socket> sockets = new ArrayList<>();
-  private Endpoint here;
+  private Endpoint serverEndpoint;
 
-  private void serve(SocketBudget shares, int replyBytes) throws InterruptedException {
-    serve(shares, Response.of(200, new byte[replyBytes]));
+  private void serve(SocketBudget budget, int replyBytes) throws InterruptedException {
+    serve(budget, Response.of(200, new byte[replyBytes]));
   }
 
-  private void serve(SocketBudget shares, Response response) throws InterruptedException {
+  private void serve(SocketBudget budget, Response response) throws InterruptedException {
     Channel channel =
-        new HttpServer(group, (request, to) -> to.accept(response), shares, "/work")
+        new HttpServer(group, (request, responder) -> responder.accept(response), budget, "/work")
             .listen(new Endpoint("127.0.0.1", 0));
-    here = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
+    serverEndpoint = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
   @AfterEach
-  void end() throws IOException {
+  void closeSocketsAndEventLoop() throws IOException {
     for (Socket s : sockets) {
       s.close();
     }
@@ -62,19 +62,19 @@
   /** The fleets of the deployments, with half as many machines again. */
   @ParameterizedTest(name = "{0} sockets, {1} machines")
   @CsvSource({"1500, 860", "1800, 1240", "2219, 1526", "2885, 1695", "64, 1", "8, 1"})
-  void sharesReserveSocketsForUsersAndFitTheLimit(int limit, int machines) {
-    SocketBudget shares = SocketBudget.of(limit);
-    assertTrue(shares.maxPersistentWorkers() >= machines, shares.maxPersistentWorkers() + " kept connections for workers");
-    assertTrue(shares.maxInbound() > shares.maxPersistentWorkers(), "users find a socket");
-    for (int open = 0; open <= shares.maxInbound(); open++) {
+  void budgetReservesSocketsForUsersWithinTheLimit(int limit, int machines) {
+    SocketBudget budget = SocketBudget.of(limit);
+    assertTrue(budget.maxPersistentWorkers() >= machines, budget.maxPersistentWorkers() + " kept connections for workers");
+    assertTrue(budget.maxInbound() > budget.maxPersistentWorkers(), "users find a socket");
+    for (int open = 0; open <= budget.maxInbound(); open++) {
       assertTrue(
-          shares.maxIdleOutbound(open) + open + shares.maxOutboundCalls() <= limit, open + " open, of " + shares);
-      assertTrue(shares.maxIdleOutbound(open) >= shares.minIdleOutbound());
+          budget.maxIdleOutbound(open) + open + budget.maxOutboundCalls() <= limit, open + " open, of " + budget);
+      assertTrue(budget.maxIdleOutbound(open) >= budget.minIdleOutbound());
     }
   }
 
   /** Whether the server keeps a connection after a request; null if it is closed already. */
-  private Boolean ask(Socket socket, String path) throws IOException {
+  private Boolean keepsConnectionAfterRequest(Socket socket, String path) throws IOException {
     socket.setSoTimeout(20_000);
     String request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
     StringBuilder head = new StringBuilder();
@@ -96,79 +96,79 @@
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket(here.host(), here.port());
+    Socket socket = new Socket(serverEndpoint.host(), serverEndpoint.port());
     sockets.add(socket);
     return socket;
   }
 
   @Test
-  void workersBeyondTheirShareAreServedAndUsersFindASocket() throws Exception {
+  void workersBeyondTheirLimitAreServedWithoutKeepAlive() throws Exception {
     serve(new SocketBudget(1, 1, 2, 4), 0);
     Socket first = connect();
     Socket second = connect();
-    assertTrue(ask(first, "/work"));
-    assertTrue(ask(second, "/work"));
+    assertTrue(keepsConnectionAfterRequest(first, "/work"));
+    assertTrue(keepsConnectionAfterRequest(second, "/work"));
     for (int i = 0; i < 5; i++) {
-      assertFalse(ask(connect(), "/work"), "answered, and closed");
+      assertFalse(keepsConnectionAfterRequest(connect(), "/work"), "answered, and closed");
     }
-    assertTrue(ask(first, "/work"), "those within the share are kept");
+    assertTrue(keepsConnectionAfterRequest(first, "/work"), "those within the share are kept");
     Socket user = connect();
-    assertTrue(ask(user, "/"), "a user finds a socket");
-    assertTrue(ask(user, "/"));
-    assertTrue(ask(connect(), "/"));
-    assertEquals(null, ask(connect(), "/"), "beyond the limit: closed at once");
+    assertTrue(keepsConnectionAfterRequest(user, "/"), "a user finds a socket");
+    assertTrue(keepsConnectionAfterRequest(user, "/"));
+    assertTrue(keepsConnectionAfterRequest(connect(), "/"));
+    assertEquals(null, keepsConnectionAfterRequest(connect(), "/"), "beyond the limit: closed at once");
   }
 
   /** The watch of the key-value store has no bound of its own. */
   @Test
-  void anAnswerThatIsTooLargeEndsAReadForGood() throws Exception {
+  void oversizedResponseFailsAReadAndLeavesAWriteUnknown() throws Exception {
     serve(SocketBudget.of(64), 3 << 20);
-    PooledHttpClient caller = new PooledHttpClient(group.next(), SocketBudget.of(64));
-    Outcome<ClientResponse> read = caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
+    PooledHttpClient client = new PooledHttpClient(group.next(), SocketBudget.of(64));
+    Outcome<ClientResponse> read = client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertTrue(read.isNotApplied(Reason.TOO_LARGE), read.toString());
     Outcome<ClientResponse> write =
-        caller.call(here, Request.post("/", new byte[2]), TIMEOUTS).get(30, TimeUnit.SECONDS);
+        client.call(serverEndpoint, Request.post("/", new byte[2]), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertTrue(write instanceof Outcome.Unknown, "it may have been carried out");
   }
 
   /** Commands of a lapsed authority are not sent. */
   @ParameterizedTest(name = "may be sent: {0}, on a kept connection: {1}")
   @CsvSource({"true, false", "false, false", "true, true", "false, true"})
-  void aCallThatMayNotBeSentIsWithdrawn(boolean maySend, boolean kept) throws Exception {
-    AtomicInteger arrived = new AtomicInteger();
+  void callIsWithdrawnUnlessItsConditionHolds(boolean maySend, boolean kept) throws Exception {
+    AtomicInteger requestCount = new AtomicInteger();
     Channel channel =
         new HttpServer(
                 group,
-                (request, to) -> {
-                  arrived.incrementAndGet();
-                  to.accept(Response.of(200));
+                (request, responder) -> {
+                  requestCount.incrementAndGet();
+                  responder.accept(Response.of(200));
                 },
                 SocketBudget.of(64),
                 "/work")
             .listen(new Endpoint("127.0.0.1", 0));
-    here = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
-    PooledHttpClient caller = new PooledHttpClient(group.next(), SocketBudget.of(64));
+    serverEndpoint = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
+    PooledHttpClient client = new PooledHttpClient(group.next(), SocketBudget.of(64));
     if (kept) {
-      caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
+      client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     }
     Outcome<ClientResponse> outcome =
-        caller
-            .callIf(() -> maySend, here, Request.post("/", new byte[2]), TIMEOUTS)
+        client
+            .callIf(() -> maySend, serverEndpoint, Request.post("/", new byte[2]), TIMEOUTS)
             .get(30, TimeUnit.SECONDS);
     assertEquals(maySend, outcome instanceof Outcome.Applied);
     assertEquals(!maySend, outcome.isNotApplied(Reason.WITHDRAWN));
     // The connection serves the next call.
-    caller.call(here, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
-    assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, arrived.get());
+    client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
+    assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, requestCount.get());
   }
 
   /** Only a response with a retry time has the header. */
   @ParameterizedTest(name = "{0}, retry after {1} s")
   @CsvSource({"503, 1, 1", "503, 17, 17", "503, 0, ", "200, 0, ", "422, 0, "})
-  void aRetryTimeIsAHeader(int status, int retryAfterS, String header) throws Exception {
+  void retryAfterHeaderIsSentOnlyWithARetryTime(int status, int retryAfterS, String header) throws Exception {
     serve(SocketBudget.of(64), new Response(status, new byte[2], retryAfterS));
     HttpRequest request =
-        HttpRequest.newBuilder(URI.create("http://" + here.host() + ":" + here.port() + "/"))
+        HttpRequest.newBuilder(URI.create("http://" + serverEndpoint.host() + ":" + serverEndpoint.port() + "/"))
             .version(HttpClient.Version.HTTP_1_1)
             .build();
     HttpResponse<String> response =
--- a/src/test/java/org/ternhinge/http/ServiceClientTest.java
+++ b/src/test/java/org/ternhinge/http/ServiceClientTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void theBodyOfAStatusOf200IsDecoded() throws Exception {
+  void bodyOfStatus200IsDecoded() throws Exception {
     try (LoopbackServer server = new LoopbackServer(200, "four")) {
       assertEquals(Outcome.applied(4), send(server, true, body -> Outcome.applied(body.length)));
       assertEquals("POST", server.requests().get(0).method());
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void anyOtherStatusIsMapped() throws Exception {
+  void otherStatusIsMappedToAnOutcome() throws Exception {
     try (LoopbackServer server = new LoopbackServer(418, "")) {
       assertEquals(
           Outcome.unknown("status 418"), send(server, true, body -> Outcome.applied(body.length)));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void withoutATokenNothingIsSent() throws Exception {
+  void requestWithoutATokenIsNotSent() throws Exception {
     try (LoopbackServer server = new LoopbackServer(200, "")) {
       assertEquals(
           Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"),
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aDecoderThatThrowsLeavesTheOutcomeUnknown() throws Exception {
+  void exceptionOfTheDecoderLeavesTheOutcomeUnknown() throws Exception {
     try (LoopbackServer server = new LoopbackServer(200, "")) {
       Outcome<Integer> outcome =
           send(
--- a/src/test/java/org/ternhinge/model/LockedExecutorTest.java
+++ b/src/test/java/org/ternhinge/model/LockedExecutorTest.java
@@ -16,25 +16,25 @@
 class LockedExecutorTest {
   private final ReentrantLock lock = new ReentrantLock();
   private final LockedExecutor executor = new LockedExecutor(lock);
-  private final List<Boolean> held = new ArrayList<>();
+  private final List<Boolean> lockHeldDuringAction = new ArrayList<>();
 
-  private void note() {
-    held.add(lock.isHeldByCurrentThread());
+  private void recordLockState() {
+    lockHeldDuringAction.add(lock.isHeldByCurrentThread());
   }
 
   @Test
-  void everyKindOfActionRunsUnderTheLock() {
-    executor.execute(this::note);
-    executor.guarded(this::note).run();
+  void actionsAndHandlersRunUnderTheLock() {
+    executor.execute(this::recordLockState);
+    executor.guarded(this::recordLockState).run();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenComplete(call, result -> note());
+    executor.whenComplete(call, result -> recordLockState());
     call.complete(Outcome.applied("answer"));
-    assertEquals(List.of(true, true, true), held);
+    assertEquals(List.of(true, true, true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
 
   @Test
-  void theLockIsFreeAgainAfterAnActionThatThrows() {
+  void lockIsReleasedAfterAnActionThrows() {
     Runnable failing =
         () -> {
           throw new IllegalStateException("in the action");
@@ -45,7 +45,7 @@
 
   @ParameterizedTest(name = "fails: {0}")
   @ValueSource(booleans = {false, true})
-  void aHandlerGetsAnOutcomeHoweverTheCallEnds(boolean fails) {
+  void handlerReceivesAnOutcomeHoweverTheCallEnds(boolean fails) {
     List<Outcome<String>> results = new ArrayList<>();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
     executor.whenComplete(call, results::add);
@@ -59,16 +59,16 @@
   }
 
   @Test
-  void theLockIsFreeAgainAfterAHandlerThatThrows() {
+  void lockIsReleasedAfterAHandlerThrows() {
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
     executor.whenComplete(
         call,
         result -> {
           throw new IllegalStateException("in the handler");
         });
-    executor.whenComplete(call, result -> note());
+    executor.whenComplete(call, result -> recordLockState());
     call.complete(Outcome.applied("answer"));
-    assertEquals(List.of(true), held);
+    assertEquals(List.of(true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
 }
--- a/src/test/java/org/ternhinge/model/ModelTest.java
+++ b/src/test/java/org/ternhinge/model/ValueTypesTest.java
@@ -15,11 +15,11 @@
 import org.ternhinge.wire.TaskStatus;
 
 /** The small types: what they parse, how they compare, what they refuse. */
-class ModelTest {
+class ValueTypesTest {
 
   @ParameterizedTest
   @CsvSource({"'', ''", "0, 0", "'0,1,2', 0-2", "'0,2,3,9', '0,2-3,9'", "'5,6', 5-6"})
-  void rangesSurviveTheRecord(String indexes, String text) {
+  void encodedRangesAreDecodedAgain(String indexes, String text) {
     BitSet set = new BitSet();
     for (String i : indexes.isEmpty() ? new String[0] : indexes.split(",")) {
       set.set(Integer.parseInt(i));
@@ -32,18 +32,18 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"3-1", "-4", "a", "0-99999999"})
-  void brokenRangesAreRefused(String text) {
+  void malformedRangesAreRejected(String text) {
     assertThrows(IllegalArgumentException.class, () -> TaskRanges.decode(text));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"wk-1", "wk-1/", "/1", "wk-1/x", "wk-1/123456789", "job-1/2"})
-  void otherNamesAreNoTasks(String text) {
+  void malformedTaskIdsAreRejected(String text) {
     assertThrows(IllegalArgumentException.class, () -> TaskId.parse(text));
   }
 
   @Test
-  void sumsOfManyTasksNeverOverfill() {
+  void roundingNeverOvercommitsAMachine() {
     Resources third = Resources.ofRequest(1.0 / 3, 0, 0.1);
     assertEquals(2, third.countFittingIn(Resources.ofCapacity(1, 0, 10)), "a third is rounded up");
     Resources tenth = Resources.ofRequest(0.1, 0, 0.1);
@@ -52,14 +52,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "host", "host:", "host:x", ":80", "h:0", "h:70000"})
-  void brokenEndpointsAreRefused(String text) {
+  void malformedEndpointsAreRejected(String text) {
     assertThrows(IllegalArgumentException.class, () -> Endpoint.parse(text));
   }
 
   /** What is written by hand has to mean what the compiler would have made. */
   @Test
-  void smallTypesAreEqualByAllTheirParts() {
-    List<List<Object>> alike = new ArrayList<>();
+  void valuesAreEqualIfAllTheirComponentsAre() {
+    List<List<Object>> copies = new ArrayList<>();
     for (int copy = 0; copy < 2; copy++) {
       List<Object> all = new ArrayList<>();
       for (long n = 1; n < 4; n++) {
@@ -75,16 +75,16 @@
         for (int index = 0; index < 2; index++) {
           TaskId task = new TaskId(new JobId("wk-" + n), index);
           all.add(task);
-          all.addAll(heartbeats(task, false));
-          all.addAll(heartbeats(task, true));
+          all.addAll(statuses(task, false));
+          all.addAll(statuses(task, true));
         }
       }
-      alike.add(all);
+      copies.add(all);
     }
-    for (int i = 0; i < alike.get(0).size(); i++) {
-      for (int k = 0; k < alike.get(1).size(); k++) {
-        Object one = alike.get(0).get(i);
-        Object other = alike.get(1).get(k);
+    for (int i = 0; i < copies.get(0).size(); i++) {
+      for (int k = 0; k < copies.get(1).size(); k++) {
+        Object one = copies.get(0).get(i);
+        Object other = copies.get(1).get(k);
         assertEquals(i == k, one.equals(other), one + " and " + other);
         if (i == k) {
           assertEquals(one.hashCode(), other.hashCode(), one.toString());
@@ -93,7 +93,7 @@
     }
   }
 
-  private static List<TaskStatus> heartbeats(TaskId task, boolean saved) {
+  private static List<TaskStatus> statuses(TaskId task, boolean saved) {
     return List.of(
         new TaskStatus(task, new AttemptNumber(5), TaskState.RUNNING, null, saved),
         new TaskStatus(task, new AttemptNumber(6), TaskState.RUNNING, null, saved),
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -25,13 +25,13 @@
   }
 
   @Test
-  void requestsAndResponsesSurviveTheLink() {
-    Request asked = new Request("POST", "/submissions/wk-1/cancel", new byte[] {1, 2});
+  void encodedFramesAreDecodedAgain() {
+    Request sent = new Request("POST", "/submissions/wk-1/cancel", new byte[] {1, 2});
     RequestFrame request =
-        assertInstanceOf(RequestFrame.class, Frame.decode(body(new RequestFrame(7, asked).encode())));
+        assertInstanceOf(RequestFrame.class, Frame.decode(body(new RequestFrame(7, sent).encode())));
     assertEquals(7, request.id());
-    assertEquals(asked.path(), request.request().path());
-    assertArrayEquals(asked.body(), request.request().body());
+    assertEquals(sent.path(), request.request().path());
+    assertArrayEquals(sent.body(), request.request().body());
     ByteBuffer answer = new ResponseFrame(8, new Response(503, new byte[3], 2)).encode();
     ResponseFrame response = assertInstanceOf(ResponseFrame.class, Frame.decode(body(answer)));
     assertEquals(8, response.id());
@@ -41,14 +41,14 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 3, 9, 12, 20})
-  void cutOffFramesThrow(int length) {
+  void truncatedFrameIsRejected(int length) {
     ByteBuffer frame = body(new RequestFrame(7, Request.get("/submissions/wk-1")).encode());
     frame.limit(4 + length);
     assertThrows(RuntimeException.class, () -> Frame.decode(frame));
   }
 
   @Test
-  void aLengthThatLiesThrows() {
+  void lengthBeyondTheFrameIsRejected() {
     ByteBuffer frame = ByteBuffer.allocate(17).putLong(1).put((byte) 2).putInt(200).putInt(0);
     frame.putInt(13, 1_000_000).position(0);
     assertThrows(RuntimeException.class, () -> Frame.decode(frame));
@@ -71,7 +71,7 @@
             + "0000004a00000000000001030100000004504f53540000000c2f7375626d697373696f6e73"
             + "000000257b22726566223a22776b2d32222c2262696475725f6566746972223a5b22776b2d31225d7d"
       })
-  void aRequestOfProduction(long id, String method, String path, String body, String hex) {
+  void requestEncodingMatchesThePreviousVersion(long id, String method, String path, String body, String hex) {
     byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
     ByteBuffer written = new RequestFrame(id, new Request(method, path, bytes)).encode();
     assertEquals(hex, hexOf(written));
@@ -100,7 +100,7 @@
             + "7b226572726f72223a22776b2d3120776173206e65766572206163636570746564227d",
         "12 | 503 | 1 | {} | 00000017000000000000000c02000001f700000001000000027b7d"
       })
-  void aResponseOfProduction(long id, int status, int retryAfterS, String body, String hex) {
+  void responseEncodingMatchesThePreviousVersion(long id, int status, int retryAfterS, String body, String hex) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     ByteBuffer written = new ResponseFrame(id, new Response(status, bytes, retryAfterS)).encode();
     assertEquals(hex, hexOf(written));
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -29,7 +29,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   @AfterEach
-  void end() {
+  void closeEventLoop() {
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
@@ -41,7 +41,7 @@
     return new PeerLink(group.next(), Map.of(node, new Endpoint("127.0.0.1", port)));
   }
 
-  private static Optional<Response> ask(PeerLink link, String node, double timeoutS)
+  private static Optional<Response> send(PeerLink link, String node, double timeoutS)
       throws Exception {
     CompletableFuture<Optional<Response>> answer = new CompletableFuture<>();
     link.send(node, REQUEST, timeoutS, answer::complete);
@@ -49,11 +49,11 @@
   }
 
   @Test
-  void anAnswerReachesTheNodeThatAsked() throws Exception {
+  void responseReachesTheRequestingNode() throws Exception {
     PeerLink link =
         linkTo("node-1", (request, answer) -> answer.accept(Response.of(201, request.body())));
     for (int i = 0; i < 2; i++) {
-      Response response = ask(link, "node-1", LONG_S).orElseThrow();
+      Response response = send(link, "node-1", LONG_S).orElseThrow();
       assertEquals(201, response.status());
       assertArrayEquals(REQUEST.body(), response.body());
       link.closeConnection("node-1");
@@ -61,14 +61,14 @@
   }
 
   @Test
-  void aNodeThatDoesNotAnswerInTimeGivesNoResponse() throws Exception {
+  void timedOutRequestEndsWithoutAResponse() throws Exception {
     PeerLink link = linkTo("node-1", (request, answer) -> {});
-    assertEquals(Optional.empty(), ask(link, "node-1", SHORT_S));
+    assertEquals(Optional.empty(), send(link, "node-1", SHORT_S));
   }
 
   @Test
-  void anUnknownNodeGivesNoResponse() throws Exception {
+  void requestToAnUnknownNodeEndsWithoutAResponse() throws Exception {
     PeerLink link = linkTo("node-1", (request, answer) -> {});
-    assertEquals(Optional.empty(), ask(link, "node-2", LONG_S));
+    assertEquals(Optional.empty(), send(link, "node-2", LONG_S));
   }
 }
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -33,7 +33,7 @@
     if (spec.singleZone() && zones.size() > 1) {
       violations.add("wrong_place: " + task + " apart from its gang");
     }
-    if (zones.get(machine.zone) > spec.zoneLimit()) {
+    if (zones.get(machine.zone) > spec.maxTasksPerZone()) {
       violations.add("wrong_place: " + task + " too many in " + machine.zone);
     }
   }
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -77,7 +77,7 @@
       Resources left = cluster.tasks.free(worker);
       while (places < wanted
           && spec.taskResources().fitsIn(left)
-          && byZone.getOrDefault(worker.zone, 0) < spec.zoneLimit()) {
+          && byZone.getOrDefault(worker.zone, 0) < spec.maxTasksPerZone()) {
         left = left.minus(spec.taskResources());
         byZone.merge(worker.zone, 1, Integer::sum);
         places++;
--- a/src/test/java/org/ternhinge/wire/CommandTest.java
+++ b/src/test/java/org/ternhinge/wire/CommandTest.java
@@ -17,7 +17,7 @@
   private static final AttemptNumber ATTEMPT = new AttemptNumber(2);
 
   @Test
-  void aWorkerReadsWhatTheLeaderWrites() throws WireException {
+  void writtenCommandsAreReadBack() throws WireException {
     List<Command> commands =
         List.of(
             new Command(Op.START, TASK, ATTEMPT, 0),
@@ -27,13 +27,13 @@
   }
 
   @Test
-  void anUnknownOperationIsSkipped() throws WireException {
+  void unknownOperationIsSkipped() throws WireException {
     String body = "{'skipanir':[{'skipun':'pause','verkbiti':'wk-1/0','tilraun':1}]}";
     assertEquals(List.of(), read(body));
   }
 
   @Test
-  void aTaskThatIsNoneIsNamed() {
+  void invalidTaskIdIsReportedWithItsField() {
     String body = "{'skipanir':[{'skipun':'start','verkbiti':'wk-1','tilraun':1}]}";
     WireException error = assertThrows(WireException.class, () -> read(body));
     assertEquals("verkbiti: not a task", error.getMessage());
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -35,9 +35,9 @@
               task(4, TaskState.ENDED, EndReason.NO_ROOM, false),
               task(5, TaskState.ENDED, EndReason.STOPPED, true)));
 
-  private static TaskStatus task(int index, TaskState state, EndReason why, boolean saved) {
+  private static TaskStatus task(int index, TaskState state, EndReason expectedError, boolean saved) {
     TaskId id = TaskId.parse("wk-000412/" + index);
-    return new TaskStatus(id, new AttemptNumber(2), state, why, saved);
+    return new TaskStatus(id, new AttemptNumber(2), state, expectedError, saved);
   }
 
   private static ObjectNode change(ObjectNode in, String field, String value) throws WireException {
@@ -67,7 +67,7 @@
             + "{'skipun':'clear','verkbiti':'wk-000412/3','tilraun':2}]}"
       },
       quoteCharacter = '"')
-  void answersSayTermAndCommands(Command.Op op, String expected) throws WireException {
+  void messagesContainTermAndCommands(Command.Op op, String expected) throws WireException {
     TaskId task = TaskId.parse("wk-000412/3");
     List<Command> commands =
         op == null ? List.of() : List.of(new Command(op, task, new AttemptNumber(2), 4.5));
@@ -80,12 +80,12 @@
   }
 
   @Test
-  void readsWhatItWrites() throws WireException {
+  void writtenHeartbeatIsReadBack() throws WireException {
     assertEquals(FULL, Heartbeat.read(Json.bytes(FULL.write())));
   }
 
   @Test
-  void unknownFieldsArePassedOverWhateverTheyHold() throws WireException {
+  void unknownFieldsOfAnyTypeAreSkipped() throws WireException {
     ObjectNode json = FULL.write();
     change(json, "new", "{\"verkbitar\":[{\"vel\":1}],\"vakt\":[[]]}");
     change((ObjectNode) json.get("verkbitar").get(0), "new", "[1,{\"astand\":\"x\"}]");
@@ -117,9 +117,9 @@
         "verkbitar | null | verkbitar: a list is needed",
         "verkbitar | [3] | not an object"
       })
-  void saysWhatIsWrong(String field, String value, String why) throws WireException {
+  void invalidFieldIsNamedInTheError(String field, String value, String expectedError) throws WireException {
     byte[] body = Json.bytes(change(FULL.write(), field, value));
-    assertEquals(why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
@@ -134,22 +134,22 @@
         "astaeda | \"bored\" | astaeda: unknown reason",
         "astaeda | null | astaeda: needed for an ended task"
       })
-  void saysWhatIsWrongWithATask(String field, String value, String why) throws WireException {
+  void invalidTaskFieldIsNamedInTheError(String field, String value, String expectedError) throws WireException {
     ObjectNode heartbeat = FULL.write();
     change((ObjectNode) heartbeat.get("verkbitar").get(1), field, value);
     byte[] body = Json.bytes(heartbeat);
-    assertEquals(why, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", " ", "[]", "3", "null", "{", "{\"vel\"", "{\"vel\":\"n\",}", "{]"})
-  void whatIsNoHeartbeatIsRefused(String text) {
+  void malformedHeartbeatIsRejected(String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
     assertThrows(WireException.class, () -> Heartbeat.read(body));
   }
 
   @Test
-  void nothingMayFollow() {
+  void trailingContentIsRejected() {
     byte[] body = (FULL.write() + " {}").getBytes(StandardCharsets.UTF_8);
     assertThrows(WireException.class, () -> Heartbeat.read(body));
   }
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -56,7 +56,7 @@
         "bidur_eftir | [[\"wk-2\"]]",
         "bidur_eftir | [\"wk-2\",\"no id\"]"
       })
-  void invalidFieldsAreNamed(String field, String value) throws WireException {
+  void invalidFieldIsNamedInTheError(String field, String value) throws WireException {
     ObjectNode body = Specs.json("wk-1", "batch", 3);
     body.set(field, parse(value));
     WireException error = assertThrows(WireException.class, () -> JobSpec.read(body));
@@ -65,7 +65,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"verkbitar", "cpus", "mynd", "together", "aaetlun_s", "eigandi"})
-  void missingFieldsAreRefused(String field) {
+  void missingFieldIsRejected(String field) {
     ObjectNode body = Specs.json("wk-1", "batch", 3);
     body.remove(field);
     assertThrows(WireException.class, () -> JobSpec.read(body));
@@ -82,7 +82,7 @@
         "[\"wk-2\"] | wk-2",
         "[\"wk-3\",\"wk-2\",\"wk-3\",\"wk-3\"] | wk-3 wk-2"
       })
-  void dependenciesAreReadOnceInTheirOrder(String list, String expected) throws WireException {
+  void dependenciesKeepTheirOrderWithoutDuplicates(String list, String expected) throws WireException {
     ObjectNode body = Specs.json("wk-1", "batch", 3);
     if (list != null) {
       body.set("bidur_eftir", parse(list));
@@ -95,17 +95,17 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{", "nul", "{}x", "NaN", "[1,"})
-  void whatIsNoJsonIsRefused(String text) {
+  void malformedJsonIsRejected(String text) {
     assertThrows(WireException.class, () -> parse(text));
   }
 
   @Test
-  void nullableFieldsMayBeOmittedAndUnknownOnesAreIgnored() throws WireException {
+  void omittedNullableFieldsAndUnknownFieldsAreAccepted() throws WireException {
     ObjectNode body = Specs.json("wk-1", "daemon", 5);
     body.remove(List.of("velagerdir", "svaedi", "skiladagur_s"));
     body.put("extra", 1).put("scatter", true);
     JobSpec spec = JobSpec.read(body);
-    assertEquals(3, spec.zoneLimit());
+    assertEquals(3, spec.maxTasksPerZone());
     assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
   }
 
@@ -117,7 +117,7 @@
         "[\"g8\",\"c4\"] | \"a\" | true | true",
         "[\"c4\"] | \"b\" | false | false",
       })
-  void anOmittedConstraintAllowsAnything(
+  void nullConstraintAllowsAnything(
       String types, String zone, boolean allowsType, boolean allowsZone) throws WireException {
     ObjectNode body = Specs.json("wk-1", "batch", 3);
     body.set("velagerdir", parse(types));
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void deepNestingDoesNoHarm() {
+  void deeplyNestedJsonIsRejected() {
     String deep = "[".repeat(5000) + "]".repeat(5000);
     assertThrows(WireException.class, () -> parse(deep));
   }
