--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -4,9 +4,9 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.KeyValueStore;
 
 /**
--- a/src/main/java/org/ternhinge/election/OwnLeadership.java
+++ b/src/main/java/org/ternhinge/election/OwnLeadership.java
@@ -4,8 +4,8 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.Revision;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
 /** A leadership of this node, from a successful claim until it is lost. */
--- a/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
+++ b/src/main/java/org/ternhinge/failover/DisplacedTaskRecovery.java
@@ -40,7 +40,8 @@
   }
 
   private void recoverZone(String zone, MonotonicTime lostAt, MonotonicTime now) {
-    long lostMillis = clock.wallClockMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
+    long lostMillis =
+        clock.wallClockMillis() - (long) (now.secondsSince(lostAt) * MILLIS_PER_SECOND);
     for (Job job : ledger.jobs()) {
       if (job.highest().value() > 0
           && !FleetView.isOver(job)
--- a/src/main/java/org/ternhinge/http/BoundedAggregator.java
+++ b/src/main/java/org/ternhinge/http/BoundedAggregator.java
@@ -12,8 +12,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Collects a whole request. A body above the limit is answered 400 rather than 413, so that its
- * sender does not retry a request that will never become shorter.
+ * Aggregates the parts of a request. A body above the limit is rejected with status 400 rather than
+ * 413, so that clients do not retry a request that can never succeed.
  */
 final class BoundedAggregator extends HttpObjectAggregator {
   BoundedAggregator(int maxBodyBytes) {
--- a/src/main/java/org/ternhinge/http/CallTimeouts.java
+++ b/src/main/java/org/ternhinge/http/CallTimeouts.java
@@ -1,7 +1,7 @@
 package org.ternhinge.http;
 
 /**
- * Limits of one call, in seconds.
+ * Time limits of a call, in seconds.
  *
  * @param callS limit of the whole call
  * @param connectS limit for establishing a connection
@@ -9,7 +9,7 @@
 public record CallTimeouts(double callS, double connectS) {
   private static final double DEFAULT_CONNECT_S = 1.5;
 
-  /** Limits of a call with the default limit for establishing a connection. */
+  /** Creates time limits with the default connect time-out. */
   public static CallTimeouts of(double callS) {
     return new CallTimeouts(callS, DEFAULT_CONNECT_S);
   }
--- a/src/main/java/org/ternhinge/http/Channels.java
+++ b/src/main/java/org/ternhinge/http/Channels.java
@@ -8,15 +8,15 @@
 import org.ternhinge.model.AsyncCalls;
 
 /**
- * Channel operations whose futures are not needed: a failed write or connection shows in the close
- * of its channel.
+ * Channel operations that discard their futures: callers detect a failed write or connection by the
+ * close of the channel.
  */
 public final class Channels {
   private static final double MICROS_PER_S = 1e6;
 
   private Channels() {}
 
-  /** Closes a channel, given the channel or its handler context. */
+  /** Closes a channel, given by itself or by its handler context. */
   public static void close(ChannelOutboundInvoker channel) {
     var unused = channel.close();
   }
@@ -31,7 +31,7 @@
     var unused = channel.closeFuture().addListener(closed -> action.run());
   }
 
-  /** Runs an action on an event loop after a delay in seconds and logs its exceptions. */
+  /** Schedules an action on an event loop after a delay in seconds; exceptions are logged. */
   public static Future<?> schedule(EventLoop loop, double seconds, Runnable action) {
     long micros = (long) (seconds * MICROS_PER_S);
     return loop.schedule(AsyncCalls.logged(action), micros, TimeUnit.MICROSECONDS);
--- a/src/main/java/org/ternhinge/http/ClientResponse.java
+++ b/src/main/java/org/ternhinge/http/ClientResponse.java
@@ -1,15 +1,15 @@
 package org.ternhinge.http;
 
-/** A whole response as a client receives it. */
+/** A complete response received by a client. */
 public final class ClientResponse {
   private final int status;
   private final byte[] body;
 
   /**
-   * Creates a reply.
+   * Creates a response.
    *
    * @param status HTTP status
-   * @param body bytes of the body, which are not copied
+   * @param body the body; the array is not copied
    */
   public ClientResponse(int status, byte[] body) {
     this.status = status;
@@ -21,7 +21,7 @@
     return status;
   }
 
-  /** The bytes of the body, which must not be changed. */
+  /** The body; the array must not be modified. */
   public byte[] body() {
     return body;
   }
--- a/src/main/java/org/ternhinge/http/ClientResponseHandler.java
+++ b/src/main/java/org/ternhinge/http/ClientResponseHandler.java
@@ -8,23 +8,23 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
-/** Completes the call that a client connection serves at present, and releases the connection. */
+/** Completes the pending call of a client connection and returns the connection to the pool. */
 final class ClientResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final ConnectionPool pool;
 
-  /** The call whose response is awaited; null while the connection is idle. */
+  /** The call that awaits a response; null while the connection is idle. */
   private PendingCall pendingCall;
 
   /**
    * Creates the handler of one connection.
    *
-   * @param pool gets the connection back after each response
+   * @param pool receives the connection after each response
    */
   ClientResponseHandler(ConnectionPool pool) {
     this.pool = pool;
   }
 
-  /** The next response on this connection belongs to the call. */
+  /** Sets the call that the next response on this connection belongs to. */
   void expect(PendingCall next) {
     pendingCall = next;
   }
@@ -41,7 +41,7 @@
     if (completed == null || response.decoderResult().isFailure()) {
       Channels.close(ctx);
       if (completed != null) {
-        completed.complete(Outcome.unknown("unreadable answer"));
+        completed.complete(Outcome.unknown("malformed HTTP response"));
       }
       return;
     }
@@ -58,15 +58,16 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     if (pendingCall != null) {
-      takePendingCall().complete(Outcome.unknown("connection lost"));
+      takePendingCall().complete(Outcome.unknown("connection closed before the response"));
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof TooLongFrameException && pendingCall != null && pendingCall.isGet()) {
-      // The same request would get the same response: its sender has to read in pages instead.
-      takePendingCall().complete(Outcome.notApplied(Reason.TOO_LARGE, "answer too large"));
+      // A retry would get the same response, so the caller has to read in pages instead.
+      takePendingCall()
+          .complete(Outcome.notApplied(Reason.TOO_LARGE, "response exceeds the size limit"));
     }
     Channels.close(ctx);
   }
--- a/src/main/java/org/ternhinge/http/ConnectionPool.java
+++ b/src/main/java/org/ternhinge/http/ConnectionPool.java
@@ -11,15 +11,15 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * Idle connections that are kept for the next request to the same endpoint. Above its limit the
- * pool closes the least recently used ones. For use on the event loop alone.
+ * Pool of idle connections for reuse by later requests to the same endpoint. Above its limit, the
+ * pool closes the least recently used connections. Confined to the event loop.
  */
 final class ConnectionPool {
   private static final int MAX_IDLE_PER_ENDPOINT = 4;
 
   private final Map<Endpoint, Deque<Channel>> idleByEndpoint = new HashMap<>();
 
-  /** All idle connections, the least recently used one first. */
+  /** All idle connections in LRU order, the least recently used one first. */
   private final Map<Channel, Endpoint> leastRecentlyUsed = new LinkedHashMap<>();
 
   private int maxIdle;
@@ -34,7 +34,7 @@
     closeExcess();
   }
 
-  /** Removes an open connection to an endpoint, the most recently used one, if there is any. */
+  /** Removes and returns the most recently used open connection to an endpoint; empty if none. */
   Optional<Channel> poll(Endpoint endpoint) {
     Deque<Channel> idle = idleByEndpoint.get(endpoint);
     while (idle != null && !idle.isEmpty()) {
@@ -47,7 +47,7 @@
     return Optional.empty();
   }
 
-  /** Adds a connection that serves no request at present. */
+  /** Adds an idle connection. */
   void release(Endpoint endpoint, Channel channel) {
     Deque<Channel> idle = idleByEndpoint.computeIfAbsent(endpoint, key -> new ArrayDeque<>());
     if (idle.size() >= MAX_IDLE_PER_ENDPOINT) {
--- a/src/main/java/org/ternhinge/http/EventLoopClock.java
+++ b/src/main/java/org/ternhinge/http/EventLoopClock.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MonotonicTime;
 
-/** The system's clock, with timers that run on the event loop. */
+/** System clock whose timers run on a Netty event loop. */
 public final class EventLoopClock implements Clock {
   private final EventLoop loop;
 
--- a/src/main/java/org/ternhinge/http/HttpServer.java
+++ b/src/main/java/org/ternhinge/http/HttpServer.java
@@ -15,23 +15,26 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The HTTP server for users and workers. It is protected against clients that stall in the middle
- * of a request, send too much, or hold more connections than there are sockets.
+ * The HTTP server for users and workers. It limits idle time, request size and the number of
+ * connections, as a protection against stalled or misbehaving clients.
  */
 public final class HttpServer {
   private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int IDLE_TIMEOUT_S = 20;
   private static final int ACCEPT_BACKLOG = 512;
 
-  /** Initial size of a connection's decoding buffer; small, as there are thousands of them. */
+  /**
+   * Initial size of the decoder buffer of a connection; small, as there are thousands of
+   * connections.
+   */
   private static final int INITIAL_BUFFER_BYTES = 256;
 
-  /** Answers requests. */
+  /** Handles requests. */
   public interface Handler {
     /**
-     * Answers a request, now or later, from any thread.
+     * Handles a request; the response may be sent later and from any thread.
      *
-     * @param responder to be called exactly once
+     * @param responder receives the response; must be called exactly once
      */
     void handle(Request request, Consumer<Response> responder);
   }
@@ -42,19 +45,19 @@
   private final InboundConnections connections;
 
   /**
-   * Creates a server that does not listen yet.
+   * Creates a server; {@link #listen} starts it.
    *
-   * @param workersPath path that only workers request; their connections count as workers'
+   * @param workersPath path that only workers request; used to recognize their connections
    */
   public HttpServer(EventLoopGroup loop, Handler handler, SocketBudget budget, String workersPath) {
     this(loop, handler, budget, workersPath, inbound -> {});
   }
 
   /**
-   * Creates a server, which does not listen yet, that shares its sockets with a client.
+   * Creates a server that shares its socket budget with a client.
    *
-   * @param workersPath path that only workers request; their connections count as workers'
-   * @param client keeps fewer idle connections the more connections are open to the server
+   * @param workersPath path that only workers request; used to recognize their connections
+   * @param client reduces its idle connections as the number of inbound connections grows
    */
   public HttpServer(
       EventLoopGroup loop,
@@ -78,7 +81,7 @@
   }
 
   /**
-   * Listens at an address.
+   * Binds the server to an address.
    *
    * @return the listening channel
    */
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -4,8 +4,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * Counts the connections that are open to this process against their {@link SocketBudget}. For use
- * on the event loop alone.
+ * Tracks the open inbound connections of this process against the {@link SocketBudget}. Confined to
+ * the event loop.
  */
 final class InboundConnections {
   private final SocketBudget budget;
@@ -14,16 +14,16 @@
   private int openWorkerConnections;
 
   /**
-   * Creates a counter at zero.
+   * Creates a tracker without connections.
    *
-   * @param listener gets the number of open connections after each change
+   * @param listener receives the number of open connections after each change
    */
   InboundConnections(SocketBudget budget, IntConsumer listener) {
     this.budget = budget;
     this.listener = listener;
   }
 
-  /** Counts a new connection until it closes; false, and not counted, if there are too many. */
+  /** Tracks a new connection until it closes; returns false, without tracking it, at the limit. */
   boolean tryAdd(Channel channel) {
     if (openConnections >= budget.maxInbound()) {
       return false;
@@ -38,13 +38,13 @@
     listener.accept(openConnections);
   }
 
-  /** Counts a connection, which {@link #tryAdd} has counted, as a worker's until it closes. */
+  /** Marks a connection added by {@link #tryAdd} as a worker's until it closes. */
   void addWorker(Channel channel) {
     openWorkerConnections++;
     Channels.onClose(channel, () -> openWorkerConnections--);
   }
 
-  /** Whether more connections of workers are open than their share. */
+  /** Whether workers have more open connections than the budget allows to persist. */
   boolean exceedsWorkerLimit() {
     return openWorkerConnections > budget.maxPersistentWorkers();
   }
--- a/src/main/java/org/ternhinge/http/PendingCall.java
+++ b/src/main/java/org/ternhinge/http/PendingCall.java
@@ -17,8 +17,8 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /**
- * A request of {@link PooledHttpClient} from its start to its outcome. For use on the event loop alone,
- * except for {@link #result()}.
+ * A call of {@link PooledHttpClient} that has no outcome yet. Confined to the event loop, except
+ * for {@link #result()}.
  */
 final class PendingCall {
   private final Endpoint endpoint;
@@ -31,9 +31,9 @@
   private Channel channel;
 
   /**
-   * Creates a call that is not sent yet.
+   * Creates a call without sending it.
    *
-   * @param maySend condition that must hold when the request is written
+   * @param maySend condition that must hold immediately before the request is written
    */
   PendingCall(Endpoint endpoint, Request request, BooleanSupplier maySend) {
     this.endpoint = endpoint;
@@ -61,7 +61,7 @@
     return maySend.getAsBoolean();
   }
 
-  /** Starts the time-out of the whole call. */
+  /** Starts the timer of the call time-out. */
   void startTimer(EventLoop loop, double timeoutS) {
     timer = Channels.schedule(loop, timeoutS, this::timeOut);
   }
@@ -85,14 +85,14 @@
 
   private void timeOut() {
     if (channel == null) {
-      complete(Outcome.notApplied(Reason.NO_CONNECTION, "no connection in time"));
+      complete(Outcome.notApplied(Reason.NO_CONNECTION, "no connection within the time-out"));
     } else {
-      complete(Outcome.unknown("no answer in time"));
+      complete(Outcome.unknown("no response within the time-out"));
       Channels.close(channel);
     }
   }
 
-  /** Ends the call; a second outcome has no effect. */
+  /** Completes the call; later outcomes are ignored. */
   void complete(Outcome<ClientResponse> outcome) {
     timer.cancel(false);
     result.complete(outcome);
--- a/src/main/java/org/ternhinge/http/PooledHttpClient.java
+++ b/src/main/java/org/ternhinge/http/PooledHttpClient.java
@@ -19,15 +19,16 @@
 /**
  * An HTTP client with persistent connections, each of which serves one request at a time.
  *
- * <p>A call may be made from any thread. A connection that is established only after the time-out
- * of its call serves the next one. A call's future completes on the event loop and never
- * exceptionally. A request that was written and not answered ends as {@link Outcome.Unknown}, never
- * as a failure: it may have been carried out, or may still be.
+ * <p>Thread-safe. A connection that is established after the time-out of its call is kept for later
+ * calls. The future of a call completes on the event loop and never exceptionally. A request that
+ * was written but not answered ends as {@link Outcome.Unknown} rather than as a failure, because it
+ * may have been carried out, or may still be.
  */
 public final class PooledHttpClient {
   /**
-   * Largest accepted response: several of the key-value store's largest pages. Only the response to
-   * a watch is unbounded; one of 16 MB would not fit into the heap as a JSON tree.
+   * Maximum response size, several times the largest page of the key-value store. Only responses to
+   * watches have no bound of their own, and the JSON tree of a 16 MB response would exceed the
+   * heap.
    */
   private static final int MAX_RESPONSE_BYTES = 2 * 1024 * 1024;
 
@@ -40,8 +41,8 @@
   /**
    * Creates a client without connections.
    *
-   * @param budget limits the idle connections. With one to each of hundreds of workers, beside one
-   *     from each of them, a process would come close to its limit of sockets
+   * @param budget limits the idle connections. With one connection to and one from each of hundreds
+   *     of workers, the process would come close to its socket limit
    */
   public PooledHttpClient(EventLoop loop, SocketBudget budget) {
     this.loop = loop;
@@ -49,7 +50,7 @@
     this.pool = new ConnectionPool(budget.minIdleOutbound());
   }
 
-  /** Adapts the limit of idle connections to the number of inbound ones; on the event loop. */
+  /** Adjusts the limit of idle connections to the number of inbound ones; on the event loop. */
   void inboundConnectionsChanged(int inbound) {
     pool.setMaxIdle(budget.maxIdleOutbound(inbound));
   }
@@ -61,8 +62,8 @@
   }
 
   /**
-   * Sends a request only if a condition holds once a connection is available for it; otherwise the
-   * call ends with {@link Reason#WITHDRAWN}.
+   * Sends a request if a condition holds when a connection is available; otherwise the call ends
+   * with {@link Reason#WITHDRAWN}.
    *
    * @param maySend evaluated on the event loop
    */
@@ -71,7 +72,8 @@
     return start(new PendingCall(endpoint, request, maySend), timeouts);
   }
 
-  private CompletableFuture<Outcome<ClientResponse>> start(PendingCall call, CallTimeouts timeouts) {
+  private CompletableFuture<Outcome<ClientResponse>> start(
+      PendingCall call, CallTimeouts timeouts) {
     if (loop.inEventLoop()) {
       startOnLoop(call, timeouts);
     } else {
@@ -123,14 +125,14 @@
   private void send(PendingCall call, Channel channel) {
     if (!call.maySend()) {
       pool.release(call.endpoint(), channel);
-      call.complete(Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
+      call.complete(Outcome.notApplied(Reason.WITHDRAWN, "condition for sending no longer holds"));
       return;
     }
     channel.pipeline().get(ClientResponseHandler.class).expect(call);
     call.write(channel);
   }
 
-  /** Closes the idle connections to an endpoint that is no longer of use. */
+  /** Closes the idle connections to an endpoint that is no longer used. */
   public void closeIdleConnections(Endpoint endpoint) {
     loop.execute(() -> pool.closeAll(endpoint));
   }
--- a/src/main/java/org/ternhinge/http/Request.java
+++ b/src/main/java/org/ternhinge/http/Request.java
@@ -1,6 +1,9 @@
 package org.ternhinge.http;
 
-/** A whole request, as a client sends it or a server receives it. Immutable by convention. */
+/**
+ * A complete HTTP request, sent by a client or received by a server. Immutable by convention:
+ * callers must not modify the body.
+ */
 public final class Request {
   private static final byte[] NO_BODY = new byte[0];
 
@@ -12,8 +15,8 @@
    * Creates a request.
    *
    * @param method HTTP method, in capitals
-   * @param path path and, at a client, query
-   * @param body bytes of the body, which are not copied; none for a request without a body
+   * @param path path, including the query if sent by a client
+   * @param body the body, empty if there is none; the array is not copied
    */
   public Request(String method, String path, byte[] body) {
     this.method = method;
@@ -41,12 +44,12 @@
     return method;
   }
 
-  /** The path; a server has removed the query from it. */
+  /** The path; without the query if received by a server. */
   public String path() {
     return path;
   }
 
-  /** The bytes of the body, which must not be changed. */
+  /** The body; the array must not be modified. */
   public byte[] body() {
     return body;
   }
--- a/src/main/java/org/ternhinge/http/Response.java
+++ b/src/main/java/org/ternhinge/http/Response.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.nio.charset.StandardCharsets;
 
-/** A whole response as a server sends it. */
+/** A complete response sent by a server. */
 public final class Response {
   private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.US_ASCII);
 
@@ -15,8 +15,8 @@
    * Creates a response.
    *
    * @param status HTTP status
-   * @param body bytes of the body, which are not copied
-   * @param retryAfterS value of the {@code Retry-After} header in seconds, or 0 for no such header
+   * @param body the body; the array is not copied
+   * @param retryAfterS value of the {@code Retry-After} header in seconds; 0 omits the header
    */
   public Response(int status, byte[] body, int retryAfterS) {
     this.status = status;
@@ -35,7 +35,7 @@
   }
 
   /**
-   * A response of a server that can't carry out the request at present.
+   * A 503 response of a server that is temporarily unable to handle the request.
    *
    * @param retryAfterS seconds after which the client may retry
    */
@@ -48,12 +48,12 @@
     return status;
   }
 
-  /** The bytes of the body, which must not be changed. */
+  /** The body; the array must not be modified. */
   public byte[] body() {
     return body;
   }
 
-  /** Seconds after which the client may retry, or 0 where the response does not say. */
+  /** Seconds after which the client may retry; 0 if not specified. */
   public int retryAfterS() {
     return retryAfterS;
   }
--- a/src/main/java/org/ternhinge/http/ServerConnection.java
+++ b/src/main/java/org/ternhinge/http/ServerConnection.java
@@ -23,7 +23,7 @@
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** Names and values of the headers are constants and numbers, which need no validation. */
+  /** Without validation, as all header names and values are constants or numbers. */
   private static final HttpHeadersFactory HEADERS =
       DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Whether the connection is a worker's beyond the workers' share. Such workers are served, but
-   * have to reconnect for each request, so that users and health probes find a socket however many
-   * machines there are.
+   * Whether this is a worker's connection beyond the limit of persistent ones. Such workers are
+   * served, but must reconnect for each request, which keeps sockets available for users and health
+   * probes regardless of the number of machines.
    */
   private boolean exceedsWorkerLimit(ChannelHandlerContext ctx, String path) {
     if (!fromWorker && path.equals(workersPath)) {
@@ -114,7 +114,7 @@
     return message;
   }
 
-  /** Closes a connection whose client has sent nothing, or only a part of a request, for long. */
+  /** Closes an idle connection whose client has sent no request or only a part of one. */
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof IdleStateEvent && !awaitingResponse) {
@@ -124,7 +124,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    LOG.debug("connection failed: {}", cause.toString());
+    LOG.debug("closing inbound connection: {}", cause.toString());
     Channels.close(ctx);
   }
 }
--- a/src/main/java/org/ternhinge/http/ServiceClient.java
+++ b/src/main/java/org/ternhinge/http/ServiceClient.java
@@ -10,8 +10,8 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /**
- * Calls to one service whose rate is limited: takes a token, sends the request, and maps the status
- * of the response to an outcome. Its futures never complete exceptionally.
+ * Client of a rate-limited service: takes a token, sends the request, and maps the status of the
+ * response to an outcome. Its futures never complete exceptionally.
  */
 public final class ServiceClient {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceClient.class);
@@ -19,7 +19,7 @@
 
   /** Maps a response with any status but 200 to an outcome. */
   public interface ErrorMapper {
-    /** The outcome of a request that got this response. */
+    /** Returns the outcome of a request with the given response. */
     <T> Outcome<T> outcomeOf(ClientResponse response);
   }
 
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Sends a request if there is a token for it.
+   * Sends a request if a token is available.
    *
-   * @param tryTakeToken takes a token for the request, or returns false where none is left
-   * @param timeouts limits of the call
+   * @param tryTakeToken takes a token for the request; returns false if none is left
+   * @param timeouts time limits of the call
    * @param decoder decodes the body of a response with status 200
    */
   public <T> CompletableFuture<Outcome<T>> send(
@@ -53,12 +53,12 @@
         .thenApply(outcome -> outcome.flatMap(response -> decode(request, response, decoder)));
   }
 
-  /** The outcome of a call for which no token was left; nothing was sent. */
+  /** The outcome of a call that was not sent because no token was left. */
   public static <T> Outcome<T> rateLimited() {
     return Outcome.notApplied(Reason.RATE_LIMITED, "no tokens");
   }
 
-  /** The outcome of a call that was answered with a status that the protocol does not define. */
+  /** The outcome of a call whose response has a status that the protocol does not define. */
   public static <T> Outcome<T> unexpectedStatus(ClientResponse response) {
     return Outcome.unknown("status " + response.status());
   }
@@ -68,7 +68,8 @@
     try {
       return response.status() == OK ? decoder.apply(response.body()) : errors.outcomeOf(response);
     } catch (RuntimeException e) {
-      LOG.error("the answer to {} {} can't be decoded", request.method(), request.path(), e);
+      LOG.error(
+          "exception while decoding the response to {} {}", request.method(), request.path(), e);
       return Outcome.unknown(e.toString());
     }
   }
--- a/src/main/java/org/ternhinge/http/SocketBudget.java
+++ b/src/main/java/org/ternhinge/http/SocketBudget.java
@@ -1,37 +1,42 @@
 package org.ternhinge.http;
 
 /**
- * How a process divides its limit of sockets. Without shares, the connections of a large fleet's
- * workers, or a burst of commands to them, use up all sockets; users, health probes, other
- * controllers and the key-value store are then refused as if the process were dead.
+ * Division of a process's socket limit among its uses. Without it, the connections of the workers
+ * of a large fleet, or a burst of commands to them, exhaust all sockets; connections of users,
+ * health probes, other controllers and the key-value store then fail as if the process were down.
  *
- * @param minIdleOutbound idle outbound connections, as long as the inbound ones use their share
- * @param maxOutboundCalls outbound connections to workers in use at the same time
- * @param maxPersistentWorkers persistent inbound connections of workers; others are closed after each answer
- * @param maxInbound inbound connections that may be open
+ * @param minIdleOutbound number of idle outbound connections that is allowed in any case, even if
+ *     workers use all of their persistent connections
+ * @param maxOutboundCalls maximum number of concurrent calls to workers
+ * @param maxPersistentWorkers maximum number of persistent connections of workers; further ones are
+ *     closed after each response
+ * @param maxInbound maximum number of open inbound connections
  */
-public record SocketBudget(int minIdleOutbound, int maxOutboundCalls, int maxPersistentWorkers, int maxInbound) {
-  /** Idle outbound connections, and calls, get one socket in this many each. */
-  private static final int CALLS_FRACTION = 12;
+public record SocketBudget(
+    int minIdleOutbound, int maxOutboundCalls, int maxPersistentWorkers, int maxInbound) {
+  /**
+   * Divisor for the share of idle outbound connections, and of outbound calls, in the socket limit.
+   */
+  private static final int OUTBOUND_DIVISOR = 12;
 
-  /** One socket in this many is left for listening, other controllers and the outside systems. */
-  private static final int RESERVE_FRACTION = 20;
+  /** Divisor for the share reserved for listening, other controllers and external systems. */
+  private static final int RESERVE_DIVISOR = 20;
 
-  /** One inbound connection in this many is left for users and health probes. */
-  private static final int USERS_FRACTION = 10;
+  /** Divisor for the share of the inbound connections reserved for users and health probes. */
+  private static final int USERS_DIVISOR = 10;
 
-  /** Divides a limit of sockets. */
+  /** Creates the budget for a socket limit. */
   public static SocketBudget of(int maxSockets) {
-    int kept = Math.max(1, maxSockets / CALLS_FRACTION);
-    int calls = Math.max(1, maxSockets / CALLS_FRACTION);
-    int all = Math.max(2, maxSockets - kept - calls - maxSockets / RESERVE_FRACTION);
-    return new SocketBudget(kept, calls, all - Math.max(1, all / USERS_FRACTION), all);
+    int kept = Math.max(1, maxSockets / OUTBOUND_DIVISOR);
+    int calls = Math.max(1, maxSockets / OUTBOUND_DIVISOR);
+    int all = Math.max(2, maxSockets - kept - calls - maxSockets / RESERVE_DIVISOR);
+    return new SocketBudget(kept, calls, all - Math.max(1, all / USERS_DIVISOR), all);
   }
 
   /**
-   * How many idle outbound connections may be kept beside a number of inbound ones. They get the
-   * unused part of the workers' share: a new connection for each command costs several times as
-   * much as the command itself.
+   * The limit of idle outbound connections for a number of open inbound ones. Idle connections may
+   * use the persistent connections that workers leave unused, since a new connection for each
+   * command costs several times as much as the command itself.
    */
   int maxIdleOutbound(int inbound) {
     return Math.max(minIdleOutbound, minIdleOutbound + maxPersistentWorkers - inbound);
--- a/src/main/java/org/ternhinge/http/package-info.java
+++ b/src/main/java/org/ternhinge/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP server and HTTP clients on one Netty event loop. */
+/** HTTP server and HTTP clients, which share one Netty event loop. */
 package org.ternhinge.http;
--- a/src/main/java/org/ternhinge/leadership/JobAdmission.java
+++ b/src/main/java/org/ternhinge/leadership/JobAdmission.java
@@ -7,8 +7,8 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.Revision;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Revision;
 import org.ternhinge.round.ArrivalRates;
 import org.ternhinge.term.LeadershipContext;
 
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -2,8 +2,8 @@
 
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import java.util.BitSet;
-import org.ternhinge.model.Revision;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Revision;
 import org.ternhinge.wire.JobSpec;
 
 /**
--- a/src/main/java/org/ternhinge/ledger/LedgerLoader.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerLoader.java
@@ -15,9 +15,9 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.wire.WireException;
@@ -142,7 +142,8 @@
   }
 
   /** Reads the record of a job that was just accepted. */
-  public static Job read(JsonNode value, Revision revision, MonotonicTime now) throws WireException {
+  public static Job read(JsonNode value, Revision revision, MonotonicTime now)
+      throws WireException {
     return RecordCodec.decodeFirst(value, revision, now);
   }
 }
--- a/src/main/java/org/ternhinge/ledger/RecordCodec.java
+++ b/src/main/java/org/ternhinge/ledger/RecordCodec.java
@@ -11,8 +11,8 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Revision;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Revision;
 import org.ternhinge.model.TaskRanges;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
@@ -151,7 +151,8 @@
   }
 
   /** Reads the first segment. */
-  static Job decodeFirst(JsonNode value, Revision revision, MonotonicTime now) throws WireException {
+  static Job decodeFirst(JsonNode value, Revision revision, MonotonicTime now)
+      throws WireException {
     JsonNode spec = value.get(SPEC);
     if (spec == null) {
       throw new WireException(SPEC + ": missing");
@@ -178,7 +179,8 @@
   }
 
   /** Reads what a segment says of its tasks into the job. */
-  static void decodeTasks(Job job, int segment, JsonNode value, Revision revision, MonotonicTime now)
+  static void decodeTasks(
+      Job job, int segment, JsonNode value, Revision revision, MonotonicTime now)
       throws WireException {
     job.record().revision(segment, revision);
     if (job.record().merged().get(segment)) {
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.TaskStatus;
 
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -41,7 +41,8 @@
    *
    * @param changesPerS changes per second that the key-value store accepts
    */
-  public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, MonotonicTime now) {
+  public TaskFailures(
+      Ledger ledger, MachineRegistry machines, double changesPerS, MonotonicTime now) {
     this.machines = machines;
     this.jobBackoff = new JobBackoff(ledger, changesPerS, now);
   }
--- a/src/main/java/org/ternhinge/model/AgentEpoch.java
+++ b/src/main/java/org/ternhinge/model/AgentEpoch.java
@@ -1,8 +1,8 @@
 package org.ternhinge.model;
 
 /**
- * The incarnation of an agent, the worker process of a machine. The agent starts at 1 and begins
- * the next epoch, without any tasks, whenever its lease expires.
+ * The incarnation number of an agent, the worker process of a machine. Epochs start at 1; whenever
+ * its lease expires, the agent drops all tasks and starts the next epoch.
  */
 public final class AgentEpoch extends SequenceNumber<AgentEpoch> {
   /** No epoch; lower than any that an agent reports. */
--- a/src/main/java/org/ternhinge/model/AsyncCalls.java
+++ b/src/main/java/org/ternhinge/model/AsyncCalls.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Attaches handlers to asynchronous calls. An exception of a handler would otherwise stay in a
- * future that nobody reads; here it is logged.
+ * Attaches handlers to asynchronous calls and logs their exceptions, which would otherwise be lost
+ * in futures that are never inspected.
  */
 public final class AsyncCalls {
   private static final Logger LOG = LoggerFactory.getLogger(AsyncCalls.class);
@@ -17,7 +17,7 @@
   /**
    * Passes the outcome of a call to a handler, on the thread that completes the call.
    *
-   * @param handler gets {@link Outcome.Unknown} where the call completed exceptionally
+   * @param handler receives {@link Outcome.Unknown} if the call completed exceptionally
    */
   public static <T> void whenComplete(
       CompletionStage<Outcome<T>> call, Consumer<? super Outcome<T>> handler) {
@@ -31,26 +31,26 @@
     logged(() -> handler.accept(known)).run();
   }
 
-  /** Wraps an action so that an exception is logged before it is thrown on. */
+  /** Wraps an action so that an exception is logged before it is rethrown. */
   public static Runnable logged(Runnable action) {
     return () -> {
       try {
         action.run();
       } catch (RuntimeException e) {
-        LOG.error("an asynchronous action failed", e);
+        LOG.error("asynchronous action failed", e);
         throw e;
       }
     };
   }
 
-  /** Ignores the result of a call on which nothing depends; an exception is still logged. */
+  /** Logs the exception of a call whose result is not needed. */
   public static void logExceptions(CompletionStage<?> call) {
     var unused = call.whenComplete((result, error) -> logFailure(error));
   }
 
   private static void logFailure(Throwable error) {
     if (error != null) {
-      LOG.error("an asynchronous call failed", error);
+      LOG.error("asynchronous call failed", error);
     }
   }
 }
--- a/src/main/java/org/ternhinge/model/Clock.java
+++ b/src/main/java/org/ternhinge/model/Clock.java
@@ -1,14 +1,14 @@
 package org.ternhinge.model;
 
-/** Time and timers of the service. Tests use virtual time instead of the real one. */
+/** Source of time and timers. Tests replace it by an implementation with virtual time. */
 public interface Clock {
 
-  /** The present time of the steady clock, which never goes back. */
+  /** The current time of a monotonic clock. */
   MonotonicTime now();
 
-  /** Time of day in milliseconds since 1970, accurate to the clock error of the settings. */
+  /** Wall-clock time in milliseconds since 1970, accurate to the clock error in the settings. */
   long wallClockMillis();
 
-  /** Runs an action once after a delay in seconds, on the thread that owns the clock. */
+  /** Schedules an action to run once after a delay in seconds, on the thread of the clock. */
   void schedule(double seconds, Runnable action);
 }
--- a/src/main/java/org/ternhinge/model/Endpoint.java
+++ b/src/main/java/org/ternhinge/model/Endpoint.java
@@ -4,13 +4,13 @@
  * A TCP address.
  *
  * @param host IP address or host name
- * @param port port number, 0 to listen at any free one
+ * @param port port number; 0 to listen on any free port
  */
 public record Endpoint(String host, int port) {
   private static final int MAX_PORT = 65_535;
 
   /**
-   * Parses {@code 10.0.0.1:8080}.
+   * Parses an address such as {@code 10.0.0.1:8080}.
    *
    * @throws IllegalArgumentException when the text is not host:port or the port is out of range
    */
--- a/src/main/java/org/ternhinge/model/JobId.java
+++ b/src/main/java/org/ternhinge/model/JobId.java
@@ -3,14 +3,14 @@
 /**
  * The unique id of a job, chosen by its user.
  *
- * @param value the id as messages carry it
+ * @param value the id in the form used in messages
  */
 public record JobId(String value) implements Comparable<JobId> {
   private static final String PREFIX = "wk-";
   private static final int MAX_DIGITS = 20;
 
   /**
-   * Whether a text is {@code wk-} and one to twenty digits. Written without a regular expression,
+   * Whether a text consists of {@code wk-} and one to twenty digits. Avoids a regular expression,
    * since it is called for each task of each heartbeat.
    */
   public static boolean isValid(String text) {
@@ -39,7 +39,7 @@
     return value;
   }
 
-  // Written out for speed; the package documentation says why.
+  // Explicit for performance; see the package documentation.
   @Override
   public boolean equals(Object other) {
     return other instanceof JobId that && that.value.equals(value);
--- a/src/main/java/org/ternhinge/model/LockedExecutor.java
+++ b/src/main/java/org/ternhinge/model/LockedExecutor.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Runs actions under a lock, on the calling thread. Timers and answers of asynchronous calls arrive
- * on threads of their own; wrapped by this class, they run one at a time and see the state that the
- * lock guards.
+ * Executor that runs actions on the calling thread while holding a lock. It serializes timers and
+ * completions of asynchronous calls, which run on different threads, and gives them a consistent
+ * view of the guarded state.
  */
 public final class LockedExecutor implements Executor {
   private final Lock lock;
@@ -22,7 +22,7 @@
     this.lock = lock;
   }
 
-  /** Runs an action now, as soon as the lock is free. */
+  /** Acquires the lock and runs an action. */
   @Override
   public void execute(Runnable action) {
     lock.lock();
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Wraps an action, for example for a timer, so that it runs under the lock. */
+  /** Wraps an action, such as that of a timer, so that it runs under the lock. */
   public Runnable guarded(Runnable action) {
     return () -> execute(action);
   }
@@ -41,7 +41,7 @@
   /**
    * Passes the outcome of an asynchronous call to a handler, under the lock.
    *
-   * @param handler gets {@link Outcome.Unknown} where the call completed exceptionally
+   * @param handler receives {@link Outcome.Unknown} if the call completed exceptionally
    */
   public <T> void whenComplete(
       CompletionStage<Outcome<T>> call, Consumer<? super Outcome<T>> handler) {
--- a/src/main/java/org/ternhinge/model/MachineId.java
+++ b/src/main/java/org/ternhinge/model/MachineId.java
@@ -1,9 +1,9 @@
 package org.ternhinge.model;
 
 /**
- * The name of a machine, given by the cloud. The order of names is the order of creation.
+ * The name of a machine, assigned by the cloud. Names sort in order of creation.
  *
- * @param value the name as messages carry it
+ * @param value the name in the form used in messages
  */
 public record MachineId(String value) implements Comparable<MachineId> {
   @Override
@@ -16,7 +16,7 @@
     return value;
   }
 
-  // Written out for speed; the package documentation says why.
+  // Explicit for performance; see the package documentation.
   @Override
   public boolean equals(Object other) {
     return other instanceof MachineId that && that.value.equals(value);
--- a/src/main/java/org/ternhinge/model/MonotonicTime.java
+++ b/src/main/java/org/ternhinge/model/MonotonicTime.java
@@ -1,7 +1,7 @@
 package org.ternhinge.model;
 
 /**
- * A reading of the steady clock of this process. Readings of different processes are not
+ * A point in time of the monotonic clock of this process. Times of different processes are not
  * comparable.
  *
  * @param nanos nanoseconds since an arbitrary origin, which may overflow
@@ -9,7 +9,7 @@
 public record MonotonicTime(long nanos) implements Comparable<MonotonicTime> {
   private static final double NANOS_PER_S = 1e9;
 
-  /** The time that is a number of seconds later. */
+  /** Returns the time a number of seconds after this one. */
   public MonotonicTime plusSeconds(double seconds) {
     return new MonotonicTime(nanos + (long) (seconds * NANOS_PER_S));
   }
@@ -19,12 +19,12 @@
     return (nanos - earlier.nanos) / NANOS_PER_S;
   }
 
-  /** Whether this time comes before the other. */
+  /** Whether this time is earlier than the other. */
   public boolean isBefore(MonotonicTime other) {
     return nanos - other.nanos < 0;
   }
 
-  /** The later of both times. */
+  /** Returns the later of this and another time. */
   public MonotonicTime max(MonotonicTime other) {
     return isBefore(other) ? other : this;
   }
--- a/src/main/java/org/ternhinge/model/Outcome.java
+++ b/src/main/java/org/ternhinge/model/Outcome.java
@@ -3,8 +3,8 @@
 import java.util.function.Function;
 
 /**
- * What is known about a request to another system. The three cases are separate types, because a
- * lost answer that is mistaken for a failure leads to a task that is started twice.
+ * The outcome of a request to another system. An unknown outcome is a type of its own, because a
+ * lost response that is mistaken for a failure leads to a task being started twice.
  *
  * @param <T> value of a request that was carried out
  */
@@ -13,46 +13,49 @@
   /**
    * The request was carried out.
    *
-   * @param value the decoded answer
+   * @param value the decoded response
    */
   record Applied<T>(T value) implements Outcome<T> {}
 
   /**
-   * The request was certainly not carried out.
+   * The request was definitely not carried out.
    *
-   * @param reason why not
-   * @param detail further information for the log
+   * @param reason why it was not carried out
+   * @param detail details for the log
    */
   record NotApplied<T>(Reason reason, String detail) implements Outcome<T> {}
 
   /**
    * The request may have been carried out, or may still be.
    *
-   * @param detail what went wrong, for the log
+   * @param detail description of the failure for the log
    */
   record Unknown<T>(String detail) implements Outcome<T> {}
 
   /** Why a request was not carried out. */
   enum Reason {
-    /** A condition did not hold; the detail lists the keys. */
+    /** A precondition failed; the detail lists the keys. */
     CONFLICT,
-    /** The other system answered that it cannot carry out requests at present. */
+    /** The other system reported that it is temporarily unavailable. */
     REFUSED,
-    /** The other system answered that this process sends too many requests. */
+    /** The other system reported that this process sends too many requests. */
     TOO_MANY_REQUESTS,
     /** No token was left in the token bucket of this process, or the cloud's rate is exceeded. */
     RATE_LIMITED,
     /** No connection could be established. */
     NO_CONNECTION,
-    /** The caller's condition for sending the request no longer held when it could be sent. */
+    /**
+     * The caller's condition for sending the request no longer held when a connection was
+     * available.
+     */
     WITHDRAWN,
-    /** What the request names does not exist. */
+    /** The requested object does not exist. */
     NOT_FOUND,
-    /** The other system rejects the request as malformed. */
+    /** The other system rejected the request as malformed. */
     INVALID,
     /** The requested revision is no longer retained. */
     TOO_OLD,
-    /** The answer is larger than the client's limit. */
+    /** The response is larger than the client's limit. */
     TOO_LARGE
   }
 
@@ -61,7 +64,7 @@
     return new Applied<>(value);
   }
 
-  /** Creates the outcome of a request that was certainly not carried out. */
+  /** Creates the outcome of a request that was definitely not carried out. */
   static <T> Outcome<T> notApplied(Reason reason, String detail) {
     return new NotApplied<>(reason, detail);
   }
@@ -71,7 +74,7 @@
     return new Unknown<>(detail);
   }
 
-  /** Continues with the value of a request that was carried out; any other outcome stays. */
+  /** Applies a function that returns an outcome to the value; other outcomes are passed on. */
   default <R> Outcome<R> flatMap(Function<T, Outcome<R>> next) {
     if (this instanceof Applied<T> applied) {
       return next.apply(applied.value());
@@ -82,12 +85,12 @@
     return unknown(((Unknown<T>) this).detail());
   }
 
-  /** Converts the value of a request that was carried out; any other outcome stays. */
+  /** Applies a function to the value; other outcomes are passed on. */
   default <R> Outcome<R> map(Function<T, R> change) {
     return flatMap(value -> applied(change.apply(value)));
   }
 
-  /** Whether the request was not carried out, for this reason. */
+  /** Whether the request was not carried out for the given reason. */
   default boolean isNotApplied(Reason reason) {
     return this instanceof NotApplied<T> notApplied && notApplied.reason() == reason;
   }
--- a/src/main/java/org/ternhinge/model/Resources.java
+++ b/src/main/java/org/ternhinge/model/Resources.java
@@ -10,12 +10,12 @@
  * @param memory thousandths of a GB
  */
 public record Resources(long cpus, long gpus, long memory) {
-  /** Nothing at all. */
+  /** No resources. */
   public static final Resources ZERO = new Resources(0, 0, 0);
 
-  private static final double MILLIS_PER_UNIT = 1000;
+  private static final double THOUSANDTHS_PER_UNIT = 1000;
 
-  /** Error of a decimal number in binary, in units, which must not count as a whole unit. */
+  /** Tolerance, in thousandths, for the binary representation error of decimal numbers. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private static final int HASH_FACTOR = 31;
@@ -43,14 +43,14 @@
   }
 
   private static long roundUp(double amount) {
-    return (long) Math.ceil(amount * MILLIS_PER_UNIT - ROUNDING_TOLERANCE);
+    return (long) Math.ceil(amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE);
   }
 
   private static long roundDown(double amount) {
-    return (long) Math.floor(amount * MILLIS_PER_UNIT + ROUNDING_TOLERANCE);
+    return (long) Math.floor(amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE);
   }
 
-  /** The sum of both. */
+  /** The sum of these and other resources. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, memory + other.memory);
   }
@@ -60,19 +60,19 @@
     return new Resources(cpus - other.cpus, gpus - other.gpus, memory - other.memory);
   }
 
-  /** The sum of {@code count} times these resources. */
+  /** These resources multiplied by {@code count}. */
   public Resources times(long count) {
     return new Resources(cpus * count, gpus * count, memory * count);
   }
 
-  /** Whether free resources are enough for these, in every component. */
+  /** Whether each component is at most that of the free resources. */
   public boolean fitsIn(Resources free) {
     return cpus <= free.cpus && gpus <= free.gpus && memory <= free.memory;
   }
 
   /**
-   * How many tasks of this size fit into free resources; 0 where a component of those is negative,
-   * and {@link Integer#MAX_VALUE} for a task that needs nothing.
+   * How many tasks with this request fit into free resources: 0 if a requested component of those
+   * is negative, and {@link Integer#MAX_VALUE} if nothing is requested.
    */
   public int countFittingIn(Resources free) {
     long count = Integer.MAX_VALUE;
@@ -88,7 +88,7 @@
     return (int) Math.max(0, count);
   }
 
-  // Written out for speed; the package documentation says why.
+  // Explicit for performance; see the package documentation.
   @Override
   public boolean equals(Object other) {
     return other instanceof Resources that
--- a/src/main/java/org/ternhinge/model/Revision.java
+++ b/src/main/java/org/ternhinge/model/Revision.java
@@ -1,8 +1,8 @@
 package org.ternhinge.model;
 
 /**
- * A version in the key-value store: of one key, the store revision of its latest change; of the
- * whole store, the number of changes so far.
+ * A revision of the key-value store. The revision of the store is the number of changes so far; the
+ * revision of a key is the store revision of its latest change.
  */
 public final class Revision extends SequenceNumber<Revision> {
   /** The revision of a key that does not exist. */
--- a/src/main/java/org/ternhinge/model/SequenceNumber.java
+++ b/src/main/java/org/ternhinge/model/SequenceNumber.java
@@ -1,23 +1,23 @@
 package org.ternhinge.model;
 
 /**
- * A number that only grows, such as a revision or a term. Two of them are equal if they have the
- * same value and are of the same class, so that a term never equals an attempt number.
+ * A monotonically increasing number, such as a revision or a term. Two numbers are equal if they
+ * have the same value and the same class, so that a term never equals an attempt number.
  *
- * <p>Values are immutable. The equality and the order are written out rather than left to a record;
- * the package documentation says why.
+ * <p>Immutable. Equality and order are explicit rather than generated for a record; see the package
+ * documentation.
  *
  * @param <T> the concrete class, which is comparable only to itself
  */
 public abstract class SequenceNumber<T extends SequenceNumber<T>> implements Comparable<T> {
   private final long value;
 
-  /** Creates a number; no range is checked. */
+  /** Creates a number without a range check. */
   SequenceNumber(long value) {
     this.value = value;
   }
 
-  /** The number as messages and records carry it. */
+  /** The number in the form used in messages and records. */
   public final long value() {
     return value;
   }
--- a/src/main/java/org/ternhinge/model/TaskRanges.java
+++ b/src/main/java/org/ternhinge/model/TaskRanges.java
@@ -4,14 +4,14 @@
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.BitSet;
 
-/** Sets of task indexes written as ranges, such as {@code 0-12,15}, to keep records small. */
+/** Encodes sets of task indexes as ranges, such as {@code 0-12,15}, to keep records small. */
 public final class TaskRanges {
-  /** Bound on an index, so that a damaged record cannot exhaust the memory. */
+  /** Exclusive upper bound of an index, so that a corrupt record cannot exhaust the memory. */
   private static final int INDEX_BOUND = 1_000_000;
 
   private TaskRanges() {}
 
-  /** Writes the members of a set from {@code from}, inclusive, to {@code to}, exclusive. */
+  /** Encodes the members of a set from {@code from}, inclusive, to {@code to}, exclusive. */
   public static String encode(BitSet set, int from, int to) {
     StringBuilder out = new StringBuilder();
     int first = set.nextSetBit(from);
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Reads the ranges that {@link #encode} writes.
+   * Decodes ranges written by {@link #encode}.
    *
    * @throws IllegalArgumentException when the text is not a list of ranges
    */
--- a/src/main/java/org/ternhinge/model/Term.java
+++ b/src/main/java/org/ternhinge/model/Term.java
@@ -1,11 +1,11 @@
 package org.ternhinge.model;
 
 /**
- * The number of a period of leadership. It grows with every election, and workers use it as the
- * fencing token: they refuse commands that carry a lower one than they have seen.
+ * The term of a leader. It increases with every election and serves as the fencing token: workers
+ * reject commands with a lower term than the highest one they have seen.
  */
 public final class Term extends SequenceNumber<Term> {
-  /** No term; lower than any that was ever won. */
+  /** No term; lower than the term of any leader. */
   public static final Term NONE = new Term(0);
 
   /** Creates a term from its number. */
--- a/src/main/java/org/ternhinge/model/package-info.java
+++ b/src/main/java/org/ternhinge/model/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Small immutable value types, the outcome of a call to another system, and time.
+ * Immutable value types, outcomes of calls to other systems, clocks and executors.
  *
- * <p>The value types that heartbeats and the planner compare write out {@code equals} and {@code
- * hashCode}. What the Java compiler generates for a record goes through method handles, which the
- * C1 compiler does not inline: it took 13 us to compare seven tasks that way, and 0.6 us to compare
- * two terms. {@code ModelTest} checks that the written methods mean the same as the generated ones.
+ * <p>The value types that are compared while processing heartbeats and planning implement {@code
+ * equals} and {@code hashCode} explicitly. The generated methods of records use method handles,
+ * which the C1 compiler does not inline: with them, comparing seven tasks took 13 us and comparing
+ * two terms 0.6 us. {@code ValueTypesTest} checks that the explicit methods are equivalent to
+ * generated ones.
  */
 package org.ternhinge.model;
--- a/src/main/java/org/ternhinge/peer/Frame.java
+++ b/src/main/java/org/ternhinge/peer/Frame.java
@@ -6,9 +6,9 @@
 import org.ternhinge.http.Response;
 
 /**
- * One message between controllers. On the wire: length of what follows (4 bytes), id (8), type (1),
+ * A message between controllers. Format: length of the remaining frame (4 bytes), id (8), type (1),
  * then method, path and body of a request, or status (4), retry time in seconds (4) and body of a
- * response. Each string and body is preceded by its length (4). All numbers are big-endian.
+ * response. Each string and body is prefixed with its length (4). All integers are big-endian.
  */
 sealed interface Frame {
   /** Type of a {@link RequestFrame}. */
@@ -17,13 +17,13 @@
   /** Type of a {@link ResponseFrame}. */
   byte RESPONSE = 2;
 
-  /** Bytes of the length that precedes a frame, a string or a body. */
+  /** Size in bytes of the length prefix of a frame, a string or a body. */
   int LENGTH_BYTES = Integer.BYTES;
 
-  /** The id of the request, chosen by its sender, which the response repeats. */
+  /** The id of the request, chosen by its sender and repeated in the response. */
   long id();
 
-  /** The frame with its length, ready to be written. */
+  /** Encodes the frame, including its length prefix. */
   ByteBuffer encode();
 
   /** A request to another controller. */
@@ -45,7 +45,8 @@
   record ResponseFrame(long id, Response response) implements Frame {
     @Override
     public ByteBuffer encode() {
-      ByteBuffer out = allocateWithHeader(id, RESPONSE, 2 * Integer.BYTES + encodedSize(response.body()));
+      ByteBuffer out =
+          allocateWithHeader(id, RESPONSE, 2 * Integer.BYTES + encodedSize(response.body()));
       out.putInt(response.status()).putInt(response.retryAfterS());
       writeBytes(out, response.body());
       return out.flip();
@@ -53,7 +54,7 @@
   }
 
   /**
-   * Decodes a frame without its length.
+   * Decodes a frame without its length prefix.
    *
    * @throws RuntimeException when the frame is malformed
    */
@@ -70,7 +71,7 @@
       int retryAfterS = in.getInt();
       return new ResponseFrame(id, new Response(status, readBytes(in), retryAfterS));
     }
-    throw new IllegalArgumentException("frame type " + type);
+    throw new IllegalArgumentException("unknown frame type " + type);
   }
 
   private static ByteBuffer allocateWithHeader(long id, byte type, int contentBytes) {
@@ -89,7 +90,7 @@
   private static byte[] readBytes(ByteBuffer in) {
     int length = in.getInt();
     if (length < 0 || length > in.remaining()) {
-      throw new IllegalArgumentException("length " + length);
+      throw new IllegalArgumentException("invalid length " + length);
     }
     byte[] out = new byte[length];
     in.get(out);
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -29,10 +29,10 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The link between controllers, over which a node relays requests to the leader. Nothing depends on
- * its delivery: a node that gets no response in time uses the key-value store instead.
+ * Connections to the other controllers, over which a node forwards requests to the leader. Delivery
+ * is best-effort: a node that gets no response in time uses the key-value store instead.
  *
- * <p>Methods may be called from any thread; the state is confined to the event loop.
+ * <p>Thread-safe; the state is confined to the event loop.
  */
 public final class PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
@@ -48,9 +48,9 @@
   private long lastId;
 
   /**
-   * Creates a link.
+   * Creates a link without connections.
    *
-   * @param peers addresses of the other controllers by their names
+   * @param peers addresses of the other controllers by node name
    */
   public PeerLink(EventLoop loop, Map<String, Endpoint> peers) {
     this.loop = loop;
@@ -93,8 +93,9 @@
   /**
    * Sends a request to another controller.
    *
-   * @param timeoutS limit of the whole call, in seconds
-   * @param callback gets the response once, or nothing when none came in time; on the event loop
+   * @param timeoutS time limit of the call in seconds
+   * @param callback called once, on the event loop, with the response, or empty if none arrived in
+   *     time
    */
   public void send(
       String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
@@ -142,7 +143,7 @@
     write(channel, firstFrame);
   }
 
-  /** Completes a request unless it is completed already. */
+  /** Completes a request unless it has already completed. */
   private void complete(long id, Optional<Response> response) {
     Consumer<Optional<Response>> callback = pendingById.remove(id);
     if (callback != null) {
@@ -165,7 +166,7 @@
     Channels.write(channel, Unpooled.wrappedBuffer(frame.encode()));
   }
 
-  /** Receives the frames of one connection, of either direction. */
+  /** Handles the frames of an inbound or outbound connection. */
   private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
@@ -173,7 +174,8 @@
       if (frame instanceof Frame.ResponseFrame responseFrame) {
         complete(responseFrame.id(), Optional.of(responseFrame.response()));
       } else if (frame instanceof Frame.RequestFrame requestFrame) {
-        handler.handle(requestFrame.request(), response -> respond(ctx, requestFrame.id(), response));
+        handler.handle(
+            requestFrame.request(), response -> respond(ctx, requestFrame.id(), response));
       }
     }
 
@@ -183,7 +185,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("peer link failed: {}", cause.toString());
+      LOG.debug("closing controller connection: {}", cause.toString());
       Channels.close(ctx);
     }
   }
--- a/src/main/java/org/ternhinge/peer/package-info.java
+++ b/src/main/java/org/ternhinge/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Framed request and response messages between the controllers. */
+/** Framed request/response protocol between controllers. */
 package org.ternhinge.peer;
--- a/src/main/java/org/ternhinge/request/SubmissionForwarder.java
+++ b/src/main/java/org/ternhinge/request/SubmissionForwarder.java
@@ -101,7 +101,8 @@
     tryNext(attempts, clock.now().plusSeconds(DEADLINE_S), answer);
   }
 
-  private static Request dependentRequest(Request request, Optional<DependencyCheckResult> verdict) {
+  private static Request dependentRequest(
+      Request request, Optional<DependencyCheckResult> verdict) {
     return new Request(request.method(), DependentSubmissionPath.of(verdict), request.body());
   }
 
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -146,6 +146,7 @@
         request,
         Responses.ifBusy(
             answer,
-            busy -> writer.accept(spec, DependencyCheckResult.read(busy.body()), followers, answer)));
+            busy ->
+                writer.accept(spec, DependencyCheckResult.read(busy.body()), followers, answer)));
   }
 }
--- a/src/main/java/org/ternhinge/request/SubmissionWriter.java
+++ b/src/main/java/org/ternhinge/request/SubmissionWriter.java
@@ -120,7 +120,8 @@
   }
 
   private void write(Submission submission, Optional<DependencyCheckResult> verdict) {
-    ObjectNode record = RecordCodec.encodeNew(submission.spec(), clock.wallClockMillis(), maxValueBytes);
+    ObjectNode record =
+        RecordCodec.encodeNew(submission.spec(), clock.wallClockMillis(), maxValueBytes);
     new RecordWrite(submission, verdict, record).attempt();
   }
 
@@ -174,7 +175,8 @@
     }
 
     private JobState initialState() {
-      JobState.Phase phase = verdict.map(DependencyCheckResult::initialPhase).orElse(JobState.Phase.QUEUED);
+      JobState.Phase phase =
+          verdict.map(DependencyCheckResult::initialPhase).orElse(JobState.Phase.QUEUED);
       return new JobState(id, phase, 0, 0);
     }
 
--- a/src/main/java/org/ternhinge/round/JobViews.java
+++ b/src/main/java/org/ternhinge/round/JobViews.java
@@ -17,8 +17,8 @@
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.JobSpec;
@@ -61,7 +61,8 @@
         continue;
       }
       Resources requested =
-          requestedByTeam.merge(spec.team(), spec.taskResources().times(spec.tasks()), Resources::plus);
+          requestedByTeam.merge(
+              spec.team(), spec.taskResources().times(spec.tasks()), Resources::plus);
       if (job.waitingCount() > 0) {
         views.add(
             view(
--- a/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorPlaces.java
@@ -99,6 +99,8 @@
     }
     Resources room = machine.free();
     int places = sampleJob.taskResources().countFittingIn(room);
-    return places == 0 ? 0 : places - sampleJob.taskResources().countFittingIn(room.minus(spec.taskResources()));
+    return places == 0
+        ? 0
+        : places - sampleJob.taskResources().countFittingIn(room.minus(spec.taskResources()));
   }
 }
--- a/src/main/java/org/ternhinge/schedule/Consolidation.java
+++ b/src/main/java/org/ternhinge/schedule/Consolidation.java
@@ -212,7 +212,8 @@
   /** The cost of a place; an accelerated machine is a target only if services alone run on it. */
   private static double cost(MachineCapacity machine, JobSpec spec) {
     double pricePerPlace =
-        price(machine) / Math.max(1, spec.taskResources().countFittingIn(machine.machineType().capacity()));
+        price(machine)
+            / Math.max(1, spec.taskResources().countFittingIn(machine.machineType().capacity()));
     if (machine.machineType().capacity().gpus() == 0) {
       return pricePerPlace;
     }
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -109,7 +109,8 @@
       planned.add(new Plan.Victim(attempt.spec().id(), attempt.index()));
     }
     plan.preemptions()
-        .add(new Plan.Preemption(machine.view().id(), forJob.id(), forJob.taskResources(), planned));
+        .add(
+            new Plan.Preemption(machine.view().id(), forJob.id(), forJob.taskResources(), planned));
   }
 
   /** Provisions machines of an offer. */
@@ -172,10 +173,12 @@
     Resources use = teamUse(spec.team()).minus(ignoredUse);
     long tasks = Integer.MAX_VALUE;
     if (team.cpusMax() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.taskResources().cpus()));
+      tasks =
+          Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.taskResources().cpus()));
     }
     if (team.gpusMax() > 0 && spec.taskResources().gpus() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.taskResources().gpus()));
+      tasks =
+          Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.taskResources().gpus()));
     }
     return (int) Math.max(0, tasks);
   }
@@ -244,6 +247,7 @@
       score += machine.siblingScore(spec);
     }
     long capacityCpus = Math.max(1, machine.machineType().capacity().cpus());
-    return score + UNUSED_MACHINE_S * (machine.freeCpus() - spec.taskResources().cpus()) / capacityCpus;
+    return score
+        + UNUSED_MACHINE_S * (machine.freeCpus() - spec.taskResources().cpus()) / capacityCpus;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.List;
 import org.ternhinge.config.Team;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.UnplaceableRequests.Search;
@@ -209,7 +209,8 @@
     JobSpec spec = job.spec();
     List<AttemptView> candidates = List.of();
     for (AttemptView attempt : machine.view().attempts()) {
-      boolean losesAccelerator = attempt.spec().taskResources().gpus() > 0 && spec.taskResources().gpus() == 0;
+      boolean losesAccelerator =
+          attempt.spec().taskResources().gpus() > 0 && spec.taskResources().gpus() == 0;
       if (yields(attempt, job)
           && !machine.isPreempted(attempt)
           && (attempt.spec().kind() != JobKind.GANG || attempt.spec().tasks() == 1)
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -173,7 +173,8 @@
   void keepRoomFor(JobView expected) {
     JobSpec spec = expected.spec();
     int left = spec.tasks();
-    TaskShape shape = new TaskShape(spec.taskResources(), PlacementConstraints.ofSingleMachine(spec));
+    TaskShape shape =
+        new TaskShape(spec.taskResources(), PlacementConstraints.ofSingleMachine(spec));
     ArrayDeque<MachineCapacity> machines =
         roomByShape.computeIfAbsent(shape, key -> busyMachinesFirst());
     while (left > 0 && !machines.isEmpty()) {
--- a/src/main/java/org/ternhinge/schedule/Snapshot.java
+++ b/src/main/java/org/ternhinge/schedule/Snapshot.java
@@ -8,8 +8,8 @@
 import org.ternhinge.config.Team;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
@@ -88,7 +88,8 @@
    * @param index index of its task in the job
    * @param runningSince null while it is not running
    */
-  public record AttemptView(JobSpec spec, int index, boolean stopping, MonotonicTime runningSince) {}
+  public record AttemptView(
+      JobSpec spec, int index, boolean stopping, MonotonicTime runningSince) {}
 
   /**
    * A job with pending tasks: tasks that are neither done nor have an open attempt.
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -5,9 +5,9 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.MonotonicTime;
 
 /**
  * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -9,24 +9,24 @@
 import org.ternhinge.model.Term;
 
 /**
- * A command to a worker about one attempt. Each may be repeated, except that a {@link Op#START}
+ * A command to a worker about one attempt. Commands are idempotent, except that a {@link Op#START}
  * after a {@link Op#FORGET} starts the attempt again.
  *
  * @param op what to do
  * @param task the task
  * @param attempt the attempt of the task
- * @param graceS for {@link Op#STOP}, seconds that the task may use to save a checkpoint; 0 ends it
- *     at once
+ * @param graceS for {@link Op#STOP}, grace period in seconds for saving a checkpoint; 0 ends the
+ *     task immediately
  */
 public record Command(Op op, TaskId task, AttemptNumber attempt, double graceS) {
 
-  /** Operations of a worker. */
+  /** Operations that a worker performs on an attempt. */
   public enum Op {
-    /** Starts an attempt; no effect where the worker has it already, in any state. */
+    /** Starts an attempt; no effect if the worker already has it, in any state. */
     START("start"),
-    /** Stops an attempt, which saves a checkpoint if the grace period allows. */
+    /** Stops an attempt after it has saved a checkpoint within the grace period. */
     STOP("halt"),
-    /** Removes an ended attempt from the heartbeats. */
+    /** Drops an ended attempt, so that heartbeats no longer report it. */
     FORGET("clear");
 
     private final String wireName;
@@ -37,10 +37,10 @@
   }
 
   /**
-   * The answer to a heartbeat.
+   * Serializes the response to a heartbeat.
    *
-   * @param term fencing token of the leader
-   * @param commands in the order of their execution
+   * @param term the leader's term, used as fencing token
+   * @param commands in order of execution
    */
   public static byte[] heartbeatResponse(Term term, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
@@ -52,11 +52,11 @@
   }
 
   /**
-   * The body of a message with direct commands.
+   * Serializes a message with commands that is sent directly rather than as a response.
    *
-   * @param term fencing token of the leader
-   * @param epoch incarnation of the worker that the commands are meant for
-   * @param commands in the order of their execution
+   * @param term the leader's term, used as fencing token
+   * @param epoch incarnation of the worker that the commands are addressed to
+   * @param commands in order of execution
    */
   public static byte[] directCommandsBody(Term term, AgentEpoch epoch, List<Command> commands) {
     JsonStreamWriter out = new JsonStreamWriter();
@@ -83,7 +83,7 @@
     out.endList();
   }
 
-  /** Reads the commands of an answer or a direct message, as a worker does; skips unknown ones. */
+  /** Reads the commands of a heartbeat response or a direct message; skips unknown operations. */
   public static List<Command> read(JsonNode body) throws WireException {
     List<Command> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "skipanir")) {
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -6,29 +6,29 @@
 public enum EndReason {
   /** The task completed; its result is kept. */
   DONE,
-  /** Stopped by command. */
+  /** The task was stopped by a command. */
   STOPPED,
-  /** Another task of the gang is gone. */
+  /** The attempt lost another task of its gang. */
   PEERS,
-  /** The gang was not complete in time. */
+  /** The gang did not assemble within the time limit. */
   ALONE,
-  /** The task failed, mostly because the machine is faulty. */
+  /** The task failed; the usual cause is a faulty machine. */
   ERROR,
-  /** The start was refused: the machine has not enough free resources. */
+  /** The start was refused: the machine has too few free resources. */
   NO_ROOM,
   /** The start was refused: the machine has another attempt of the task. */
   BUSY,
-  /** The start was refused: no such job or task, or the job has not been submitted. */
+  /** The start was refused: the job or task does not exist or has not been submitted. */
   UNKNOWN;
 
   private final String wireName = name().toLowerCase(Locale.ROOT);
 
-  /** The reason as messages carry it. */
+  /** The name of the reason in messages. */
   public String wireName() {
     return wireName;
   }
 
-  /** Parses the reason of a message. */
+  /** Parses the name of a reason in a message. */
   static EndReason fromWireName(String word) throws WireException {
     for (EndReason reason : values()) {
       if (reason.wireName().equals(word)) {
--- a/src/main/java/org/ternhinge/wire/ErrorBody.java
+++ b/src/main/java/org/ternhinge/wire/ErrorBody.java
@@ -1,9 +1,9 @@
 package org.ternhinge.wire;
 
 /**
- * The body of an answer that rejects a request permanently.
+ * The body of a response that rejects a request permanently.
  *
- * @param message what is wrong with the request, for its sender to read
+ * @param message description of the error for the sender of the request
  */
 public record ErrorBody(String message) {
   /** The body as JSON. */
--- a/src/main/java/org/ternhinge/wire/Heartbeat.java
+++ b/src/main/java/org/ternhinge/wire/Heartbeat.java
@@ -17,11 +17,12 @@
  * @param zone zone of the machine
  * @param spot whether it is a spot machine
  * @param epoch incarnation of the worker
- * @param sequence grows with every message of an epoch. The message with the larger epoch, and then
- *     the larger sequence, is the newer one
+ * @param sequence number that increases with every message of an epoch. Messages are ordered by
+ *     epoch, then by sequence number
  * @param fencingToken highest fencing token that the worker has seen
- * @param reclaimNoticeS seconds until the cloud reclaims the machine; empty without a notice
- * @param tasks all tasks on the machine, also ended ones until they are forgotten
+ * @param reclaimNoticeS seconds until the cloud reclaims the machine; empty if no reclaim is
+ *     announced
+ * @param tasks all tasks on the machine, including ended ones until a {@link Command.Op#FORGET}
  */
 public record Heartbeat(
     MachineId machine,
@@ -44,7 +45,7 @@
     return HeartbeatReader.read(body);
   }
 
-  /** The heartbeat as JSON, as a worker sends it. */
+  /** Converts the heartbeat to JSON. */
   public ObjectNode write() {
     ObjectNode out = Json.object();
     out.put("vel", machine.value()).put("endpoint", endpoint).put("velagerd", type);
--- a/src/main/java/org/ternhinge/wire/HeartbeatReader.java
+++ b/src/main/java/org/ternhinge/wire/HeartbeatReader.java
@@ -11,12 +11,13 @@
 import org.ternhinge.model.Term;
 
 /**
- * Reads heartbeats token by token, without a JSON tree, as hundreds of them arrive every second.
+ * Streaming parser of heartbeats. It builds no JSON tree, since hundreds of heartbeats arrive every
+ * second.
  */
 final class HeartbeatReader {
   private HeartbeatReader() {}
 
-  /** Reads a whole heartbeat. */
+  /** Reads a complete heartbeat and checks that nothing follows it. */
   static Heartbeat read(byte[] body) throws WireException {
     try (JsonStreamReader in = new JsonStreamReader(body)) {
       in.beginObject();
@@ -37,7 +38,7 @@
     return fields.heartbeat();
   }
 
-  /** The fields of a heartbeat as they are read, in any order. */
+  /** Collects the fields of a heartbeat, which may come in any order. */
   private static final class Fields {
     private String machine;
     private String endpoint;
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,10 +1,10 @@
 package org.ternhinge.wire;
 
-/** How the tasks of a job relate to one another. */
+/** The scheduling model of a job's tasks. */
 public enum JobKind {
   /** Independent tasks, each of which runs to completion. */
   ARRAY("batch"),
-  /** All tasks run at the same time, or none does. */
+  /** Gang-scheduled tasks: all of them run at the same time, or none does. */
   GANG("group"),
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
@@ -15,12 +15,12 @@
     this.wireName = word;
   }
 
-  /** The kind as messages carry it. */
+  /** The name of the kind in messages. */
   public String wireName() {
     return wireName;
   }
 
-  /** Parses the kind of a message. */
+  /** Parses the name of a kind in a message. */
   public static JobKind fromWireName(String word) throws WireException {
     for (JobKind kind : values()) {
       if (kind.wireName.equals(word)) {
--- a/src/main/java/org/ternhinge/wire/JobSpec.java
+++ b/src/main/java/org/ternhinge/wire/JobSpec.java
@@ -12,32 +12,32 @@
 /**
  * The description of a job as its user submits it. Immutable.
  *
- * @param id unique id, chosen by the user; a retry of the submission uses the same
- * @param jobClass class of jobs that it belongs to, for which the settings define objectives
+ * @param id unique id, chosen by the user; retries of the submission use the same id
+ * @param jobClass job class, for which the settings define service objectives
  * @param team team whose guarantee and quota apply
- * @param kind whether its tasks are independent, start together, or run until cancelled
- * @param priority priority for preemption and order
+ * @param kind scheduling model of its tasks
+ * @param priority priority for preemption and queue order
  * @param tasks number of tasks, from 1 to {@link #MAX_TASKS}
- * @param taskResources resources of each task, rounded up from {@code cpus}, {@code gpus} and {@code
- *     memoryGb}
+ * @param taskResources resource request of each task, rounded up from {@code cpus}, {@code gpus}
+ *     and {@code memoryGb}
  * @param cpus CPUs of each task, as submitted
  * @param gpus accelerators of each task, as submitted
  * @param memoryGb memory of each task in GB, as submitted
- * @param image name of the image that a machine must have before a task can start
+ * @param image name of the image, which a machine fetches before it starts a task
  * @param imageGb size of the image in GB
  * @param types allowed machine types; empty allows any
  * @param zone the only allowed zone; empty allows any
- * @param singleZone whether all tasks have to be in the same zone
- * @param spreadAcrossZones whether at most half of the tasks, rounded up, may be in one zone
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether each zone may run at most half of the tasks, rounded up
  * @param spotAllowed whether tasks may run on spot machines
- * @param estimateS the user's estimate of a task's run time in seconds, without the fetch of its
- *     image; often wrong, and 0 for services
- * @param checkpointIntervalS seconds of progress between two checkpoints of a task; 0 for a task
- *     that never saves a checkpoint
- * @param checkpointSaveS seconds that a task needs to save a checkpoint when it is stopped
- * @param deadlineS seconds from the submission until the job should be complete; empty for none
- * @param dependencies jobs that have to be done before any task of this job starts, without
- *     duplicates, in the order of the submission
+ * @param estimateS the user's estimate of a task's run time in seconds, excluding the image fetch;
+ *     often inaccurate, and 0 for services
+ * @param checkpointIntervalS seconds of progress between two checkpoints of a task; 0 if it saves
+ *     no checkpoints
+ * @param checkpointSaveS time in seconds to save a checkpoint when a task is stopped
+ * @param deadlineS deadline in seconds after the submission; empty for none
+ * @param dependencies jobs that must be done before any task of this job starts, without
+ *     duplicates, in submission order
  */
 public record JobSpec(
     JobId id,
@@ -63,11 +63,11 @@
     OptionalDouble deadlineS,
     List<JobId> dependencies) {
 
-  /** Most tasks of a job. */
+  /** Maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
   /**
-   * Reads only the id of a submission, which may be valid although the rest is malformed.
+   * Reads only the id of a submission, which may be valid even if other fields are not.
    *
    * @throws WireException when the body is not an object with a valid id
    */
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Reads only the dependencies of a submission that was validated when the job was accepted;
-   * nothing is checked again.
+   * Reads only the dependencies of a stored submission, without validation: it was validated when
+   * the job was accepted.
    */
   public static List<JobId> dependenciesOf(JsonNode body) {
     List<JobId> out = new ArrayList<>();
@@ -94,22 +94,22 @@
     return out;
   }
 
-  /** Whether a submission is of a service, without reading all of it. */
+  /** Whether a submission describes a service; reads only the kind of the job. */
   public static boolean isService(JsonNode body) {
     return body.path(JobSpecJson.KIND).asText().equals(JobKind.SERVICE.wireName());
   }
 
-  /** The submission as JSON. */
+  /** Converts the submission to JSON. */
   public ObjectNode write() {
     return JobSpecJson.write(this);
   }
 
-  /** This job with another priority: one that others depend on is scheduled with theirs. */
+  /** Copies this job with the priority inherited from jobs that depend on it. */
   public JobSpec withPriority(Priority other) {
     return with(other, tasks);
   }
 
-  /** This job with another number of tasks, to reserve capacity for that many. */
+  /** Copies this job with another number of tasks, to reserve capacity for that number. */
   public JobSpec withTasks(int otherTasks) {
     return with(priority, otherTasks);
   }
@@ -140,7 +140,7 @@
         dependencies);
   }
 
-  /** Whether all tasks have to run at the same time. */
+  /** Whether all tasks must run at the same time. */
   public boolean isGang() {
     return kind == JobKind.GANG;
   }
@@ -150,7 +150,7 @@
     return kind == JobKind.SERVICE;
   }
 
-  /** The most tasks that may be in one zone at the same time. */
+  /** The maximum number of tasks that may run in one zone at the same time. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
@@ -160,7 +160,7 @@
     return types.isEmpty() || types.contains(type);
   }
 
-  /** Whether tasks may run in a zone, as far as this job alone decides. */
+  /** Whether the constraints of this job allow a zone; the zone may still be unavailable. */
   public boolean allowsZone(String name) {
     return zone.isEmpty() || zone.get().equals(name);
   }
--- a/src/main/java/org/ternhinge/wire/JobSpecJson.java
+++ b/src/main/java/org/ternhinge/wire/JobSpecJson.java
@@ -11,12 +11,12 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
 
-/** The JSON form of a {@link JobSpec}: reads and validates a submission, and writes it. */
+/** Parses, validates and serializes the JSON representation of a {@link JobSpec}. */
 final class JobSpecJson {
-  /** Field of the kind of a job. */
+  /** Name of the field with the kind of the job. */
   static final String KIND = "gerd";
 
-  /** Field of the jobs that a job depends on. */
+  /** Name of the field with the ids of the jobs that the job depends on. */
   static final String DEPENDENCIES = "bidur_eftir";
 
   private static final String TYPES = "velagerdir";
@@ -36,7 +36,7 @@
     return new JobId(id);
   }
 
-  /** Reads a submission; the order of the checks decides which of several errors is reported. */
+  /** Parses a submission and throws for the first invalid field in the order of the checks. */
   static JobSpec read(JsonNode body) throws WireException {
     JobId id = readId(body);
     long tasks = Json.count(body, "verkbitar");
@@ -117,7 +117,7 @@
     return List.copyOf(out);
   }
 
-  /** Writes a submission; optional fields are omitted rather than null. */
+  /** Serializes a submission; empty optional fields are omitted rather than null. */
   static ObjectNode write(JobSpec spec) {
     ObjectNode out = Json.object();
     out.put("ref", spec.id().value());
@@ -138,7 +138,7 @@
     out.put("vista_bil_s", spec.checkpointIntervalS()).put("vistun_s", spec.checkpointSaveS());
     spec.deadlineS().ifPresent(deadlineS -> out.put("skiladagur_s", deadlineS));
     if (!spec.dependencies().isEmpty()) {
-      // Omitted where there are none: a version before dependencies drops the unknown field.
+      // Omitted if empty: versions without support for dependencies drop the unknown field.
       ArrayNode ids = out.putArray(DEPENDENCIES);
       spec.dependencies().forEach(dependency -> ids.add(dependency.value()));
     }
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -4,24 +4,24 @@
 import org.ternhinge.model.JobId;
 
 /**
- * The state of a job as answers to its user show it.
+ * The state of a job as reported to its user.
  *
  * @param id the job
  * @param phase its phase
- * @param done number of tasks that are done
- * @param running number of tasks that run
+ * @param done number of completed tasks
+ * @param running number of running tasks
  */
 public record JobState(JobId id, Phase phase, int done, int running) {
 
   /** The phases of a job as users see them; {@code DONE} and {@code CANCELLED} are final. */
   public enum Phase {
-    /** No task runs. */
+    /** No task is running. */
     QUEUED("queued"),
-    /** At least one task runs. */
+    /** At least one task is running. */
     RUNNING("running"),
     /** All tasks are done. */
     DONE("done"),
-    /** Cancelled by its user, or because a dependency was. */
+    /** Cancelled by the user or because a dependency was cancelled. */
     CANCELLED("cancelled");
 
     private final String wireName;
@@ -30,18 +30,18 @@
       this.wireName = word;
     }
 
-    /** The phase as messages carry it. */
+    /** The name of the phase in messages. */
     public String wireName() {
       return wireName;
     }
   }
 
-  /** The body of the answer to a submission or a cancellation. */
+  /** The response body of a submission or a cancellation. */
   public byte[] summaryBody() {
     return Json.bytes(summary());
   }
 
-  /** The body of the answer to a query, with the counts of tasks. */
+  /** The response body of a query, which includes the task counts. */
   public byte[] detailBody() {
     return Json.bytes(summary().put("done", done).put("running", running));
   }
--- a/src/main/java/org/ternhinge/wire/Json.java
+++ b/src/main/java/org/ternhinge/wire/Json.java
@@ -16,11 +16,11 @@
 import org.ternhinge.model.Outcome;
 
 /**
- * Reads and writes JSON trees. Trees rather than data binding keep the start of the process fast,
- * and each error can name the field as the protocol does.
+ * Reads and writes JSON trees. Compared with data binding, trees shorten the start-up of the
+ * process and allow each error to name the field as the protocol does.
  */
 public final class Json {
-  /** The largest amount of anything that a message may carry. */
+  /** Upper bound of any amount in a message. */
   static final double MAX_AMOUNT = 1e9;
 
   private static final int MAX_NESTING_DEPTH = 40;
@@ -49,7 +49,7 @@
     return MAPPER.getFactory().createGenerator(to);
   }
 
-  /** Decodes the body of an answer; one that is malformed leaves the outcome unknown. */
+  /** Decodes a response body; the outcome of a request with a malformed response is unknown. */
   public static <T> Outcome<T> decode(byte[] body, Reader<T> reader) {
     try {
       return Outcome.applied(reader.read(parse(body)));
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Parses a body. */
+  /** Parses the body of a message. */
   public static JsonNode parse(byte[] body) throws WireException {
     try {
       JsonNode node = MAPPER.readTree(body);
@@ -76,7 +76,7 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree can always be written", e);
+      throw new IllegalStateException("JSON tree could not be serialized", e);
     }
   }
 
@@ -94,7 +94,7 @@
     return node.textValue();
   }
 
-  /** Reads a string, empty where the field is null or omitted. */
+  /** Reads an optional string; empty if the field is null or omitted. */
   public static Optional<String> optionalText(JsonNode object, String field) throws WireException {
     return isAbsent(object, field) ? Optional.empty() : Optional.of(text(object, field));
   }
@@ -105,7 +105,7 @@
     return node == null || node.isNull();
   }
 
-  /** Reads a required amount, which is not negative. */
+  /** Reads a required number from 0 to {@link #MAX_AMOUNT}. */
   public static double amount(JsonNode object, String field) throws WireException {
     JsonNode node = object.get(field);
     if (node == null || !node.isNumber()) {
@@ -118,14 +118,14 @@
     return value;
   }
 
-  /** Reads an amount, empty where the field is null or omitted. */
+  /** Reads an optional {@link #amount}; empty if the field is null or omitted. */
   public static OptionalDouble optionalAmount(JsonNode object, String field) throws WireException {
     return isAbsent(object, field)
         ? OptionalDouble.empty()
         : OptionalDouble.of(amount(object, field));
   }
 
-  /** Reads a required integer, which is not negative. */
+  /** Reads a required non-negative integer. */
   public static long count(JsonNode object, String field) throws WireException {
     JsonNode node = object.get(field);
     if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
--- a/src/main/java/org/ternhinge/wire/JsonStreamReader.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamReader.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 
 /**
- * Reads a message token by token. For heartbeats, of which hundreds arrive every second: building a
- * tree of each took more time than its processing.
+ * Pull parser for JSON messages, used for heartbeats, of which hundreds arrive every second:
+ * building a tree of each took more time than processing it.
  */
 final class JsonStreamReader implements AutoCloseable {
   private final JsonParser parser;
@@ -15,7 +15,7 @@
     parser = Json.parser(body);
   }
 
-  /** Reads the beginning of an object. */
+  /** Reads the start of an object. */
   void beginObject() throws IOException, WireException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
       throw new WireException("not an object");
@@ -23,8 +23,8 @@
   }
 
   /**
-   * Moves to the value of the next field and returns its name, or null at the end of the object. No
-   * Optional, which would be allocated for each field of each heartbeat.
+   * Advances to the value of the next field and returns the field's name, or null at the end of the
+   * object. An Optional would be allocated for each field of each heartbeat.
    */
   String nextField() throws IOException {
     if (parser.nextToken() == JsonToken.END_OBJECT) {
@@ -35,19 +35,19 @@
     return name;
   }
 
-  /** Skips the present value, of whatever type. */
+  /** Skips the current value, which may be of any type. */
   void skip() throws IOException {
     parser.skipChildren();
   }
 
-  /** Checks that the present value is a list. */
+  /** Checks that the current value is a list. */
   void beginList(String field) throws WireException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new WireException(field + ": a list is needed");
     }
   }
 
-  /** Moves to the next object of a list; false at the end of the list. */
+  /** Advances to the next object of a list; returns false at the end of the list. */
   boolean nextObject() throws IOException, WireException {
     JsonToken token = parser.nextToken();
     if (token == JsonToken.END_ARRAY) {
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /** The present value, a string. */
+  /** Returns the current value, which must be a string. */
   String text(String field) throws IOException, WireException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
       throw new WireException(field + ": a string is needed");
@@ -67,12 +67,12 @@
     return parser.getText();
   }
 
-  /** Whether the present value is null. */
+  /** Whether the current value is null. */
   boolean isNull() {
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  /** The present value, a number that is not negative. */
+  /** Returns the current value, which must be a number from 0 to {@link Json#MAX_AMOUNT}. */
   double amount(String field) throws IOException, WireException {
     if (!parser.currentToken().isNumeric()) {
       throw new WireException(field + ": a number is needed");
@@ -84,7 +84,7 @@
     return value;
   }
 
-  /** The present value, an integer that is not negative. */
+  /** Returns the current value, which must be a non-negative integer. */
   long count(String field) throws IOException, WireException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
@@ -97,7 +97,7 @@
     return value;
   }
 
-  /** The present value, a boolean. */
+  /** Returns the current value, which must be a boolean. */
   boolean flag(String field) throws WireException {
     JsonToken token = parser.currentToken();
     if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -6,14 +6,14 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Hundreds of answers
- * to heartbeats are written every second; a tree of each would only be garbage.
+ * Writes a JSON message field by field; the counterpart of {@link JsonStreamReader}. Hundreds of
+ * heartbeat responses are written every second; building a tree of each would only add garbage.
  */
 final class JsonStreamWriter {
-  /** Enough for an answer without commands, as most are. */
+  /** Sufficient for a response without commands, the most frequent case. */
   private static final int INITIAL_BYTES = 64;
 
-  /** A call of the generator. */
+  /** A call of the JSON generator, which may throw. */
   private interface GeneratorCall {
     void run() throws IOException;
   }
@@ -57,7 +57,7 @@
     write(() -> generator.writeNumberField(name, value));
   }
 
-  /** Returns the whole message; nothing can be added afterwards. */
+  /** Completes the message and returns it; no further writes are allowed. */
   byte[] bytes() {
     write(generator::close);
     return buffer.toByteArray();
@@ -67,7 +67,7 @@
     try {
       step.run();
     } catch (IOException e) {
-      throw new UncheckedIOException("a message in memory can always be written", e);
+      throw new UncheckedIOException("JSON message could not be written to memory", e);
     }
   }
 }
--- a/src/main/java/org/ternhinge/wire/ListedMachine.java
+++ b/src/main/java/org/ternhinge/wire/ListedMachine.java
@@ -7,10 +7,10 @@
 import org.ternhinge.model.MachineId;
 
 /**
- * A machine in the cloud's list, which lags behind the truth.
+ * A machine in the cloud's list of machines, which lags behind its actual state.
  *
  * @param machine name of the machine
- * @param endpoint address of its worker as host:port; empty where the list has none
+ * @param endpoint address of its worker as host:port; empty if the list has none
  * @param type machine type
  * @param zone zone of the machine
  * @param spot whether it is a spot machine
@@ -28,18 +28,18 @@
 
   /** States of a listed machine. */
   public enum State {
-    /** Not up yet; a machine that never comes up stays in this state. */
+    /** Not running yet; a machine whose boot fails stays in this state. */
     BOOTING,
-    /** Up, or dead for less than about half a minute. */
+    /** Running, or down for less than about half a minute. */
     RUNNING,
-    /** Stopped of its own accord; listed, without charge, until it is released. */
+    /** Stopped without a request; listed, at no charge, until it is released. */
     FAILED
   }
 
   /**
    * One page of the list.
    *
-   * @param machines in the order of their names
+   * @param machines ordered by name
    * @param more whether further machines follow
    */
   public record Page(List<ListedMachine> machines, boolean more) {}
--- a/src/main/java/org/ternhinge/wire/MachineType.java
+++ b/src/main/java/org/ternhinge/wire/MachineType.java
@@ -17,9 +17,9 @@
  * @param gpus accelerators, as listed
  * @param memoryGb memory in GB, as listed
  * @param cacheGb size of the image cache in GB
- * @param fetchGbPerS rate of image fetches in GB per second, which simultaneous ones may share
- * @param price present price of an ordinary machine per hour
- * @param spotPrice present price of a spot machine per hour
+ * @param fetchGbPerS bandwidth of image fetches in GB per second; concurrent fetches may share it
+ * @param price current price of an on-demand machine per hour
+ * @param spotPrice current price of a spot machine per hour
  * @param bootS nominal boot time in seconds
  * @param zones zones that offer the type
  */
@@ -64,7 +64,7 @@
     return List.copyOf(out);
   }
 
-  /** Writes a list of machine types as the cloud does. */
+  /** Writes a list of machine types in the format of the cloud. */
   public static ObjectNode writeAll(List<MachineType> machineTypes) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("velagerdir");
@@ -79,12 +79,12 @@
     return out;
   }
 
-  /** Seconds to fetch an image of a size in GB. */
+  /** Estimated time in seconds to fetch an image of the given size in GB. */
   public double fetchSeconds(double gb) {
     return fetchGbPerS > 0 ? gb / fetchGbPerS : 0;
   }
 
-  /** The present price per hour of a spot or an ordinary machine. */
+  /** The current price per hour of a spot or an on-demand machine. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -19,17 +19,17 @@
     this.level = level;
   }
 
-  /** The number of lower priorities. */
+  /** The rank of the priority: the number of lower ones. */
   public int level() {
     return level;
   }
 
-  /** The priority as messages carry it. */
+  /** The name of the priority in messages. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Parses the priority of a message. */
+  /** Parses the name of a priority in a message. */
   public static Priority fromWireName(String word) throws WireException {
     for (Priority priority : values()) {
       if (priority.wireName().equals(word)) {
--- a/src/main/java/org/ternhinge/wire/ProvisionRequest.java
+++ b/src/main/java/org/ternhinge/wire/ProvisionRequest.java
@@ -10,24 +10,24 @@
 /**
  * A request to provision machines.
  *
- * @param name unique name, which makes a repeated request idempotent; never used for another one
+ * @param name idempotency key of the request; never reused for a different request
  * @param type machine type
  * @param zone zone of the machines
  * @param spot whether to provision spot machines
- * @param count most machines to provision, up to {@link #MAX_COUNT}; the cloud may provision fewer
+ * @param count maximum number of machines, up to {@link #MAX_COUNT}; the cloud may provision fewer
  */
 public record ProvisionRequest(String name, String type, String zone, boolean spot, int count) {
 
-  /** Most machines of one request. */
+  /** Maximum number of machines per request. */
   public static final int MAX_COUNT = 50;
 
-  /** The request as JSON. */
+  /** Converts the request to JSON. */
   public ObjectNode write() {
     ObjectNode out = Json.object().put("leigubeidni", name).put("velagerd", type);
     return out.put("svaedi", zone).put("lanvelar", spot).put("count", count);
   }
 
-  /** Reads the JSON of {@link #write}. */
+  /** Reads the JSON written by {@link #write}. */
   public static ProvisionRequest read(JsonNode body) throws WireException {
     return new ProvisionRequest(
         Json.text(body, "leigubeidni"),
@@ -37,7 +37,7 @@
         (int) Json.count(body, "count"));
   }
 
-  /** Reads the names of the machines that were provisioned. */
+  /** Reads the names of the provisioned machines from the response. */
   public static List<MachineId> readResponse(JsonNode body) throws WireException {
     List<MachineId> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "velar")) {
@@ -46,7 +46,7 @@
     return out;
   }
 
-  /** The body of a request to release machines. */
+  /** Serializes the body of a request to release machines. */
   public static byte[] releaseBody(List<MachineId> machines) {
     ObjectNode out = Json.object();
     ArrayNode names = out.putArray("velar");
--- a/src/main/java/org/ternhinge/wire/TaskIds.java
+++ b/src/main/java/org/ternhinge/wire/TaskIds.java
@@ -2,11 +2,11 @@
 
 import org.ternhinge.model.TaskId;
 
-/** Reads task ids from messages. */
+/** Parses task ids in messages. */
 final class TaskIds {
   private TaskIds() {}
 
-  /** Parses the task id in a field, which the error names. */
+  /** Parses a task id; the exception names the field. */
   static TaskId parse(String text, String field) throws WireException {
     try {
       return TaskId.parse(text);
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -1,19 +1,23 @@
 package org.ternhinge.wire;
 
-/** The state of an attempt as its worker reports it. */
+/** The state of an attempt as reported by its worker. */
 public enum TaskState {
-  /** Waits for its image. */
+  /** Fetching its image. */
   FETCHING("pulling"),
-  /** Task of a gang that waits for the other tasks of its attempt. */
+  /** Waiting for the other tasks of its gang to start the same attempt. */
   WAITING("gathering"),
-  /** Runs; also a task of a gang that has lost a task or is being stopped, until it ends. */
+  /**
+   * Running; includes tasks of a gang that has lost a member or is being stopped, until they end.
+   */
   RUNNING("running"),
-  /** Was stopped and is saving a checkpoint. */
+  /** Stopped, and saving a checkpoint. */
   CHECKPOINTING("flushing"),
-  /** Has ended, for a reason that the status names. */
+  /** Ended; the status contains the reason. */
   ENDED("ended");
 
-  /** Cached, since {@link #values()} copies the array and is needed for each reported task. */
+  /**
+   * Cached, since {@link #values()} copies the array and would be called for each reported task.
+   */
   private static final TaskState[] ALL = values();
 
   private final String wireName;
@@ -22,12 +26,12 @@
     this.wireName = word;
   }
 
-  /** The state as messages carry it. */
+  /** The name of the state in messages. */
   public String wireName() {
     return wireName;
   }
 
-  /** Parses the state of a message. */
+  /** Parses the name of a state in a message. */
   static TaskState fromWireName(String word) throws WireException {
     for (TaskState state : ALL) {
       if (state.wireName.equals(word)) {
--- a/src/main/java/org/ternhinge/wire/TaskStatus.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -8,11 +8,11 @@
  * The status of one task in a worker's heartbeat.
  *
  * @param task the task
- * @param attempt the attempt that the worker has
+ * @param attempt the attempt that the worker runs or has run
  * @param state the state of the attempt
- * @param endReason why it ended; null until it has, since an Optional would be allocated for each
+ * @param endReason why the attempt ended; null until then. An Optional would be allocated for each
  *     task of each heartbeat
- * @param saved whether a stopped attempt has saved its progress
+ * @param saved whether a stopped attempt has saved a checkpoint
  */
 public record TaskStatus(
     TaskId task, AttemptNumber attempt, TaskState state, EndReason endReason, boolean saved) {
@@ -34,7 +34,7 @@
     }
   }
 
-  // Written out for speed; the documentation of package model says why.
+  // Explicit for performance; see the documentation of package model.
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskStatus that
--- a/src/main/java/org/ternhinge/wire/WireException.java
+++ b/src/main/java/org/ternhinge/wire/WireException.java
@@ -1,13 +1,14 @@
 package org.ternhinge.wire;
 
-/** A message that violates the protocol. */
+/** Thrown for a message that violates the protocol. */
 public final class WireException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates an error.
+   * Creates an exception.
    *
-   * @param message names the field at fault; users get it as the answer to a malformed request
+   * @param message names the invalid field; returned to users in the response to a malformed
+   *     request
    */
   public WireException(String message) {
     super(message);
--- a/src/main/java/org/ternhinge/wire/package-info.java
+++ b/src/main/java/org/ternhinge/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The JSON messages of the site's interfaces. No other package contains the field names of the
- * protocol, except for those of the key-value store in package {@code store}.
+ * The JSON messages of users, workers and the cloud. Protocol field names occur in this package
+ * only, except for those of the key-value store, which are in package {@code store}.
  */
 package org.ternhinge.wire;
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -73,7 +73,10 @@
    * @param minRate lowest rate at which tasks are released, a second
    */
   FailoverQueue(
-      ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, MonotonicTime now) {
+      ZoneFailoverSettings.Release settings,
+      FailoverOrder order,
+      double minRate,
+      MonotonicTime now) {
     this.settings = settings;
     this.order = order;
     this.minRate = minRate;
--- a/src/main/java/org/ternhinge/zone/ZoneRecord.java
+++ b/src/main/java/org/ternhinge/zone/ZoneRecord.java
@@ -64,7 +64,8 @@
     return zones;
   }
 
-  private static ZoneHealth read(ZoneState state, JsonNode value, MonotonicTime now, long wallMillis) {
+  private static ZoneHealth read(
+      ZoneState state, JsonNode value, MonotonicTime now, long wallMillis) {
     MonotonicTime since = time(value, SINCE_MILLIS, now, wallMillis);
     double penalty = Math.max(0, value.path(PENALTY).asDouble(0));
     FlapPenalty flaps = new FlapPenalty(penalty, time(value, PENALTY_MILLIS, now, wallMillis));
@@ -72,7 +73,8 @@
     return new ZoneHealth(state, since, null, null, null, flaps, suppressed, 0, 0);
   }
 
-  private static MonotonicTime time(JsonNode value, String field, MonotonicTime now, long wallMillis) {
+  private static MonotonicTime time(
+      JsonNode value, String field, MonotonicTime now, long wallMillis) {
     double ageS = (wallMillis - value.path(field).asLong(wallMillis)) / MILLIS_PER_S;
     return now.plusSeconds(-Math.min(MAX_AGE_S, Math.max(0, ageS)));
   }
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.Endpoint;
 
-/** Which idle connections are kept, reused and closed. */
+/** Reuse, limits and eviction of idle connections. */
 class ConnectionPoolTest {
   private static final Endpoint FIRST = new Endpoint("10.0.0.1", 80);
   private static final Endpoint SECOND = new Endpoint("10.0.0.2", 80);
@@ -49,7 +49,7 @@
       channels.add(idle(FIRST));
     }
     assertTrue(channels.get(3).isActive());
-    assertFalse(channels.get(4).isActive(), "the fifth is closed");
+    assertFalse(channels.get(4).isActive(), "the fifth connection is closed");
   }
 
   @Test
@@ -62,7 +62,7 @@
     assertTrue(middle.isActive());
     assertTrue(newest.isActive());
     idle(SECOND);
-    assertFalse(middle.isActive(), "the limit holds for connections that are released later");
+    assertFalse(middle.isActive(), "the limit applies to connections that are released later");
     assertEquals(Optional.of(newest), pool.poll(FIRST));
   }
 
--- a/src/test/java/org/ternhinge/http/HttpClientServerTest.java
+++ b/src/test/java/org/ternhinge/http/HttpClientServerTest.java
@@ -31,7 +31,10 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
-/** Limits of sockets and sizes, on loopback; nothing here depends on the speed. */
+/**
+ * Limits on sockets and response sizes, conditional calls and the retry header, over loopback.
+ * Results do not depend on timing.
+ */
 class HttpClientServerTest {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(20);
 
@@ -48,7 +51,8 @@
     Channel channel =
         new HttpServer(group, (request, responder) -> responder.accept(response), budget, "/work")
             .listen(new Endpoint("127.0.0.1", 0));
-    serverEndpoint = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
+    serverEndpoint =
+        new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
   }
 
   @AfterEach
@@ -59,21 +63,25 @@
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** The fleets of the deployments, with half as many machines again. */
+  /** Machine counts are those of the deployments plus 50 percent. */
   @ParameterizedTest(name = "{0} sockets, {1} machines")
   @CsvSource({"1500, 860", "1800, 1240", "2219, 1526", "2885, 1695", "64, 1", "8, 1"})
   void budgetReservesSocketsForUsersWithinTheLimit(int limit, int machines) {
     SocketBudget budget = SocketBudget.of(limit);
-    assertTrue(budget.maxPersistentWorkers() >= machines, budget.maxPersistentWorkers() + " kept connections for workers");
-    assertTrue(budget.maxInbound() > budget.maxPersistentWorkers(), "users find a socket");
+    assertTrue(
+        budget.maxPersistentWorkers() >= machines,
+        budget.maxPersistentWorkers() + " persistent connections for workers");
+    assertTrue(
+        budget.maxInbound() > budget.maxPersistentWorkers(), "sockets are reserved for users");
     for (int open = 0; open <= budget.maxInbound(); open++) {
       assertTrue(
-          budget.maxIdleOutbound(open) + open + budget.maxOutboundCalls() <= limit, open + " open, of " + budget);
+          budget.maxIdleOutbound(open) + open + budget.maxOutboundCalls() <= limit,
+          open + " open, of " + budget);
       assertTrue(budget.maxIdleOutbound(open) >= budget.minIdleOutbound());
     }
   }
 
-  /** Whether the server keeps a connection after a request; null if it is closed already. */
+  /** Sends a request; returns whether the server keeps the connection, or null if it was closed. */
   private Boolean keepsConnectionAfterRequest(Socket socket, String path) throws IOException {
     socket.setSoTimeout(20_000);
     String request = "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -109,30 +117,39 @@
     assertTrue(keepsConnectionAfterRequest(first, "/work"));
     assertTrue(keepsConnectionAfterRequest(second, "/work"));
     for (int i = 0; i < 5; i++) {
-      assertFalse(keepsConnectionAfterRequest(connect(), "/work"), "answered, and closed");
+      assertFalse(
+          keepsConnectionAfterRequest(connect(), "/work"),
+          "beyond the limit: answered, then closed");
     }
-    assertTrue(keepsConnectionAfterRequest(first, "/work"), "those within the share are kept");
+    assertTrue(
+        keepsConnectionAfterRequest(first, "/work"), "connections within the limit are kept");
     Socket user = connect();
-    assertTrue(keepsConnectionAfterRequest(user, "/"), "a user finds a socket");
+    assertTrue(keepsConnectionAfterRequest(user, "/"), "a user can connect");
     assertTrue(keepsConnectionAfterRequest(user, "/"));
     assertTrue(keepsConnectionAfterRequest(connect(), "/"));
-    assertEquals(null, keepsConnectionAfterRequest(connect(), "/"), "beyond the limit: closed at once");
+    assertEquals(
+        null,
+        keepsConnectionAfterRequest(connect(), "/"),
+        "beyond the limit of all connections: closed without a response");
   }
 
-  /** The watch of the key-value store has no bound of its own. */
+  /** Responses to watches of the key-value store have no size limit of their own. */
   @Test
   void oversizedResponseFailsAReadAndLeavesAWriteUnknown() throws Exception {
     serve(SocketBudget.of(64), 3 << 20);
     PooledHttpClient client = new PooledHttpClient(group.next(), SocketBudget.of(64));
-    Outcome<ClientResponse> read = client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
+    Outcome<ClientResponse> read =
+        client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertTrue(read.isNotApplied(Reason.TOO_LARGE), read.toString());
     Outcome<ClientResponse> write =
-        client.call(serverEndpoint, Request.post("/", new byte[2]), TIMEOUTS).get(30, TimeUnit.SECONDS);
+        client
+            .call(serverEndpoint, Request.post("/", new byte[2]), TIMEOUTS)
+            .get(30, TimeUnit.SECONDS);
     assertTrue(write instanceof Outcome.Unknown, "it may have been carried out");
   }
 
-  /** Commands of a lapsed authority are not sent. */
-  @ParameterizedTest(name = "may be sent: {0}, on a kept connection: {1}")
+  /** Guards against sending commands after the leadership has expired. */
+  @ParameterizedTest(name = "condition holds: {0}, on a pooled connection: {1}")
   @CsvSource({"true, false", "false, false", "true, true", "false, true"})
   void callIsWithdrawnUnlessItsConditionHolds(boolean maySend, boolean kept) throws Exception {
     AtomicInteger requestCount = new AtomicInteger();
@@ -146,7 +163,8 @@
                 SocketBudget.of(64),
                 "/work")
             .listen(new Endpoint("127.0.0.1", 0));
-    serverEndpoint = new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
+    serverEndpoint =
+        new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
     PooledHttpClient client = new PooledHttpClient(group.next(), SocketBudget.of(64));
     if (kept) {
       client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
@@ -157,18 +175,20 @@
             .get(30, TimeUnit.SECONDS);
     assertEquals(maySend, outcome instanceof Outcome.Applied);
     assertEquals(!maySend, outcome.isNotApplied(Reason.WITHDRAWN));
-    // The connection serves the next call.
+    // The connection remains usable for the next call.
     client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, requestCount.get());
   }
 
-  /** Only a response with a retry time has the header. */
+  /** A retry time of 0 omits the header. */
   @ParameterizedTest(name = "{0}, retry after {1} s")
   @CsvSource({"503, 1, 1", "503, 17, 17", "503, 0, ", "200, 0, ", "422, 0, "})
-  void retryAfterHeaderIsSentOnlyWithARetryTime(int status, int retryAfterS, String header) throws Exception {
+  void retryAfterHeaderIsSentOnlyWithARetryTime(int status, int retryAfterS, String header)
+      throws Exception {
     serve(SocketBudget.of(64), new Response(status, new byte[2], retryAfterS));
     HttpRequest request =
-        HttpRequest.newBuilder(URI.create("http://" + serverEndpoint.host() + ":" + serverEndpoint.port() + "/"))
+        HttpRequest.newBuilder(
+                URI.create("http://" + serverEndpoint.host() + ":" + serverEndpoint.port() + "/"))
             .version(HttpClient.Version.HTTP_1_1)
             .build();
     HttpResponse<String> response =
--- a/src/test/java/org/ternhinge/http/LoopbackServer.java
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.ternhinge.model.Endpoint;
 
-/** A server on loopback that answers every request with the same response, and a client for it. */
+/** Loopback server that returns the same response to every request, with a client for it. */
 public final class LoopbackServer implements AutoCloseable {
   private static final SocketBudget SHARES = SocketBudget.of(64);
 
@@ -21,7 +21,7 @@
   private final List<Request> requests = new CopyOnWriteArrayList<>();
   private final Endpoint endpoint;
 
-  /** Starts a server at any free port. */
+  /** Starts a server on a free port. */
   public LoopbackServer(int status, String body) throws InterruptedException {
     Response response = Response.of(status, body.getBytes(StandardCharsets.UTF_8));
     HttpServer.Handler handler =
@@ -40,12 +40,12 @@
     return client;
   }
 
-  /** Where the server listens. */
+  /** The address of the server. */
   public Endpoint endpoint() {
     return endpoint;
   }
 
-  /** The requests that have arrived so far; their paths have no query. */
+  /** The requests received so far; their paths do not include the query. */
   public List<Request> requests() {
     return requests;
   }
--- a/src/test/java/org/ternhinge/http/ServiceClientTest.java
+++ b/src/test/java/org/ternhinge/http/ServiceClientTest.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
-/** A call to a service ends with an outcome, whatever happens. */
+/** Every call to a service completes with an outcome, including on errors. */
 class ServiceClientTest {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(20);
 
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.ternhinge.model.Revision;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Revision;
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.WireException;
 
--- a/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionSharedRecordsTest.java
@@ -54,9 +54,20 @@
     List<String> both = List.of("east", "west");
     List<MachineType> expected =
         List.of(
-            new MachineType("small", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, both),
             new MachineType(
-                "fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 1.5, 3, 1, 8, List.of("west")));
+                "small", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, both),
+            new MachineType(
+                "fast",
+                Resources.ofCapacity(16, 2, 64),
+                16,
+                2,
+                64,
+                50,
+                1.5,
+                3,
+                1,
+                8,
+                List.of("west")));
     assertEquals(expected, MachineType.readAll(json(types)));
     assertEquals(types, text(MachineType.writeAll(expected)));
   }
--- a/src/test/java/org/ternhinge/machine/MachineTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot;
 
 /** The cached view of a machine, and the state that it is built of. */
--- a/src/test/java/org/ternhinge/model/LockedExecutorTest.java
+++ b/src/test/java/org/ternhinge/model/LockedExecutorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Actions and handlers run under the lock and leave it free. */
+/** Actions and handlers run under the lock, which is released afterwards. */
 class LockedExecutorTest {
   private final ReentrantLock lock = new ReentrantLock();
   private final LockedExecutor executor = new LockedExecutor(lock);
--- a/src/test/java/org/ternhinge/model/ValueTypesTest.java
+++ b/src/test/java/org/ternhinge/model/ValueTypesTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
 
-/** The small types: what they parse, how they compare, what they refuse. */
+/** Parsing, validation, rounding and equality of the value types. */
 class ValueTypesTest {
 
   @ParameterizedTest
@@ -45,9 +45,10 @@
   @Test
   void roundingNeverOvercommitsAMachine() {
     Resources third = Resources.ofRequest(1.0 / 3, 0, 0.1);
-    assertEquals(2, third.countFittingIn(Resources.ofCapacity(1, 0, 10)), "a third is rounded up");
+    assertEquals(
+        2, third.countFittingIn(Resources.ofCapacity(1, 0, 10)), "one third is rounded up");
     Resources tenth = Resources.ofRequest(0.1, 0, 0.1);
-    assertEquals(10, tenth.countFittingIn(Resources.ofCapacity(1, 0, 1)), "tenths stay exact");
+    assertEquals(10, tenth.countFittingIn(Resources.ofCapacity(1, 0, 1)), "tenths are exact");
   }
 
   @ParameterizedTest
@@ -56,7 +57,7 @@
     assertThrows(IllegalArgumentException.class, () -> Endpoint.parse(text));
   }
 
-  /** What is written by hand has to mean what the compiler would have made. */
+  /** The explicit methods must be equivalent to the generated ones of a record. */
   @Test
   void valuesAreEqualIfAllTheirComponentsAre() {
     List<List<Object>> copies = new ArrayList<>();
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.peer.Frame.RequestFrame;
 import org.ternhinge.peer.Frame.ResponseFrame;
 
-/** Frames between controllers, byte for byte as the version in production has them. */
+/** Encoding and decoding of frames, compared byte by byte with the version in production. */
 class FrameTest {
   private static ByteBuffer body(ByteBuffer frame) {
     assertEquals(frame.remaining() - 4, frame.getInt());
@@ -28,7 +28,8 @@
   void encodedFramesAreDecodedAgain() {
     Request sent = new Request("POST", "/submissions/wk-1/cancel", new byte[] {1, 2});
     RequestFrame request =
-        assertInstanceOf(RequestFrame.class, Frame.decode(body(new RequestFrame(7, sent).encode())));
+        assertInstanceOf(
+            RequestFrame.class, Frame.decode(body(new RequestFrame(7, sent).encode())));
     assertEquals(7, request.id());
     assertEquals(sent.path(), request.request().path());
     assertArrayEquals(sent.body(), request.request().body());
@@ -54,7 +55,10 @@
     assertThrows(RuntimeException.class, () -> Frame.decode(frame));
   }
 
-  /** What the version in production sends: during an upgrade both versions are on the link. */
+  /**
+   * Frames of the version in production: during an upgrade, controllers of both versions
+   * communicate.
+   */
   @ParameterizedTest(name = "{0} {1} {2}")
   @CsvSource(
       delimiter = '|',
@@ -66,12 +70,13 @@
         "258 | POST | /submissions | {\"ref\":\"wk-1\"} | 000000330000000000000102"
             + "0100000004504f53540000000c2f7375626d697373696f6e73"
             + "0000000e7b22726566223a22776b2d31227d",
-        // Written by the code of commit d679fcc, which hands jobs with dependencies to the leader.
+        // Written by commit d679fcc, which forwards jobs with dependencies to the leader.
         "259 | POST | /submissions | {\"ref\":\"wk-2\",\"bidur_eftir\":[\"wk-1\"]} | "
             + "0000004a00000000000001030100000004504f53540000000c2f7375626d697373696f6e73"
             + "000000257b22726566223a22776b2d32222c2262696475725f6566746972223a5b22776b2d31225d7d"
       })
-  void requestEncodingMatchesThePreviousVersion(long id, String method, String path, String body, String hex) {
+  void requestEncodingMatchesThePreviousVersion(
+      long id, String method, String path, String body, String hex) {
     byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
     ByteBuffer written = new RequestFrame(id, new Request(method, path, bytes)).encode();
     assertEquals(hex, hexOf(written));
@@ -91,7 +96,7 @@
             + "7b22726566223a22776b2d31222c22617374616e64223a22717565756564222c"
             + "22646f6e65223a302c2272756e6e696e67223a307d",
         "9 | 503 | 2 | {} | 00000017000000000000000902000001f700000002000000027b7d",
-        // Written by the code of commit d679fcc.
+        // Written by commit d679fcc.
         "10 | 201 | 0 | {\"ref\":\"wk-2\",\"astand\":\"queued\"} | "
             + "00000035000000000000000a02000000c90000000000000020"
             + "7b22726566223a22776b2d32222c22617374616e64223a22717565756564227d",
@@ -100,7 +105,8 @@
             + "7b226572726f72223a22776b2d3120776173206e65766572206163636570746564227d",
         "12 | 503 | 1 | {} | 00000017000000000000000c02000001f700000001000000027b7d"
       })
-  void responseEncodingMatchesThePreviousVersion(long id, int status, int retryAfterS, String body, String hex) {
+  void responseEncodingMatchesThePreviousVersion(
+      long id, int status, int retryAfterS, String body, String hex) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     ByteBuffer written = new ResponseFrame(id, new Response(status, bytes, retryAfterS)).encode();
     assertEquals(hex, hexOf(written));
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.model.Endpoint;
 
-/** Requests between controllers, on loopback; nothing here depends on the speed. */
+/** Requests between controllers over loopback. Results do not depend on timing. */
 class PeerLinkTest {
   private static final double LONG_S = 20;
   private static final double SHORT_S = 0.05;
@@ -33,7 +33,7 @@
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** A link to one other node, whose requests a handler answers. */
+  /** Creates a link to one other node, whose requests are handled by the given handler. */
   private PeerLink linkTo(String node, HttpServer.Handler handler) throws InterruptedException {
     Channel channel =
         new PeerLink(group.next(), Map.of()).listen(new Endpoint("127.0.0.1", 0), handler);
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -11,8 +11,8 @@
 import org.ternhinge.config.Team;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.Resources;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Resources;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
@@ -25,9 +25,11 @@
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
-      new MachineType("plain", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
+      new MachineType(
+          "plain", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
   static final MachineType FAST =
-      new MachineType("fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
+      new MachineType(
+          "fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
 
   static final MonotonicTime NOW = new MonotonicTime(1_000_000_000_000L);
 
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.ternhinge.model.Outcome;
 import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.model.Outcome;
 
 /** Faults of the network between controllers, zones and the region, and slow links. */
 public final class NetworkFaults {
--- a/src/test/java/org/ternhinge/sim/SimMachineTypes.java
+++ b/src/test/java/org/ternhinge/sim/SimMachineTypes.java
@@ -14,7 +14,8 @@
   /** The types, offered in these zones. */
   public static List<MachineType> in(List<String> zones) {
     return List.of(
-        new MachineType("small", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, zones),
+        new MachineType(
+            "small", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, zones),
         new MachineType("fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 1, 3, 1, 8, zones));
   }
 }
--- a/src/test/java/org/ternhinge/wire/CommandTest.java
+++ b/src/test/java/org/ternhinge/wire/CommandTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command.Op;
 
-/** Commands as a worker reads them. */
+/** Serialization and parsing of commands. */
 class CommandTest {
   private static final TaskId TASK = TaskId.parse("wk-000412/3");
   private static final AttemptNumber ATTEMPT = new AttemptNumber(2);
@@ -23,7 +23,8 @@
             new Command(Op.START, TASK, ATTEMPT, 0),
             new Command(Op.STOP, TASK, ATTEMPT, 4.5),
             new Command(Op.FORGET, TASK, ATTEMPT, 0));
-    assertEquals(commands, Command.read(Json.parse(Command.heartbeatResponse(new Term(41), commands))));
+    assertEquals(
+        commands, Command.read(Json.parse(Command.heartbeatResponse(new Term(41), commands))));
   }
 
   @Test
--- a/src/test/java/org/ternhinge/wire/HeartbeatTest.java
+++ b/src/test/java/org/ternhinge/wire/HeartbeatTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.model.Term;
 
-/** Heartbeats: what is read, what is refused, and how they are written. */
+/** Parsing, validation and serialization of heartbeats, and serialization of their responses. */
 class HeartbeatTest {
   private static final Heartbeat FULL =
       new Heartbeat(
@@ -35,7 +35,8 @@
               task(4, TaskState.ENDED, EndReason.NO_ROOM, false),
               task(5, TaskState.ENDED, EndReason.STOPPED, true)));
 
-  private static TaskStatus task(int index, TaskState state, EndReason expectedError, boolean saved) {
+  private static TaskStatus task(
+      int index, TaskState state, EndReason expectedError, boolean saved) {
     TaskId id = TaskId.parse("wk-000412/" + index);
     return new TaskStatus(id, new AttemptNumber(2), state, expectedError, saved);
   }
@@ -72,10 +73,11 @@
     List<Command> commands =
         op == null ? List.of() : List.of(new Command(op, task, new AttemptNumber(2), 4.5));
     String json = expected.replace('\'', '"');
-    assertEquals(Json.parse(bytes(json)), Json.parse(Command.heartbeatResponse(new Term(41), commands)));
-    String order = json.replace("41,", "41,\"vakt\":7,");
     assertEquals(
-        Json.parse(bytes(order)),
+        Json.parse(bytes(json)), Json.parse(Command.heartbeatResponse(new Term(41), commands)));
+    String direct = json.replace("41,", "41,\"vakt\":7,");
+    assertEquals(
+        Json.parse(bytes(direct)),
         Json.parse(Command.directCommandsBody(new Term(41), new AgentEpoch(7), commands)));
   }
 
@@ -117,9 +119,11 @@
         "verkbitar | null | verkbitar: a list is needed",
         "verkbitar | [3] | not an object"
       })
-  void invalidFieldIsNamedInTheError(String field, String value, String expectedError) throws WireException {
+  void invalidFieldIsNamedInTheError(String field, String value, String expectedError)
+      throws WireException {
     byte[] body = Json.bytes(change(FULL.write(), field, value));
-    assertEquals(expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(
+        expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest(name = "{0} = {1}")
@@ -134,11 +138,13 @@
         "astaeda | \"bored\" | astaeda: unknown reason",
         "astaeda | null | astaeda: needed for an ended task"
       })
-  void invalidTaskFieldIsNamedInTheError(String field, String value, String expectedError) throws WireException {
+  void invalidTaskFieldIsNamedInTheError(String field, String value, String expectedError)
+      throws WireException {
     ObjectNode heartbeat = FULL.write();
     change((ObjectNode) heartbeat.get("verkbitar").get(1), field, value);
     byte[] body = Json.bytes(heartbeat);
-    assertEquals(expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
+    assertEquals(
+        expectedError, assertThrows(WireException.class, () -> Heartbeat.read(body)).getMessage());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.Specs;
 
-/** Submissions: what is read, what is refused. */
+/** Parsing and validation of submissions. */
 class JobSpecTest {
 
   private static JsonNode parse(String text) throws WireException {
@@ -71,7 +71,7 @@
     assertThrows(WireException.class, () -> JobSpec.read(body));
   }
 
-  /** A list that is null, omitted or empty names nobody; a repeated name counts once. */
+  /** A null, omitted or empty list means no dependencies; duplicates are dropped. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -82,7 +82,8 @@
         "[\"wk-2\"] | wk-2",
         "[\"wk-3\",\"wk-2\",\"wk-3\",\"wk-3\"] | wk-3 wk-2"
       })
-  void dependenciesKeepTheirOrderWithoutDuplicates(String list, String expected) throws WireException {
+  void dependenciesKeepTheirOrderWithoutDuplicates(String list, String expected)
+      throws WireException {
     ObjectNode body = Specs.json("wk-1", "batch", 3);
     if (list != null) {
       body.set("bidur_eftir", parse(list));
@@ -90,7 +91,8 @@
     JobSpec spec = JobSpec.read(body);
     String names = spec.dependencies().stream().map(JobId::value).collect(Collectors.joining(" "));
     assertEquals(expected, names);
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @ParameterizedTest
@@ -106,7 +108,8 @@
     body.put("extra", 1).put("scatter", true);
     JobSpec spec = JobSpec.read(body);
     assertEquals(3, spec.maxTasksPerZone());
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @ParameterizedTest(name = "types {0}, zone {1}")
@@ -125,7 +128,8 @@
     JobSpec spec = JobSpec.read(body);
     assertEquals(allowsType, spec.allowsType("g8"));
     assertEquals(allowsZone, spec.allowsZone("a"));
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @Test
