--- a/src/main/java/org/ternhinge/http/ClientResponseHandler.java
+++ b/src/main/java/org/ternhinge/http/ClientResponseHandler.java
@@ -37,22 +37,22 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    PendingCall completed = takePendingCall();
-    if (completed == null || response.decoderResult().isFailure()) {
+    PendingCall call = takePendingCall();
+    if (call == null || response.decoderResult().isFailure()) {
       Channels.close(ctx);
-      if (completed != null) {
-        completed.complete(Outcome.unknown("malformed HTTP response"));
+      if (call != null) {
+        call.complete(Outcome.unknown("malformed HTTP response"));
       }
       return;
     }
     byte[] body = new byte[response.content().readableBytes()];
     response.content().readBytes(body);
     if (HttpUtil.isKeepAlive(response)) {
-      pool.release(completed.endpoint(), ctx.channel());
+      pool.release(call.endpoint(), ctx.channel());
     } else {
       Channels.close(ctx);
     }
-    completed.complete(Outcome.applied(new ClientResponse(response.status().code(), body)));
+    call.complete(Outcome.applied(new ClientResponse(response.status().code(), body)));
   }
 
   @Override
--- a/src/main/java/org/ternhinge/http/SocketBudget.java
+++ b/src/main/java/org/ternhinge/http/SocketBudget.java
@@ -27,10 +27,10 @@
 
   /** Creates the budget for a socket limit. */
   public static SocketBudget of(int maxSockets) {
-    int kept = Math.max(1, maxSockets / OUTBOUND_DIVISOR);
+    int idle = Math.max(1, maxSockets / OUTBOUND_DIVISOR);
     int calls = Math.max(1, maxSockets / OUTBOUND_DIVISOR);
-    int all = Math.max(2, maxSockets - kept - calls - maxSockets / RESERVE_DIVISOR);
-    return new SocketBudget(kept, calls, all - Math.max(1, all / USERS_DIVISOR), all);
+    int inbound = Math.max(2, maxSockets - idle - calls - maxSockets / RESERVE_DIVISOR);
+    return new SocketBudget(idle, calls, inbound - Math.max(1, inbound / USERS_DIVISOR), inbound);
   }
 
   /**
--- a/src/main/java/org/ternhinge/wire/Command.java
+++ b/src/main/java/org/ternhinge/wire/Command.java
@@ -31,8 +31,8 @@
 
     private final String wireName;
 
-    Op(String word) {
-      this.wireName = word;
+    Op(String wireName) {
+      this.wireName = wireName;
     }
   }
 
@@ -87,9 +87,9 @@
   public static List<Command> read(JsonNode body) throws WireException {
     List<Command> out = new ArrayList<>();
     for (JsonNode item : Json.list(body, "skipanir")) {
-      String word = Json.text(item, "skipun");
+      String operation = Json.text(item, "skipun");
       for (Op op : Op.values()) {
-        if (op.wireName.equals(word)) {
+        if (op.wireName.equals(operation)) {
           out.add(read(item, op));
         }
       }
--- a/src/main/java/org/ternhinge/wire/EndReason.java
+++ b/src/main/java/org/ternhinge/wire/EndReason.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why an attempt of a task ended, as its worker reports it. */
+/** Why an attempt of a task ended, as reported by its worker. */
 public enum EndReason {
   /** The task completed; its result is kept. */
   DONE,
@@ -29,9 +29,9 @@
   }
 
   /** Parses the name of a reason in a message. */
-  static EndReason fromWireName(String word) throws WireException {
+  static EndReason fromWireName(String name) throws WireException {
     for (EndReason reason : values()) {
-      if (reason.wireName().equals(word)) {
+      if (reason.wireName().equals(name)) {
         return reason;
       }
     }
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -11,8 +11,8 @@
 
   private final String wireName;
 
-  JobKind(String word) {
-    this.wireName = word;
+  JobKind(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The name of the kind in messages. */
@@ -21,9 +21,9 @@
   }
 
   /** Parses the name of a kind in a message. */
-  public static JobKind fromWireName(String word) throws WireException {
+  public static JobKind fromWireName(String name) throws WireException {
     for (JobKind kind : values()) {
-      if (kind.wireName.equals(word)) {
+      if (kind.wireName.equals(name)) {
         return kind;
       }
     }
--- a/src/main/java/org/ternhinge/wire/JobState.java
+++ b/src/main/java/org/ternhinge/wire/JobState.java
@@ -26,8 +26,8 @@
 
     private final String wireName;
 
-    Phase(String word) {
-      this.wireName = word;
+    Phase(String wireName) {
+      this.wireName = wireName;
     }
 
     /** The name of the phase in messages. */
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -30,9 +30,9 @@
   }
 
   /** Parses the name of a priority in a message. */
-  public static Priority fromWireName(String word) throws WireException {
+  public static Priority fromWireName(String name) throws WireException {
     for (Priority priority : values()) {
-      if (priority.wireName().equals(word)) {
+      if (priority.wireName().equals(name)) {
         return priority;
       }
     }
--- a/src/main/java/org/ternhinge/wire/TaskState.java
+++ b/src/main/java/org/ternhinge/wire/TaskState.java
@@ -22,8 +22,8 @@
 
   private final String wireName;
 
-  TaskState(String word) {
-    this.wireName = word;
+  TaskState(String wireName) {
+    this.wireName = wireName;
   }
 
   /** The name of the state in messages. */
@@ -32,9 +32,9 @@
   }
 
   /** Parses the name of a state in a message. */
-  static TaskState fromWireName(String word) throws WireException {
+  static TaskState fromWireName(String name) throws WireException {
     for (TaskState state : ALL) {
-      if (state.wireName.equals(word)) {
+      if (state.wireName.equals(name)) {
         return state;
       }
     }
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -69,10 +69,10 @@
   @Test
   void closeAllClosesOnlyTheConnectionsOfItsEndpoint() {
     EmbeddedChannel closed = idle(FIRST);
-    EmbeddedChannel kept = idle(SECOND);
+    EmbeddedChannel remaining = idle(SECOND);
     pool.closeAll(FIRST);
     assertFalse(closed.isActive());
     assertEquals(Optional.empty(), pool.poll(FIRST));
-    assertEquals(Optional.of(kept), pool.poll(SECOND));
+    assertEquals(Optional.of(remaining), pool.poll(SECOND));
   }
 }
--- a/src/test/java/org/ternhinge/http/HttpClientServerTest.java
+++ b/src/test/java/org/ternhinge/http/HttpClientServerTest.java
@@ -151,7 +151,7 @@
   /** Guards against sending commands after the leadership has expired. */
   @ParameterizedTest(name = "condition holds: {0}, on a pooled connection: {1}")
   @CsvSource({"true, false", "false, false", "true, true", "false, true"})
-  void callIsWithdrawnUnlessItsConditionHolds(boolean maySend, boolean kept) throws Exception {
+  void callIsWithdrawnUnlessItsConditionHolds(boolean maySend, boolean pooled) throws Exception {
     AtomicInteger requestCount = new AtomicInteger();
     Channel channel =
         new HttpServer(
@@ -166,7 +166,7 @@
     serverEndpoint =
         new Endpoint("127.0.0.1", ((InetSocketAddress) channel.localAddress()).getPort());
     PooledHttpClient client = new PooledHttpClient(group.next(), SocketBudget.of(64));
-    if (kept) {
+    if (pooled) {
       client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
     }
     Outcome<ClientResponse> outcome =
@@ -177,7 +177,7 @@
     assertEquals(!maySend, outcome.isNotApplied(Reason.WITHDRAWN));
     // The connection remains usable for the next call.
     client.call(serverEndpoint, Request.get("/"), TIMEOUTS).get(30, TimeUnit.SECONDS);
-    assertEquals((kept ? 1 : 0) + (maySend ? 1 : 0) + 1, requestCount.get());
+    assertEquals((pooled ? 1 : 0) + (maySend ? 1 : 0) + 1, requestCount.get());
   }
 
   /** A retry time of 0 omits the header. */
--- a/src/test/java/org/ternhinge/http/LoopbackServer.java
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -13,11 +13,11 @@
 
 /** Loopback server that returns the same response to every request, with a client for it. */
 public final class LoopbackServer implements AutoCloseable {
-  private static final SocketBudget SHARES = SocketBudget.of(64);
+  private static final SocketBudget BUDGET = SocketBudget.of(64);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final PooledHttpClient client = new PooledHttpClient(group.next(), SHARES);
+  private final PooledHttpClient client = new PooledHttpClient(group.next(), BUDGET);
   private final List<Request> requests = new CopyOnWriteArrayList<>();
   private final Endpoint endpoint;
 
@@ -25,12 +25,12 @@
   public LoopbackServer(int status, String body) throws InterruptedException {
     Response response = Response.of(status, body.getBytes(StandardCharsets.UTF_8));
     HttpServer.Handler handler =
-        (request, answer) -> {
+        (request, responder) -> {
           requests.add(request);
-          answer.accept(response);
+          responder.accept(response);
         };
     Channel channel =
-        new HttpServer(group, handler, SHARES, "/work").listen(new Endpoint("127.0.0.1", 0));
+        new HttpServer(group, handler, BUDGET, "/work").listen(new Endpoint("127.0.0.1", 0));
     int port = ((InetSocketAddress) channel.localAddress()).getPort();
     endpoint = new Endpoint("127.0.0.1", port);
   }
--- a/src/test/java/org/ternhinge/model/LockedExecutorTest.java
+++ b/src/test/java/org/ternhinge/model/LockedExecutorTest.java
@@ -28,7 +28,7 @@
     executor.guarded(this::recordLockState).run();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
     executor.whenComplete(call, result -> recordLockState());
-    call.complete(Outcome.applied("answer"));
+    call.complete(Outcome.applied("response"));
     assertEquals(List.of(true, true, true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
@@ -50,12 +50,12 @@
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
     executor.whenComplete(call, results::add);
     if (fails) {
-      call.completeExceptionally(new IllegalStateException("no answer"));
+      call.completeExceptionally(new IllegalStateException("no response"));
     } else {
-      call.complete(Outcome.applied("answer"));
+      call.complete(Outcome.applied("response"));
     }
-    Outcome<String> failed = Outcome.unknown("java.lang.IllegalStateException: no answer");
-    assertEquals(List.of(fails ? failed : Outcome.applied("answer")), results);
+    Outcome<String> failed = Outcome.unknown("java.lang.IllegalStateException: no response");
+    assertEquals(List.of(fails ? failed : Outcome.applied("response")), results);
   }
 
   @Test
@@ -67,7 +67,7 @@
           throw new IllegalStateException("in the handler");
         });
     executor.whenComplete(call, result -> recordLockState());
-    call.complete(Outcome.applied("answer"));
+    call.complete(Outcome.applied("response"));
     assertEquals(List.of(true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
--- a/src/test/java/org/ternhinge/peer/FrameTest.java
+++ b/src/test/java/org/ternhinge/peer/FrameTest.java
@@ -33,8 +33,9 @@
     assertEquals(7, request.id());
     assertEquals(sent.path(), request.request().path());
     assertArrayEquals(sent.body(), request.request().body());
-    ByteBuffer answer = new ResponseFrame(8, new Response(503, new byte[3], 2)).encode();
-    ResponseFrame response = assertInstanceOf(ResponseFrame.class, Frame.decode(body(answer)));
+    ByteBuffer encodedResponse = new ResponseFrame(8, new Response(503, new byte[3], 2)).encode();
+    ResponseFrame response =
+        assertInstanceOf(ResponseFrame.class, Frame.decode(body(encodedResponse)));
     assertEquals(8, response.id());
     assertEquals(503, response.response().status());
     assertEquals(2, response.response().retryAfterS());
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -43,15 +43,16 @@
 
   private static Optional<Response> send(PeerLink link, String node, double timeoutS)
       throws Exception {
-    CompletableFuture<Optional<Response>> answer = new CompletableFuture<>();
-    link.send(node, REQUEST, timeoutS, answer::complete);
-    return answer.get(30, TimeUnit.SECONDS);
+    CompletableFuture<Optional<Response>> result = new CompletableFuture<>();
+    link.send(node, REQUEST, timeoutS, result::complete);
+    return result.get(30, TimeUnit.SECONDS);
   }
 
   @Test
   void responseReachesTheRequestingNode() throws Exception {
     PeerLink link =
-        linkTo("node-1", (request, answer) -> answer.accept(Response.of(201, request.body())));
+        linkTo(
+            "node-1", (request, responder) -> responder.accept(Response.of(201, request.body())));
     for (int i = 0; i < 2; i++) {
       Response response = send(link, "node-1", LONG_S).orElseThrow();
       assertEquals(201, response.status());
@@ -62,13 +63,13 @@
 
   @Test
   void timedOutRequestEndsWithoutAResponse() throws Exception {
-    PeerLink link = linkTo("node-1", (request, answer) -> {});
+    PeerLink link = linkTo("node-1", (request, responder) -> {});
     assertEquals(Optional.empty(), send(link, "node-1", SHORT_S));
   }
 
   @Test
   void requestToAnUnknownNodeEndsWithoutAResponse() throws Exception {
-    PeerLink link = linkTo("node-1", (request, answer) -> {});
+    PeerLink link = linkTo("node-1", (request, responder) -> {});
     assertEquals(Optional.empty(), send(link, "node-2", LONG_S));
   }
 }
