--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -24,7 +24,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -40,7 +40,7 @@
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
   private final ExecutorService requests = Executors.newCachedThreadPool();
-  private final StoreCore store = new StoreCore(new RealClock());
+  private final InMemoryStore store = new InMemoryStore(new RealClock());
   private final HttpServer server;
   private final List<String> zones;
 
@@ -193,12 +193,12 @@
           "breytingatal");
     } else if (path.equals("/holds")) {
       long life = Json.count(Json.parse(body), "life_ms");
-      reply(exchange, 200, Json.object().put("leiga", store.grant(life)));
+      reply(exchange, 200, Json.object().put("leiga", store.grantLease(life)));
     } else if (path.endsWith("/extend")) {
       long id = Long.parseLong(path.split("/", -1)[2]);
-      outcome(exchange, store.renew(id), "leiga");
+      outcome(exchange, store.renewLease(id), "leiga");
     } else {
-      store.revoke(Long.parseLong(path.split("/", -1)[2]));
+      store.revokeLease(Long.parseLong(path.split("/", -1)[2]));
       reply(exchange, 200, Json.object());
     }
   }
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -87,7 +87,7 @@
           Math.max(0, refusedS - refusedFor), () -> cluster.storeFaults.outage(outageS));
       run(refusedS + outageS + 30);
       for (int i = 0; i < cluster.nodeCount(); i++) {
-        cluster.networkFaults.cutWorkers(i, 0);
+        cluster.networkFaults.isolateFromWorkers(i, 0);
       }
       assertRulesHoldToTheEnd();
       for (JobId id : cancelled) {
@@ -129,7 +129,7 @@
 
   private void letWorkersReachOnly(int node, double seconds) {
     for (int i = 0; i < cluster.nodeCount(); i++) {
-      cluster.networkFaults.cutWorkers(i, i == node ? 0 : seconds);
+      cluster.networkFaults.isolateFromWorkers(i, i == node ? 0 : seconds);
     }
   }
 
@@ -141,7 +141,7 @@
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
     JobId stays = submit(job("wk-2", "daemon", 3, 0));
     run(60);
-    cluster.storeFaults.slowDown(120, latencyS);
+    cluster.storeFaults.slowResponses(120, latencyS);
     run(6);
     cluster.storeFaults.refuse(cluster.leader(), 9);
     cluster.clock.after(7.5, () -> users.cancel(cancelled));
@@ -182,7 +182,7 @@
     JobId cancelled = submit(job("wk-3", "batch", 3, 400));
     run(15);
     cluster.storeFaults.refuseLeaders(10, 12, 8);
-    cluster.storeFaults.lateWrites(lateShare, 120);
+    cluster.storeFaults.delayWrites(lateShare, 120);
     cluster.clock.after(50, () -> users.cancel(cancelled));
     if (outageS > 0) {
       cluster.clock.after(40, () -> cluster.storeFaults.outage(outageS));
--- a/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
+++ b/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
@@ -48,13 +48,13 @@
 
   /** Advances the clock while users poll their jobs. */
   final void run(double seconds) {
-    users.runPolling(seconds);
+    users.runWithPolling(seconds);
   }
 
   /** Lets the faults end, then asserts that every job was answered for and no rule was broken. */
   final void assertRulesHoldToTheEnd() {
     run(FAULTS_END_S);
-    users.quiet();
+    users.expectTimelyAnswers();
     run(JOBS_END_S);
     assertEquals(List.of(), cluster.violations());
   }
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -75,12 +75,12 @@
     DependentJobs.assertAnswer(201, end.equals("done") ? "queued" : end, answer.response());
     cluster.users.assumeAccepted(body.spec());
     cluster.run(150);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     assertEquals(end, cluster.users.lastState(id));
     assertEquals(
-        end.equals("done"), cluster.world.tasks.began(id).isPresent(), "whether it ever ran");
+        end.equals("done"), cluster.world.tasks.firstStartOf(id).isPresent(), "whether it ever ran");
   }
 
   /** Submits the job to depend on and brings it into a state. */
@@ -127,7 +127,7 @@
         assertEquals("cancelled", cluster.users.lastState(NAMED));
       }
       case "done long ago" ->
-          cluster.world.storeEnds(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
+          cluster.world.storeEndRecords(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
       case "old version's" -> acceptedByTheOldVersion();
       default -> throw new IllegalArgumentException(named);
     }
--- a/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
@@ -70,7 +70,7 @@
       }
     }
     cluster.run(40);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     cluster.users.accepted().stream()
@@ -103,11 +103,11 @@
   @CsvSource({"0, 0, false", "0, 0, true", "4500, 0, true", "0, 4500, true", "4500, 4500, false"})
   void namesOfJobsThatEndedLongAgo(int before, int after, boolean crash) {
     cluster = new DependentJobs(341);
-    cluster.world.storeEnds(ends(2_000_000, before));
+    cluster.world.storeEndRecords(ends(2_000_000, before));
     JobId first = cluster.submit("wk-1", 2, 5);
     cluster.run(30);
     assertEquals("done", cluster.users.lastState(first));
-    cluster.world.storeEnds(ends(3_000_000, after));
+    cluster.world.storeEndRecords(ends(3_000_000, after));
     if (crash) {
       for (int i = 0; i < 3; i++) {
         cluster.world.controllers.crash(i, 1);
@@ -115,7 +115,7 @@
       cluster.run(10);
     }
     List<JobSpec> old = ends(4_000_000, 3);
-    cluster.world.storeEnds(old);
+    cluster.world.storeEndRecords(old);
     JobId second = cluster.submit("wk-2", 2, 5, first);
     SubmissionBuilder body =
         DependentJobs.job("wk-3", 2, 5, old.stream().map(JobSpec::id).toList());
@@ -126,15 +126,15 @@
       cluster.users.submit(DependentJobs.job("wk-4", 2, 5, List.of(new JobId("wk-2000000"))));
     }
     cluster.run(60);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(30);
     cluster.assertNoRuleBroken();
     for (JobId id : cluster.users.accepted()) {
       assertEquals("done", cluster.users.lastState(id), id.value());
     }
     assertTrue(
-        cluster.world.tasks.began(second).isPresent()
-            && cluster.world.tasks.began(third).isPresent());
+        cluster.world.tasks.firstStartOf(second).isPresent()
+            && cluster.world.tasks.firstStartOf(third).isPresent());
   }
 
   private static List<JobSpec> ends(int from, int count) {
--- a/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
@@ -161,8 +161,8 @@
       int follower = (cluster.world.leader() + 1) % 3;
       nodes.retainAll(List.of(follower));
       // A delayed request would reach the leader later and be accepted there.
-      cluster.world.networkFaults.cutsLose();
-      cluster.world.networkFaults.cutOff(follower, 40);
+      cluster.world.networkFaults.dropDuringPartitions();
+      cluster.world.networkFaults.isolate(follower, 40);
       cluster.world.clock.runFor(5);
     }
     for (int node : nodes) {
--- a/src/test/java/org/ternhinge/controller/DependencyStartTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyStartTest.java
@@ -50,12 +50,12 @@
       double limit = world.clock.seconds() + 90;
       while (world.store.value("f/wk-1") == null && world.clock.seconds() < limit) {
         assertEquals(0, world.tasks.runningTasks(second), "runs before the end is durable");
-        assertFalse(world.tasks.began(second).isPresent(), "has run before the end is durable");
+        assertFalse(world.tasks.firstStartOf(second).isPresent(), "has run before the end is durable");
         world.clock.runFor(0.02);
       }
       double durableAt = world.clock.seconds();
       cluster.run(40);
-      double began = world.tasks.began(second).orElse(Double.MAX_VALUE);
+      double began = world.tasks.firstStartOf(second).orElse(Double.MAX_VALUE);
       assertTrue(began >= durableAt - 0.02, "began at " + began + ", end durable at " + durableAt);
       assertTrue(
           began <= durableAt + withinS, "began at " + began + ", end durable at " + durableAt);
@@ -67,7 +67,7 @@
     int leader = world.leader();
     switch (fault) {
       case "nothing" -> {}
-      case "late writes" -> world.storeFaults.lateWrites(1, 6);
+      case "late writes" -> world.storeFaults.delayWrites(1, 6);
       case "outage" -> world.storeFaults.outage(15);
       case "leader refused" -> world.storeFaults.refuse(leader, 20);
       case "leader crashes" -> world.controllers.crash(leader, 2);
@@ -99,7 +99,7 @@
     cluster.run(20);
     assertEquals("running", cluster.users.lastState(longer));
     assertEquals("queued", cluster.users.lastState(both));
-    assertFalse(cluster.world.tasks.began(both).isPresent());
+    assertFalse(cluster.world.tasks.firstStartOf(both).isPresent());
     cluster.assertAllDoneAfter(150);
   }
 
--- a/src/test/java/org/ternhinge/controller/DependentJobs.java
+++ b/src/test/java/org/ternhinge/controller/DependentJobs.java
@@ -65,19 +65,19 @@
 
   /** Submits an array as soon as all that it depends on are accepted. */
   JobId submit(String id, int tasks, double runs, JobId... dependencies) {
-    users.submitAfterNamed(job(id, tasks, runs, List.of(dependencies)));
+    users.submitAfterDependencies(job(id, tasks, runs, List.of(dependencies)));
     return new JobId(id);
   }
 
   /** Advances the clock while users poll their jobs every three seconds. */
   void run(double seconds) {
-    users.runPolling(seconds);
+    users.runWithPolling(seconds);
   }
 
   /** Advances the clock while these jobs are polled at every node each second. */
   void runPollingEverywhere(double seconds, List<JobId> about) {
     for (double t = 0; t < seconds; t++) {
-      about.forEach(users::pollEverywhere);
+      about.forEach(users::pollAllControllers);
       world.clock.runFor(1);
     }
   }
@@ -85,12 +85,12 @@
   /** Asserts that no rule was broken and no transaction exceeded the limits on size. */
   void assertNoRuleBroken() {
     assertEquals(List.of(), world.violations());
-    assertEquals(0, world.store.tooLarge(), "transactions beyond the limit on size");
+    assertEquals(0, world.store.rejectedTooLarge(), "transactions beyond the limit on size");
   }
 
   /** Ends all faults and asserts that after a while every accepted job is done. */
   void assertAllDoneAfter(double seconds) {
-    users.quiet();
+    users.expectTimelyAnswers();
     run(seconds);
     assertNoRuleBroken();
     for (JobId id : users.accepted()) {
@@ -180,7 +180,7 @@
   void assertEndedWell() {
     for (JobId id : users.accepted()) {
       String state = users.lastState(id);
-      if (users.hasToBeCancelled(id)) {
+      if (users.mustBeCancelled(id)) {
         assertEquals("cancelled", state, id + " has to be cancelled");
       } else if (!users.mayBeCancelled(id)) {
         assertEquals("done", state, id + " was cancelled by nobody");
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -59,7 +59,7 @@
       begin(51, new SimCluster.Size(3, 1, 1000, 30));
       submit("wk-1", "batch", 160, 1, 8);
       run(40);
-      SimWorker machine = world.machineFaults.dropInboundOfSomeWorker(200).orElseThrow();
+      SimWorker machine = world.machineFaults.dropInboundOfRandomWorker(200).orElseThrow();
       // Its epoch ends while its heartbeats arrive; a task placed there would wait for ever.
       submit("wk-2", "batch", 160, 1, 8);
       run(60);
@@ -84,8 +84,8 @@
       assertEquals(4, world.tasks.runningTasks(stays));
       // A delayed heartbeat counts as a sign of life, since its answer may have arrived in time.
       // Whether one is delayed depends on the seed, so here the cut loses all of them.
-      world.networkFaults.cutsLose();
-      world.machineFaults.cutSomeWorkerWith(stays, 200);
+      world.networkFaults.dropDuringPartitions();
+      world.machineFaults.isolateWorkerOf(stays, 200);
       // Its grace and lease end within 45 s; its last heartbeat must not block its tasks for
       // longer.
       run(36);
@@ -100,7 +100,7 @@
       run(120);
       List<MachineId> released = world.machines.removed();
       assertTrue(!released.isEmpty(), "idle machines are released");
-      released.forEach(world.machineFaults::repeatHeartbeat);
+      released.forEach(world.machineFaults::resendHeartbeat);
       // The duplicates are of ordinary machines and of spot machines, so an array is submitted.
       JobId next = submit("wk-2", "batch", 4, 2, 5);
       double took = untilDone(next, 120);
@@ -124,10 +124,10 @@
       assertEquals(3, world.tasks.runningTasks(stays));
       assertEquals(4, world.tasks.runningTasks(goes));
       int starts = world.tasks.starts();
-      world.networkFaults.cutOff(leader ? world.leader() : (world.leader() + 1) % 3, seconds);
+      world.networkFaults.isolate(leader ? world.leader() : (world.leader() + 1) % 3, seconds);
       users.cancel(goes);
       run(seconds + 30);
-      users.quiet();
+      users.expectTimelyAnswers();
       run(90);
       assertEquals(3, world.tasks.runningTasks(stays));
       assertEquals(0, world.tasks.runningTasks(goes));
@@ -149,7 +149,7 @@
       switch (fault) {
         case "outage" -> world.storeFaults.outage(30);
         case "refused alone" -> world.storeFaults.refuse(node, 30);
-        default -> world.networkFaults.cutOff(node, 30);
+        default -> world.networkFaults.isolate(node, 30);
       }
       run(12);
       assertEquals(
@@ -189,7 +189,7 @@
         }
         world.clock.runFor(0.2 + world.nextInt(20) / 10.0);
       }
-      users.quiet();
+      users.expectTimelyAnswers();
       run(150);
       assertEquals(3, world.tasks.runningTasks(stays));
       assertEquals("done", users.lastState(array));
@@ -223,10 +223,10 @@
         run(3);
       }
       for (JobId id : large) {
-        double waited = world.tasks.began(id).orElse(1e9) - users.submittedAt(id);
+        double waited = world.tasks.firstStartOf(id).orElse(1e9) - users.submittedAt(id);
         assertTrue(waited < 240, id + " began after " + waited);
       }
-      long served = small.stream().filter(id -> world.tasks.began(id).isPresent()).count();
+      long served = small.stream().filter(id -> world.tasks.firstStartOf(id).isPresent()).count();
       assertTrue(served * 2 >= small.size(), "only " + served + " of the small ones");
       assertEquals(List.of(), world.violations());
     }
@@ -244,11 +244,11 @@
       }
       run(120);
       for (JobId id : jobs) {
-        assertTrue(world.tasks.began(id).isPresent(), id + " has not begun");
+        assertTrue(world.tasks.firstStartOf(id).isPresent(), id + " has not begun");
       }
       assertTrue(
-          world.machines.everProvisioned() > 200,
-          "only " + world.machines.everProvisioned() + " machines");
+          world.machines.totalProvisioned() > 200,
+          "only " + world.machines.totalProvisioned() + " machines");
       long changes = world.counts.storeChanges();
       long commands = world.counts.commandCalls();
       long heartbeats = world.counts.heartbeats();
--- a/src/test/java/org/ternhinge/controller/GuestJobsTest.java
+++ b/src/test/java/org/ternhinge/controller/GuestJobsTest.java
@@ -39,7 +39,7 @@
     cluster.run(1);
     JobId urgent = submit("wk-4", 2, 2, 5, "high");
     cluster.run(9);
-    assertTrue(cluster.world.tasks.began(urgent).isPresent(), "it has not begun");
+    assertTrue(cluster.world.tasks.firstStartOf(urgent).isPresent(), "it has not begun");
     cluster.run(200);
     for (int i = 0; i < tiny; i++) {
       assertEquals("done", cluster.users.lastState(new JobId(String.format("wk-3%03d", i))));
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -17,7 +17,7 @@
   @Test
   void aCancellationAtTheEndOfTheLastTask() {
     begin(191, SimCluster.SMALL);
-    users.cancelAtEnd(1);
+    users.cancelAtCompletion(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       jobs.add(submit(job("wk-1" + String.format("%02d", i), "batch", 1 + i % 3, 5)));
@@ -35,8 +35,8 @@
   @CsvSource({"241, 0.2", "242, 0.4", "243, 0.6", "244, 0.4"})
   void lateWritesWhileJobsEndAndAreCancelled(long seed, double share) {
     begin(seed, SimCluster.SMALL);
-    users.cancelAtEnd(0.3);
-    cluster.storeFaults.lateWrites(share, 90);
+    users.cancelAtCompletion(0.3);
+    cluster.storeFaults.delayWrites(share, 90);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       jobs.add(submit(job("wk-1" + String.format("%02d", i), "batch", 1 + i % 4, 6)));
@@ -86,7 +86,7 @@
     }
     run(100);
     for (JobId id : urgent) {
-      assertTrue(cluster.tasks.began(id).isPresent(), id + " has not begun beside lesser work");
+      assertTrue(cluster.tasks.firstStartOf(id).isPresent(), id + " has not begun beside lesser work");
     }
     cluster.networkFaults.slowLinks(0);
     users.cancel(new JobId("wk-31"));
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -34,7 +34,7 @@
 import org.ternhinge.request.RequestOrigin;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SubmissionBuilder;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
@@ -46,7 +46,7 @@
 
   private final SimClock clock = new SimClock();
   private final ReentrantLock lock = new ReentrantLock();
-  private final DirectStore store = new DirectStore(new StoreCore(clock));
+  private final DirectStore store = new DirectStore(new InMemoryStore(clock));
   private final Election election =
       new Election("node-0", store, clock, Tuning.DEFAULT, 1, lock, new SplittableRandom(1));
   private final LeadershipRole role = new LeadershipRole("node-0", election);
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/KeepAliveTest.java
@@ -57,7 +57,7 @@
     world.machineFaults.dropInbound(machine, 30);
     users.cancel(job);
     world.clock.runFor(2);
-    Heartbeat overtaken = HeartbeatBuilder.like(last).sequenceLater(-1).build();
+    Heartbeat overtaken = HeartbeatBuilder.copyOf(last).advanceSequence(-1).build();
     List<Command> commands = commands(world.controllers.answerTo(world.leader(), overtaken));
     assertTrue(
         commands.stream().anyMatch(c -> c.op() == Command.Op.STOP && c.task().job().equals(job)),
@@ -69,7 +69,7 @@
   void anEarlierEpochsLeaseIsNotRenewed() {
     Heartbeat last = world.machines.lastHeartbeat(machine);
     Heartbeat next =
-        HeartbeatBuilder.like(last).epochsLater(1).sequence(1000).tasks(List.of()).build();
+        HeartbeatBuilder.copyOf(last).advanceEpoch(1).sequence(1000).tasks(List.of()).build();
     assertEquals(200, world.controllers.answerTo(world.leader(), next).status());
     assertEquals(503, world.controllers.answerTo(world.leader(), last).status());
   }
@@ -88,7 +88,7 @@
       TaskId task = new TaskId(new JobId("wk-999"), 0);
       tasks.add(new TaskStatus(task, new AttemptNumber(1), TaskState.RUNNING, null, false));
     }
-    Heartbeat now = HeartbeatBuilder.like(last).sequenceLater(1).tasks(tasks).build();
+    Heartbeat now = HeartbeatBuilder.copyOf(last).advanceSequence(1).tasks(tasks).build();
     assertEquals(status, world.controllers.answerTo(leader, now).status());
   }
 
@@ -96,10 +96,10 @@
   @Test
   void theNextLeaderEndsTheGraceOfTheLast() {
     int leader = world.leader();
-    world.networkFaults.cutOff(leader, 60);
+    world.networkFaults.isolate(leader, 60);
     world.clock.runFor(10);
     Heartbeat last = world.machines.lastHeartbeat(machine);
-    Heartbeat now = HeartbeatBuilder.like(last).sequenceLater(1).build();
+    Heartbeat now = HeartbeatBuilder.copyOf(last).advanceSequence(1).build();
     assertEquals(503, world.controllers.answerTo(leader, now).status());
     assertEquals(2, world.tasks.runningTasks(job), "tasks that go on");
   }
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -72,8 +72,8 @@
     assertTrue(calls <= cloudRps * (span + 2), calls + " calls of the cloud in " + span + " s");
     int sockets = SocketShares.of(world.settings("node-0").maxSockets()).calls();
     assertTrue(
-        world.counts.mostCommandCallsAtOnce() <= sockets,
-        world.counts.mostCommandCallsAtOnce() + " direct commands at once");
+        world.counts.maxConcurrentCommandCalls() <= sockets,
+        world.counts.maxConcurrentCommandCalls() + " direct commands at once");
     long steps = world.metrics.mostEvaluations();
     assertTrue(steps < 600L * FLEET, "a round of " + steps + " evaluations");
   }
@@ -125,15 +125,15 @@
     assertWorkIsBounded(crash, 4);
 
     Counts cut = Counts.of(world);
-    world.machineFaults.cutMachinesOfZone("west", 48);
+    world.machineFaults.isolateMachinesOfZone("west", 48);
     run(66);
     assertEquals(1200, replicas(), "replicas of the lost zone run again");
     assertWorkIsBounded(cut, 4);
-    users.quiet();
+    users.expectTimelyAnswers();
     run(90);
     assertEquals(List.of(), world.violations());
     for (JobId id : others) {
-      double waited = world.tasks.began(id).orElse(1e9) - users.submittedAt(id);
+      double waited = world.tasks.firstStartOf(id).orElse(1e9) - users.submittedAt(id);
       assertTrue(waited < 240, id + " began after " + waited);
       assertEquals("done", users.lastState(id));
     }
--- a/src/test/java/org/ternhinge/controller/LateMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/LateMachinesTest.java
@@ -38,20 +38,20 @@
     for (int i = 0; i < count; i++) {
       dead.add(i);
     }
-    cluster.world.bootFaults.neverComesUp(dead);
+    cluster.world.bootFaults.neverBoots(dead);
   }
 
   /** Machines that never come up are replaced long before they are released. */
   @ParameterizedTest(name = "{0} of {1} never come up, the list lags by {2} s")
   @CsvSource({"1,1,0", "1,4,0", "2,12,10", "8,24,0", "8,24,10"})
   void deadMachinesAreReplacedAndReleased(int dead, int tasks, double lagS) {
-    cluster.world.bootFaults.listLags(lagS);
+    cluster.world.bootFaults.setListLag(lagS);
     firstNeverComeUp(dead);
     JobId job = submit("wk-1", tasks, 60);
     cluster.run(REPLACED_S);
     assertEquals(tasks, cluster.world.tasks.runningTasks(job), "tasks that run");
     assertTrue(
-        cluster.world.machines.everProvisioned() <= tasks + dead + 4, "machines provisioned");
+        cluster.world.machines.totalProvisioned() <= tasks + dead + 4, "machines provisioned");
     cluster.run(RELEASED_S - REPLACED_S);
     assertEquals(List.of(), cluster.world.machines.booting(), "machines still paid for");
     cluster.assertNoRuleBroken();
@@ -61,7 +61,7 @@
   @ParameterizedTest(name = "the leader ends after {0} s, the list lags by {1} s")
   @CsvSource({"5,0", "12,0", "12,5", "30,0", "40,0", "40,5"})
   void aFailoverDoesNotExtendTheBootDeadline(double crashAfterS, double lagS) {
-    cluster.world.bootFaults.listLags(lagS);
+    cluster.world.bootFaults.setListLag(lagS);
     firstNeverComeUp(3);
     JobId job = submit("wk-1", 9, 120);
     cluster.run(crashAfterS);
@@ -79,14 +79,14 @@
   @ParameterizedTest(name = "{0} tasks, machines {1} times as late")
   @CsvSource({"20,3", "20,6", "40,4"})
   void aSlowMachineTypeIsNotProvisionedTwice(int tasks, double factor) {
-    cluster.world.bootFaults.slow("small", null, factor);
+    cluster.world.bootFaults.slowBoots("small", null, factor);
     JobId job = submit("wk-1", tasks, 300);
     cluster.run(5 * 1.6 * factor + 12);
     assertEquals(tasks, cluster.world.tasks.runningTasks(job), "tasks that run");
     int most = (int) (1.5 * tasks) + 4;
     assertTrue(
-        cluster.world.machines.everProvisioned() <= most,
-        cluster.world.machines.everProvisioned() + " machines provisioned");
+        cluster.world.machines.totalProvisioned() <= most,
+        cluster.world.machines.totalProvisioned() + " machines provisioned");
     cluster.assertNoRuleBroken();
   }
 
@@ -94,7 +94,7 @@
   @ParameterizedTest(name = "{0} times as late")
   @CsvSource({"4", "7"})
   void lateMachinesAreUsedOrReleased(double factor) {
-    cluster.world.bootFaults.slow("small", "east", factor);
+    cluster.world.bootFaults.slowBoots("small", "east", factor);
     submit("wk-1", 6, 20);
     cluster.run(200);
     assertEquals("done", cluster.users.lastState(new JobId("wk-1")));
--- a/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
+++ b/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
@@ -21,7 +21,7 @@
     JobId waits = submit(job("wk-3", "batch", 8, 10));
     run(40);
     assertEquals(12, cluster.tasks.runningTasks(cancelled) + cluster.tasks.runningTasks(longer));
-    cluster.machineFaults.cutSomeWorkerWith(cancelled, cutS);
+    cluster.machineFaults.isolateWorkerOf(cancelled, cutS);
     cluster.controllers.crash(cluster.leader(), 3);
     cluster.clock.runFor(afterS);
     users.cancel(cancelled);
@@ -42,7 +42,7 @@
     JobId free = submit(job("wk-2", kind, 3, 60).spotAllowed(false).together(true));
     run(30);
     for (JobId id : List.of(bound, free)) {
-      cluster.machineFaults.cutSomeWorkerWith(id, 50);
+      cluster.machineFaults.isolateWorkerOf(id, 50);
       cluster.machineFaults.hangWorkersOf(id, 1, 10);
     }
     run(20);
@@ -63,7 +63,7 @@
     JobId stays = submit(job("wk-1", "daemon", 4, 0).scatter(true));
     JobId cancelled = submit(job("wk-2", "batch", 8, 400));
     run(60);
-    cluster.networkFaults.cutZone(zone, seconds);
+    cluster.networkFaults.isolateZone(zone, seconds);
     cluster.clock.runFor(3);
     users.cancel(cancelled);
     run(seconds);
--- a/src/test/java/org/ternhinge/controller/PausedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/PausedControllerTest.java
@@ -48,12 +48,12 @@
     // Leaves idle machines, so that the next jobs wait for no boot.
     submit("wk-0", 4, 8, 5);
     cluster.run(35);
-    cluster.world.connectS = 0.25;
+    cluster.world.connectDelayS = 0.25;
     submit("wk-2", 4, 8, 5);
     cluster.world.clock.runFor(afterS);
     cluster.world.controllers.pause(cluster.world.leader(), seconds);
     cluster.run(seconds + 20);
-    assertEquals(0, cluster.world.counts.commandsOfOldTerms(), "commands sent under an old term");
+    assertEquals(0, cluster.world.counts.commandsOfStaleTerms(), "commands sent under an old term");
     cluster.assertAllDoneAfter(90);
   }
 
@@ -66,7 +66,7 @@
   void aPauseDuringRenewal(double offsetS, double seconds) {
     List<JobId> jobs = submit("wk-1", 4, 6, 90);
     cluster.run(30 + offsetS);
-    cluster.world.connectS = 0.05;
+    cluster.world.connectDelayS = 0.05;
     int paused = cluster.world.leader();
     cluster.world.controllers.pause(paused, seconds);
     cluster.world.clock.runFor(0.1);
@@ -74,8 +74,8 @@
     cluster.users.cancel(jobs.get(0));
     cluster.run(seconds + 15);
     assertEquals("cancelled", cluster.users.lastState(jobs.get(0)));
-    assertEquals(0, cluster.world.counts.commandsOfOldTerms(), "commands sent under an old term");
-    cluster.users.quiet();
+    assertEquals(0, cluster.world.counts.commandsOfStaleTerms(), "commands sent under an old term");
+    cluster.users.expectTimelyAnswers();
     cluster.run(120);
     cluster.assertNoRuleBroken();
   }
--- a/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
@@ -70,7 +70,7 @@
       cluster.run(20);
       assertEquals(4, cluster.users.accepted().size());
       if (then.equals("late")) {
-        cluster.world.storeFaults.lateWrites(0.5, 30);
+        cluster.world.storeFaults.delayWrites(0.5, 30);
       }
       JobId cancelledJob = all.get(cancelled - 1);
       int leader = cluster.world.leader();
@@ -95,7 +95,7 @@
         }
       }
       cluster.runPollingEverywhere(60, all);
-      cluster.users.quiet();
+      cluster.users.expectTimelyAnswers();
       cluster.run(120);
       cluster.assertNoRuleBroken();
       cluster.assertEndedWell();
@@ -122,10 +122,10 @@
       List<JobId> all = cluster.submitShape(shape, 200);
       cluster.run(15);
       cluster.world.networkFaults.partitionZones(20);
-      cluster.world.storeFaults.lateWrites(0.7, 12);
+      cluster.world.storeFaults.delayWrites(0.7, 12);
       cluster.users.cancelAt(cluster.world.leader(), all.get(cancelled - 1), () -> {});
       for (int i = 0; i < 400; i++) {
-        all.forEach(cluster.users::pollEverywhere);
+        all.forEach(cluster.users::pollAllControllers);
         cluster.world.clock.runFor(0.05);
       }
       cluster.run(DependentJobs.CANCEL_S);
@@ -164,7 +164,7 @@
           cluster.world.nextInt(3), first, () -> answered[0] = cluster.users.lastState(first));
       cluster.runPollingEverywhere(20, all);
       cluster.run(60);
-      cluster.users.quiet();
+      cluster.users.expectTimelyAnswers();
       cluster.run(60);
       cluster.assertNoRuleBroken();
       assertNotNull(answered[0], "the cancel is answered");
@@ -212,7 +212,7 @@
         assertEquals("cancelled", cluster.stateAt(node, id), "node " + node + " of " + id);
       }
     }
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     assertEquals(0, cluster.world.tasks.runningTasks(second));
@@ -279,7 +279,7 @@
     if (!then.endsWith("outage")) {
       assertNoNodeAnswersQueued(all);
     }
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     for (int i = 0; i < 8; i++) {
       cluster.users.pollAll();
       cluster.world.clock.runFor(30);
--- a/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
@@ -22,7 +22,7 @@
     JobId waits = cluster.submit("wk-2", 12, 5, first);
     SubmissionBuilder gang =
         DependentJobs.job("wk-3", 2, 5, List.of(first)).kind("group").cpus(4.0);
-    cluster.users.submitAfterNamed(gang);
+    cluster.users.submitAfterDependencies(gang);
     cluster.run(20);
     JobId fills = cluster.submit("wk-4", 10, 40);
     cluster.run(25);
@@ -33,7 +33,7 @@
         "the team's whole limit is for those that can run");
     assertEquals("queued", cluster.users.lastState(waits));
     cluster.run(120);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     cluster
@@ -69,7 +69,7 @@
         }
       }
       cluster.run(120);
-      cluster.users.quiet();
+      cluster.users.expectTimelyAnswers();
       cluster.run(60);
       cluster.assertNoRuleBroken();
       all.forEach(id -> assertEquals("done", cluster.users.lastState(id), id.value()));
@@ -86,12 +86,12 @@
       JobId first = cluster.submit("wk-1" + String.format("%02d", i), 1, 20);
       SubmissionBuilder body =
           DependentJobs.job("wk-2" + String.format("%02d", i), 1, 5, List.of(first));
-      cluster.users.submitAfterNamed(body.priority("production"));
+      cluster.users.submitAfterDependencies(body.priority("production"));
     }
     cluster.run(18);
-    cluster.world.storeFaults.lateWrites(late, 60);
+    cluster.world.storeFaults.delayWrites(late, 60);
     cluster.run(120);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     assertEquals(48, cluster.users.accepted().size());
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -71,7 +71,7 @@
       all.forEach(cluster.users::cancel);
     }
     cluster.run(60);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(400);
     cluster.assertNoRuleBroken();
     assertEquals(led + 1, cluster.world.counts.leaderships(), "no leadership is lost");
@@ -145,7 +145,7 @@
       cluster.run(6);
     }
     cluster.run(500);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(100);
     cluster.assertNoRuleBroken();
     assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
@@ -193,7 +193,7 @@
       all.forEach(cluster.users::cancel);
     }
     cluster.run(300);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(200);
     cluster.assertNoRuleBroken();
     assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
--- a/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
@@ -70,8 +70,8 @@
     int leader = cluster.world.leader();
     switch (fault) {
       case "refused" -> cluster.world.storeFaults.refuse(leader, seconds);
-      case "alone" -> cluster.world.networkFaults.cutOff(leader, seconds);
-      default -> cluster.world.networkFaults.cutWorkers(leader, seconds);
+      case "alone" -> cluster.world.networkFaults.isolate(leader, seconds);
+      default -> cluster.world.networkFaults.isolateFromWorkers(leader, seconds);
     }
     cluster.run(FAILOVER_S);
     int starts = cluster.world.tasks.starts();
--- a/src/test/java/org/ternhinge/controller/SeededFaultTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaultTest.java
@@ -75,7 +75,7 @@
     SeededFaults faults = new SeededFaults(world, users, kind);
     boolean invalidRequests = kind.includes(FaultKind.INVALID_REQUESTS);
     if (invalidRequests) {
-      users.cancelAtEnd(0.3);
+      users.cancelAtCompletion(0.3);
     }
     world.clock.runFor(5);
     for (int step = 0; step < 120; step++) {
@@ -89,7 +89,7 @@
       }
       if (step == 100) {
         // The longest fault lasts less than a minute.
-        users.quiet();
+        users.expectTimelyAnswers();
       }
       world.clock.runFor(3);
     }
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -58,13 +58,13 @@
       connectionCuts();
     }
     if (which.includesBasic(FaultKind.LOST_COMMANDS) && oneIn(8)) {
-      cluster.machineFaults.dropInboundOfSomeWorker(seconds(5, 50));
+      cluster.machineFaults.dropInboundOfRandomWorker(seconds(5, 50));
     }
     if (which.includesBasic(FaultKind.HEARTBEAT_COPIES) && oneIn(10)) {
       cluster.machineFaults.duplicateHeartbeats(0.3, seconds(5, 20));
     }
     if (which.includesBasic(FaultKind.ISOLATED_CONTROLLERS) && oneIn(10)) {
-      cluster.networkFaults.cutOff(someController(), seconds(5, 50));
+      cluster.networkFaults.isolate(someController(), seconds(5, 50));
     }
     if (which.includesBasic(FaultKind.STORE_OUTAGES) && oneIn(25)) {
       cluster.storeFaults.outage(seconds(5, 30));
@@ -73,13 +73,13 @@
 
   private void connectionCuts() {
     if (oneIn(10)) {
-      cluster.networkFaults.cutWorkers(someController(), seconds(5, 30));
+      cluster.networkFaults.isolateFromWorkers(someController(), seconds(5, 30));
     }
     if (oneIn(10)) {
       cluster.storeFaults.refuse(someController(), seconds(5, 20));
     }
     if (oneIn(8)) {
-      cluster.machineFaults.cutOrEndSomeWorker(oneIn(3) ? 0 : seconds(5, 40));
+      cluster.machineFaults.isolateOrTerminateRandomWorker(oneIn(3) ? 0 : seconds(5, 40));
     }
   }
 
@@ -87,13 +87,13 @@
 
   private void lateWrites() {
     if (kind.includes(FaultKind.LATE_WRITES) && oneIn(10)) {
-      cluster.storeFaults.lateWrites(0.3, seconds(5, 30));
+      cluster.storeFaults.delayWrites(0.3, seconds(5, 30));
     }
   }
 
   private void lostHeartbeats() {
     if (kind.includes(FaultKind.LOST_HEARTBEATS) && oneIn(6)) {
-      cluster.machineFaults.dropHeartbeatsOfSomeWorker(seconds(5, 50));
+      cluster.machineFaults.dropHeartbeatsOfRandomWorker(seconds(5, 50));
     }
     if (kind.includes(FaultKind.LOST_HEARTBEATS) && oneIn(25)) {
       cluster.machineFaults.dropHeartbeatsOfShare(0.6, seconds(5, 50));
@@ -102,7 +102,7 @@
 
   private void hangs() {
     if (kind.includes(FaultKind.MACHINE_HANGS) && oneIn(6)) {
-      cluster.machineFaults.hangSomeWorker(seconds(1, 40));
+      cluster.machineFaults.hangRandomWorker(seconds(1, 40));
     }
     if (kind == FaultKind.MACHINE_HANGS && !users.accepted().isEmpty() && oneIn(12)) {
       JobId id = users.accepted().get(cluster.nextInt(users.accepted().size()));
@@ -113,7 +113,7 @@
 
   private void slowStore() {
     if (kind.includes(FaultKind.SLOW_STORE) && oneIn(12)) {
-      cluster.storeFaults.slowDown(seconds(5, 40), 0.3 + cluster.nextInt(10) / 10.0);
+      cluster.storeFaults.slowResponses(seconds(5, 40), 0.3 + cluster.nextInt(10) / 10.0);
     }
   }
 
@@ -129,7 +129,7 @@
 
   private void zoneCuts() {
     if (kind.includes(FaultKind.ZONE_CUTS) && oneIn(20)) {
-      cluster.networkFaults.cutZone(oneIn(2) ? "east" : "west", seconds(5, 45));
+      cluster.networkFaults.isolateZone(oneIn(2) ? "east" : "west", seconds(5, 45));
     }
   }
 
@@ -148,7 +148,7 @@
       cluster.networkFaults.partitionZones(seconds(5, 50));
     }
     if (kind == FaultKind.PARTITIONED_ZONES && oneIn(15)) {
-      cluster.storeFaults.lateWrites(0.3, 15);
+      cluster.storeFaults.delayWrites(0.3, 15);
     }
   }
 }
--- a/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
@@ -72,7 +72,7 @@
     SeededFaults faults = new SeededFaults(cluster.world, cluster.users, kind);
     boolean invalidRequests = kind.includes(FaultKind.INVALID_REQUESTS);
     if (invalidRequests) {
-      cluster.users.cancelAtEnd(0.2);
+      cluster.users.cancelAtCompletion(0.2);
     }
     for (int step = 0; step < 150; step++) {
       submitAndCancel(step);
@@ -87,7 +87,7 @@
         cluster.users.cancelServices();
       }
       if (step == 110) {
-        cluster.users.quiet();
+        cluster.users.expectTimelyAnswers();
       }
       cluster.world.clock.runFor(3);
     }
@@ -161,11 +161,11 @@
     }
     SubmissionBuilder last = all.remove(all.size() - 1);
     last.priority("high").deadlineS(120.0);
-    all.forEach(cluster.users::submitAfterNamed);
+    all.forEach(cluster.users::submitAfterDependencies);
     if (cluster.world.nextInt(4) == 0) {
-      cluster.users.submitLate(last, cluster.world.nextInt(60));
+      cluster.users.submitAfterEnds(last, cluster.world.nextInt(60));
     } else {
-      cluster.users.submitAfterNamed(last);
+      cluster.users.submitAfterDependencies(last);
     }
   }
 
--- a/src/test/java/org/ternhinge/controller/SlowStoreTest.java
+++ b/src/test/java/org/ternhinge/controller/SlowStoreTest.java
@@ -36,21 +36,21 @@
   }
 
   private void run(double seconds) {
-    users.runPolling(seconds);
+    users.runWithPolling(seconds);
   }
 
   private void slow(double seconds, double eachWayS) {
-    world.storeFaults.slowDown(seconds, 2 * eachWayS);
+    world.storeFaults.slowResponses(seconds, 2 * eachWayS);
   }
 
   private void endSlowness() {
     run(30);
-    users.quiet();
+    users.expectTimelyAnswers();
     JobId last = submit("wk-9", "batch", 2, 5);
     double submitted = world.clock.seconds();
     run(60);
-    assertTrue(world.tasks.began(last).isPresent(), "a job after the slowness has not begun");
-    double waitedS = world.tasks.began(last).getAsDouble() - submitted;
+    assertTrue(world.tasks.firstStartOf(last).isPresent(), "a job after the slowness has not begun");
+    double waitedS = world.tasks.firstStartOf(last).getAsDouble() - submitted;
     assertTrue(waitedS < 15, "a job after the slowness began only after " + waitedS + " s");
     run(100);
     assertEquals("done", users.lastState(last));
@@ -78,8 +78,8 @@
     users.cancel(goes);
     run(120);
     assertEquals(leaderships, world.counts.leaderships(), "the leader did not stay");
-    assertTrue(world.tasks.began(array).isPresent(), "the array has not begun");
-    assertTrue(world.tasks.began(gang).isPresent(), "the gang has not begun");
+    assertTrue(world.tasks.firstStartOf(array).isPresent(), "the array has not begun");
+    assertTrue(world.tasks.firstStartOf(gang).isPresent(), "the gang has not begun");
     assertEquals(0, world.tasks.runningTasks(goes));
     assertEquals("cancelled", users.lastState(goes));
     run(60);
@@ -123,7 +123,7 @@
     users.cancel(goes);
     JobId array = submit("wk-3", "batch", 4, 10);
     run(90);
-    assertTrue(world.tasks.began(array).isPresent(), "the array has not begun");
+    assertTrue(world.tasks.firstStartOf(array).isPresent(), "the array has not begun");
     assertEquals("cancelled", users.lastState(goes));
     assertEquals(0, world.tasks.runningTasks(goes));
     run(85);
@@ -145,7 +145,7 @@
     users.submit(SubmissionBuilder.job("wk-3", "batch", 4).priority("high").team("blue"));
     users.cancel(goes);
     run(150);
-    assertTrue(world.tasks.began(new JobId("wk-3")).isPresent(), "urgent work has not begun");
+    assertTrue(world.tasks.firstStartOf(new JobId("wk-3")).isPresent(), "urgent work has not begun");
     world.networkFaults.slowLinks(0);
     endSlowness();
     assertEquals("cancelled", users.lastState(goes));
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -22,7 +22,7 @@
       cluster.machineFaults.delayHeartbeat(worker.id(), delayS);
     }
     cluster.clock.runFor(4);
-    cluster.machineFaults.cutSomeWorkerWith(stays, 35);
+    cluster.machineFaults.isolateWorkerOf(stays, 35);
     cluster.storeFaults.refuse(cluster.leader(), 9);
     run(60);
     assertRulesHoldToTheEnd();
@@ -75,7 +75,7 @@
     run(40);
     for (JobId id : List.of(job, cancelled)) {
       switch (fault) {
-        case "cut" -> cluster.machineFaults.cutSomeWorkerWith(id, seconds);
+        case "cut" -> cluster.machineFaults.isolateWorkerOf(id, seconds);
         case "lost heartbeats" -> cluster.machineFaults.dropHeartbeatsOf(id, seconds);
         default -> cluster.machineFaults.hangWorkersOf(id, 2, seconds);
       }
--- a/src/test/java/org/ternhinge/controller/UpgradeTest.java
+++ b/src/test/java/org/ternhinge/controller/UpgradeTest.java
@@ -72,10 +72,10 @@
       case "leader crash" -> world.controllers.crash(Math.max(0, world.leader()), 2);
       case "cut" -> {
         world.storeFaults.refuse(other, 12);
-        world.networkFaults.cutWorkers(next, 8);
+        world.networkFaults.isolateFromWorkers(next, 8);
       }
       case "outage" -> world.storeFaults.outage(10);
-      case "late writes" -> world.storeFaults.lateWrites(0.3, 10);
+      case "late writes" -> world.storeFaults.delayWrites(0.3, 10);
       case "zones apart" -> world.networkFaults.partitionZones(10);
       default -> throw new IllegalArgumentException(fault);
     }
@@ -135,7 +135,7 @@
       assertEquals(2, world.tasks.runningTasks(new JobId("wk-401")), "the service is up all along");
       cluster.users.cancel(new JobId("wk-401"));
       cluster.run(60);
-      cluster.users.quiet();
+      cluster.users.expectTimelyAnswers();
       cluster.run(120);
       cluster.assertNoRuleBroken();
       for (JobId id : cluster.users.accepted()) {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -99,7 +99,7 @@
 
   /** Advances the clock while users poll their jobs. */
   final void run(double seconds) {
-    users.runPolling(seconds);
+    users.runWithPolling(seconds);
   }
 
   /** Tasks that run in the first zone now. */
@@ -111,7 +111,7 @@
   }
 
   final void cutFirst(double seconds) {
-    cluster.machineFaults.cutZone(FIRST, seconds);
+    cluster.machineFaults.isolateZone(FIRST, seconds);
   }
 
   /** Restarts may be observed out of order by so much, since commands take different times. */
@@ -142,7 +142,7 @@
   /** Cuts the first zone off and returns the tasks that were running there. */
   final Set<TaskId> loseTheFirstZone(double seconds) {
     Set<TaskId> lost = runningInFirst();
-    cluster.networkFaults.cutsLose();
+    cluster.networkFaults.dropDuringPartitions();
     cutFirst(seconds);
     return lost;
   }
@@ -173,7 +173,7 @@
   final void assertRulesHoldToTheEnd() {
     run(60);
     users.cancelServices();
-    users.quiet();
+    users.expectTimelyAnswers();
     run(JOBS_END_S);
     assertEquals(List.of(), cluster.violations());
     for (JobId id : users.accepted()) {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
@@ -53,7 +53,7 @@
     long changes = cluster.counts.storeChanges();
     long commands = cluster.counts.commandCalls();
     double cutAt = cluster.clock.seconds();
-    cluster.networkFaults.cutsLose();
+    cluster.networkFaults.dropDuringPartitions();
     cutFirst(CUT_S);
     run(CUT_S);
     double backAt = cluster.clock.seconds();
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -55,7 +55,7 @@
     double cutAt = cluster.clock.seconds();
     Set<TaskId> lost = loseTheFirstZone(150);
     cluster.clock.runFor(afterS);
-    cluster.storeFaults.slowDown(20, 0.8);
+    cluster.storeFaults.slowResponses(20, 0.8);
     cluster.controllers.crash(cluster.leader(), 0.3);
     run(130);
     Map<TaskId, Start> restarts = restarts(lost, cutAt);
@@ -71,7 +71,7 @@
     run(40);
     double cutAt = cluster.clock.seconds();
     Set<TaskId> lost = loseTheFirstZone(90);
-    cluster.storeFaults.slowDown(60, 1.0);
+    cluster.storeFaults.slowResponses(60, 1.0);
     run(120);
     assertEquals(lost, startsOf(lost, cutAt));
     assertRulesHoldToTheEnd();
@@ -124,7 +124,7 @@
     for (int i = 0; i < 40; i++) {
       run(3);
       for (JobId id : ids) {
-        users.pollEverywhere(id);
+        users.pollAllControllers(id);
       }
     }
     assertRulesHoldToTheEnd();
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -38,7 +38,7 @@
   void rulesHoldInALargeFleet(long seed) {
     play(seed, LARGE, 500);
     assertTrue(
-        cluster.machines.everProvisioned() > 300, cluster.machines.everProvisioned() + " machines");
+        cluster.machines.totalProvisioned() > 300, cluster.machines.totalProvisioned() + " machines");
   }
 
   private void play(long seed, SimCluster.Size size, int mostTasks) {
@@ -60,7 +60,7 @@
     assertTrue(cluster.counts.storeChanges() - changes <= allowed, "seed " + seed + ": changes");
     run(60);
     users.cancelServices();
-    users.quiet();
+    users.expectTimelyAnswers();
     run(200);
     assertEquals(List.of(), cluster.violations(), "seed " + seed);
     for (JobId id : users.accepted()) {
@@ -92,14 +92,14 @@
   private void drawFault() {
     double seconds = 3 + cluster.nextInt(45);
     switch (cluster.nextInt(24)) {
-      case 0, 1 -> cluster.machineFaults.cutZone(someZone(), seconds);
-      case 2 -> cluster.machineFaults.cutHalfOfZone(someZone(), seconds);
-      case 3 -> cluster.networkFaults.cutZone(ZONES.get(1 + cluster.nextInt(2)), seconds);
+      case 0, 1 -> cluster.machineFaults.isolateZone(someZone(), seconds);
+      case 2 -> cluster.machineFaults.isolateHalfOfZone(someZone(), seconds);
+      case 3 -> cluster.networkFaults.isolateZone(ZONES.get(1 + cluster.nextInt(2)), seconds);
       case 4 -> cluster.controllers.crash(Math.max(0, cluster.leader()), oneIn(2) ? 0.3 : 5);
-      case 5 -> cluster.networkFaults.cutWorkers(cluster.nextInt(3), seconds);
+      case 5 -> cluster.networkFaults.isolateFromWorkers(cluster.nextInt(3), seconds);
       case 6 -> cluster.machineFaults.duplicateHeartbeats(0.3, seconds);
-      case 7 -> cluster.storeFaults.lateWrites(0.3, seconds);
-      case 8 -> cluster.storeFaults.slowDown(seconds, 0.8);
+      case 7 -> cluster.storeFaults.delayWrites(0.3, seconds);
+      case 8 -> cluster.storeFaults.slowResponses(seconds, 0.8);
       case 9 -> cluster.storeFaults.refuse(Math.max(0, cluster.leader()), seconds);
       case 10 -> cluster.machineFaults.restartMachines(0.2);
       default -> {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
@@ -164,7 +164,7 @@
     begin(51);
     submitAllTiers(4, 10, 120);
     run(40);
-    cluster.networkFaults.cutZone(zone, seconds);
+    cluster.networkFaults.isolateZone(zone, seconds);
     run(seconds);
     assertRulesHoldToTheEnd();
   }
@@ -177,8 +177,8 @@
     run(40);
     Set<TaskId> before = runningInFirst();
     double cutAt = cluster.clock.seconds();
-    cluster.networkFaults.cutsLose();
-    cluster.machineFaults.cutHalfOfZone(FIRST, 100);
+    cluster.networkFaults.dropDuringPartitions();
+    cluster.machineFaults.isolateHalfOfZone(FIRST, 100);
     run(SETTINGS.detection().suspectMaxS() + 10);
     submit(job(1, "batch", 20, 20));
     run(RESTART_S - 20);
@@ -196,7 +196,7 @@
     run(40);
     cutFirst(140);
     run(20);
-    cluster.machineFaults.cutMachinesOfZone("east", 100);
+    cluster.machineFaults.isolateMachinesOfZone("east", 100);
     run(140);
     assertRulesHoldToTheEnd();
   }
@@ -213,7 +213,7 @@
     cluster.tasks.forEachRunningTask(running::add);
     double cutAt = cluster.clock.seconds();
     for (int i = 0; i < cluster.nodeCount(); i++) {
-      cluster.networkFaults.cutWorkers(i, 15);
+      cluster.networkFaults.isolateFromWorkers(i, 15);
     }
     run(60);
     assertEquals(Set.of(), startsOf(running, cutAt));
@@ -239,7 +239,7 @@
   @Test
   void listsThatLagChangeNothing() {
     begin(62);
-    cluster.bootFaults.listLags(20);
+    cluster.bootFaults.setListLag(20);
     submitAllTiers(3, 8, 150);
     run(40);
     double cutAt = cluster.clock.seconds();
@@ -256,7 +256,7 @@
     JobId service = submit(job(0, "daemon", 4, 0).scatter(true));
     JobId gang = submit(job(1, "group", 4, 90).together(true).spotAllowed(false));
     JobId first = submit(job(1, "batch", 6, 90));
-    users.submitAfterNamed(job(2, "batch", 6, 20).dependsOn(List.of(first)));
+    users.submitAfterDependencies(job(2, "batch", 6, 20).dependsOn(List.of(first)));
     run(40);
     cutFirst(70);
     run(RESTART_S + 20);
--- a/src/test/java/org/ternhinge/election/DelayedElectionTest.java
+++ b/src/test/java/org/ternhinge/election/DelayedElectionTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.sim.DelayedStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
@@ -32,7 +32,7 @@
   private static final double QUICK_S = 0.003;
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final SplittableRandom random = new SplittableRandom(11);
   private final List<Node> nodes = new ArrayList<>();
   private double eachWayS = QUICK_S;
@@ -165,7 +165,7 @@
       refused.store.refuse(true);
       run(refusedS);
       refused.store.refuse(false);
-      core.wake();
+      core.notifyWatches();
       run(60);
       assertTrue(elected >= 2 + i, "nobody took over");
       assertEquals(1, nodes.stream().filter(node -> node.election.valid()).count());
--- a/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipClaimTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -28,7 +28,7 @@
 /** One claim of the leadership, and what the leadership that it brings answers. */
 class LeadershipClaimTest {
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final Candidate candidate =
       new Candidate(
           "node-0",
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -18,7 +18,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 
 /** How long a lease is relied on, by which renewals are answered and when. */
 class LeadershipLeaseTest {
@@ -33,7 +33,7 @@
 
   /** A store whose renewals are answered by hand. */
   private final DirectStore store =
-      new DirectStore(new StoreCore(clock)) {
+      new DirectStore(new InMemoryStore(clock)) {
         @Override
         public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
           Renewal renewal = new Renewal(clock.now(), new CompletableFuture<>());
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -36,7 +36,7 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.term.BucketedRecords;
@@ -58,7 +58,7 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   public final SimClock clock = new SimClock();
-  public final StoreCore core = new StoreCore(clock);
+  public final InMemoryStore core = new InMemoryStore(clock);
   public final PausableStore store = new PausableStore(new DirectStore(core));
   public final List<Command> sent = new ArrayList<>();
   public final RecordingWorkers workers = new RecordingWorkers(sent);
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -35,7 +35,7 @@
   private static final int TASKS = 500;
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final List<CompareAndSwap> sent = new ArrayList<>();
   private Runnable afterEach = () -> {};
   private int budget = 16;
--- a/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionLeadershipTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.WireException;
@@ -28,7 +28,7 @@
 /** The term's and the leader's records, as both versions of an upgrade write and read them. */
 class ProductionLeadershipTest {
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 8192, clock);
 
   private Election election(List<Authority> elected) {
@@ -96,7 +96,7 @@
         "{\"node\":\"node-2\",\"inc\":\"5c0ffee\",\"term\":3,\"deps\":true} | true"
       })
   void aLeaderSaysWhatItKnows(String leader, boolean knows) throws WireException {
-    put("leader", leader, core.grant(60_000));
+    put("leader", leader, core.grantLease(60_000));
     Election election = election(new ArrayList<>());
     assertEquals(Optional.of("node-2"), election.leaderNode());
     assertEquals(knows, election.leaderKnowsDependencies());
@@ -124,7 +124,7 @@
   void anotherLeaderIsSeen() throws WireException {
     put("term", "{\"n\":41,\"inc\":\"5c0ffee\"}", 0);
     String leader = "{\"node\":\"node-0\",\"inc\":\"5c0ffee\",\"term\":41}";
-    put("leader", leader, core.grant(600_000));
+    put("leader", leader, core.grantLease(600_000));
     List<Authority> elected = new ArrayList<>();
     Election election = election(elected);
     assertEquals(Optional.of("node-0"), election.leaderNode());
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -18,8 +18,8 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.PermanentAuthority;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -43,7 +43,7 @@
           + "\"vistun_s\":0.0},\"t\":1700000000123,";
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final Ledger ledger =
       new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), SMALL_VALUE_BYTES, clock);
 
@@ -130,7 +130,7 @@
         new LedgerWriter(
             ledger,
             new DirectStore(core),
-            new SteadyAuthority(term),
+            new PermanentAuthority(term),
             clock,
             new ReentrantLock(),
             16,
--- a/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
+++ b/src/test/java/org/ternhinge/ledger/TransactionVerifierTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -27,7 +27,7 @@
   private static final ObjectNode OURS = Json.object().put("value", "ours");
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final List<TransactionVerifier.Verdict> verdicts = new ArrayList<>();
 
   /** Reads that fail before one is answered. */
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -18,7 +18,7 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -29,7 +29,7 @@
 /** Where a node loads the machine types from. */
 class BootstrapMachineTypesTest {
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final DirectStore store = new DirectStore(core);
   private final MachineTypeCloud cloud = new MachineTypeCloud();
   private final List<List<MachineType>> loaded = new ArrayList<>();
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -31,7 +31,7 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   private final SimClock clock = new SimClock();
-  private final DirectStore store = new DirectStore(new StoreCore(clock));
+  private final DirectStore store = new DirectStore(new InMemoryStore(clock));
   private final JobLookup lookup = new JobLookup(store);
   private JobLookup.Result result;
   private DependencyCheck.Result checked;
--- a/src/test/java/org/ternhinge/sim/BootFaults.java
+++ b/src/test/java/org/ternhinge/sim/BootFaults.java
@@ -13,7 +13,7 @@
   private double listLagS;
 
   /** The machines with these numbers, in the order of provisioning from 0, never come up. */
-  public void neverComesUp(Set<Integer> machines) {
+  public void neverBoots(Set<Integer> machines) {
     dead.addAll(machines);
   }
 
@@ -22,14 +22,14 @@
    *
    * @param zone the zone, or null for all
    */
-  public void slow(String type, String zone, double factor) {
+  public void slowBoots(String type, String zone, double factor) {
     slowType = type;
     slowZone = zone;
     slowFactor = factor;
   }
 
   /** Sets the lag of machine lists, in seconds. */
-  public void listLags(double seconds) {
+  public void setListLag(double seconds) {
     listLagS = seconds;
   }
 
@@ -37,11 +37,11 @@
     return listLagS;
   }
 
-  boolean neverComesUp(int machine) {
+  boolean neverBoots(int machine) {
     return dead.contains(machine);
   }
 
-  double factor(ProvisionRequest request) {
+  double bootTimeFactor(ProvisionRequest request) {
     boolean slow =
         request.type().equals(slowType) && (slowZone == null || request.zone().equals(slowZone));
     return slow ? slowFactor : 1;
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -65,7 +65,7 @@
 
   /** Controllers that start from now on have settings that name coming limits. */
   void announce(SimCluster.Limits coming) {
-    limits = limits.lesser(coming);
+    limits = limits.lowerOf(coming);
   }
 
   /** The limits of the key-value store that the settings name. */
@@ -90,16 +90,16 @@
   }
 
   /** The settings of one controller. */
-  Settings of(String node) {
-    return of(node, limits);
+  Settings forNode(String node) {
+    return forNode(node, limits);
   }
 
   /** The settings of a controller that doesn't read which limits are to come. */
-  Settings underFirstLimits(String node) {
-    return of(node, first);
+  Settings withInitialLimits(String node) {
+    return forNode(node, first);
   }
 
-  private Settings of(String node, SimCluster.Limits named) {
+  private Settings forNode(String node, SimCluster.Limits named) {
     Map<String, Endpoint> peers = new LinkedHashMap<>();
     for (int i = 0; i < size.nodes(); i++) {
       if (!node.equals("node-" + i)) {
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -10,7 +10,7 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** A client whose messages to and from the key-value store are delayed, each by itself. */
-public final class DelayedStore extends StoreCoreClient {
+public final class DelayedStore extends InMemoryStoreClient {
   /** A watch times out so many seconds after its own end. */
   private static final double WATCH_SLACK_S = 5;
 
@@ -28,7 +28,7 @@
    * @param delayS delay of the next message in seconds, asked once a message
    */
   public DelayedStore(
-      SimClock clock, StoreCore core, ResponseTimeouts timeouts, DoubleSupplier delayS) {
+      SimClock clock, InMemoryStore core, ResponseTimeouts timeouts, DoubleSupplier delayS) {
     super(core);
     this.clock = clock;
     this.timeouts = timeouts;
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -7,9 +7,9 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /** A client that carries out each call at once, without a network and without limits on rates. */
-public class DirectStore extends StoreCoreClient {
+public class DirectStore extends InMemoryStoreClient {
   /** Creates a client that answers at once. */
-  public DirectStore(StoreCore core) {
+  public DirectStore(InMemoryStore core) {
     super(core);
   }
 
--- a/src/test/java/org/ternhinge/sim/HeartbeatBuilder.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatBuilder.java
@@ -21,12 +21,12 @@
   }
 
   /** Begins with a copy of a heartbeat. */
-  public static HeartbeatBuilder like(Heartbeat original) {
+  public static HeartbeatBuilder copyOf(Heartbeat original) {
     return new HeartbeatBuilder(original);
   }
 
   /** Moves to an epoch so many later; the sequence goes on. */
-  public HeartbeatBuilder epochsLater(int epochs) {
+  public HeartbeatBuilder advanceEpoch(int epochs) {
     epoch = new AgentEpoch(original.epoch().value() + epochs);
     return this;
   }
@@ -38,7 +38,7 @@
   }
 
   /** Sets a sequence number that is so much higher, or lower where negative. */
-  public HeartbeatBuilder sequenceLater(int by) {
+  public HeartbeatBuilder advanceSequence(int by) {
     return sequence(original.sequence() + by);
   }
 
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -33,7 +33,7 @@
   }
 
   /** A machine sends a heartbeat, a duplicate of which may arrive later. */
-  void sent(MachineId from, byte[] heartbeat) {
+  void recordSent(MachineId from, byte[] heartbeat) {
     cluster.counts.heartbeat();
     last.put(from, heartbeat);
     boolean duplicates = duplicateUntil != null && !duplicateUntil.isBefore(cluster.clock.now());
@@ -46,7 +46,7 @@
   }
 
   /** A duplicate of a machine's last heartbeat reaches every controller. */
-  void repeatLast(MachineId id) {
+  void resendLast(MachineId id) {
     for (int i = 0; i < cluster.nodeCount(); i++) {
       cluster.controllers.deliver(i, request(last.get(id)), answer -> {});
     }
--- a/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
@@ -18,7 +18,7 @@
   }
 
   /** Turns to the next controller, and gives the seconds to the next heartbeat. */
-  double next() {
+  double switchToNext() {
     controller = (controller + 1) % controllers;
     return NEXT_NODE_S;
   }
@@ -27,7 +27,7 @@
   double followRedirect(byte[] redirect) {
     int named = HeartbeatResponses.redirectedTo(redirect).orElse(controller);
     if (named == controller) {
-      return next();
+      return switchToNext();
     }
     controller = named;
     return REDIRECT_S;
--- a/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
@@ -22,17 +22,17 @@
   /** Sends a heartbeat to a controller; each call may meet a fault that is active. */
   CompletableFuture<Outcome<Response>> send(byte[] heartbeat, int controller) {
     MachineLinks links = machine.links();
-    boolean answerIsLost = links.losesInbound();
-    if (cluster.machineFaults.delays(machine.id(), heartbeat)) {
+    boolean answerIsLost = links.dropsInbound();
+    if (cluster.machineFaults.scheduleIfDelayed(machine.id(), heartbeat)) {
       return cluster.network.fail(false, TIMEOUT_S);
     }
-    if (links.losesHeartbeats()) {
+    if (links.dropsHeartbeats()) {
       return cluster.networkFaults.lostCall(TIMEOUT_S);
     }
     return cluster.networkFaults.call(
         machine.zone,
         NetworkFaults.zoneOf(controller),
-        () -> links.isCut() || cluster.networkFaults.cutFromWorkers(controller),
+        () -> links.isIsolated() || cluster.networkFaults.isIsolatedFromWorkers(controller),
         TIMEOUT_S,
         to ->
             cluster.controllers.deliver(
@@ -52,7 +52,7 @@
       return;
     }
     List<Command> commands = HeartbeatResponses.commands(response.body());
-    cluster.events.commandsLeave(machine.id(), commands);
+    cluster.events.commandsSent(machine.id(), commands);
     if (lost) {
       cluster.tasks.sent(machine.id(), commands);
     }
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStore.java
@@ -21,7 +21,7 @@
 import org.ternhinge.store.KeyValueStore;
 
 /** The key-value store's behaviour as its protocol page gives it, without a network. */
-public final class StoreCore {
+public final class InMemoryStore {
   private record Value(JsonNode value, long revision, long lease) {}
 
   private record Lease(double lifeS, SteadyTime ends) {}
@@ -41,7 +41,7 @@
   private long lastLease;
 
   /** Creates an empty store. */
-  public StoreCore(Clock clock) {
+  public InMemoryStore(Clock clock) {
     this.clock = clock;
   }
 
@@ -103,12 +103,12 @@
         log.add(new Change.Observed(c.key(), null, new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
     return Outcome.applied(new Revision(revision));
   }
 
   /** Grants a lease. */
-  public long grant(long millis) {
+  public long grantLease(long millis) {
     long id = ++lastLease;
     leases.put(id, new Lease(millis / 1000.0, clock.now().plusSeconds(millis / 1000.0)));
     expireLater(id, millis / 1000.0);
@@ -121,13 +121,13 @@
         () -> {
           Lease lease = leases.get(id);
           if (lease != null && lease.ends.isBefore(clock.now())) {
-            revoke(id);
+            revokeLease(id);
           }
         });
   }
 
   /** Renews a lease that has not ended. */
-  public Outcome<Long> renew(long id) {
+  public Outcome<Long> renewLease(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
       return Outcome.notApplied(Reason.NOT_FOUND, "");
@@ -138,17 +138,17 @@
   }
 
   /** After an outage every lease has its full time again. */
-  public void renewAll() {
-    List.copyOf(leases.keySet()).forEach(this::renew);
+  public void renewAllLeases() {
+    List.copyOf(leases.keySet()).forEach(this::renewLease);
   }
 
   /** During an outage no lease ends. */
-  public void hold(double seconds) {
+  public void extendLeases(double seconds) {
     leases.replaceAll((id, l) -> new Lease(l.lifeS, clock.now().plusSeconds(seconds + l.lifeS)));
   }
 
   /** Ends a lease and removes its keys. */
-  public void revoke(long id) {
+  public void revokeLease(long id) {
     if (leases.remove(id) == null) {
       return;
     }
@@ -162,7 +162,7 @@
         log.add(new Change.Observed(key, null, new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
   }
 
   /** Passes on the changes after a revision, as soon as there are any or the time is over. */
@@ -208,7 +208,7 @@
   }
 
   /** Answers the watches that have changes and are not suspended. */
-  public void wake() {
+  public void notifyWatches() {
     for (Watch w : List.copyOf(watches)) {
       if (!w.suspended.getAsBoolean() && answer(w, false)) {
         watches.remove(w);
--- a/src/test/java/org/ternhinge/sim/StoreCoreClient.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
@@ -10,18 +10,18 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
- * A client of a {@link StoreCore} without limits on rates. Subclasses decide how a call reaches the
+ * A client of a {@link InMemoryStore} without limits on rates. Subclasses decide how a call reaches the
  * store and how its outcome comes back.
  */
-abstract class StoreCoreClient implements KeyValueStore {
-  private final StoreCore core;
+abstract class InMemoryStoreClient implements KeyValueStore {
+  private final InMemoryStore core;
 
-  StoreCoreClient(StoreCore core) {
+  InMemoryStoreClient(InMemoryStore core) {
     this.core = core;
   }
 
   /** The store behind this client. */
-  final StoreCore core() {
+  final InMemoryStore core() {
     return core;
   }
 
@@ -50,12 +50,12 @@
 
   @Override
   public CompletableFuture<Outcome<Long>> grantLease(long millis) {
-    return call(Kind.LEASE, () -> Outcome.applied(core.grant(millis)));
+    return call(Kind.LEASE, () -> Outcome.applied(core.grantLease(millis)));
   }
 
   @Override
   public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
-    return call(timeoutS, () -> core.renew(lease));
+    return call(timeoutS, () -> core.renewLease(lease));
   }
 
   @Override
@@ -63,7 +63,7 @@
     return call(
         Kind.LEASE,
         () -> {
-          core.revoke(lease);
+          core.revokeLease(lease);
           return Outcome.applied(lease);
         });
   }
--- a/src/test/java/org/ternhinge/sim/InvalidRequests.java
+++ b/src/test/java/org/ternhinge/sim/InvalidRequests.java
@@ -121,7 +121,7 @@
   // ---- dependencies ---------------------------------------------------------------------------
 
   /** Sends a submission with invalid names of other jobs. */
-  void sendDependencies() {
+  void sendInvalidDependencies() {
     String id = String.format("wk-8%05d", ++made);
     ObjectNode body = Specs.json(id, "batch", 2);
     // Of a service that has ended only the end record is stored, and users never depend on one.
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -42,55 +42,55 @@
   // ---- cuts and ends --------------------------------------------------------------------------
 
   /** Cuts all machines of a zone off from everything. */
-  public void cutMachinesOfZone(String zone, double seconds) {
+  public void isolateMachinesOfZone(String zone, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
-        worker.links().cut(seconds);
+        worker.links().isolate(seconds);
       }
     }
   }
 
   /** Cuts every other machine of a zone off from everything. */
-  public void cutHalfOfZone(String zone, double seconds) {
+  public void isolateHalfOfZone(String zone, double seconds) {
     boolean cut = false;
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
         cut = !cut;
         if (cut) {
-          worker.links().cut(seconds);
+          worker.links().isolate(seconds);
         }
       }
     }
   }
 
   /** Cuts a zone's machines, and machines that come up there meanwhile are cut off as well. */
-  public void cutZone(String zone, double seconds) {
-    cutMachinesOfZone(zone, seconds);
+  public void isolateZone(String zone, double seconds) {
+    isolateMachinesOfZone(zone, seconds);
     zonesCutUntil.put(zone, in(seconds));
   }
 
   /** A machine has come up. */
-  void cameUp(SimWorker worker) {
-    Optional.ofNullable(zonesCutUntil.get(worker.zone)).ifPresent(worker.links()::cutUntil);
+  void machineStarted(SimWorker worker) {
+    Optional.ofNullable(zonesCutUntil.get(worker.zone)).ifPresent(worker.links()::isolateUntil);
   }
 
   /** Cuts off a machine that runs a job's task. */
-  public void cutSomeWorkerWith(JobId id, double seconds) {
+  public void isolateWorkerOf(JobId id, double seconds) {
     List<MachineId> machines = cluster.tasks.machinesOf(id);
     if (!machines.isEmpty()) {
-      cluster.machines.worker(machines.get(0)).links().cut(seconds);
+      cluster.machines.worker(machines.get(0)).links().isolate(seconds);
     }
   }
 
   /** Cuts a random machine off, or ends it where the time is 0. */
-  public void cutOrEndSomeWorker(double cutS) {
+  public void isolateOrTerminateRandomWorker(double cutS) {
     someWorker(cluster.random)
         .ifPresent(
             worker -> {
               if (cutS > 0) {
-                worker.links().cut(cutS);
+                worker.links().isolate(cutS);
               } else {
-                cluster.machines.end(worker.id());
+                cluster.machines.terminate(worker.id());
               }
             });
   }
@@ -117,21 +117,21 @@
   // ---- lost commands and lost heartbeats ------------------------------------------------------
 
   /** Some machine's heartbeats arrive, while neither answers nor commands reach it. */
-  public Optional<SimWorker> dropInboundOfSomeWorker(double seconds) {
+  public Optional<SimWorker> dropInboundOfRandomWorker(double seconds) {
     Optional<SimWorker> worker = someWorker(cluster.random);
-    worker.ifPresent(some -> some.links().loseInbound(seconds));
+    worker.ifPresent(some -> some.links().dropInbound(seconds));
     return worker;
   }
 
   /** A machine's heartbeats arrive, while neither answers nor commands reach it. */
   public void dropInbound(MachineId id, double seconds) {
-    cluster.machines.worker(id).links().loseInbound(seconds);
+    cluster.machines.worker(id).links().dropInbound(seconds);
   }
 
   /** Heartbeats of all machines of a job reach no controller, while direct commands reach them. */
   public void dropHeartbeatsOf(JobId id, double seconds) {
     for (SimWorker worker : cluster.machines.running(id)) {
-      worker.links().loseHeartbeats(seconds);
+      worker.links().dropHeartbeats(seconds);
     }
   }
 
@@ -139,20 +139,20 @@
   public void dropHeartbeatsOfShare(double share, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (random.nextDouble() < share) {
-        worker.links().loseHeartbeats(seconds);
+        worker.links().dropHeartbeats(seconds);
       }
     }
   }
 
   /** Some machine's heartbeats reach no controller. */
-  public void dropHeartbeatsOfSomeWorker(double seconds) {
-    someWorker(random).ifPresent(worker -> worker.links().loseHeartbeats(seconds));
+  public void dropHeartbeatsOfRandomWorker(double seconds) {
+    someWorker(random).ifPresent(worker -> worker.links().dropHeartbeats(seconds));
   }
 
   // ---- hangs ----------------------------------------------------------------------------------
 
   /** Some machine executes nothing for a while; what arrives waits for it. */
-  public void hangSomeWorker(double seconds) {
+  public void hangRandomWorker(double seconds) {
     someWorker(random).ifPresent(worker -> worker.hang(seconds));
   }
 
@@ -181,7 +181,7 @@
   }
 
   /** Whether a heartbeat is delayed; if so, its late delivery is scheduled. */
-  boolean delays(MachineId id, byte[] heartbeat) {
+  boolean scheduleIfDelayed(MachineId id, byte[] heartbeat) {
     Double seconds = heartbeatDelaysS.remove(id);
     if (seconds == null) {
       return false;
@@ -205,7 +205,7 @@
   }
 
   /** A duplicate of a machine's last heartbeat reaches every controller. */
-  public void repeatHeartbeat(MachineId id) {
-    cluster.machines.heartbeatHistory().repeatLast(id);
+  public void resendHeartbeat(MachineId id) {
+    cluster.machines.heartbeatHistory().resendLast(id);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MachineHang.java
+++ b/src/test/java/org/ternhinge/sim/MachineHang.java
@@ -19,7 +19,7 @@
     this.clock = clock;
   }
 
-  boolean lasts() {
+  boolean isActive() {
     return until != null;
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** Whether a hang was under way and its time is over now. */
-  boolean isOver() {
+  boolean hasElapsed() {
     return until != null && !clock.now().isBefore(until);
   }
 
@@ -58,20 +58,20 @@
   }
 
   private double hungSeconds() {
-    return earlierHangsS + (lasts() ? clock.now().secondsSince(from) : 0);
+    return earlierHangsS + (isActive() ? clock.now().secondsSince(from) : 0);
   }
 
   /** Runs an action after so many seconds in which the machine did execute. */
-  void afterWork(double seconds, Runnable action) {
+  void runAfterActiveTime(double seconds, Runnable action) {
     double before = hungSeconds();
     clock.after(
         seconds,
         () -> {
           double lost = hungSeconds() - before;
-          if (lasts()) {
-            defer(() -> afterWork(lost, action));
+          if (isActive()) {
+            defer(() -> runAfterActiveTime(lost, action));
           } else if (lost > 0) {
-            afterWork(lost, action);
+            runAfterActiveTime(lost, action);
           } else {
             action.run();
           }
--- a/src/test/java/org/ternhinge/sim/MachineLinks.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinks.java
@@ -18,40 +18,40 @@
   }
 
   /** For so many seconds nothing passes in either direction. */
-  void cut(double seconds) {
-    cutUntil(in(seconds));
+  void isolate(double seconds) {
+    isolateUntil(in(seconds));
   }
 
   /** Until a time nothing passes in either direction. */
-  void cutUntil(SteadyTime end) {
+  void isolateUntil(SteadyTime end) {
     cutUntil = end;
   }
 
   /** For so many seconds heartbeats arrive, but neither answers nor commands reach the machine. */
-  void loseInbound(double seconds) {
+  void dropInbound(double seconds) {
     inboundLostUntil = in(seconds);
   }
 
   /** For so many seconds heartbeats reach no controller, while commands reach the machine. */
-  void loseHeartbeats(double seconds) {
+  void dropHeartbeats(double seconds) {
     heartbeatsLostUntil = in(seconds);
   }
 
-  boolean isCut() {
+  boolean isIsolated() {
     return lasts(cutUntil);
   }
 
-  boolean losesInbound() {
+  boolean dropsInbound() {
     return lasts(inboundLostUntil);
   }
 
-  boolean losesHeartbeats() {
+  boolean dropsHeartbeats() {
     return lasts(heartbeatsLostUntil);
   }
 
   /** Whether no message is lost in any direction. */
-  boolean areWhole() {
-    return !isCut() && !losesInbound() && !losesHeartbeats();
+  boolean areHealthy() {
+    return !isIsolated() && !dropsInbound() && !dropsHeartbeats();
   }
 
   private SteadyTime in(double seconds) {
--- a/src/test/java/org/ternhinge/sim/MachineLinksTest.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinksTest.java
@@ -17,7 +17,7 @@
 
   @Test
   void newLinksLoseNothing() {
-    assertTrue(links.areWhole());
+    assertTrue(links.areHealthy());
   }
 
   @ParameterizedTest(name = "{0}")
@@ -26,18 +26,18 @@
     "inbound lost, false, true, false",
     "heartbeats lost, false, false, true"
   })
-  void aFaultConcernsItsOwnMessagesUntilItEnds(
+  void faultDropsOnlyItsOwnMessagesUntilItEnds(
       String fault, boolean cut, boolean inbound, boolean heartbeats) {
     switch (fault) {
-      case "cut" -> links.cut(FAULT_S);
-      case "inbound lost" -> links.loseInbound(FAULT_S);
-      default -> links.loseHeartbeats(FAULT_S);
+      case "cut" -> links.isolate(FAULT_S);
+      case "inbound lost" -> links.dropInbound(FAULT_S);
+      default -> links.dropHeartbeats(FAULT_S);
     }
-    assertEquals(cut, links.isCut());
-    assertEquals(inbound, links.losesInbound());
-    assertEquals(heartbeats, links.losesHeartbeats());
-    assertFalse(links.areWhole());
+    assertEquals(cut, links.isIsolated());
+    assertEquals(inbound, links.dropsInbound());
+    assertEquals(heartbeats, links.dropsHeartbeats());
+    assertFalse(links.areHealthy());
     clock.runFor(FAULT_S);
-    assertTrue(links.areWhole());
+    assertTrue(links.areHealthy());
   }
 }
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -9,14 +9,14 @@
   private long heartbeats;
   private long commandCalls;
   private long commandCallsUnderWay;
-  private long mostCommandCallsAtOnce;
+  private long maxConcurrentCommandCalls;
   private long storeChanges;
   private long storeReads;
   private long machineListings;
   private long provisionCalls;
   private long releaseCalls;
   private int leaderships;
-  private long commandsOfOldTerms;
+  private long commandsOfStaleTerms;
 
   void heartbeat() {
     heartbeats++;
@@ -25,16 +25,16 @@
   void commandCallBegan() {
     commandCalls++;
     commandCallsUnderWay++;
-    mostCommandCallsAtOnce = Math.max(mostCommandCallsAtOnce, commandCallsUnderWay);
+    maxConcurrentCommandCalls = Math.max(maxConcurrentCommandCalls, commandCallsUnderWay);
   }
 
   void commandCallEnded() {
     commandCallsUnderWay--;
   }
 
-  void commandsLeave(List<Command> commands, Term term, Term highest) {
+  void commandsSent(List<Command> commands, Term term, Term highest) {
     if (term.compareTo(highest) < 0) {
-      commandsOfOldTerms += commands.size();
+      commandsOfStaleTerms += commands.size();
     }
   }
 
@@ -63,8 +63,8 @@
   }
 
   /** Commands that were sent directly under a term when a higher one had been claimed. */
-  public long commandsOfOldTerms() {
-    return commandsOfOldTerms;
+  public long commandsOfStaleTerms() {
+    return commandsOfStaleTerms;
   }
 
   /** Reads of single keys from the key-value store. */
@@ -83,8 +83,8 @@
   }
 
   /** The most direct commands that were under way at once. */
-  public long mostCommandCallsAtOnce() {
-    return mostCommandCallsAtOnce;
+  public long maxConcurrentCommandCalls() {
+    return maxConcurrentCommandCalls;
   }
 
   /** Puts and deletes that controllers sent to the key-value store. */
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -57,21 +57,21 @@
   // ---- controllers ----------------------------------------------------------------------------
 
   /** Cuts a controller off from all workers. */
-  public void cutWorkers(int controller, double seconds) {
+  public void isolateFromWorkers(int controller, double seconds) {
     cutFromWorkersUntil[controller] = in(seconds);
   }
 
-  boolean cutFromWorkers(int controller) {
+  boolean isIsolatedFromWorkers(int controller) {
     return lastsThrough(cutFromWorkersUntil[controller]);
   }
 
   /** Cuts a controller off from the key-value store and the other ones, not from its workers. */
-  public void cutOff(int controller, double seconds) {
+  public void isolate(int controller, double seconds) {
     store.refuse(controller, seconds);
     cutFromPeersUntil[controller] = in(seconds);
   }
 
-  boolean cutFromPeers(int controller) {
+  boolean isIsolatedFromPeers(int controller) {
     return lastsThrough(cutFromPeersUntil[controller]);
   }
 
@@ -79,12 +79,12 @@
 
   /** From now on each message takes up to so long, in either direction; 0 for quick links. */
   public void slowLinks(double seconds) {
-    network.slowS = seconds;
+    network.maxLinkDelayS = seconds;
   }
 
   /** From now on cuts lose what is sent instead of delivering it late. */
-  public void cutsLose() {
-    network.holdsBack = false;
+  public void dropDuringPartitions() {
+    network.queuesDuringPartition = false;
   }
 
   // ---- zones ----------------------------------------------------------------------------------
@@ -98,10 +98,10 @@
    * Cuts a zone with its controllers off. Inside all reach each other; what was sent across is
    * refused, or arrives in order once the cut is over.
    */
-  public void cutZone(String zone, double seconds) {
+  public void isolateZone(String zone, double seconds) {
     zoneCut = zone;
     zoneCutUntil = in(seconds);
-    clock.after(seconds + WAKE_AFTER_S, store::wakeWatches);
+    clock.after(seconds + WAKE_AFTER_S, store::resumeWatches);
   }
 
   /** The two zones can't reach each other, while each reaches the region. */
@@ -110,11 +110,11 @@
   }
 
   /** Whether two places can't reach each other. */
-  boolean apart(String one, String other) {
-    return cutOff(one, other) || partitioned(one, other);
+  boolean areDisconnected(String one, String other) {
+    return isolate(one, other) || partitioned(one, other);
   }
 
-  private boolean cutOff(String one, String other) {
+  private boolean isolate(String one, String other) {
     return lasts(zoneCutUntil) && zoneCut.equals(one) != zoneCut.equals(other);
   }
 
@@ -128,7 +128,7 @@
   }
 
   private double endsIn(String one, String other) {
-    SteadyTime until = cutOff(one, other) ? zoneCutUntil : partitionedUntil;
+    SteadyTime until = isolate(one, other) ? zoneCutUntil : partitionedUntil;
     return until.secondsSince(clock.now());
   }
 
@@ -151,7 +151,7 @@
       Supplier<Boolean> cut,
       double timeoutS,
       Consumer<Consumer<Outcome<T>>> work) {
-    if (!apart(one, other)) {
+    if (!areDisconnected(one, other)) {
       return network.call(cut, timeoutS, work);
     }
     boolean refused = random.nextBoolean();
--- a/src/test/java/org/ternhinge/sim/SteadyAuthority.java
+++ b/src/test/java/org/ternhinge/sim/PermanentAuthority.java
@@ -6,7 +6,7 @@
 import org.ternhinge.model.Term;
 
 /** A leadership with term 1 that always holds; to lose it fails the test. */
-public record SteadyAuthority(Revision termRevision) implements Authority {
+public record PermanentAuthority(Revision termRevision) implements Authority {
   @Override
   public Term term() {
     return new Term(1);
--- a/src/test/java/org/ternhinge/sim/SimStock.java
+++ b/src/test/java/org/ternhinge/sim/ProvisionedMachines.java
@@ -13,7 +13,7 @@
 import org.ternhinge.wire.ProvisionRequest;
 
 /** What the cloud has provisioned, whoever asked for it. */
-final class SimStock {
+final class ProvisionedMachines {
   /** A machine that was provisioned and is not up yet. */
   private record Booting(ProvisionRequest request, MachineType machineType) {}
 
@@ -21,15 +21,15 @@
   private final Map<String, List<MachineId>> provisions = new HashMap<>();
   private final TreeMap<MachineId, Booting> booting = new TreeMap<>();
   private final Map<MachineId, SteadyTime> provisionedAt = new HashMap<>();
-  private int everProvisioned;
+  private int totalProvisioned;
 
-  SimStock(SimCluster cluster) {
+  ProvisionedMachines(SimCluster cluster) {
     this.cluster = cluster;
   }
 
   /** Machines that were ever provisioned. */
-  int everProvisioned() {
-    return everProvisioned;
+  int totalProvisioned() {
+    return totalProvisioned;
   }
 
   /** Machines that are provisioned and not up. */
@@ -55,7 +55,7 @@
   }
 
   /** Provisions machines; the same request again gives the same answer. */
-  List<MachineId> provisionNow(ProvisionRequest request) {
+  List<MachineId> provision(ProvisionRequest request) {
     return provisions.computeIfAbsent(request.name(), name -> provisionNew(request));
   }
 
@@ -69,13 +69,13 @@
   }
 
   private MachineId provisionOne(ProvisionRequest request) {
-    MachineId id = new MachineId(String.format("n-%06d", everProvisioned++));
+    MachineId id = new MachineId(String.format("n-%06d", totalProvisioned++));
     MachineType machineType = SimMachineTypes.ALL.get(request.type().equals("small") ? 0 : 1);
     booting.put(id, new Booting(request, machineType));
     provisionedAt.put(id, cluster.clock.now());
     double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
-    double bootS = usualS * cluster.bootFaults.factor(request);
-    if (!cluster.bootFaults.neverComesUp(everProvisioned - 1)) {
+    double bootS = usualS * cluster.bootFaults.bootTimeFactor(request);
+    if (!cluster.bootFaults.neverBoots(totalProvisioned - 1)) {
       cluster.clock.after(bootS, () -> comesUp(id));
     }
     return id;
@@ -88,7 +88,7 @@
       SimWorker worker =
           new SimWorker(cluster, id, machine.machineType, request.zone(), request.spot());
       cluster.machines.add(worker);
-      cluster.machineFaults.cameUp(worker);
+      cluster.machineFaults.machineStarted(worker);
     }
   }
 
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -52,7 +52,7 @@
             NetworkFaults.REGION,
             () -> false,
             TIMEOUT_S,
-            to -> to.accept(Outcome.applied(cluster.machines.stock().provisionNow(request)))));
+            to -> to.accept(Outcome.applied(cluster.machines.provisioned().provision(request)))));
   }
 
   @Override
@@ -74,10 +74,10 @@
   public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
     cluster.counts.machineListing();
-    if (cluster.networkFaults.apart(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
+    if (cluster.networkFaults.areDisconnected(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
       return owner.guard(cluster.networkFaults.lostCall(TIMEOUT_S));
     }
-    List<ListedMachine> provisioned = cluster.machines.stock().list();
+    List<ListedMachine> provisioned = cluster.machines.provisioned().list();
     List<ListedMachine> page =
         provisioned.stream()
             .filter(listed -> after == null || listed.machine().compareTo(after) > 0)
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -34,12 +34,12 @@
    */
   public record Site(List<String> zones, Tuning tuning) {
     /** Two zones and default settings. */
-    static final Site USUAL = new Site(ClusterSettings.ZONES, Tuning.DEFAULT);
+    static final Site DEFAULT = new Site(ClusterSettings.ZONES, Tuning.DEFAULT);
   }
 
   /** Limits of the key-value store on values, transactions and changes a second. */
   public record Limits(double valueKb, int maxChangesPerSwap, double writeRps) {
-    Limits lesser(Limits other) {
+    Limits lowerOf(Limits other) {
       return new Limits(
           Math.min(valueKb, other.valueKb),
           Math.min(maxChangesPerSwap, other.maxChangesPerSwap),
@@ -100,7 +100,7 @@
   private final Size size;
 
   /** How long a connection to a worker takes to come about. */
-  public double connectS;
+  public double connectDelayS;
 
   /** Creates a cluster of the usual size in which a share of the messages is lost. */
   public SimCluster(long seed, double lossShare) {
@@ -120,7 +120,7 @@
    * @param announced the announced limits, or null
    */
   public SimCluster(long seed, double lossShare, Size size, Limits announced) {
-    this(seed, lossShare, size, announced, Site.USUAL);
+    this(seed, lossShare, size, announced, Site.DEFAULT);
   }
 
   /** A cluster with zones and operators' settings of its own. */
@@ -128,7 +128,7 @@
     this.size = size;
     Limits first = new Limits(INITIAL_VALUE_KB, INITIAL_CHANGES_PER_SWAP, size.writeRps);
     settings =
-        new ClusterSettings(size, first, announced == null ? first : first.lesser(announced), site);
+        new ClusterSettings(size, first, announced == null ? first : first.lowerOf(announced), site);
     random = new SplittableRandom(seed);
     network = new SimNetwork(clock, random.split());
     network.lossShare = lossShare;
@@ -163,7 +163,7 @@
 
   /** The settings of a controller that would start now. */
   public Settings settings(String node) {
-    return settings.of(node);
+    return settings.forNode(node);
   }
 
   /** Announces limits to the controllers that start from now on. */
@@ -187,7 +187,7 @@
   }
 
   /** Adds jobs that were done long ago, of which the key-value store holds only the end records. */
-  public void storeEnds(List<JobSpec> specs) {
+  public void storeEndRecords(List<JobSpec> specs) {
     List<Change> ends = new ArrayList<>();
     for (JobSpec spec : specs) {
       jobs.add(spec);
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -33,12 +33,12 @@
       List<Command> commands,
       BooleanSupplier maySend) {
     cluster.counts.commandCallBegan();
-    if (cluster.connectS == 0) {
+    if (cluster.connectDelayS == 0) {
       return counted(send(endpoint, term, epoch, commands, maySend));
     }
     CompletableFuture<Outcome<Answer>> answer = new CompletableFuture<>();
     owner.after(
-        cluster.connectS,
+        cluster.connectDelayS,
         () ->
             AsyncCalls.whenAnswered(
                 send(endpoint, term, epoch, commands, maySend), answer::complete));
@@ -65,11 +65,11 @@
       return CompletableFuture.completedFuture(
           Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
     }
-    cluster.counts.commandsLeave(commands, term, cluster.store.term());
+    cluster.counts.commandsSent(commands, term, cluster.store.highestTerm());
     MachineId id = MachineEndpoints.machineAt(endpoint);
     SimWorker worker = cluster.machines.worker(id);
     cluster.tasks.sent(id, commands);
-    cluster.events.commandsLeave(id, commands);
+    cluster.events.commandsSent(id, commands);
     return cluster.networkFaults.call(
         owner.zone(),
         worker == null ? owner.zone() : worker.zone,
@@ -84,9 +84,9 @@
 
   private boolean reaches(SimWorker worker) {
     return worker != null
-        && !worker.links().isCut()
-        && !worker.links().losesInbound()
-        && !cluster.networkFaults.cutFromWorkers(owner.index());
+        && !worker.links().isIsolated()
+        && !worker.links().dropsInbound()
+        && !cluster.networkFaults.isIsolatedFromWorkers(owner.index());
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -42,7 +42,7 @@
     String name = "node-" + index;
     // The version before dependent jobs does not read announced limits either.
     Settings settings =
-        oldVersion ? cluster.settings.underFirstLimits(name) : cluster.settings.of(name);
+        oldVersion ? cluster.settings.withInitialLimits(name) : cluster.settings.forNode(name);
     SimStoreClient client = new SimStoreClient(cluster, this);
     KeyValueStore state = oldVersion ? new OldVersion.Store(client) : client;
     ControllerServices services =
@@ -74,7 +74,7 @@
               if (leading) {
                 cluster.counts.leadership();
               }
-              client.leads(leading);
+              client.setLeading(leading);
             });
   }
 
--- a/src/test/java/org/ternhinge/sim/SimControllers.java
+++ b/src/test/java/org/ternhinge/sim/SimControllers.java
@@ -125,7 +125,7 @@
         faults.call(
             from.zone(),
             NetworkFaults.zoneOf(index),
-            () -> faults.cutFromPeers(from.index()) || faults.cutFromPeers(index),
+            () -> faults.isIsolatedFromPeers(from.index()) || faults.isIsolatedFromPeers(index),
             timeoutS,
             back -> deliverFromPeer(index, request, back));
     AsyncCalls.whenAnswered(from.guard(call), outcome -> answer.accept(responseOf(outcome)));
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -29,7 +29,7 @@
   private double requestRps;
 
   private final SimClock clock;
-  private final StoreCore contents;
+  private final InMemoryStore contents;
   private final StoreLimits limits;
   private final SteadyTime[] refusedUntil;
   private SteadyTime outageUntil;
@@ -37,7 +37,7 @@
 
   SimKeyValueStore(SimClock clock, int controllers, SimCluster.Limits limits) {
     this.clock = clock;
-    this.contents = new StoreCore(clock);
+    this.contents = new InMemoryStore(clock);
     this.limits = new StoreLimits(clock, limits);
     this.refusedUntil = new SteadyTime[controllers];
   }
@@ -47,7 +47,7 @@
     changeListener = listener;
   }
 
-  StoreCore contents() {
+  InMemoryStore contents() {
     return contents;
   }
 
@@ -56,15 +56,15 @@
   /** Refuses everybody for so long; leases have their full time again when it is over. */
   void outage(double seconds) {
     outageUntil = clock.now().plusSeconds(seconds);
-    contents.hold(seconds);
-    clock.after(seconds, contents::renewAll);
-    clock.after(seconds + AFTER_S, this::wakeWatches);
+    contents.extendLeases(seconds);
+    clock.after(seconds, contents::renewAllLeases);
+    clock.after(seconds + AFTER_S, this::resumeWatches);
   }
 
   /** Refuses one controller alone, whose leases may run out meanwhile. */
   void refuse(int controller, double seconds) {
     refusedUntil[controller] = clock.now().plusSeconds(seconds);
-    clock.after(seconds + AFTER_S, this::wakeWatches);
+    clock.after(seconds + AFTER_S, this::resumeWatches);
   }
 
   /** Whether a controller is refused now, alone or with all others. */
@@ -77,8 +77,8 @@
   }
 
   /** Watches that a fault has suspended are answered with the changes that they missed. */
-  void wakeWatches() {
-    contents.wake();
+  void resumeWatches() {
+    contents.notifyWatches();
   }
 
   // ---- limits ---------------------------------------------------------------------------------
@@ -89,13 +89,13 @@
   }
 
   /** Transactions that were refused since they were too large. */
-  public int tooLarge() {
-    return limits.tooLarge;
+  public int rejectedTooLarge() {
+    return limits.rejectedTooLarge;
   }
 
   /** Transactions that were refused since they came too fast. */
-  public int tooFast() {
-    return limits.tooFast;
+  public int rejectedTooFast() {
+    return limits.rejectedTooFast;
   }
 
   // ---- contents -------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
   }
 
   /** The highest term that was claimed. */
-  Term term() {
+  Term highestTerm() {
     JsonNode term = value(Keys.TERM);
     return new Term(term == null ? 0 : term.path("n").asLong());
   }
--- a/src/test/java/org/ternhinge/sim/SimMachines.java
+++ b/src/test/java/org/ternhinge/sim/SimMachines.java
@@ -13,18 +13,18 @@
 public final class SimMachines {
   private final SimCluster cluster;
   private final TreeMap<MachineId, SimWorker> workers = new TreeMap<>();
-  private final SimStock stock;
+  private final ProvisionedMachines provisioned;
   private final HeartbeatHistory heartbeatHistory;
 
   SimMachines(SimCluster cluster) {
     this.cluster = cluster;
-    this.stock = new SimStock(cluster);
+    this.provisioned = new ProvisionedMachines(cluster);
     this.heartbeatHistory = new HeartbeatHistory(cluster);
   }
 
   /** What the cloud has provisioned. */
-  SimStock stock() {
-    return stock;
+  ProvisionedMachines provisioned() {
+    return provisioned;
   }
 
   HeartbeatHistory heartbeatHistory() {
@@ -38,15 +38,15 @@
 
   /** Releases a machine, whether it is up or boots. */
   void release(MachineId id) {
-    stock.release(id);
-    end(id);
+    provisioned.release(id);
+    terminate(id);
   }
 
   /** Ends a machine if it is up. */
-  void end(MachineId id) {
+  void terminate(MachineId id) {
     SimWorker worker = workers.remove(id);
     if (worker != null) {
-      worker.die();
+      worker.terminate();
     }
   }
 
@@ -61,13 +61,13 @@
   }
 
   /** Machines that were ever provisioned. */
-  public int everProvisioned() {
-    return stock.everProvisioned();
+  public int totalProvisioned() {
+    return provisioned.totalProvisioned();
   }
 
   /** Machines that are provisioned and not up. */
   public List<MachineId> booting() {
-    return stock.booting();
+    return provisioned.booting();
   }
 
   /** Machines that are up now, ordered by name. */
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -14,10 +14,10 @@
   double lossShare;
 
   /** The longest way of a message in either direction while links are slow, or 0. */
-  double slowS;
+  double maxLinkDelayS;
 
   /** Whether a cut holds messages back, to deliver them late, or only ever loses them. */
-  boolean holdsBack = true;
+  boolean queuesDuringPartition = true;
 
   SimNetwork(SimClock clock, RandomGenerator random) {
     this.clock = clock;
@@ -29,7 +29,7 @@
       Supplier<Boolean> cut, double timeoutS, Consumer<Consumer<Outcome<T>>> work) {
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
     if (cut.get()) {
-      if (!holdsBack || random.nextDouble() < 0.5) {
+      if (!queuesDuringPartition || random.nextDouble() < 0.5) {
         clock.after(1, () -> result.complete(Outcome.notApplied(Reason.NO_CONNECTION, "cut")));
         return result;
       }
@@ -68,8 +68,8 @@
   }
 
   private double delay() {
-    if (slowS > 0) {
-      return slowS * (0.2 + 0.8 * random.nextDouble());
+    if (maxLinkDelayS > 0) {
+      return maxLinkDelayS * (0.2 + 0.8 * random.nextDouble());
     }
     return 0.001 + random.nextDouble() * (random.nextDouble() < 0.02 ? 0.4 : 0.006);
   }
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -15,7 +15,7 @@
 /**
  * The key-value store as one controller process reaches it, with that process's share of limits.
  */
-final class SimStoreClient extends StoreCoreClient {
+final class SimStoreClient extends InMemoryStoreClient {
   /** Of the limit on changes, what the leader uses; the others share the rest. */
   private static final double LEADER_SHARE = 0.7;
 
@@ -56,7 +56,7 @@
     return leading ? LEADER_SHARE : follower;
   }
 
-  void leads(boolean leading) {
+  void setLeading(boolean leading) {
     isLeading = leading;
     changes.setRate(rate(leading));
     if (requests != null) {
@@ -77,11 +77,11 @@
             () -> false,
             limitS,
             answer ->
-                faults.delayed(
+                faults.afterLatency(
                     () -> {
                       Outcome<T> outcome =
                           refused() ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
-                      faults.delayed(() -> answer.accept(outcome));
+                      faults.afterLatency(() -> answer.accept(outcome));
                     }));
     return owner.guard(call);
   }
@@ -133,7 +133,7 @@
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.storeChanges(swap.changes().size());
-    double late = faults.lateBy();
+    double late = faults.nextWriteDelayS();
     if (late > 0) {
       cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), swap));
       return timeouts.measure(
@@ -169,13 +169,13 @@
                       from.value(),
                       waitS,
                       this::watchIsSuspended,
-                      seen -> faults.delayed(() -> answer.accept(Outcome.applied(seen))));
+                      seen -> faults.afterLatency(() -> answer.accept(Outcome.applied(seen))));
             });
     return owner.guard(call);
   }
 
   private boolean watchIsSuspended() {
-    return refused() || cluster.networkFaults.apart(owner.zone(), NetworkFaults.REGION);
+    return refused() || cluster.networkFaults.areDisconnected(owner.zone(), NetworkFaults.REGION);
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimTask.java
+++ b/src/test/java/org/ternhinge/sim/SimTask.java
@@ -35,7 +35,7 @@
     return state == TaskState.ENDED;
   }
 
-  void run() {
+  void markRunning() {
     state = TaskState.RUNNING;
   }
 
--- a/src/test/java/org/ternhinge/sim/SimTaskRunner.java
+++ b/src/test/java/org/ternhinge/sim/SimTaskRunner.java
@@ -99,7 +99,7 @@
     }
     onChange.run();
     JobSpec spec = cluster.jobs.spec(task.id().job());
-    hang.afterWork(FETCH_S, () -> run(key, task, spec));
+    hang.runAfterActiveTime(FETCH_S, () -> run(key, task, spec));
   }
 
   // ---- life of a task -------------------------------------------------------------------------
@@ -114,13 +114,13 @@
     if (!holds(key, task) || !task.isFetching()) {
       return;
     }
-    task.run();
+    task.markRunning();
     cluster.events.started(machine, task.id(), spec);
     onChange.run();
     if (failsEveryTask || cluster.jobs.isFaulty(task.id().job())) {
-      hang.afterWork(FAILS_AFTER_S, () -> fail(key, task));
+      hang.runAfterActiveTime(FAILS_AFTER_S, () -> fail(key, task));
     } else if (!spec.isService()) {
-      hang.afterWork(spec.estimateS(), () -> complete(key, task));
+      hang.runAfterActiveTime(spec.estimateS(), () -> complete(key, task));
     }
   }
 
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -49,13 +49,13 @@
   }
 
   /** Submits a job as soon as all that it names are accepted. */
-  public void submitAfterNamed(SubmissionBuilder job) {
-    submissions.submitAfterNamed(job.json());
+  public void submitAfterDependencies(SubmissionBuilder job) {
+    submissions.submitAfterDependencies(job.json());
   }
 
   /** Submits a job so many seconds after all that it names are over. */
-  public void submitLate(SubmissionBuilder job, double lateS) {
-    submissions.submitLate(job.json(), lateS);
+  public void submitAfterEnds(SubmissionBuilder job, double lateS) {
+    submissions.submitAfterEnds(job.json(), lateS);
   }
 
   /** Counts a job as accepted that was submitted before the cluster began. */
@@ -81,12 +81,12 @@
   // ---- polls ----------------------------------------------------------------------------------
 
   /** All faults are over: from now on every job has to be answered for in time. */
-  public void quiet() {
+  public void expectTimelyAnswers() {
     quietSince = cluster.clock.seconds();
   }
 
   /** Advances the clock while users poll all their jobs, every three seconds and at the end. */
-  public void runPolling(double seconds) {
+  public void runWithPolling(double seconds) {
     double end = cluster.clock.seconds() + seconds;
     while (cluster.clock.seconds() < end - TIME_TOLERANCE_S) {
       cluster.clock.runFor(Math.min(POLL_INTERVAL_S, end - cluster.clock.seconds()));
@@ -113,8 +113,8 @@
   }
 
   /** Asks every controller about a job, once it is accepted. */
-  public void pollEverywhere(JobId id) {
-    polls.pollEverywhere(id);
+  public void pollAllControllers(JobId id) {
+    polls.pollAllControllers(id);
   }
 
   /** The last state with which a user's question about a job was answered, or null. */
@@ -146,8 +146,8 @@
    * For a share of jobs a cancellation, a poll and a repeated submission arrive at the very end of
    * the last task.
    */
-  public void cancelAtEnd(double share) {
-    cancellations.cancelAtEnd(share);
+  public void cancelAtCompletion(double share) {
+    cancellations.cancelAtCompletion(share);
   }
 
   /** Whether a user has requested a job's cancellation. */
@@ -161,8 +161,8 @@
   }
 
   /** Whether a job has to be cancelled: it is, or a dependency is. */
-  public boolean hasToBeCancelled(JobId id) {
-    return jobs.hasToBeCancelled(id);
+  public boolean mustBeCancelled(JobId id) {
+    return jobs.mustBeCancelled(id);
   }
 
   // ---- invalid requests -----------------------------------------------------------------------
@@ -174,6 +174,6 @@
 
   /** Sends a submission with invalid names of other jobs, which has to be refused at once. */
   public void sendInvalidDependencies() {
-    invalidRequests.sendDependencies();
+    invalidRequests.sendInvalidDependencies();
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -85,8 +85,8 @@
     return links;
   }
 
-  boolean hung() {
-    return hang.lasts();
+  boolean isHung() {
+    return hang.isActive();
   }
 
   /** Every task that starts from now on fails. */
@@ -101,7 +101,7 @@
   }
 
   private void resume() {
-    if (dead || !hang.isOver()) {
+    if (dead || !hang.hasElapsed()) {
       return;
     }
     hang.end();
@@ -111,7 +111,7 @@
   }
 
   /** Ends the machine for ever. */
-  void die() {
+  void terminate() {
     dead = true;
     tasks.killAndClearAll();
   }
@@ -131,7 +131,7 @@
           if (dead) {
             return;
           }
-          if (!hung()) {
+          if (!isHung()) {
             checkLease();
           } else if (leaseExpired()) {
             // They can't go on; the worker certainly kills them when it resumes.
@@ -165,7 +165,7 @@
     cluster.clock.after(
         HEARTBEAT_GAP_S,
         () -> {
-          if (!dead && !hung() && heartbeats == before) {
+          if (!dead && !isHung() && heartbeats == before) {
             heartbeat();
           }
         });
@@ -186,14 +186,14 @@
   }
 
   private void heartbeat() {
-    if (dead || hung()) {
+    if (dead || isHung()) {
       return;
     }
     int number = ++heartbeats;
     int inEpoch = epoch;
     SteadyTime sent = cluster.clock.now();
     byte[] body = Json.bytes(nextHeartbeat().write());
-    cluster.machines.heartbeatHistory().sent(id, body);
+    cluster.machines.heartbeatHistory().recordSent(id, body);
     AsyncCalls.whenAnswered(
         transport.send(body, target.controller()),
         outcome -> answered(outcome, inEpoch, sent, number));
@@ -203,7 +203,7 @@
     if (dead) {
       return;
     }
-    if (hung()) {
+    if (isHung()) {
       hang.defer(() -> answered(outcome, inEpoch, sent, number));
       return;
     }
@@ -218,7 +218,7 @@
     } else if (response != null && response.status() == 421) {
       nextS = target.followRedirect(response.body());
     } else {
-      nextS = target.next();
+      nextS = target.switchToNext();
     }
     cluster.clock.after(
         nextS,
@@ -251,7 +251,7 @@
     if (dead) {
       return;
     }
-    if (hung()) {
+    if (isHung()) {
       hang.defer(() -> command(term, to, commands, answer));
       return;
     }
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -74,7 +74,7 @@
       if (!isReachable(worker) || !allowed(spec, worker, zone) || elsewhere) {
         continue;
       }
-      Resources left = cluster.tasks.free(worker);
+      Resources left = cluster.tasks.freeResources(worker);
       while (places < wanted
           && spec.need().fitsIn(left)
           && byZone.getOrDefault(worker.zone, 0) < spec.zoneLimit()) {
@@ -87,7 +87,7 @@
   }
 
   private static boolean isReachable(SimWorker worker) {
-    return worker.links().areWhole() && !worker.hung();
+    return worker.links().areHealthy() && !worker.isHung();
   }
 
   /** Whether a job permits a machine, within a zone or any where that is null. */
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -54,25 +54,25 @@
   }
 
   /** That share of transactions gets no answer and is carried out 2 to 12 s later. */
-  public void lateWrites(double share, double seconds) {
+  public void delayWrites(double share, double seconds) {
     lateShare = share;
     lateUntil = clock.now().plusSeconds(seconds);
   }
 
   /** Seconds by which a transaction at hand is carried out late, or 0. */
-  double lateBy() {
+  double nextWriteDelayS() {
     boolean late = lasts(lateUntil) && random.nextDouble() < lateShare;
     return late ? LEAST_LATE_S + random.nextDouble() * MOST_MORE_LATE_S : 0;
   }
 
   /** Answers take from a quarter of that latency to all of it. */
-  public void slowDown(double seconds, double latency) {
+  public void slowResponses(double seconds, double latency) {
     latencyS = latency;
     slowUntil = clock.now().plusSeconds(seconds);
   }
 
   /** Carries out half of a call, the way there or back, later than usual while it is slow. */
-  void delayed(Runnable work) {
+  void afterLatency(Runnable work) {
     if (!lasts(slowUntil)) {
       work.run();
       return;
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -23,9 +23,9 @@
   private SimCluster.Limits now;
 
   /** Transactions that were too large, and those that came too fast. */
-  int tooLarge;
+  int rejectedTooLarge;
 
-  int tooFast;
+  int rejectedTooFast;
 
   StoreLimits(Clock clock, SimCluster.Limits first) {
     this.now = first;
@@ -42,13 +42,13 @@
   Outcome<Revision> apply(CompareAndSwap swap, Function<CompareAndSwap, Outcome<Revision>> write) {
     String violation = violation(swap);
     if (violation != null) {
-      tooLarge++;
+      rejectedTooLarge++;
       return Outcome.notApplied(Reason.INVALID, violation);
     }
     // Counted before the conditions are evaluated, and also if they fail.
     int changes = swap.changes().size();
     if (changes > 0 && !writes.tryTake(RequestPriority.RENEWAL, changes)) {
-      tooFast++;
+      rejectedTooFast++;
       return Outcome.notApplied(Reason.REFUSED, "429");
     }
     return write.apply(swap);
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
@@ -16,7 +16,7 @@
 /** Built submissions are read by the controllers with the fields that were set. */
 class SubmissionBuilderTest {
   @Test
-  void eachFieldIsRead() {
+  void everyFieldIsReadBack() {
     JobSpec spec =
         SubmissionBuilder.job("wk-2", "group", 3)
             .team("blue")
@@ -50,13 +50,13 @@
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({"batch, true", "group, true", "daemon, false"})
-  void onlyServicesLoseSpotMachinesByBeingProduction(String kind, boolean spotAllowed) {
+  void productionServiceDisallowsSpotMachines(String kind, boolean spotAllowed) {
     SubmissionBuilder job = SubmissionBuilder.job("wk-1", kind, 1).productionIfService();
     assertEquals(spotAllowed, job.spec().spotAllowed());
   }
 
   @Test
-  void noDependenciesLeaveTheFieldOut() {
+  void emptyDependenciesOmitTheField() {
     assertFalse(
         SubmissionBuilder.job("wk-1", "batch", 1).dependsOn(List.of()).json().has("bidur_eftir"));
   }
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -32,7 +32,7 @@
   }
 
   /** Commands leave a controller, as a direct message or in an answer to a heartbeat. */
-  void commandsLeave(MachineId to, List<Command> commands) {
+  void commandsSent(MachineId to, List<Command> commands) {
     cancellations.sent(to, commands);
     dependencyCheck.sent(commands);
   }
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -98,7 +98,7 @@
   }
 
   /** Seconds at which a job's first task started, or nothing. */
-  public OptionalDouble began(JobId id) {
+  public OptionalDouble firstStartOf(JobId id) {
     return firstStart.entrySet().stream()
         .filter(e -> e.getKey().job().equals(id))
         .mapToDouble(Map.Entry::getValue)
@@ -151,7 +151,7 @@
   }
 
   /** What a machine has left beside the tasks that run on it. */
-  Resources free(SimWorker machine) {
+  Resources freeResources(SimWorker machine) {
     Resources left = machine.machineType.capacity();
     for (var e : running.entrySet()) {
       if (e.getValue().contains(machine.id())) {
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -79,7 +79,7 @@
    * For a share of jobs a cancellation, a poll and a repeated submission arrive at the very end of
    * the last task.
    */
-  void cancelAtEnd(double share) {
+  void cancelAtCompletion(double share) {
     cluster.events.onLastTaskEnd(
         id -> {
           if (!jobs.isAccepted(id) || random.nextDouble() >= share) {
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -99,7 +99,7 @@
   }
 
   /** Whether a job has to be cancelled: it or a dependency was answered as cancelled. */
-  boolean hasToBeCancelled(JobId id) {
+  boolean mustBeCancelled(JobId id) {
     return CANCELLED.equals(finalStates.get(id))
         || cluster.jobs.dependencies(id).stream()
             .anyMatch(dependency -> CANCELLED.equals(finalStates.get(dependency)));
@@ -117,7 +117,7 @@
   }
 
   /** Whether an answer has called a job done or cancelled. */
-  boolean isOver(JobId id) {
+  boolean hasFinalState(JobId id) {
     return finalStates.containsKey(id);
   }
 
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -19,7 +19,7 @@
   }
 
   /** Polls a job at every controller, once it is accepted. */
-  void pollEverywhere(JobId id) {
+  void pollAllControllers(JobId id) {
     for (int i = 0; jobs.isAccepted(id) && i < cluster.nodeCount(); i++) {
       pollAt(i, id);
     }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -43,7 +43,7 @@
 
   void submit(ObjectNode body) {
     JobSpec spec = Specs.of(body);
-    cluster.jobs.add(spec, named(body));
+    cluster.jobs.add(spec, dependencies(body));
     jobs.submitted(spec, body);
     send(UserRequests.submission(body), spec);
   }
@@ -66,19 +66,19 @@
   }
 
   /** The jobs that a submission names. */
-  static List<JobId> named(ObjectNode body) {
+  static List<JobId> dependencies(ObjectNode body) {
     List<JobId> out = new ArrayList<>();
     body.path("bidur_eftir").forEach(name -> out.add(new JobId(name.asText())));
     return out;
   }
 
-  void submitAfterNamed(ObjectNode body) {
-    pending.add(new Pending(body, named(body), AS_SOON_AS_ACCEPTED));
+  void submitAfterDependencies(ObjectNode body) {
+    pending.add(new Pending(body, dependencies(body), AS_SOON_AS_ACCEPTED));
     submitPending();
   }
 
-  void submitLate(ObjectNode body, double lateS) {
-    pending.add(new Pending(body, named(body), lateS));
+  void submitAfterEnds(ObjectNode body, double lateS) {
+    pending.add(new Pending(body, dependencies(body), lateS));
     submitPending();
   }
 
@@ -93,6 +93,6 @@
 
   private boolean isReady(Pending waiting) {
     return waiting.named.stream()
-        .allMatch(id -> jobs.isAccepted(id) && (!waiting.waitsForEnds() || jobs.isOver(id)));
+        .allMatch(id -> jobs.isAccepted(id) && (!waiting.waitsForEnds() || jobs.hasFinalState(id)));
   }
 }
--- a/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
+++ b/src/test/java/org/ternhinge/term/BucketedRecordsTest.java
@@ -17,8 +17,8 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.PermanentAuthority;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -84,7 +84,7 @@
   void recordsOfProductionAreWrittenBack(String key, String value, String known, String next)
       throws Exception {
     SimClock clock = new SimClock();
-    StoreCore core = new StoreCore(clock);
+    InMemoryStore core = new InMemoryStore(clock);
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(),
@@ -97,7 +97,7 @@
         new LedgerWriter(
             ledger,
             new DirectStore(core),
-            new SteadyAuthority(term),
+            new PermanentAuthority(term),
             clock,
             new ReentrantLock(),
             16,
@@ -126,7 +126,7 @@
   void recordsOfTheFirstVersionWithDependentJobs(String prefix, int valueBytes, int records)
       throws Exception {
     SimClock clock = new SimClock();
-    StoreCore core = new StoreCore(clock);
+    InMemoryStore core = new InMemoryStore(clock);
     core.compareAndSwap(
         new CompareAndSwap(
             List.of(), List.of(new Change.Put("term", Json.object().put("n", 1), 0))));
@@ -161,13 +161,13 @@
   }
 
   private static BucketedRecords packed(
-      StoreCore core, SimClock clock, String prefix, int valueBytes) {
+      InMemoryStore core, SimClock clock, String prefix, int valueBytes) {
     Revision term = core.get("term").entry().orElseThrow().revision();
     LedgerWriter writer =
         new LedgerWriter(
             new Ledger(Map.of(), 8192, clock),
             new DirectStore(core),
-            new SteadyAuthority(term),
+            new PermanentAuthority(term),
             clock,
             new ReentrantLock(),
             16,
