--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -39,16 +39,16 @@
   /**
    * Creates the settings.
    *
-   * @param first limits that hold at the beginning
+   * @param initial limits that hold at the beginning
    * @param limits limits that the settings name, no larger
    */
   ClusterSettings(
       SimCluster.Size size,
-      SimCluster.Limits first,
+      SimCluster.Limits initial,
       SimCluster.Limits limits,
       SimCluster.Site site) {
     this.size = size;
-    this.first = first;
+    this.first = initial;
     this.limits = limits;
     this.site = site;
   }
@@ -99,7 +99,7 @@
     return forNode(node, first);
   }
 
-  private Settings forNode(String node, SimCluster.Limits named) {
+  private Settings forNode(String node, SimCluster.Limits storeLimits) {
     Map<String, Endpoint> peers = new LinkedHashMap<>();
     for (int i = 0; i < size.nodes(); i++) {
       if (!node.equals("node-" + i)) {
@@ -119,7 +119,7 @@
         teams(),
         List.of(),
         new Settings.Workers(HEARTBEAT_S, LEASE_S, 30, 5, CANCEL_S),
-        new Settings.StoreLimits(80, named.writeRps(), named.valueKb(), named.maxChangesPerSwap()),
+        new Settings.StoreLimits(80, storeLimits.writeRps(), storeLimits.valueKb(), storeLimits.maxChangesPerSwap()),
         new Settings.CloudLimits(4, 10),
         1000,
         0.025);
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -28,8 +28,8 @@
    * @param delayS delay of the next message in seconds, asked once a message
    */
   public DelayedStore(
-      SimClock clock, InMemoryStore core, ResponseTimeouts timeouts, DoubleSupplier delayS) {
-    super(core);
+      SimClock clock, InMemoryStore store, ResponseTimeouts timeouts, DoubleSupplier delayS) {
+    super(store);
     this.clock = clock;
     this.timeouts = timeouts;
     this.delayS = delayS;
@@ -77,7 +77,7 @@
     clock.after(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
     afterDelay(
         () ->
-            core()
+            store()
                 .watch(
                     prefix,
                     from.value(),
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -9,8 +9,8 @@
 /** A client that carries out each call at once, without a network and without limits on rates. */
 public class DirectStore extends InMemoryStoreClient {
   /** Creates a client that answers at once. */
-  public DirectStore(InMemoryStore core) {
-    super(core);
+  public DirectStore(InMemoryStore store) {
+    super(store);
   }
 
   @Override
@@ -26,7 +26,7 @@
   @Override
   public CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<WatchResult>> result = new CompletableFuture<>();
-    core().watch(prefix, from.value(), waitS, changes -> result.complete(Outcome.applied(changes)));
+    store().watch(prefix, from.value(), waitS, changes -> result.complete(Outcome.applied(changes)));
     return result;
   }
 }
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -38,10 +38,10 @@
     last.put(from, heartbeat);
     boolean duplicates = duplicateUntil != null && !duplicateUntil.isBefore(cluster.clock.now());
     if (duplicates && cluster.random.nextDouble() < duplicateShare) {
-      double late = 1 + cluster.random.nextDouble() * LATEST_LEASES * ClusterSettings.LEASE_S;
+      double delayS = 1 + cluster.random.nextDouble() * LATEST_LEASES * ClusterSettings.LEASE_S;
       int to = cluster.random.nextInt(cluster.nodeCount());
       cluster.clock.after(
-          late, () -> cluster.controllers.deliver(to, request(heartbeat), answer -> {}));
+          delayS, () -> cluster.controllers.deliver(to, request(heartbeat), answer -> {}));
     }
   }
 
--- a/src/test/java/org/ternhinge/sim/InMemoryStore.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStore.java
@@ -193,14 +193,14 @@
     }
   }
 
-  private boolean answer(Watch watch, boolean anyway) {
+  private boolean answer(Watch watch, boolean evenIfEmpty) {
     List<Change.Observed> out = new ArrayList<>();
     for (Change.Observed c : log) {
       if (c.revision().value() > watch.from && c.key().startsWith(watch.prefix)) {
         out.add(c);
       }
     }
-    if (out.isEmpty() && !anyway) {
+    if (out.isEmpty() && !evenIfEmpty) {
       return false;
     }
     watch.to.accept(new KeyValueStore.WatchResult(new Revision(revision), out));
--- a/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
@@ -14,15 +14,15 @@
  * store and how its outcome comes back.
  */
 abstract class InMemoryStoreClient implements KeyValueStore {
-  private final InMemoryStore core;
+  private final InMemoryStore store;
 
-  InMemoryStoreClient(InMemoryStore core) {
-    this.core = core;
+  InMemoryStoreClient(InMemoryStore store) {
+    this.store = store;
   }
 
   /** The store behind this client. */
-  final InMemoryStore core() {
-    return core;
+  final InMemoryStore store() {
+    return store;
   }
 
   /** Carries out a call of a kind, whose timeout depends on the answers so far. */
@@ -33,29 +33,29 @@
 
   @Override
   public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
-    return call(Kind.ofRead(priority), () -> Outcome.applied(core.get(key)));
+    return call(Kind.ofRead(priority), () -> Outcome.applied(store.get(key)));
   }
 
   @Override
   public CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority) {
-    return call(Kind.READ, () -> Outcome.applied(core.list(prefix, after, limit)));
+    return call(Kind.READ, () -> Outcome.applied(store.list(prefix, after, limit)));
   }
 
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap swap, RequestPriority priority) {
-    return call(Kind.ofWrite(priority), () -> core.compareAndSwap(swap));
+    return call(Kind.ofWrite(priority), () -> store.compareAndSwap(swap));
   }
 
   @Override
   public CompletableFuture<Outcome<Long>> grantLease(long millis) {
-    return call(Kind.LEASE, () -> Outcome.applied(core.grantLease(millis)));
+    return call(Kind.LEASE, () -> Outcome.applied(store.grantLease(millis)));
   }
 
   @Override
   public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
-    return call(timeoutS, () -> core.renewLease(lease));
+    return call(timeoutS, () -> store.renewLease(lease));
   }
 
   @Override
@@ -63,7 +63,7 @@
     return call(
         Kind.LEASE,
         () -> {
-          core.revokeLease(lease);
+          store.revokeLease(lease);
           return Outcome.applied(lease);
         });
   }
--- a/src/test/java/org/ternhinge/sim/InvalidRequests.java
+++ b/src/test/java/org/ternhinge/sim/InvalidRequests.java
@@ -96,17 +96,17 @@
 
   private void submitImpossible() {
     ObjectNode body = Specs.json(String.format("wk-9%05d", ++made), "batch", 2);
-    int wanted = IMPOSSIBLE;
+    int expected = IMPOSSIBLE;
     switch (random.nextInt(6)) {
       case 0 -> body.put("cpus", 4000.0);
       case 1 -> body.put("eigandi", "nobody");
       case 2 -> body.put("gerd", "daemon").put("verkbitar", 90_000);
       default -> {
-        wanted = MALFORMED;
+        expected = MALFORMED;
         body.remove(some(REQUIRED_FIELDS));
       }
     }
-    int status = wanted;
+    int status = expected;
     cluster.controllers.user(
         UserRequests.submission(body),
         UserRequests.ifDecided(
--- a/src/test/java/org/ternhinge/sim/JobCatalog.java
+++ b/src/test/java/org/ternhinge/sim/JobCatalog.java
@@ -31,12 +31,12 @@
   /**
    * Adds a job.
    *
-   * @param named the jobs that its submission names; they were added before
+   * @param directDependencies the jobs that its submission names; they were added before
    */
-  public void add(JobSpec spec, List<JobId> named) {
+  public void add(JobSpec spec, List<JobId> directDependencies) {
     specs.put(spec.id(), spec);
-    Set<JobId> all = new TreeSet<>(named);
-    named.forEach(id -> all.addAll(dependencies(id)));
+    Set<JobId> all = new TreeSet<>(directDependencies);
+    directDependencies.forEach(id -> all.addAll(dependencies(id)));
     dependencies.put(spec.id(), all);
   }
 
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -119,7 +119,7 @@
   /** Some machine's heartbeats arrive, while neither answers nor commands reach it. */
   public Optional<SimWorker> dropInboundOfRandomWorker(double seconds) {
     Optional<SimWorker> worker = someWorker(cluster.random);
-    worker.ifPresent(some -> some.links().dropInbound(seconds));
+    worker.ifPresent(target -> target.links().dropInbound(seconds));
     return worker;
   }
 
@@ -157,10 +157,10 @@
   }
 
   /** Machines that run a job's tasks, at most so many, execute nothing for a while. */
-  public List<SimWorker> hangWorkersOf(JobId id, int most, double seconds) {
+  public List<SimWorker> hangWorkersOf(JobId id, int limit, double seconds) {
     List<SimWorker> hung = new ArrayList<>();
     for (SimWorker worker : cluster.machines.running(id)) {
-      if (hung.size() < most) {
+      if (hung.size() < limit) {
         worker.hang(seconds);
         hung.add(worker);
       }
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -126,13 +126,13 @@
   /** A cluster with zones and operators' settings of its own. */
   public SimCluster(long seed, double lossShare, Size size, Limits announced, Site site) {
     this.size = size;
-    Limits first = new Limits(INITIAL_VALUE_KB, INITIAL_CHANGES_PER_SWAP, size.writeRps);
+    Limits initialLimits = new Limits(INITIAL_VALUE_KB, INITIAL_CHANGES_PER_SWAP, size.writeRps);
     settings =
-        new ClusterSettings(size, first, announced == null ? first : first.lowerOf(announced), site);
+        new ClusterSettings(size, initialLimits, announced == null ? initialLimits : initialLimits.lowerOf(announced), site);
     random = new SplittableRandom(seed);
     network = new SimNetwork(clock, random.split());
     network.lossShare = lossShare;
-    store = new SimKeyValueStore(clock, size.nodes, first);
+    store = new SimKeyValueStore(clock, size.nodes, initialLimits);
     // A source of its own, so that a seed gives the same day with and without faults.
     SplittableRandom faultRandom = new SplittableRandom(seed * 31 + 7);
     storeFaults = new StoreFaults(clock, store, faultRandom);
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -35,20 +35,20 @@
       }
       // Held back by the cut and delivered long after the sender has given up.
       clock.after(timeoutS, () -> result.complete(Outcome.unknown("cut")));
-      clock.after(5 + random.nextDouble() * 60, () -> work.accept(o -> {}));
+      clock.after(5 + random.nextDouble() * 60, () -> work.accept(outcome -> {}));
       return result;
     }
     boolean late = random.nextDouble() < lossShare;
     boolean lost = random.nextDouble() < lossShare;
-    double there = late ? timeoutS * (0.5 + random.nextDouble() * 8) : delay();
+    double requestDelayS = late ? timeoutS * (0.5 + random.nextDouble() * 8) : delay();
     clock.after(timeoutS, () -> result.complete(Outcome.unknown("timeout")));
     clock.after(
-        there,
+        requestDelayS,
         () ->
             work.accept(
-                o -> {
+                outcome -> {
                   if (!lost) {
-                    clock.after(delay(), () -> result.complete(o));
+                    clock.after(delay(), () -> result.complete(outcome));
                   }
                 }));
     return result;
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -123,7 +123,7 @@
   @Override
   public CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority) {
-    return send(LIST_TIMEOUT_S, () -> Outcome.applied(core().list(prefix, after, limit)));
+    return send(LIST_TIMEOUT_S, () -> Outcome.applied(store().list(prefix, after, limit)));
   }
 
   @Override
@@ -133,9 +133,9 @@
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.storeChanges(swap.changes().size());
-    double late = faults.nextWriteDelayS();
-    if (late > 0) {
-      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), swap));
+    double writeDelayS = faults.nextWriteDelayS();
+    if (writeDelayS > 0) {
+      cluster.clock.after(writeDelayS, () -> service.compareAndSwap(owner.index(), swap));
       return timeouts.measure(
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
@@ -163,7 +163,7 @@
                 answer.accept(Outcome.notApplied(Reason.REFUSED, "503"));
                 return;
               }
-              core()
+              store()
                   .watch(
                       prefix,
                       from.value(),
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -54,8 +54,8 @@
   }
 
   /** Submits a job so many seconds after all that it names are over. */
-  public void submitAfterEnds(SubmissionBuilder job, double lateS) {
-    submissions.submitAfterEnds(job.json(), lateS);
+  public void submitAfterEnds(SubmissionBuilder job, double delayS) {
+    submissions.submitAfterEnds(job.json(), delayS);
   }
 
   /** Counts a job as accepted that was submitted before the cluster began. */
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -190,21 +190,21 @@
       return;
     }
     int number = ++heartbeats;
-    int inEpoch = epoch;
+    int sentInEpoch = epoch;
     SteadyTime sent = cluster.clock.now();
     byte[] body = Json.bytes(nextHeartbeat().write());
     cluster.machines.heartbeatHistory().recordSent(id, body);
     AsyncCalls.whenAnswered(
         transport.send(body, target.controller()),
-        outcome -> answered(outcome, inEpoch, sent, number));
+        outcome -> answered(outcome, sentInEpoch, sent, number));
   }
 
-  private void answered(Outcome<Response> outcome, int inEpoch, SteadyTime sent, int number) {
+  private void answered(Outcome<Response> outcome, int sentInEpoch, SteadyTime sent, int number) {
     if (dead) {
       return;
     }
     if (isHung()) {
-      hang.defer(() -> answered(outcome, inEpoch, sent, number));
+      hang.defer(() -> answered(outcome, sentInEpoch, sent, number));
       return;
     }
     boolean late = cluster.clock.now().secondsSince(sent) > HeartbeatTransport.TIMEOUT_S;
@@ -212,7 +212,7 @@
     Response response =
         !late && outcome instanceof Outcome.Applied<Response> applied ? applied.value() : null;
     if (response != null && response.status() == 200) {
-      if (inEpoch == epoch) {
+      if (sentInEpoch == epoch) {
         accept(response.body(), sent);
       }
     } else if (response != null && response.status() == 421) {
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -50,15 +50,15 @@
     if (missing == 0 || (spec.isGang() && missing < spec.tasks())) {
       return false;
     }
-    int wanted = spec.isGang() ? missing : 1;
-    if (!cluster.quota.hasRoomFor(spec, wanted)) {
+    int required = spec.isGang() ? missing : 1;
+    if (!cluster.quota.hasRoomFor(spec, required)) {
       return false;
     }
     if (!spec.together()) {
-      return placesIn(null, spec, wanted) >= wanted;
+      return placesIn(null, spec, required) >= required;
     }
     for (String zone : cluster.settings.zones()) {
-      if (placesIn(zone, spec, wanted) >= wanted) {
+      if (placesIn(zone, spec, required) >= required) {
         return true;
       }
     }
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -27,9 +27,9 @@
 
   int rejectedTooFast;
 
-  StoreLimits(Clock clock, SimCluster.Limits first) {
-    this.now = first;
-    this.writes = new TokenBucket(clock, first.writeRps());
+  StoreLimits(Clock clock, SimCluster.Limits initial) {
+    this.now = initial;
+    this.writes = new TokenBucket(clock, initial.writeRps());
   }
 
   /** Changes the limits; stored values stay as they are. */
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -44,9 +44,9 @@
     firstStart.putIfAbsent(task, clock.seconds());
     startsOn.merge(machine.id(), 1, Integer::sum);
     startsOf.merge(task.job(), 1, Integer::sum);
-    Set<MachineId> where = running.computeIfAbsent(task, unused -> new HashSet<>());
-    Set<MachineId> before = Set.copyOf(where);
-    where.add(machine.id());
+    Set<MachineId> machines = running.computeIfAbsent(task, unused -> new HashSet<>());
+    Set<MachineId> before = Set.copyOf(machines);
+    machines.add(machine.id());
     return before;
   }
 
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -128,9 +128,9 @@
   /**
    * An answer carries a job's state.
    *
-   * @param before the last answered state when the request was sent; only that binds the answer
+   * @param previousState the last answered state when the request was sent; only that binds the answer
    */
-  void answered(JobId id, String state, String before) {
+  void answered(JobId id, String state, String previousState) {
     lastAnsweredAt.put(id, cluster.clock.seconds());
     if (!CANCELLED.equals(lastState.get(id))) {
       lastState.put(id, state);
@@ -142,7 +142,7 @@
     if (state.equals(CANCELLED)) {
       cluster.cancellations.confirmed(id);
     }
-    checkFinalStateStays(id, state, before);
+    checkFinalStateStays(id, state, previousState);
     if (state.equals(DONE)) {
       checkDone(id);
     }
@@ -155,15 +155,15 @@
   }
 
   /** Rule {@code went_back}: a final state never changes. */
-  private void checkFinalStateStays(JobId id, String state, String before) {
+  private void checkFinalStateStays(JobId id, String state, String previousState) {
     if (isFinal(state)) {
       String first = finalStates.putIfAbsent(id, state);
       if (first != null && !first.equals(state)) {
         violation("went_back: " + id + " was answered " + first + " and then " + state);
       }
     }
-    if (isFinal(before) && !before.equals(state)) {
-      violation("went_back: " + id + " from " + before + " to " + state);
+    if (isFinal(previousState) && !previousState.equals(state)) {
+      violation("went_back: " + id + " from " + previousState + " to " + state);
     }
   }
 
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -26,14 +26,14 @@
   }
 
   private void pollAt(int controller, JobId id) {
-    String before = jobs.lastState(id);
+    String previousState = jobs.lastState(id);
     cluster.controllers.user(
         controller,
         UserRequests.poll(id),
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.answered(id, UserRequests.state(answer), before);
+                jobs.answered(id, UserRequests.state(answer), previousState);
               } else {
                 jobs.violation("forgotten: " + id + " answered " + answer.status());
               }
@@ -42,13 +42,13 @@
 
   /** A known job is answered with its state, whatever its repeated submission says. */
   void repeatSubmission(JobId id, ObjectNode body) {
-    String before = jobs.lastState(id);
+    String previousState = jobs.lastState(id);
     cluster.controllers.user(
         UserRequests.submission(body),
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.answered(id, UserRequests.state(answer), before);
+                jobs.answered(id, UserRequests.state(answer), previousState);
               } else {
                 jobs.violation("forgotten: repeat of " + id + " answered " + answer.status());
               }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -24,11 +24,11 @@
   /**
    * A submission that waits for the jobs that it names.
    *
-   * @param lateS so many seconds after all of them are over; negative: as soon as all are accepted
+   * @param delayS so many seconds after all of them are over; negative: as soon as all are accepted
    */
-  private record Pending(ObjectNode body, List<JobId> named, double lateS) {
+  private record Pending(ObjectNode body, List<JobId> dependencies, double delayS) {
     boolean waitsForEnds() {
-      return lateS >= 0;
+      return delayS >= 0;
     }
   }
 
@@ -77,8 +77,8 @@
     submitPending();
   }
 
-  void submitAfterEnds(ObjectNode body, double lateS) {
-    pending.add(new Pending(body, dependencies(body), lateS));
+  void submitAfterEnds(ObjectNode body, double delayS) {
+    pending.add(new Pending(body, dependencies(body), delayS));
     submitPending();
   }
 
@@ -86,13 +86,13 @@
   void submitPending() {
     for (Pending waiting : List.copyOf(pending)) {
       if (isReady(waiting) && pending.remove(waiting)) {
-        cluster.clock.after(Math.max(0, waiting.lateS), () -> submit(waiting.body));
+        cluster.clock.after(Math.max(0, waiting.delayS), () -> submit(waiting.body));
       }
     }
   }
 
   private boolean isReady(Pending waiting) {
-    return waiting.named.stream()
+    return waiting.dependencies.stream()
         .allMatch(id -> jobs.isAccepted(id) && (!waiting.waitsForEnds() || jobs.hasFinalState(id)));
   }
 }
