--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -80,7 +80,9 @@
     cluster.assertNoRuleBroken();
     assertEquals(end, cluster.users.lastState(id));
     assertEquals(
-        end.equals("done"), cluster.world.tasks.firstStartOf(id).isPresent(), "whether it ever ran");
+        end.equals("done"),
+        cluster.world.tasks.firstStartOf(id).isPresent(),
+        "whether it ever ran");
   }
 
   /** Submits the job to depend on and brings it into a state. */
--- a/src/test/java/org/ternhinge/controller/DependencyStartTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyStartTest.java
@@ -50,7 +50,8 @@
       double limit = world.clock.seconds() + 90;
       while (world.store.value("f/wk-1") == null && world.clock.seconds() < limit) {
         assertEquals(0, world.tasks.runningTasks(second), "runs before the end is durable");
-        assertFalse(world.tasks.firstStartOf(second).isPresent(), "has run before the end is durable");
+        assertFalse(
+            world.tasks.firstStartOf(second).isPresent(), "has run before the end is durable");
         world.clock.runFor(0.02);
       }
       double durableAt = world.clock.seconds();
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -86,7 +86,8 @@
     }
     run(100);
     for (JobId id : urgent) {
-      assertTrue(cluster.tasks.firstStartOf(id).isPresent(), id + " has not begun beside lesser work");
+      assertTrue(
+          cluster.tasks.firstStartOf(id).isPresent(), id + " has not begun beside lesser work");
     }
     cluster.networkFaults.slowLinks(0);
     users.cancel(new JobId("wk-31"));
--- a/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
+++ b/src/test/java/org/ternhinge/controller/ManyQuestionsTest.java
@@ -75,7 +75,8 @@
     cluster.users.cancel(jobs.get(0));
     JobId late = cluster.submit("wk-2", 2, 3);
     askAll(jobs, 12);
-    assertTrue(cluster.world.tasks.firstStartOf(late).isPresent(), "a job of that time has not begun");
+    assertTrue(
+        cluster.world.tasks.firstStartOf(late).isPresent(), "a job of that time has not begun");
     askAll(jobs, 30);
     assertEquals(JOBS, answeredAt.size(), "jobs that were answered for");
     assertTrue(longestWithoutAnswer < FORGOTTEN_S / 2, longestWithoutAnswer + " s without answer");
--- a/src/test/java/org/ternhinge/controller/SlowStoreTest.java
+++ b/src/test/java/org/ternhinge/controller/SlowStoreTest.java
@@ -49,7 +49,8 @@
     JobId last = submit("wk-9", "batch", 2, 5);
     double submitted = world.clock.seconds();
     run(60);
-    assertTrue(world.tasks.firstStartOf(last).isPresent(), "a job after the slowness has not begun");
+    assertTrue(
+        world.tasks.firstStartOf(last).isPresent(), "a job after the slowness has not begun");
     double waitedS = world.tasks.firstStartOf(last).getAsDouble() - submitted;
     assertTrue(waitedS < 15, "a job after the slowness began only after " + waitedS + " s");
     run(100);
@@ -145,7 +146,8 @@
     users.submit(SubmissionBuilder.job("wk-3", "batch", 4).priority("high").team("blue"));
     users.cancel(goes);
     run(150);
-    assertTrue(world.tasks.firstStartOf(new JobId("wk-3")).isPresent(), "urgent work has not begun");
+    assertTrue(
+        world.tasks.firstStartOf(new JobId("wk-3")).isPresent(), "urgent work has not begun");
     world.networkFaults.slowLinks(0);
     endSlowness();
     assertEquals("cancelled", users.lastState(goes));
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -38,7 +38,8 @@
   void rulesHoldInALargeFleet(long seed) {
     play(seed, LARGE, 500);
     assertTrue(
-        cluster.machines.totalProvisioned() > 300, cluster.machines.totalProvisioned() + " machines");
+        cluster.machines.totalProvisioned() > 300,
+        cluster.machines.totalProvisioned() + " machines");
   }
 
   private void play(long seed, SimCluster.Size size, int mostTasks) {
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -17,8 +17,8 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.DirectStore;
-import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.InMemoryStore;
+import org.ternhinge.sim.SimClock;
 
 /** How long a lease is relied on, by which renewals are answered and when. */
 class LeadershipLeaseTest {
--- a/src/test/java/org/ternhinge/sim/BootFaults.java
+++ b/src/test/java/org/ternhinge/sim/BootFaults.java
@@ -4,21 +4,23 @@
 import java.util.Set;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Faults of machines that are provisioned: they come up late or never, and lists that lag. */
+/**
+ * Faults of machine provisioning: slow boots, machines that never boot, and stale machine lists.
+ */
 public final class BootFaults {
-  private final Set<Integer> dead = new HashSet<>();
+  private final Set<Integer> neverBooting = new HashSet<>();
   private String slowType = "";
   private String slowZone = "";
   private double slowFactor = 1;
   private double listLagS;
 
-  /** The machines with these numbers, in the order of provisioning from 0, never come up. */
+  /** Machines with these numbers, counted from 0 in order of provisioning, never finish booting. */
   public void neverBoots(Set<Integer> machines) {
-    dead.addAll(machines);
+    neverBooting.addAll(machines);
   }
 
   /**
-   * Multiplies the boot time of machines of a type from now on.
+   * Multiplies the boot time of machines of one type that are provisioned from now on.
    *
    * @param zone the zone, or null for all
    */
@@ -28,7 +30,7 @@
     slowFactor = factor;
   }
 
-  /** Sets the lag of machine lists, in seconds. */
+  /** Sets how far machine lists lag behind the actual state, in seconds. */
   public void setListLag(double seconds) {
     listLagS = seconds;
   }
@@ -38,7 +40,7 @@
   }
 
   boolean neverBoots(int machine) {
-    return dead.contains(machine);
+    return neverBooting.contains(machine);
   }
 
   double bootTimeFactor(ProvisionRequest request) {
--- a/src/test/java/org/ternhinge/sim/CancellationCheck.java
+++ b/src/test/java/org/ternhinge/sim/CancellationCheck.java
@@ -9,12 +9,12 @@
 import org.ternhinge.wire.Command;
 
 /**
- * Rule {@code ran_cancelled}: once a user has received the answer that a job is cancelled, no start
- * of its tasks is sent, and after the time that the settings give for it none is on a machine or
- * starts. The same holds for jobs that depend on it.
+ * Rule {@code ran_cancelled}: after a user has been told that a job is cancelled, no start command
+ * for its tasks is sent, and once the configured cancellation time has passed, none of its tasks is
+ * on a machine or starts. The same holds for jobs that depend on it.
  */
 final class CancellationCheck implements TaskObserver {
-  /** Time of a message, for tasks that end exactly at the limit. */
+  /** Allowance for message delay, for tasks that end exactly at the limit. */
   private static final double TOLERANCE_S = 0.5;
 
   private final RuleViolations violations;
@@ -32,7 +32,7 @@
     this.tasks = tasks;
   }
 
-  /** A user has received the answer that a job is cancelled. */
+  /** Records that a user has been told that a job is cancelled. */
   void confirmed(JobId id) {
     if (confirmedAt.putIfAbsent(id, clock.seconds()) == null) {
       clock.after(ClusterSettings.CANCEL_S + TOLERANCE_S, () -> assertNoTaskRuns(id));
@@ -41,10 +41,10 @@
 
   private void assertNoTaskRuns(JobId id) {
     tasks.forEachRunning(
-        (task, where) -> {
-          boolean concerned = task.job().equals(id) || jobs.dependencies(task.job()).contains(id);
-          if (concerned) {
-            violations.add("ran_cancelled: " + task + " on " + where);
+        (task, machines) -> {
+          boolean affected = task.job().equals(id) || jobs.dependencies(task.job()).contains(id);
+          if (affected) {
+            violations.add("ran_cancelled: " + task + " on " + machines);
           }
         });
   }
@@ -63,7 +63,7 @@
     return first;
   }
 
-  /** Whether the time is over by which a cancelled job must be answered as cancelled. */
+  /** Whether the time has passed after which a cancelled job must be reported as cancelled. */
   boolean isOverdue(JobId id) {
     Double confirmedS = firstConfirmedAt(id);
     return confirmedS != null
@@ -71,8 +71,8 @@
   }
 
   /**
-   * No start may be sent once the cancellation is confirmed. One that was sent before may still
-   * arrive, delayed by the network; such a task only has to end in time.
+   * Checks that no start command is sent after the cancellation is confirmed. A command sent
+   * earlier may still arrive, delayed by the network; such a task only has to end in time.
    */
   void sent(MachineId machine, List<Command> commands) {
     for (Command command : commands) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Starts of tasks whose job's cancellation had been confirmed to its user. */
+  /** Number of task starts after the cancellation of the job was confirmed to its user. */
   int startsAfterCancel() {
     return startsAfterCancel;
   }
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -9,38 +9,38 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The settings with which simulated controllers start. They read the limits of the key-value store
- * at each start, so a change that is announced holds for controllers that start after it.
+ * The settings of simulated controllers. Controllers read the limits of the key-value store when
+ * they start, so announced limits apply only to controllers that start afterwards.
  */
 final class ClusterSettings {
-  /** Worker lease: how long tasks outlive the last answered heartbeat, in seconds. */
+  /** Worker lease: how long tasks keep running after the last answered heartbeat, in seconds. */
   static final double LEASE_S = 24;
 
-  /** Interval of a worker's heartbeats, in seconds. */
+  /** Interval between heartbeats of a worker, in seconds. */
   static final double HEARTBEAT_S = 3;
 
-  /** Seconds within which a cancelled job's tasks have to end. */
+  /** Time within which the tasks of a cancelled job have to end, in seconds. */
   static final double CANCEL_S = 44;
 
-  /** The zones in which controllers stand, and machines unless a site has more. */
+  /** The zones of the controllers, and of the machines unless a site defines more. */
   static final List<String> ZONES = List.of("east", "west");
 
   private static final int FIRST_TEAM_GUARANTEE_MILLI_CPUS = 8000;
   private static final int FIRST_TEAM_GUARANTEE_MILLI_ACCELERATORS = 2000;
 
-  /** A team's limit of CPUs is so many times its limit of accelerators. */
-  private static final int CPUS_TO_AN_ACCELERATOR = 6;
+  /** Ratio of a team's CPU limit to its accelerator limit. */
+  private static final int CPUS_PER_ACCELERATOR = 6;
 
   private final SimCluster.Size size;
-  private final SimCluster.Limits first;
+  private final SimCluster.Limits initial;
   private final SimCluster.Site site;
   private SimCluster.Limits limits;
 
   /**
    * Creates the settings.
    *
-   * @param initial limits that hold at the beginning
-   * @param limits limits that the settings name, no larger
+   * @param initial limits in force at the beginning
+   * @param limits limits that the settings announce, none above the initial ones
    */
   ClusterSettings(
       SimCluster.Size size,
@@ -48,12 +48,12 @@
       SimCluster.Limits limits,
       SimCluster.Site site) {
     this.size = size;
-    this.first = initial;
+    this.initial = initial;
     this.limits = limits;
     this.site = site;
   }
 
-  /** The zones in which machines stand. */
+  /** The zones that contain machines. */
   List<String> zones() {
     return site.zones();
   }
@@ -63,40 +63,40 @@
     return site.tuning();
   }
 
-  /** Controllers that start from now on have settings that name coming limits. */
-  void announce(SimCluster.Limits coming) {
-    limits = limits.lowerOf(coming);
+  /** Makes controllers that start from now on read announced limits in their settings. */
+  void announce(SimCluster.Limits announced) {
+    limits = limits.lowerOf(announced);
   }
 
-  /** The limits of the key-value store that the settings name. */
+  /** The limits of the key-value store that new controllers read. */
   SimCluster.Limits limits() {
     return limits;
   }
 
-  /** The teams, with their guarantees and limits. */
+  /** The teams with their guarantees and limits. */
   Map<String, Team> teams() {
     Map<String, Team> teams = new LinkedHashMap<>();
-    long most = (long) (size.teamCpus() * 1000);
+    long maxMilliCpus = (long) (size.teamCpus() * 1000);
     teams.put(
         "red",
         new Team(
             "red",
             FIRST_TEAM_GUARANTEE_MILLI_CPUS,
-            most,
+            maxMilliCpus,
             FIRST_TEAM_GUARANTEE_MILLI_ACCELERATORS,
-            most / CPUS_TO_AN_ACCELERATOR));
-    teams.put("blue", new Team("blue", FIRST_TEAM_GUARANTEE_MILLI_CPUS, most / 2, 0, 0));
+            maxMilliCpus / CPUS_PER_ACCELERATOR));
+    teams.put("blue", new Team("blue", FIRST_TEAM_GUARANTEE_MILLI_CPUS, maxMilliCpus / 2, 0, 0));
     return teams;
   }
 
-  /** The settings of one controller. */
+  /** The current settings of one controller. */
   Settings forNode(String node) {
     return forNode(node, limits);
   }
 
-  /** The settings of a controller that doesn't read which limits are to come. */
+  /** The settings of a controller that ignores announced limits. */
   Settings withInitialLimits(String node) {
-    return forNode(node, first);
+    return forNode(node, initial);
   }
 
   private Settings forNode(String node, SimCluster.Limits storeLimits) {
@@ -119,7 +119,8 @@
         teams(),
         List.of(),
         new Settings.Workers(HEARTBEAT_S, LEASE_S, 30, 5, CANCEL_S),
-        new Settings.StoreLimits(80, storeLimits.writeRps(), storeLimits.valueKb(), storeLimits.maxChangesPerSwap()),
+        new Settings.StoreLimits(
+            80, storeLimits.writeRps(), storeLimits.valueKb(), storeLimits.maxChangesPerSwap()),
         new Settings.CloudLimits(4, 10),
         1000,
         0.025);
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -9,9 +9,9 @@
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/** A client whose messages to and from the key-value store are delayed, each by itself. */
+/** A client that delays each request to the key-value store and each response independently. */
 public final class DelayedStore extends InMemoryStoreClient {
-  /** A watch times out so many seconds after its own end. */
+  /** Margin after the end of a watch before it times out, in seconds. */
   private static final double WATCH_SLACK_S = 5;
 
   private final SimClock clock;
@@ -19,13 +19,13 @@
   private final DoubleSupplier delayS;
   private boolean refuses;
 
-  /** Calls that were sent, without watches. */
+  /** Number of calls sent, excluding watches. */
   private int calls;
 
   /**
-   * Creates a client whose calls take time.
+   * Creates a client with delayed messages.
    *
-   * @param delayS delay of the next message in seconds, asked once a message
+   * @param delayS supplies the delay of the next message in seconds; called once per message
    */
   public DelayedStore(
       SimClock clock, InMemoryStore store, ResponseTimeouts timeouts, DoubleSupplier delayS) {
@@ -35,12 +35,12 @@
     this.delayS = delayS;
   }
 
-  /** Sets whether the store answers this node 503 from now on. */
+  /** Sets whether the store rejects calls of this client with status 503 from now on. */
   public void refuse(boolean refused) {
     refuses = refused;
   }
 
-  /** Calls that were sent, without watches. */
+  /** Number of calls sent, excluding watches. */
   public int calls() {
     return calls;
   }
--- a/src/test/java/org/ternhinge/sim/DependencyCheck.java
+++ b/src/test/java/org/ternhinge/sim/DependencyCheck.java
@@ -8,8 +8,8 @@
 import org.ternhinge.wire.Command;
 
 /**
- * No task starts, and no start is recorded or sent, before all jobs that its job depends on are
- * done.
+ * Rule {@code too_early}: no task starts, and no start is recorded or sent, before all jobs that
+ * its job depends on are done.
  */
 public final class DependencyCheck implements TaskObserver {
   private final RuleViolations violations;
@@ -19,7 +19,7 @@
   /**
    * Creates the check.
    *
-   * @param stored gives the value of a key in the key-value store, or null
+   * @param stored reads the value of a key in the key-value store, or null
    */
   public DependencyCheck(
       RuleViolations violations, JobCatalog jobs, Function<String, JsonNode> stored) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Commands leave a controller. */
+  /** Checks commands that a controller sends. */
   void sent(List<Command> commands) {
     for (Command command : commands) {
       if (command.op() != Command.Op.START) {
@@ -51,8 +51,8 @@
   }
 
   /**
-   * A change was applied. No start may be recorded before the key-value store holds the ends of all
-   * dependencies, since a later leader could not see them otherwise.
+   * Checks a change that was applied. No start may be recorded before the key-value store holds the
+   * end records of all dependencies, since a later leader could not see those ends otherwise.
    */
   void changed(Change change) {
     if (!(change instanceof Change.Put put) || put.value().path("o").isEmpty()) {
--- a/src/test/java/org/ternhinge/sim/DirectStore.java
+++ b/src/test/java/org/ternhinge/sim/DirectStore.java
@@ -6,9 +6,9 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/** A client that carries out each call at once, without a network and without limits on rates. */
+/** A client that executes each call immediately, without a network or rate limits. */
 public class DirectStore extends InMemoryStoreClient {
-  /** Creates a client that answers at once. */
+  /** Creates a client that answers immediately. */
   public DirectStore(InMemoryStore store) {
     super(store);
   }
@@ -26,7 +26,8 @@
   @Override
   public CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<WatchResult>> result = new CompletableFuture<>();
-    store().watch(prefix, from.value(), waitS, changes -> result.complete(Outcome.applied(changes)));
+    store()
+        .watch(prefix, from.value(), waitS, changes -> result.complete(Outcome.applied(changes)));
     return result;
   }
 }
--- a/src/test/java/org/ternhinge/sim/HeartbeatBuilder.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatBuilder.java
@@ -6,7 +6,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskStatus;
 
-/** Builds heartbeats for tests as variants of one that a simulated worker has sent. */
+/** Builds heartbeats for tests as variants of a heartbeat that a simulated worker sent. */
 public final class HeartbeatBuilder {
   private final Heartbeat original;
   private AgentEpoch epoch;
@@ -20,12 +20,12 @@
     this.tasks = original.tasks();
   }
 
-  /** Begins with a copy of a heartbeat. */
+  /** Starts with a copy of a heartbeat. */
   public static HeartbeatBuilder copyOf(Heartbeat original) {
     return new HeartbeatBuilder(original);
   }
 
-  /** Moves to an epoch so many later; the sequence goes on. */
+  /** Advances the epoch by the given number; the sequence number stays. */
   public HeartbeatBuilder advanceEpoch(int epochs) {
     epoch = new AgentEpoch(original.epoch().value() + epochs);
     return this;
@@ -37,7 +37,7 @@
     return this;
   }
 
-  /** Sets a sequence number that is so much higher, or lower where negative. */
+  /** Advances the sequence number by the given amount, which may be negative. */
   public HeartbeatBuilder advanceSequence(int by) {
     return sequence(original.sequence() + by);
   }
@@ -48,7 +48,7 @@
     return this;
   }
 
-  /** The heartbeat, without a reclaim notice. */
+  /** Builds the heartbeat, without a reclaim notice. */
   public Heartbeat build() {
     return new Heartbeat(
         original.machine(),
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -9,10 +9,10 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.WireException;
 
-/** The last heartbeat of each machine, and the late duplicates that the network delivers. */
+/** The last heartbeat of each machine, and duplicates that the network delivers late. */
 final class HeartbeatHistory {
-  /** The latest duplicate, in leases, beside one second. */
-  private static final double LATEST_LEASES = 2.5;
+  /** Upper bound on the delay of a duplicate beyond one second, in worker leases. */
+  private static final double MAX_DUPLICATE_DELAY_LEASES = 2.5;
 
   private final SimCluster cluster;
   private final Map<MachineId, byte[]> last = new HashMap<>();
@@ -24,28 +24,29 @@
   }
 
   /**
-   * For a while a share of all heartbeats arrives a second time, from a second to several leases
-   * late.
+   * Duplicates a share of all heartbeats for a while; duplicates arrive from one second to several
+   * leases late.
    */
   void duplicate(double share, double seconds) {
     duplicateShare = share;
     duplicateUntil = cluster.clock.now().plusSeconds(seconds);
   }
 
-  /** A machine sends a heartbeat, a duplicate of which may arrive later. */
+  /** Records a heartbeat that a machine sends, and may schedule a late duplicate. */
   void recordSent(MachineId from, byte[] heartbeat) {
     cluster.counts.heartbeat();
     last.put(from, heartbeat);
-    boolean duplicates = duplicateUntil != null && !duplicateUntil.isBefore(cluster.clock.now());
-    if (duplicates && cluster.random.nextDouble() < duplicateShare) {
-      double delayS = 1 + cluster.random.nextDouble() * LATEST_LEASES * ClusterSettings.LEASE_S;
+    boolean isDuplicated = duplicateUntil != null && !duplicateUntil.isBefore(cluster.clock.now());
+    if (isDuplicated && cluster.random.nextDouble() < duplicateShare) {
+      double delayS =
+          1 + cluster.random.nextDouble() * MAX_DUPLICATE_DELAY_LEASES * ClusterSettings.LEASE_S;
       int to = cluster.random.nextInt(cluster.nodeCount());
       cluster.clock.after(
           delayS, () -> cluster.controllers.deliver(to, request(heartbeat), answer -> {}));
     }
   }
 
-  /** A duplicate of a machine's last heartbeat reaches every controller. */
+  /** Delivers a duplicate of a machine's last heartbeat to every controller. */
   void resendLast(MachineId id) {
     for (int i = 0; i < cluster.nodeCount(); i++) {
       cluster.controllers.deliver(i, request(last.get(id)), answer -> {});
--- a/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatResponses.java
@@ -8,13 +8,13 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Reads what controllers answer to a worker's heartbeat; an unreadable answer is a failed test. */
+/** Reads responses of controllers to heartbeats; an unreadable response fails the test. */
 final class HeartbeatResponses {
   private static final String NODE_PREFIX = "node-";
 
   private HeartbeatResponses() {}
 
-  /** The number of the controller that a redirect names, if it names one. */
+  /** The index of the controller that a redirect names, if any. */
   static OptionalInt redirectedTo(byte[] redirect) {
     String name = parse(redirect).path("tilkynna_til").asText("");
     return name.isEmpty()
@@ -22,7 +22,7 @@
         : OptionalInt.of(Integer.parseInt(name.substring(NODE_PREFIX.length())));
   }
 
-  /** The term that an answer carries. */
+  /** The term in a response, which serves as fencing token. */
   static Term fencingToken(byte[] answer) {
     try {
       return new Term(Json.count(parse(answer), "valdmerki"));
@@ -31,7 +31,7 @@
     }
   }
 
-  /** The commands that an answer carries. */
+  /** The commands in a response. */
   static List<Command> commands(byte[] answer) {
     try {
       return Command.read(parse(answer));
--- a/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTarget.java
@@ -1,6 +1,6 @@
 package org.ternhinge.sim;
 
-/** The controller to which a worker sends its heartbeats, and how answers change it. */
+/** The controller to which a worker sends its heartbeats, and how responses change it. */
 final class HeartbeatTarget {
   private static final double NEXT_NODE_S = 1;
   private static final double REDIRECT_S = 0.2;
@@ -17,13 +17,16 @@
     return controller;
   }
 
-  /** Turns to the next controller, and gives the seconds to the next heartbeat. */
+  /** Switches to the next controller and returns the delay of the next heartbeat in seconds. */
   double switchToNext() {
     controller = (controller + 1) % controllers;
     return NEXT_NODE_S;
   }
 
-  /** Turns to the controller that a redirect names, and gives the seconds to the next heartbeat. */
+  /**
+   * Switches to the controller that a redirect names and returns the delay of the next heartbeat in
+   * seconds.
+   */
   double followRedirect(byte[] redirect) {
     int named = HeartbeatResponses.redirectedTo(redirect).orElse(controller);
     if (named == controller) {
--- a/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
@@ -6,9 +6,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.Command;
 
-/** The way of one machine's heartbeats to a controller and of the answers back. */
+/** Carries one machine's heartbeats to a controller and the responses back. */
 final class HeartbeatTransport {
-  /** An answer that comes later than this is ignored, in seconds. */
+  /** Time after which a response is ignored, in seconds. */
   static final double TIMEOUT_S = 4;
 
   private final SimCluster cluster;
@@ -19,10 +19,10 @@
     this.machine = machine;
   }
 
-  /** Sends a heartbeat to a controller; each call may meet a fault that is active. */
+  /** Sends a heartbeat to a controller, subject to the faults that are active. */
   CompletableFuture<Outcome<Response>> send(byte[] heartbeat, int controller) {
     MachineLinks links = machine.links();
-    boolean answerIsLost = links.dropsInbound();
+    boolean isResponseLost = links.dropsInbound();
     if (cluster.machineFaults.scheduleIfDelayed(machine.id(), heartbeat)) {
       return cluster.network.fail(false, TIMEOUT_S);
     }
@@ -39,15 +39,15 @@
                 controller,
                 HeartbeatHistory.request(heartbeat),
                 response -> {
-                  noteCommands(response, answerIsLost);
-                  if (!answerIsLost) {
+                  recordCommands(response, isResponseLost);
+                  if (!isResponseLost) {
                     to.accept(Outcome.applied(response));
                   }
                 }));
   }
 
-  /** A controller has answered; the commands of a lost answer count as sent all the same. */
-  private void noteCommands(Response response, boolean lost) {
+  /** Records the commands in a response; those of a lost response count as sent as well. */
+  private void recordCommands(Response response, boolean lost) {
     if (response.status() != 200) {
       return;
     }
--- a/src/test/java/org/ternhinge/sim/InMemoryStore.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStore.java
@@ -20,7 +20,7 @@
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 
-/** The key-value store's behaviour as its protocol page gives it, without a network. */
+/** An in-memory key-value store that behaves as the store protocol specifies, without a network. */
 public final class InMemoryStore {
   private record Value(JsonNode value, long revision, long lease) {}
 
@@ -94,7 +94,7 @@
     Set<String> touched = new HashSet<>();
     for (Change c : swap.changes()) {
       if (!touched.add(c.key())) {
-        throw new IllegalStateException("a key stands twice in a transaction: " + c.key());
+        throw new IllegalStateException("duplicate key in transaction: " + c.key());
       }
       if (c instanceof Change.Put put) {
         keys.put(put.key(), new Value(put.value(), revision, put.lease()));
@@ -126,7 +126,7 @@
         });
   }
 
-  /** Renews a lease that has not ended. */
+  /** Renews a lease that has not expired. */
   public Outcome<Long> renewLease(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
@@ -137,17 +137,17 @@
     return Outcome.applied(id);
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Renews all leases after an outage, so that each has its full duration again. */
   public void renewAllLeases() {
     List.copyOf(leases.keySet()).forEach(this::renewLease);
   }
 
-  /** During an outage no lease ends. */
+  /** Extends all leases by the duration of an outage, so that none expires during it. */
   public void extendLeases(double seconds) {
     leases.replaceAll((id, l) -> new Lease(l.lifeS, clock.now().plusSeconds(seconds + l.lifeS)));
   }
 
-  /** Ends a lease and removes its keys. */
+  /** Revokes a lease and removes its keys. */
   public void revokeLease(long id) {
     if (leases.remove(id) == null) {
       return;
@@ -156,7 +156,7 @@
     for (var it = keys.entrySet().iterator(); it.hasNext(); ) {
       var entry = it.next();
       if (entry.getValue().lease == id) {
-        // The key first: a tree's entry may hold another key after its removal.
+        // Read the key before the removal, after which a TreeMap entry may hold another key.
         String key = entry.getKey();
         it.remove();
         log.add(new Change.Observed(key, null, new Revision(revision)));
@@ -165,13 +165,19 @@
     notifyWatches();
   }
 
-  /** Passes on the changes after a revision, as soon as there are any or the time is over. */
+  /**
+   * Watches a prefix: answers with the changes after a revision as soon as there are any, or when
+   * the time is over.
+   */
   public void watch(
       String prefix, long from, double waitS, Consumer<KeyValueStore.WatchResult> to) {
     watch(prefix, from, waitS, () -> false, to);
   }
 
-  /** A watch that is not answered, not even at its end, while it is suspended, as in an outage. */
+  /**
+   * Watches a prefix; the watch is not answered, not even at its end, while it is suspended, for
+   * example during an outage.
+   */
   public void watch(
       String prefix,
       long from,
@@ -207,7 +213,7 @@
     return true;
   }
 
-  /** Answers the watches that have changes and are not suspended. */
+  /** Answers watches that have changes and are not suspended. */
   public void notifyWatches() {
     for (Watch w : List.copyOf(watches)) {
       if (!w.suspended.getAsBoolean() && answer(w, false)) {
--- a/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
@@ -10,8 +10,8 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
- * A client of a {@link InMemoryStore} without limits on rates. Subclasses decide how a call reaches the
- * store and how its outcome comes back.
+ * A client of an {@link InMemoryStore} without rate limits. Subclasses define how a call reaches
+ * the store and how its outcome is returned.
  */
 abstract class InMemoryStoreClient implements KeyValueStore {
   private final InMemoryStore store;
@@ -25,10 +25,10 @@
     return store;
   }
 
-  /** Carries out a call of a kind, whose timeout depends on the answers so far. */
+  /** Executes a call; the timeout of its kind adapts to earlier response times. */
   abstract <T> CompletableFuture<Outcome<T>> call(Kind kind, Supplier<Outcome<T>> work);
 
-  /** Carries out a call with a timeout of its own in seconds. */
+  /** Executes a call with an explicit timeout in seconds. */
   abstract <T> CompletableFuture<Outcome<T>> call(double limitS, Supplier<Outcome<T>> work);
 
   @Override
--- a/src/test/java/org/ternhinge/sim/InvalidRequests.java
+++ b/src/test/java/org/ternhinge/sim/InvalidRequests.java
@@ -7,22 +7,23 @@
 import org.ternhinge.model.JobId;
 
 /**
- * Requests that a careful user would not send: repeats of a known job with other fields, cancels of
- * jobs that are done, malformed and impossible submissions. Each has one right answer; a controller
- * that can't decide may always answer 503.
+ * Requests that a well-behaved client would not send: repeated submissions of a known job with
+ * other fields, cancellations of jobs that are done, and malformed or unsatisfiable submissions.
+ * The answer to each is determined, except that a controller that cannot decide may always answer
+ * 503.
  */
 final class InvalidRequests {
   private static final int MALFORMED = 400;
   private static final int TOO_LARGE = 413;
-  private static final int IMPOSSIBLE = 422;
+  private static final int UNSATISFIABLE = 422;
 
-  /** As many names as fit into a request body. */
-  private static final int MOST_NAMES = 4000;
+  /** The number of names that fills a request body. */
+  private static final int MAX_NAMES = 4000;
 
   private static final int ABBREVIATED_LENGTH = 80;
   private static final String DEPENDENCIES = "bidur_eftir";
 
-  /** A job that nobody submits. */
+  /** The name of a job that is never submitted. */
   private static final String UNKNOWN_JOB = "wk-700000";
 
   private static final List<String> REQUIRED_FIELDS =
@@ -32,7 +33,7 @@
   private final UserJobs jobs;
   private final UserPolls polls;
   private final RandomGenerator random;
-  private int made;
+  private int created;
 
   InvalidRequests(SimCluster cluster, UserJobs jobs, UserPolls polls, RandomGenerator random) {
     this.cluster = cluster;
@@ -41,28 +42,28 @@
     this.random = random;
   }
 
-  /** Sends one of them, other than those about dependencies. */
+  /** Sends a random invalid request, other than one about dependencies. */
   void send() {
     switch (random.nextInt(3)) {
-      case 0 -> repeatSomeUnfinished();
-      case 1 -> cancelSomeDone();
-      default -> submitImpossible();
+      case 0 -> repeatRandomUnfinished();
+      case 1 -> cancelRandomDone();
+      default -> submitInvalid();
     }
   }
 
-  private <T> T some(List<T> from) {
+  private <T> T randomElement(List<T> from) {
     return from.get(random.nextInt(from.size()));
   }
 
   // ---- known jobs -----------------------------------------------------------------------------
 
-  private void repeatSomeUnfinished() {
+  private void repeatRandomUnfinished() {
     List<JobId> unfinished =
         jobs.accepted().stream().filter(id -> !UserJobs.isFinal(jobs.lastState(id))).toList();
     if (unfinished.isEmpty()) {
       return;
     }
-    JobId id = some(unfinished);
+    JobId id = randomElement(unfinished);
     ObjectNode body = jobs.body(id).deepCopy();
     switch (random.nextInt(4)) {
       case 0 -> body.put("verkbitar", 1 + random.nextInt(50));
@@ -73,13 +74,13 @@
     polls.repeatSubmission(id, body);
   }
 
-  private void cancelSomeDone() {
+  private void cancelRandomDone() {
     List<JobId> done =
         jobs.accepted().stream().filter(id -> UserJobs.DONE.equals(jobs.lastState(id))).toList();
     if (done.isEmpty()) {
       return;
     }
-    JobId id = some(done);
+    JobId id = randomElement(done);
     cluster.controllers.user(
         UserRequests.cancellation(id),
         UserRequests.ifDecided(
@@ -92,18 +93,18 @@
             }));
   }
 
-  // ---- malformed and impossible jobs ----------------------------------------------------------
+  // ---- malformed and unsatisfiable jobs -------------------------------------------------------
 
-  private void submitImpossible() {
-    ObjectNode body = Specs.json(String.format("wk-9%05d", ++made), "batch", 2);
-    int expected = IMPOSSIBLE;
+  private void submitInvalid() {
+    ObjectNode body = Specs.json(String.format("wk-9%05d", ++created), "batch", 2);
+    int expected = UNSATISFIABLE;
     switch (random.nextInt(6)) {
       case 0 -> body.put("cpus", 4000.0);
       case 1 -> body.put("eigandi", "nobody");
       case 2 -> body.put("gerd", "daemon").put("verkbitar", 90_000);
       default -> {
         expected = MALFORMED;
-        body.remove(some(REQUIRED_FIELDS));
+        body.remove(randomElement(REQUIRED_FIELDS));
       }
     }
     int status = expected;
@@ -120,11 +121,11 @@
 
   // ---- dependencies ---------------------------------------------------------------------------
 
-  /** Sends a submission with invalid names of other jobs. */
+  /** Sends a submission with invalid dependencies. */
   void sendInvalidDependencies() {
-    String id = String.format("wk-8%05d", ++made);
+    String id = String.format("wk-8%05d", ++created);
     ObjectNode body = Specs.json(id, "batch", 2);
-    // Of a service that has ended only the end record is stored, and users never depend on one.
+    // Only the end record of an ended service is stored, and users never depend on a service.
     List<JobId> services =
         jobs.accepted().stream()
             .filter(job -> jobs.spec(job).isService() && !jobs.cancelRequested(job))
@@ -135,17 +136,17 @@
       submitWithNames(body, List.of(MALFORMED), null);
     } else if (kind == 6) {
       putTooManyNames(body);
-      // The protocol leaves open which of these statuses it is.
-      submitWithNames(body, List.of(MALFORMED, TOO_LARGE, IMPOSSIBLE), null);
+      // The protocol permits any of these statuses.
+      submitWithNames(body, List.of(MALFORMED, TOO_LARGE, UNSATISFIABLE), null);
     } else if (kind == 7) {
       if (!services.isEmpty()) {
-        JobId service = some(services);
+        JobId service = randomElement(services);
         body.putArray(DEPENDENCIES).add(service.value());
-        submitWithNames(body, List.of(IMPOSSIBLE), service);
+        submitWithNames(body, List.of(UNSATISFIABLE), service);
       }
     } else {
       putUnknownNames(body, id, kind);
-      submitWithNames(body, List.of(IMPOSSIBLE), null);
+      submitWithNames(body, List.of(UNSATISFIABLE), null);
     }
   }
 
@@ -161,33 +162,37 @@
 
   private static void putTooManyNames(ObjectNode body) {
     ArrayNode names = body.putArray(DEPENDENCIES);
-    for (int i = 0; i < MOST_NAMES; i++) {
+    for (int i = 0; i < MAX_NAMES; i++) {
       names.add("wk-7" + String.format("%05d", i));
     }
   }
 
-  /** Names of the job itself, or of a job that nobody submitted, alone or beside a known one. */
+  /**
+   * Adds the name of the job itself or of a job that was never submitted, alone or together with a
+   * known one.
+   */
   private void putUnknownNames(ObjectNode body, String own, int kind) {
     ArrayNode names = body.putArray(DEPENDENCIES).add(kind == 5 ? own : UNKNOWN_JOB);
     List<JobId> others =
         jobs.accepted().stream().filter(job -> !jobs.spec(job).isService()).toList();
     if (kind == 8 && !others.isEmpty()) {
-      names.add(some(others).value());
+      names.add(randomElement(others).value());
     }
   }
 
   /**
-   * Submits a job that has to be refused.
+   * Submits a job that has to be rejected.
    *
-   * @param service the service that it names, or null; once that is over, any answer is right
+   * @param service the service that it names, or null; once its cancellation is requested, any
+   *     answer is valid
    */
   private void submitWithNames(ObjectNode body, List<Integer> allowed, JobId service) {
     cluster.controllers.user(
         UserRequests.submission(body),
         UserRequests.ifDecided(
             answer -> {
-              boolean overByNow = service != null && jobs.cancelRequested(service);
-              if (!overByNow && !allowed.contains(answer.status())) {
+              boolean isServiceCancelled = service != null && jobs.cancelRequested(service);
+              if (!isServiceCancelled && !allowed.contains(answer.status())) {
                 jobs.violation("invalid: " + abbreviated(body) + " answered " + answer.status());
               }
             }));
--- a/src/test/java/org/ternhinge/sim/JobCatalog.java
+++ b/src/test/java/org/ternhinge/sim/JobCatalog.java
@@ -11,16 +11,16 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
 
-/** Every job that was ever submitted, what it depends on, and which of its tasks are completed. */
+/** All jobs that were ever submitted, their dependencies, and their completed tasks. */
 public final class JobCatalog {
   private final Map<JobId, JobSpec> specs = new LinkedHashMap<>();
 
-  /** What each job depends on, directly or through others. */
+  /** The transitive dependencies of each job. */
   private final Map<JobId, Set<JobId>> dependencies = new HashMap<>();
 
   private final Set<TaskId> completed = new HashSet<>();
 
-  /** Jobs that were submitted with a mistake: their tasks fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   private final Set<JobId> faulty = new HashSet<>();
 
   /** Adds a job without dependencies. */
@@ -31,7 +31,7 @@
   /**
    * Adds a job.
    *
-   * @param directDependencies the jobs that its submission names; they were added before
+   * @param directDependencies the jobs that its submission names, which must have been added before
    */
   public void add(JobSpec spec, List<JobId> directDependencies) {
     specs.put(spec.id(), spec);
@@ -40,7 +40,7 @@
     dependencies.put(spec.id(), all);
   }
 
-  /** Marks a job as submitted with a mistake: its tasks fail on every machine. */
+  /** Marks a job as faulty: its tasks fail on every machine. */
   public void markFaulty(JobId id) {
     faulty.add(id);
   }
@@ -53,12 +53,12 @@
     return specs.get(id);
   }
 
-  /** The jobs that a job depends on, directly or through others. */
+  /** The transitive dependencies of a job. */
   public Set<JobId> dependencies(JobId id) {
     return dependencies.getOrDefault(id, Set.of());
   }
 
-  /** Some dependency of a job whose tasks are not all completed, or null. */
+  /** A dependency of a job whose tasks are not all completed, or null. */
   JobId unfinishedDependency(JobId id) {
     for (JobId dependency : dependencies(id)) {
       if (!allCompleted(dependency)) {
@@ -68,7 +68,7 @@
     return null;
   }
 
-  /** Marks a task as completed; true if it was not before. */
+  /** Marks a task as completed; returns false if it already was. */
   public boolean complete(TaskId task) {
     return completed.add(task);
   }
@@ -77,7 +77,7 @@
     return completed.contains(task);
   }
 
-  /** How many tasks of a job are completed. */
+  /** Number of completed tasks of a job. */
   public int completedTasks(JobId id) {
     int count = 0;
     for (int i = 0; i < specs.get(id).tasks(); i++) {
--- a/src/test/java/org/ternhinge/sim/MachineEndpoints.java
+++ b/src/test/java/org/ternhinge/sim/MachineEndpoints.java
@@ -3,7 +3,7 @@
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.MachineId;
 
-/** The addresses at which simulated machines take commands, which follow from their names. */
+/** The addresses at which simulated machines receive commands, derived from their names. */
 final class MachineEndpoints {
   private static final String HOST = "10.9.0.1";
   private static final int FIRST_PORT = 1000;
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -11,37 +11,40 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Faults of machines and of their links: cuts, lost commands, lost heartbeats, hangs, restarts, and
- * heartbeats that arrive late or twice.
+ * Faults of machines and of their links: network partitions, lost commands, lost heartbeats, hangs,
+ * restarts, and delayed or duplicated heartbeats.
  */
 public final class MachineFaults {
   private final SimCluster cluster;
 
-  /** Apart from the cluster's own, so that a seed means the same days with and without faults. */
+  /**
+   * Separate from the cluster's source, so that a seed produces the same workload with and without
+   * faults.
+   */
   private final RandomGenerator random;
 
   /** Machines whose next heartbeat is delayed, with the delay in seconds. */
   private final Map<MachineId, Double> heartbeatDelaysS = new HashMap<>();
 
-  private final Map<String, SteadyTime> zonesCutUntil = new HashMap<>();
+  private final Map<String, SteadyTime> zonesIsolatedUntil = new HashMap<>();
 
   MachineFaults(SimCluster cluster, RandomGenerator random) {
     this.cluster = cluster;
     this.random = random;
   }
 
-  private SteadyTime in(double seconds) {
+  private SteadyTime fromNow(double seconds) {
     return cluster.clock.now().plusSeconds(seconds);
   }
 
-  private Optional<SimWorker> someWorker(RandomGenerator source) {
+  private Optional<SimWorker> randomWorker(RandomGenerator source) {
     List<SimWorker> live = cluster.machines.live();
     return live.isEmpty() ? Optional.empty() : Optional.of(live.get(source.nextInt(live.size())));
   }
 
-  // ---- cuts and ends --------------------------------------------------------------------------
+  // ---- isolation and termination --------------------------------------------------------------
 
-  /** Cuts all machines of a zone off from everything. */
+  /** Isolates all machines of a zone from the network. */
   public void isolateMachinesOfZone(String zone, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
@@ -50,31 +53,32 @@
     }
   }
 
-  /** Cuts every other machine of a zone off from everything. */
+  /** Isolates every other machine of a zone from the network. */
   public void isolateHalfOfZone(String zone, double seconds) {
-    boolean cut = false;
+    boolean isolates = false;
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
-        cut = !cut;
-        if (cut) {
+        isolates = !isolates;
+        if (isolates) {
           worker.links().isolate(seconds);
         }
       }
     }
   }
 
-  /** Cuts a zone's machines, and machines that come up there meanwhile are cut off as well. */
+  /** Isolates the machines of a zone, including machines that start there during the fault. */
   public void isolateZone(String zone, double seconds) {
     isolateMachinesOfZone(zone, seconds);
-    zonesCutUntil.put(zone, in(seconds));
+    zonesIsolatedUntil.put(zone, fromNow(seconds));
   }
 
-  /** A machine has come up. */
+  /** Applies zone faults to a machine that has started. */
   void machineStarted(SimWorker worker) {
-    Optional.ofNullable(zonesCutUntil.get(worker.zone)).ifPresent(worker.links()::isolateUntil);
+    Optional.ofNullable(zonesIsolatedUntil.get(worker.zone))
+        .ifPresent(worker.links()::isolateUntil);
   }
 
-  /** Cuts off a machine that runs a job's task. */
+  /** Isolates a machine that runs a task of a job. */
   public void isolateWorkerOf(JobId id, double seconds) {
     List<MachineId> machines = cluster.tasks.machinesOf(id);
     if (!machines.isEmpty()) {
@@ -82,25 +86,25 @@
     }
   }
 
-  /** Cuts a random machine off, or ends it where the time is 0. */
-  public void isolateOrTerminateRandomWorker(double cutS) {
-    someWorker(cluster.random)
+  /** Isolates a random machine, or terminates it if the time is 0. */
+  public void isolateOrTerminateRandomWorker(double isolationS) {
+    randomWorker(cluster.random)
         .ifPresent(
             worker -> {
-              if (cutS > 0) {
-                worker.links().isolate(cutS);
+              if (isolationS > 0) {
+                worker.links().isolate(isolationS);
               } else {
                 cluster.machines.terminate(worker.id());
               }
             });
   }
 
-  /** A machine restarts at once; what ran there is lost. */
+  /** Restarts a machine at once; its running tasks are lost. */
   public void restart(SimWorker worker) {
     worker.restart();
   }
 
-  /** A share of all machines restart together. */
+  /** Restarts a share of all machines at the same time. */
   public void restartMachines(double share) {
     for (SimWorker worker : cluster.machines.live()) {
       if (cluster.random.nextDouble() < share) {
@@ -109,33 +113,33 @@
     }
   }
 
-  /** Every task that starts on a machine fails from now on. */
+  /** Makes every task that starts on a machine fail from now on. */
   public void failAllTasksOn(SimWorker worker) {
     worker.failEveryTask();
   }
 
   // ---- lost commands and lost heartbeats ------------------------------------------------------
 
-  /** Some machine's heartbeats arrive, while neither answers nor commands reach it. */
+  /** Drops responses and commands to a random machine, while its heartbeats arrive. */
   public Optional<SimWorker> dropInboundOfRandomWorker(double seconds) {
-    Optional<SimWorker> worker = someWorker(cluster.random);
+    Optional<SimWorker> worker = randomWorker(cluster.random);
     worker.ifPresent(target -> target.links().dropInbound(seconds));
     return worker;
   }
 
-  /** A machine's heartbeats arrive, while neither answers nor commands reach it. */
+  /** Drops responses and commands to a machine, while its heartbeats arrive. */
   public void dropInbound(MachineId id, double seconds) {
     cluster.machines.worker(id).links().dropInbound(seconds);
   }
 
-  /** Heartbeats of all machines of a job reach no controller, while direct commands reach them. */
+  /** Drops the heartbeats of all machines that run a job, while direct commands reach them. */
   public void dropHeartbeatsOf(JobId id, double seconds) {
     for (SimWorker worker : cluster.machines.running(id)) {
       worker.links().dropHeartbeats(seconds);
     }
   }
 
-  /** Heartbeats of a share of all machines reach no controller. */
+  /** Drops the heartbeats of a share of all machines. */
   public void dropHeartbeatsOfShare(double share, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (random.nextDouble() < share) {
@@ -144,19 +148,19 @@
     }
   }
 
-  /** Some machine's heartbeats reach no controller. */
+  /** Drops the heartbeats of a random machine. */
   public void dropHeartbeatsOfRandomWorker(double seconds) {
-    someWorker(random).ifPresent(worker -> worker.links().dropHeartbeats(seconds));
+    randomWorker(random).ifPresent(worker -> worker.links().dropHeartbeats(seconds));
   }
 
   // ---- hangs ----------------------------------------------------------------------------------
 
-  /** Some machine executes nothing for a while; what arrives waits for it. */
+  /** Hangs a random machine for a while; arriving messages are queued. */
   public void hangRandomWorker(double seconds) {
-    someWorker(random).ifPresent(worker -> worker.hang(seconds));
+    randomWorker(random).ifPresent(worker -> worker.hang(seconds));
   }
 
-  /** Machines that run a job's tasks, at most so many, execute nothing for a while. */
+  /** Hangs machines that run tasks of a job, up to a limit, and returns them. */
   public List<SimWorker> hangWorkersOf(JobId id, int limit, double seconds) {
     List<SimWorker> hung = new ArrayList<>();
     for (SimWorker worker : cluster.machines.running(id)) {
@@ -170,17 +174,17 @@
 
   // ---- late and duplicate heartbeats ----------------------------------------------------------
 
-  /** Some machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  /** Delays the next heartbeat of a random machine; it is delivered to the leader at that time. */
   public void delayHeartbeat(double seconds) {
-    someWorker(random).ifPresent(worker -> delayHeartbeat(worker.id(), seconds));
+    randomWorker(random).ifPresent(worker -> delayHeartbeat(worker.id(), seconds));
   }
 
-  /** A machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  /** Delays the next heartbeat of a machine; it is delivered to the leader at that time. */
   public void delayHeartbeat(MachineId id, double seconds) {
     heartbeatDelaysS.put(id, seconds);
   }
 
-  /** Whether a heartbeat is delayed; if so, its late delivery is scheduled. */
+  /** Schedules the late delivery of a heartbeat if it is to be delayed; returns whether it is. */
   boolean scheduleIfDelayed(MachineId id, byte[] heartbeat) {
     Double seconds = heartbeatDelaysS.remove(id);
     if (seconds == null) {
@@ -197,14 +201,14 @@
   }
 
   /**
-   * For a while a share of all heartbeats arrives a second time, from a second to several leases
-   * late.
+   * Duplicates a share of all heartbeats for a while; duplicates arrive from one second to several
+   * leases late.
    */
   public void duplicateHeartbeats(double share, double seconds) {
     cluster.machines.heartbeatHistory().duplicate(share, seconds);
   }
 
-  /** A duplicate of a machine's last heartbeat reaches every controller. */
+  /** Delivers a duplicate of a machine's last heartbeat to every controller. */
   public void resendHeartbeat(MachineId id) {
     cluster.machines.heartbeatHistory().resendLast(id);
   }
--- a/src/test/java/org/ternhinge/sim/MachineHang.java
+++ b/src/test/java/org/ternhinge/sim/MachineHang.java
@@ -5,15 +5,15 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Whether a machine hangs. While it does, it executes nothing, and what arrives waits in order; its
- * lease runs on.
+ * The hang state of a machine. While it hangs, it executes nothing, arriving messages are queued in
+ * order, and its lease keeps running.
  */
 final class MachineHang {
   private final SimClock clock;
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Runnable> deferredActions = new ArrayList<>();
   private SteadyTime until;
-  private SteadyTime from;
-  private double earlierHangsS;
+  private SteadyTime since;
+  private double completedHangsS;
 
   MachineHang(SimClock clock) {
     this.clock = clock;
@@ -23,55 +23,55 @@
     return until != null;
   }
 
-  /** Stops executing for so long; a hang that is under way may become longer. */
+  /** Begins a hang, or extends one in progress. */
   void begin(double seconds) {
     SteadyTime end = clock.now().plusSeconds(seconds);
     if (until == null) {
-      from = clock.now();
+      since = clock.now();
       until = end;
     } else {
       until = until.max(end);
     }
   }
 
-  /** Whether a hang was under way and its time is over now. */
+  /** Whether a hang is in progress and its duration has elapsed. */
   boolean hasElapsed() {
     return until != null && !clock.now().isBefore(until);
   }
 
   /** Ends the hang. */
   void end() {
-    earlierHangsS += clock.now().secondsSince(from);
+    completedHangsS += clock.now().secondsSince(since);
     until = null;
   }
 
   /** Defers an action until the end of the hang. */
   void defer(Runnable action) {
-    waiting.add(action);
+    deferredActions.add(action);
   }
 
   /** Runs the deferred actions in their order of arrival. */
   void runDeferred() {
-    List<Runnable> deferred = List.copyOf(waiting);
-    waiting.clear();
+    List<Runnable> deferred = List.copyOf(deferredActions);
+    deferredActions.clear();
     deferred.forEach(Runnable::run);
   }
 
-  private double hungSeconds() {
-    return earlierHangsS + (isActive() ? clock.now().secondsSince(from) : 0);
+  private double totalHangSeconds() {
+    return completedHangsS + (isActive() ? clock.now().secondsSince(since) : 0);
   }
 
-  /** Runs an action after so many seconds in which the machine did execute. */
+  /** Runs an action after the machine has been executing for the given time, excluding hangs. */
   void runAfterActiveTime(double seconds, Runnable action) {
-    double before = hungSeconds();
+    double hungBeforeS = totalHangSeconds();
     clock.after(
         seconds,
         () -> {
-          double lost = hungSeconds() - before;
+          double remainingS = totalHangSeconds() - hungBeforeS;
           if (isActive()) {
-            defer(() -> runAfterActiveTime(lost, action));
-          } else if (lost > 0) {
-            runAfterActiveTime(lost, action);
+            defer(() -> runAfterActiveTime(remainingS, action));
+          } else if (remainingS > 0) {
+            runAfterActiveTime(remainingS, action);
           } else {
             action.run();
           }
--- a/src/test/java/org/ternhinge/sim/MachineLinks.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinks.java
@@ -2,63 +2,66 @@
 
 import org.ternhinge.model.SteadyTime;
 
-/** The links of one machine: which messages to and from it are lost at present. */
+/** The network links of one machine: which messages to and from it are currently lost. */
 final class MachineLinks {
   private final SimClock clock;
-  private SteadyTime cutUntil;
-  private SteadyTime inboundLostUntil;
-  private SteadyTime heartbeatsLostUntil;
+  private SteadyTime isolatedUntil;
+  private SteadyTime inboundDroppedUntil;
+  private SteadyTime heartbeatsDroppedUntil;
 
   /** Creates links that lose nothing. */
   MachineLinks(SimClock clock) {
     this.clock = clock;
-    this.cutUntil = clock.now();
-    this.inboundLostUntil = clock.now();
-    this.heartbeatsLostUntil = clock.now();
+    this.isolatedUntil = clock.now();
+    this.inboundDroppedUntil = clock.now();
+    this.heartbeatsDroppedUntil = clock.now();
   }
 
-  /** For so many seconds nothing passes in either direction. */
+  /** Drops all messages in both directions for the given number of seconds. */
   void isolate(double seconds) {
-    isolateUntil(in(seconds));
+    isolateUntil(fromNow(seconds));
   }
 
-  /** Until a time nothing passes in either direction. */
+  /** Drops all messages in both directions until the given time. */
   void isolateUntil(SteadyTime end) {
-    cutUntil = end;
+    isolatedUntil = end;
   }
 
-  /** For so many seconds heartbeats arrive, but neither answers nor commands reach the machine. */
+  /**
+   * Drops responses and commands to the machine for the given number of seconds, while its
+   * heartbeats arrive.
+   */
   void dropInbound(double seconds) {
-    inboundLostUntil = in(seconds);
+    inboundDroppedUntil = fromNow(seconds);
   }
 
-  /** For so many seconds heartbeats reach no controller, while commands reach the machine. */
+  /** Drops heartbeats for the given number of seconds, while commands reach the machine. */
   void dropHeartbeats(double seconds) {
-    heartbeatsLostUntil = in(seconds);
+    heartbeatsDroppedUntil = fromNow(seconds);
   }
 
   boolean isIsolated() {
-    return lasts(cutUntil);
+    return isActive(isolatedUntil);
   }
 
   boolean dropsInbound() {
-    return lasts(inboundLostUntil);
+    return isActive(inboundDroppedUntil);
   }
 
   boolean dropsHeartbeats() {
-    return lasts(heartbeatsLostUntil);
+    return isActive(heartbeatsDroppedUntil);
   }
 
-  /** Whether no message is lost in any direction. */
+  /** Whether no messages are lost in either direction. */
   boolean areHealthy() {
     return !isIsolated() && !dropsInbound() && !dropsHeartbeats();
   }
 
-  private SteadyTime in(double seconds) {
+  private SteadyTime fromNow(double seconds) {
     return clock.now().plusSeconds(seconds);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean isActive(SteadyTime until) {
     return clock.now().isBefore(until);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MachineLinksTest.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinksTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which messages the links of a machine lose, and for how long. */
+/** Each link fault drops only its own kind of message, and only until it ends. */
 class MachineLinksTest {
   private static final double FAULT_S = 10;
 
@@ -22,18 +22,18 @@
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "cut, true, false, false",
-    "inbound lost, false, true, false",
-    "heartbeats lost, false, false, true"
+    "isolated, true, false, false",
+    "inbound dropped, false, true, false",
+    "heartbeats dropped, false, false, true"
   })
   void faultDropsOnlyItsOwnMessagesUntilItEnds(
-      String fault, boolean cut, boolean inbound, boolean heartbeats) {
+      String fault, boolean isolated, boolean inbound, boolean heartbeats) {
     switch (fault) {
-      case "cut" -> links.isolate(FAULT_S);
-      case "inbound lost" -> links.dropInbound(FAULT_S);
+      case "isolated" -> links.isolate(FAULT_S);
+      case "inbound dropped" -> links.dropInbound(FAULT_S);
       default -> links.dropHeartbeats(FAULT_S);
     }
-    assertEquals(cut, links.isIsolated());
+    assertEquals(isolated, links.isIsolated());
     assertEquals(inbound, links.dropsInbound());
     assertEquals(heartbeats, links.dropsHeartbeats());
     assertFalse(links.areHealthy());
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -4,11 +4,11 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 
-/** Counts of messages and calls since the cluster began, by which tests bound the work done. */
+/** Counts of messages and calls since the cluster started, used by tests to bound the work done. */
 public final class MessageCounts {
   private long heartbeats;
   private long commandCalls;
-  private long commandCallsUnderWay;
+  private long concurrentCommandCalls;
   private long maxConcurrentCommandCalls;
   private long storeChanges;
   private long storeReads;
@@ -24,12 +24,12 @@
 
   void commandCallBegan() {
     commandCalls++;
-    commandCallsUnderWay++;
-    maxConcurrentCommandCalls = Math.max(maxConcurrentCommandCalls, commandCallsUnderWay);
+    concurrentCommandCalls++;
+    maxConcurrentCommandCalls = Math.max(maxConcurrentCommandCalls, concurrentCommandCalls);
   }
 
   void commandCallEnded() {
-    commandCallsUnderWay--;
+    concurrentCommandCalls--;
   }
 
   void commandsSent(List<Command> commands, Term term, Term highest) {
@@ -62,52 +62,52 @@
     leaderships++;
   }
 
-  /** Commands that were sent directly under a term when a higher one had been claimed. */
+  /** Number of commands sent directly under a term after a higher term had been claimed. */
   public long commandsOfStaleTerms() {
     return commandsOfStaleTerms;
   }
 
-  /** Reads of single keys from the key-value store. */
+  /** Number of single-key reads from the key-value store. */
   public long storeReads() {
     return storeReads;
   }
 
-  /** Heartbeats that workers sent. */
+  /** Number of heartbeats sent by workers. */
   public long heartbeats() {
     return heartbeats;
   }
 
-  /** Direct commands that controllers sent to workers. */
+  /** Number of direct command calls from controllers to workers. */
   public long commandCalls() {
     return commandCalls;
   }
 
-  /** The most direct commands that were under way at once. */
+  /** Maximum number of concurrent direct command calls. */
   public long maxConcurrentCommandCalls() {
     return maxConcurrentCommandCalls;
   }
 
-  /** Puts and deletes that controllers sent to the key-value store. */
+  /** Number of puts and deletes sent to the key-value store. */
   public long storeChanges() {
     return storeChanges;
   }
 
-  /** Pages of the machine list that controllers requested. */
+  /** Number of machine list pages requested by controllers. */
   public long machineListings() {
     return machineListings;
   }
 
-  /** Requests to provision machines. */
+  /** Number of requests to provision machines. */
   public long provisionCalls() {
     return provisionCalls;
   }
 
-  /** Requests to release machines. */
+  /** Number of requests to release machines. */
   public long releaseCalls() {
     return releaseCalls;
   }
 
-  /** Times that some controller began to lead. */
+  /** Number of times that a controller became leader. */
   public int leaderships() {
     return leaderships;
   }
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -7,24 +7,24 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.SteadyTime;
 
-/** Faults of the network between controllers, zones and the region, and slow links. */
+/** Faults of the network between controllers, zones and the region: partitions and slow links. */
 public final class NetworkFaults {
-  /** The place of users, the cloud and the key-value store, which lie in no zone. */
+  /** The location of users, the cloud and the key-value store, which belong to no zone. */
   static final String REGION = null;
 
-  /** Delay after a cut at which the messages that it delayed arrive. */
-  private static final double AFTER_CUT_S = 0.01;
+  /** Delay after the end of a partition at which queued messages arrive, in seconds. */
+  private static final double DELIVERY_AFTER_PARTITION_S = 0.01;
 
-  private static final double WAKE_AFTER_S = 0.001;
+  private static final double RESUME_WATCHES_AFTER_S = 0.001;
 
   private final SimClock clock;
   private final SimNetwork network;
   private final SimKeyValueStore store;
   private final RandomGenerator random;
-  private final SteadyTime[] cutFromWorkersUntil;
-  private final SteadyTime[] cutFromPeersUntil;
-  private String zoneCut;
-  private SteadyTime zoneCutUntil;
+  private final SteadyTime[] isolatedFromWorkersUntil;
+  private final SteadyTime[] isolatedFromPeersUntil;
+  private String isolatedZone;
+  private SteadyTime zoneIsolatedUntil;
   private SteadyTime partitionedUntil;
 
   NetworkFaults(
@@ -37,126 +37,131 @@
     this.network = network;
     this.store = store;
     this.random = random;
-    this.cutFromWorkersUntil = new SteadyTime[controllers];
-    this.cutFromPeersUntil = new SteadyTime[controllers];
+    this.isolatedFromWorkersUntil = new SteadyTime[controllers];
+    this.isolatedFromPeersUntil = new SteadyTime[controllers];
   }
 
-  private SteadyTime in(double seconds) {
+  private SteadyTime fromNow(double seconds) {
     return clock.now().plusSeconds(seconds);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean isActive(SteadyTime until) {
     return until != null && clock.now().isBefore(until);
   }
 
-  /** Like {@link #lasts}, its last moment included. */
-  private boolean lastsThrough(SteadyTime until) {
+  /** Like {@link #isActive}, but includes the end of the interval. */
+  private boolean isActiveInclusive(SteadyTime until) {
     return until != null && !until.isBefore(clock.now());
   }
 
   // ---- controllers ----------------------------------------------------------------------------
 
-  /** Cuts a controller off from all workers. */
+  /** Isolates a controller from all workers. */
   public void isolateFromWorkers(int controller, double seconds) {
-    cutFromWorkersUntil[controller] = in(seconds);
+    isolatedFromWorkersUntil[controller] = fromNow(seconds);
   }
 
   boolean isIsolatedFromWorkers(int controller) {
-    return lastsThrough(cutFromWorkersUntil[controller]);
+    return isActiveInclusive(isolatedFromWorkersUntil[controller]);
   }
 
-  /** Cuts a controller off from the key-value store and the other ones, not from its workers. */
+  /**
+   * Isolates a controller from the key-value store and the other controllers, but not from its
+   * workers.
+   */
   public void isolate(int controller, double seconds) {
     store.refuse(controller, seconds);
-    cutFromPeersUntil[controller] = in(seconds);
+    isolatedFromPeersUntil[controller] = fromNow(seconds);
   }
 
   boolean isIsolatedFromPeers(int controller) {
-    return lastsThrough(cutFromPeersUntil[controller]);
+    return isActiveInclusive(isolatedFromPeersUntil[controller]);
   }
 
   // ---- links ----------------------------------------------------------------------------------
 
-  /** From now on each message takes up to so long, in either direction; 0 for quick links. */
+  /** Sets the maximum message delay in either direction from now on; 0 restores fast links. */
   public void slowLinks(double seconds) {
     network.maxLinkDelayS = seconds;
   }
 
-  /** From now on cuts lose what is sent instead of delivering it late. */
+  /** Makes partitions drop messages from now on instead of delivering them late. */
   public void dropDuringPartitions() {
     network.queuesDuringPartition = false;
   }
 
   // ---- zones ----------------------------------------------------------------------------------
 
-  /** The zone of a controller; those with odd numbers stand in the second zone. */
+  /** The zone of a controller; controllers with odd numbers are in the second zone. */
   public static String zoneOf(int controller) {
     return ClusterSettings.ZONES.get(controller % 2);
   }
 
   /**
-   * Cuts a zone with its controllers off. Inside all reach each other; what was sent across is
-   * refused, or arrives in order once the cut is over.
+   * Isolates a zone with its controllers. Communication inside the zone is unaffected; messages
+   * across its boundary are refused, or arrive in order after the fault ends.
    */
   public void isolateZone(String zone, double seconds) {
-    zoneCut = zone;
-    zoneCutUntil = in(seconds);
-    clock.after(seconds + WAKE_AFTER_S, store::resumeWatches);
+    isolatedZone = zone;
+    zoneIsolatedUntil = fromNow(seconds);
+    clock.after(seconds + RESUME_WATCHES_AFTER_S, store::resumeWatches);
   }
 
-  /** The two zones can't reach each other, while each reaches the region. */
+  /** Partitions the two zones from each other, while each still reaches the region. */
   public void partitionZones(double seconds) {
-    partitionedUntil = in(seconds);
+    partitionedUntil = fromNow(seconds);
   }
 
-  /** Whether two places can't reach each other. */
+  /** Whether two locations can't reach each other. */
   boolean areDisconnected(String one, String other) {
-    return isolate(one, other) || partitioned(one, other);
+    return separatedByZone(one, other) || separatedByPartition(one, other);
   }
 
-  private boolean isolate(String one, String other) {
-    return lasts(zoneCutUntil) && zoneCut.equals(one) != zoneCut.equals(other);
+  private boolean separatedByZone(String one, String other) {
+    return isActive(zoneIsolatedUntil) && isolatedZone.equals(one) != isolatedZone.equals(other);
   }
 
-  private boolean partitioned(String one, String other) {
-    return lasts(partitionedUntil) && inZone(one) && inZone(other) && !one.equals(other);
+  private boolean separatedByPartition(String one, String other) {
+    return isActive(partitionedUntil) && isZone(one) && isZone(other) && !one.equals(other);
   }
 
-  /** Whether a place lies in a zone, and is not the region as a whole. */
-  private static boolean inZone(String place) {
-    return place != null;
+  /** Whether a location is a zone rather than the region. */
+  private static boolean isZone(String location) {
+    return location != null;
   }
 
-  private double endsIn(String one, String other) {
-    SteadyTime until = isolate(one, other) ? zoneCutUntil : partitionedUntil;
+  private double remainingSeconds(String one, String other) {
+    SteadyTime until = separatedByZone(one, other) ? zoneIsolatedUntil : partitionedUntil;
     return until.secondsSince(clock.now());
   }
 
   // ---- calls ----------------------------------------------------------------------------------
 
-  /** A call that fails by refusal or by silence, its request being lost. */
+  /** A call whose request is lost, and which fails by refusal or by timeout. */
   <T> CompletableFuture<Outcome<T>> lostCall(double timeoutS) {
     return network.fail(random.nextBoolean(), timeoutS);
   }
 
   /**
-   * A call between two places, which a zone's cut may part.
+   * A call between two locations, which may be disconnected by a zone fault.
    *
-   * @param cut whether another cut parts them
-   * @param work what is done where the request arrives, with the way of its answer
+   * @param isDisconnected whether another fault disconnects them
+   * @param work runs at the receiver; it is given the consumer of the response
    */
   <T> CompletableFuture<Outcome<T>> call(
       String one,
       String other,
-      Supplier<Boolean> cut,
+      Supplier<Boolean> isDisconnected,
       double timeoutS,
       Consumer<Consumer<Outcome<T>>> work) {
     if (!areDisconnected(one, other)) {
-      return network.call(cut, timeoutS, work);
+      return network.call(isDisconnected, timeoutS, work);
     }
     boolean refused = random.nextBoolean();
     if (!refused) {
-      clock.after(endsIn(one, other) + AFTER_CUT_S, () -> work.accept(answer -> {}));
+      clock.after(
+          remainingSeconds(one, other) + DELIVERY_AFTER_PARTITION_S,
+          () -> work.accept(answer -> {}));
     }
     return network.fail(refused, timeoutS);
   }
--- a/src/test/java/org/ternhinge/sim/OldVersion.java
+++ b/src/test/java/org/ternhinge/sim/OldVersion.java
@@ -16,18 +16,18 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * The version before dependent jobs, modelled around the current code. It drops and writes as
+ * Models the version that preceded dependent jobs on top of the current code. It differs as
  * follows:
  *
  * <ul>
- *   <li>it ignores {@code bidur_eftir} in a submission and in a record, and so writes every record
- *       that it touches back without it;
+ *   <li>it ignores {@code bidur_eftir} in submissions and records, and so drops the field from
+ *       every record that it writes back;
  *   <li>its leader record does not declare support of dependent jobs;
- *   <li>it does not read {@code state.next}, so it writes records under the larger limits.
+ *   <li>it does not read {@code state.next}, so its writes follow the larger limits.
  * </ul>
  *
- * <p>Its scheduling, its timing and the bytes of its records are not modelled: the bytes are pinned
- * in {@code ProductionRecordsTest}.
+ * <p>Scheduling, timing and record encoding of that version are not modelled; the encoding is
+ * covered by {@code ProductionRecordsTest}.
  */
 final class OldVersion {
   private static final String DEPENDENCIES = "bidur_eftir";
--- a/src/test/java/org/ternhinge/sim/PermanentAuthority.java
+++ b/src/test/java/org/ternhinge/sim/PermanentAuthority.java
@@ -5,7 +5,7 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
 
-/** A leadership with term 1 that always holds; to lose it fails the test. */
+/** A leadership with term 1 that is always valid; losing it fails the test. */
 public record PermanentAuthority(Revision termRevision) implements Authority {
   @Override
   public Term term() {
--- a/src/test/java/org/ternhinge/sim/PlacementCheck.java
+++ b/src/test/java/org/ternhinge/sim/PlacementCheck.java
@@ -7,13 +7,13 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Rule {@code wrong_place}: a task starts only on a type, in a zone and on a kind of machine that
- * its job permits, given the job's other tasks at that moment.
+ * Rule {@code wrong_place}: a task starts only on a machine type, in a zone and on a spot or
+ * on-demand machine that its job permits, given the current placement of its other tasks.
  */
 final class PlacementCheck implements TaskObserver {
   private final RuleViolations violations;
 
-  /** Tasks of each job that run, by zone; a zone without any is absent. */
+  /** Number of running tasks of each job by zone; zones without any are absent. */
   private final Map<JobId, Map<String, Integer>> tasksByZone = new HashMap<>();
 
   PlacementCheck(RuleViolations violations) {
@@ -52,7 +52,7 @@
         .computeIfPresent(machine.zone, (zone, count) -> count == 1 ? null : count - 1);
   }
 
-  /** Tasks of a job that run, by zone. */
+  /** Number of running tasks of a job by zone. */
   Map<String, Integer> tasksByZone(JobId id) {
     return tasksByZone.getOrDefault(id, Map.of());
   }
--- a/src/test/java/org/ternhinge/sim/ProvisionedMachines.java
+++ b/src/test/java/org/ternhinge/sim/ProvisionedMachines.java
@@ -12,9 +12,9 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** What the cloud has provisioned, whoever asked for it. */
+/** Machines that the cloud has provisioned, regardless of which controller requested them. */
 final class ProvisionedMachines {
-  /** A machine that was provisioned and is not up yet. */
+  /** A machine that was provisioned and is still booting. */
   private record Booting(ProvisionRequest request, MachineType machineType) {}
 
   private final SimCluster cluster;
@@ -27,42 +27,42 @@
     this.cluster = cluster;
   }
 
-  /** Machines that were ever provisioned. */
+  /** Number of machines provisioned so far. */
   int totalProvisioned() {
     return totalProvisioned;
   }
 
-  /** Machines that are provisioned and not up. */
+  /** Machines that are booting. */
   List<MachineId> booting() {
     return List.copyOf(booting.keySet());
   }
 
-  /** Machines of the type, zone and kind that a request asks for, up or not. */
-  private int provisionedNow(ProvisionRequest request) {
+  /** Number of machines, booting or running, of the type, zone and kind of a request. */
+  private int countProvisioned(ProvisionRequest request) {
     int count = 0;
     for (Booting machine : booting.values()) {
       ProvisionRequest other = machine.request;
-      count += isOffer(request, other.type(), other.zone(), other.spot()) ? 1 : 0;
+      count += matches(request, other.type(), other.zone(), other.spot()) ? 1 : 0;
     }
     for (SimWorker worker : cluster.machines.workers()) {
-      count += isOffer(request, worker.machineType.name(), worker.zone, worker.spot) ? 1 : 0;
+      count += matches(request, worker.machineType.name(), worker.zone, worker.spot) ? 1 : 0;
     }
     return count;
   }
 
-  private static boolean isOffer(ProvisionRequest request, String type, String zone, boolean spot) {
+  private static boolean matches(ProvisionRequest request, String type, String zone, boolean spot) {
     return request.type().equals(type) && request.zone().equals(zone) && request.spot() == spot;
   }
 
-  /** Provisions machines; the same request again gives the same answer. */
+  /** Provisions machines; repeating a request returns the same machines. */
   List<MachineId> provision(ProvisionRequest request) {
     return provisions.computeIfAbsent(request.name(), name -> provisionNew(request));
   }
 
   private List<MachineId> provisionNew(ProvisionRequest request) {
     List<MachineId> out = new ArrayList<>();
-    int left = cluster.machinesOfEach() - provisionedNow(request);
-    for (int i = 0; i < Math.min(request.count(), left); i++) {
+    int available = cluster.machinesOfEach() - countProvisioned(request);
+    for (int i = 0; i < Math.min(request.count(), available); i++) {
       out.add(provisionOne(request));
     }
     return out;
@@ -76,12 +76,12 @@
     double usualS = machineType.bootS() * (0.6 + cluster.random.nextDouble());
     double bootS = usualS * cluster.bootFaults.bootTimeFactor(request);
     if (!cluster.bootFaults.neverBoots(totalProvisioned - 1)) {
-      cluster.clock.after(bootS, () -> comesUp(id));
+      cluster.clock.after(bootS, () -> finishBoot(id));
     }
     return id;
   }
 
-  private void comesUp(MachineId id) {
+  private void finishBoot(MachineId id) {
     Booting machine = booting.remove(id);
     if (machine != null) {
       ProvisionRequest request = machine.request;
@@ -92,12 +92,12 @@
     }
   }
 
-  /** Releases a machine that is not up. */
+  /** Releases a machine that is booting. */
   void release(MachineId id) {
     booting.remove(id);
   }
 
-  /** All machines that are provisioned, as they were some time ago, in the order of their names. */
+  /** All provisioned machines ordered by name, as of the configured list lag ago. */
   List<ListedMachine> list() {
     SteadyTime then = cluster.clock.now().plusSeconds(-cluster.bootFaults.listLagS());
     TreeMap<MachineId, ListedMachine> machines = new TreeMap<>();
--- a/src/test/java/org/ternhinge/sim/QuotaCheck.java
+++ b/src/test/java/org/ternhinge/sim/QuotaCheck.java
@@ -7,7 +7,7 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
 
-/** Rule {@code quota}: the tasks of a team never exceed its limit. */
+/** Rule {@code quota}: the running tasks of a team never exceed its limit. */
 final class QuotaCheck implements TaskObserver {
   private final RuleViolations violations;
   private final Map<String, Team> teams;
@@ -32,7 +32,7 @@
     used.computeIfPresent(spec.team(), (team, sum) -> sum.minus(spec.need()));
   }
 
-  /** Whether a job's team could run so many more of its tasks. */
+  /** Whether the limit of a job's team permits the given number of additional tasks. */
   boolean hasRoomFor(JobSpec spec, int tasks) {
     Resources sum = used.getOrDefault(spec.team(), Resources.offer(0, 0, 0));
     return within(teams.get(spec.team()), sum.plus(spec.need().times(tasks)));
--- a/src/test/java/org/ternhinge/sim/RanTwiceCheck.java
+++ b/src/test/java/org/ternhinge/sim/RanTwiceCheck.java
@@ -1,6 +1,6 @@
 package org.ternhinge.sim;
 
-/** Rule {@code ran_twice}: no task starts on one machine while it is on another. */
+/** Rule {@code ran_twice}: a task never starts on a machine while it is on another one. */
 final class RanTwiceCheck implements TaskObserver {
   private final RuleViolations violations;
 
--- a/src/test/java/org/ternhinge/sim/RuleViolations.java
+++ b/src/test/java/org/ternhinge/sim/RuleViolations.java
@@ -4,11 +4,11 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The rules of the protocol that were broken, in the order in which that was seen. */
+/** Violations of protocol rules, in the order of detection. */
 final class RuleViolations {
   private final List<String> all = new ArrayList<>();
 
-  /** Notes one violation; the text begins with the rule's name. */
+  /** Records a violation; the text begins with the name of the rule. */
   void add(String violation) {
     all.add(violation);
   }
--- a/src/test/java/org/ternhinge/sim/SimClock.java
+++ b/src/test/java/org/ternhinge/sim/SimClock.java
@@ -4,7 +4,10 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.SteadyTime;
 
-/** Virtual time: events run in order of their time, then of their making. */
+/**
+ * A virtual clock that runs scheduled events in order of time, and events of the same time in order
+ * of creation.
+ */
 public final class SimClock implements Clock {
   private record Event(long at, long order, Runnable action) {}
 
@@ -12,14 +15,14 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private long nanos = 1_000_000_000L;
-  private long made;
+  private long nextOrder;
 
   @Override
   public SteadyTime now() {
     return new SteadyTime(nanos);
   }
 
-  /** Seconds since the clock began. */
+  /** Seconds since the start of the simulation. */
   public double seconds() {
     return nanos / 1e9 - 1;
   }
@@ -31,10 +34,10 @@
 
   @Override
   public void after(double seconds, Runnable action) {
-    events.add(new Event(nanos + Math.max(0, (long) (seconds * 1e9)), made++, action));
+    events.add(new Event(nanos + Math.max(0, (long) (seconds * 1e9)), nextOrder++, action));
   }
 
-  /** Lets time pass, with all that is due meanwhile. */
+  /** Advances the time and runs all events that become due. */
   public void runFor(double seconds) {
     long end = nanos + (long) (seconds * 1e9);
     while (!events.isEmpty() && events.peek().at <= end) {
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -10,14 +10,14 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** The cloud as one controller reaches it. */
+/** The cloud API as seen by one controller. */
 final class SimCloud implements Cloud {
   private static final double TIMEOUT_S = 5;
 
-  /** Time of a listing, in seconds. */
+  /** Duration of a listing call, in seconds. */
   private static final double LIST_S = 1;
 
-  /** Passes answers on to a process that is still alive. */
+  /** Delivers responses only to a process that is still alive. */
   interface Guard {
     <T> CompletableFuture<T> guard(CompletableFuture<T> from);
   }
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -12,32 +12,32 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Controllers with simulated machines, cloud, key-value store and network around them, in virtual
- * time. The rules of the protocol are checked on what the simulated machines ran and on the answers
- * to users, never on state of the controllers.
+ * A cluster of controllers with simulated machines, cloud, key-value store and network in virtual
+ * time. Protocol rules are checked against the tasks that the simulated machines ran and the
+ * responses to users, never against the internal state of controllers.
  */
 public final class SimCluster {
   /**
    * The size of a cluster.
    *
-   * @param machines that the cloud has of each type, zone and kind
+   * @param machines capacity of the cloud in machines of each type, zone and kind
    * @param teamCpus limit of a team, in CPUs
-   * @param writeRps limit of the key-value store on changes a second
+   * @param writeRps limit of the key-value store, in changes per second
    */
   public record Size(int nodes, int machines, double teamCpus, double writeRps) {}
 
   /**
-   * Zones and operators' settings of a cluster.
+   * The zones of a cluster and the operators' settings.
    *
-   * @param zones in which machines stand; controllers stand in the first two
-   * @param tuning the operators' own settings, the same for all controllers
+   * @param zones the zones of the machines; controllers are in the first two
+   * @param tuning the operators' settings, shared by all controllers
    */
   public record Site(List<String> zones, Tuning tuning) {
     /** Two zones and default settings. */
     static final Site DEFAULT = new Site(ClusterSettings.ZONES, Tuning.DEFAULT);
   }
 
-  /** Limits of the key-value store on values, transactions and changes a second. */
+  /** Limits of the key-value store: value size, transaction size and changes per second. */
   public record Limits(double valueKb, int maxChangesPerSwap, double writeRps) {
     Limits lowerOf(Limits other) {
       return new Limits(
@@ -68,7 +68,7 @@
   /** Faults of the key-value store. */
   public final StoreFaults storeFaults;
 
-  /** Faults of machines that are provisioned. */
+  /** Faults of machine provisioning. */
   public final BootFaults bootFaults = new BootFaults();
 
   /** Faults of machines. */
@@ -83,10 +83,10 @@
   /** Machines. */
   public final SimMachines machines = new SimMachines(this);
 
-  /** Every job that was submitted. */
+  /** All jobs that were submitted. */
   public final JobCatalog jobs = new JobCatalog();
 
-  /** Which tasks run and have run where. */
+  /** Observed starts and running tasks. */
   public final TaskObservations tasks;
 
   final SplittableRandom random;
@@ -99,10 +99,10 @@
   final TaskEvents events;
   private final Size size;
 
-  /** How long a connection to a worker takes to come about. */
+  /** Time to establish a connection to a worker, in seconds. */
   public double connectDelayS;
 
-  /** Creates a cluster of the usual size in which a share of the messages is lost. */
+  /** Creates a small cluster in which a share of the messages is lost. */
   public SimCluster(long seed, double lossShare) {
     this(seed, lossShare, SMALL);
   }
@@ -113,27 +113,32 @@
   }
 
   /**
-   * A cluster whose settings announce lower limits of the key-value store; controllers keep to the
-   * lower of both, since the announced ones come into force without notice.
+   * Creates a cluster whose settings announce lower limits of the key-value store. Controllers
+   * observe the lower of the current and the announced limits, since announced limits take effect
+   * without further notice.
    *
-   * @param lossShare share of messages that are late, and of answers that are lost
+   * @param lossShare share of requests that are late, and of responses that are lost
    * @param announced the announced limits, or null
    */
   public SimCluster(long seed, double lossShare, Size size, Limits announced) {
     this(seed, lossShare, size, announced, Site.DEFAULT);
   }
 
-  /** A cluster with zones and operators' settings of its own. */
+  /** Creates a cluster with the given zones and operators' settings. */
   public SimCluster(long seed, double lossShare, Size size, Limits announced, Site site) {
     this.size = size;
     Limits initialLimits = new Limits(INITIAL_VALUE_KB, INITIAL_CHANGES_PER_SWAP, size.writeRps);
     settings =
-        new ClusterSettings(size, initialLimits, announced == null ? initialLimits : initialLimits.lowerOf(announced), site);
+        new ClusterSettings(
+            size,
+            initialLimits,
+            announced == null ? initialLimits : initialLimits.lowerOf(announced),
+            site);
     random = new SplittableRandom(seed);
     network = new SimNetwork(clock, random.split());
     network.lossShare = lossShare;
     store = new SimKeyValueStore(clock, size.nodes, initialLimits);
-    // A source of its own, so that a seed gives the same day with and without faults.
+    // A separate source, so that a seed produces the same workload with and without faults.
     SplittableRandom faultRandom = new SplittableRandom(seed * 31 + 7);
     storeFaults = new StoreFaults(clock, store, faultRandom);
     machineFaults = new MachineFaults(this, faultRandom);
@@ -156,37 +161,37 @@
     controllers.startAll();
   }
 
-  /** The next random number of the cluster's own source, below the bound. */
+  /** The next value below the bound from the cluster's random source. */
   public int nextInt(int bound) {
     return random.nextInt(bound);
   }
 
-  /** The settings of a controller that would start now. */
+  /** The settings that a controller would read if it started now. */
   public Settings settings(String node) {
     return settings.forNode(node);
   }
 
-  /** Announces limits to the controllers that start from now on. */
+  /** Announces limits to controllers that start from now on. */
   public void announce(Limits announced) {
     settings.announce(announced);
   }
 
-  /** How many controllers there are. */
+  /** Number of controllers. */
   public int nodeCount() {
     return size.nodes;
   }
 
-  /** Machines that the cloud has of each type, zone and kind. */
+  /** Capacity of the cloud in machines of each type, zone and kind. */
   int machinesOfEach() {
     return size.machines;
   }
 
-  /** The controller in the leader record of the key-value store, or -1. */
+  /** The index of the controller in the leader record of the key-value store, or -1. */
   public int leader() {
     return store.leader();
   }
 
-  /** Adds jobs that were done long ago, of which the key-value store holds only the end records. */
+  /** Adds jobs that ended long ago, of which the key-value store holds only the end records. */
   public void storeEndRecords(List<JobSpec> specs) {
     List<Change> ends = new ArrayList<>();
     for (JobSpec spec : specs) {
@@ -203,12 +208,12 @@
 
   // ---- rules ----------------------------------------------------------------------------------
 
-  /** The rules that were broken so far. */
+  /** Protocol violations detected so far. */
   public List<String> violations() {
     return violations.all();
   }
 
-  /** Starts of tasks whose job's cancellation had been confirmed to its user. */
+  /** Number of task starts after the cancellation of the job was confirmed to its user. */
   public int startsAfterCancel() {
     return cancellations.startsAfterCancel();
   }
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -13,7 +13,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.worker.Workers;
 
-/** The way of one controller process's direct commands to the workers. */
+/** Carries direct commands of one controller process to the workers. */
 final class SimCommandClient implements Workers {
   private static final double TIMEOUT_S = 3;
 
@@ -54,7 +54,7 @@
             }));
   }
 
-  /** The connection is there. */
+  /** Sends commands over an established connection. */
   private CompletableFuture<Outcome<Answer>> send(
       Endpoint endpoint,
       Term term,
@@ -63,7 +63,7 @@
       BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
       return CompletableFuture.completedFuture(
-          Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
+          Outcome.notApplied(Reason.WITHDRAWN, "withdrawn before sending"));
     }
     cluster.counts.commandsSent(commands, term, cluster.store.highestTerm());
     MachineId id = MachineEndpoints.machineAt(endpoint);
@@ -73,7 +73,7 @@
     return cluster.networkFaults.call(
         owner.zone(),
         worker == null ? owner.zone() : worker.zone,
-        () -> !reaches(worker),
+        () -> !canReach(worker),
         TIMEOUT_S,
         to -> {
           if (worker != null) {
@@ -82,7 +82,7 @@
         });
   }
 
-  private boolean reaches(SimWorker worker) {
+  private boolean canReach(SimWorker worker) {
     return worker != null
         && !worker.links().isIsolated()
         && !worker.links().dropsInbound()
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -16,12 +16,12 @@
 import org.ternhinge.term.ControllerServices;
 
 /**
- * One process of a controller with everything around it simulated. Once it is killed, nothing
- * reaches it and nothing comes from it any more; a restart is another process.
+ * A controller process in a fully simulated environment. Once killed, it receives and sends
+ * nothing; a restart creates another process.
  */
 final class SimController implements Clock, SimCloud.Guard {
-  /** Delay of work that the controller hands to another thread, in seconds. */
-  private static final double HAND_OVER_S = 0.001;
+  /** Delay of work handed over to another thread, in seconds. */
+  private static final double HANDOVER_DELAY_S = 0.001;
 
   private static final String PEER_PATHS = "/peer/";
 
@@ -31,7 +31,7 @@
   private final ControllerNode node;
   private boolean alive = true;
 
-  /** Until then the process is paused while its clocks run on. */
+  /** End of the current pause of the process; its clocks keep running meanwhile. */
   private SteadyTime pausedUntil = new SteadyTime(0);
 
   SimController(SimCluster cluster, int index) {
@@ -54,7 +54,7 @@
             new SimCommandClient(cluster, this),
             this,
             lock,
-            action -> after(HAND_OVER_S, action),
+            action -> after(HANDOVER_DELAY_S, action),
             cluster.metrics);
     Election election =
         new Election(
@@ -78,7 +78,7 @@
             });
   }
 
-  /** The way to the other controllers. */
+  /** The transport to the other controllers. */
   private final class PeerLinks implements PeerTransport {
     @Override
     public void ask(
@@ -98,19 +98,19 @@
     alive = false;
   }
 
-  /** Pauses for a while; timers and messages of that time are processed afterwards. */
+  /** Pauses for a while; timers and messages due meanwhile are processed afterwards. */
   void pause(double seconds) {
     pausedUntil = now().plusSeconds(seconds).max(pausedUntil);
   }
 
-  /** Runs an action at once, or as soon as the process goes on; never once it is killed. */
+  /** Runs an action at once, or when the process resumes; never after it is killed. */
   private void whenRunning(Runnable action) {
     if (!alive) {
       return;
     }
-    double leftS = pausedUntil.secondsSince(now());
-    if (leftS > 0) {
-      cluster.clock.after(leftS, () -> whenRunning(action));
+    double remainingS = pausedUntil.secondsSince(now());
+    if (remainingS > 0) {
+      cluster.clock.after(remainingS, () -> whenRunning(action));
     } else {
       action.run();
     }
@@ -124,12 +124,12 @@
     return NetworkFaults.zoneOf(index);
   }
 
-  /** A request of a user or a worker arrives. */
+  /** Handles a request of a user or a worker. */
   void handle(Request request, Consumer<Response> answer) {
     whenRunning(
         () ->
             node.handle(
-                understood(request),
+                translate(request),
                 response -> {
                   if (alive) {
                     answer.accept(response);
@@ -137,16 +137,16 @@
                 }));
   }
 
-  /** A request of another controller arrives; the old version has no peer paths. */
+  /** Handles a request of another controller; the old version has no peer paths. */
   void handlePeer(Request request, Consumer<Response> answer) {
     if (oldVersion && request.path().startsWith(PEER_PATHS)) {
       answer.accept(Response.of(404));
       return;
     }
-    whenRunning(() -> node.handlePeer(understood(request), answer));
+    whenRunning(() -> node.handlePeer(translate(request), answer));
   }
 
-  private Request understood(Request request) {
+  private Request translate(Request request) {
     return oldVersion ? OldVersion.request(request) : request;
   }
 
--- a/src/test/java/org/ternhinge/sim/SimControllers.java
+++ b/src/test/java/org/ternhinge/sim/SimControllers.java
@@ -12,7 +12,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.Json;
 
-/** The controller processes of a simulated cluster, and the requests that reach them. */
+/** The controller processes of a simulated cluster, and the delivery of requests to them. */
 public final class SimControllers {
   private static final double USER_TIMEOUT_S = 5;
   private static final String NODE_PREFIX = "node-";
@@ -22,7 +22,7 @@
   /** The process of each controller, or null while it is down. */
   private final SimController[] processes;
 
-  /** Controllers whose processes are of the version before dependent jobs. */
+  /** Whether each controller runs the version before dependent jobs. */
   private final boolean[] oldVersion;
 
   SimControllers(SimCluster cluster, int count) {
@@ -44,7 +44,7 @@
     processes[index].start();
   }
 
-  /** Sets whether a controller's processes are of the old version, from its next start on. */
+  /** Sets whether a controller runs the old version from its next start on. */
   public void runsOldVersion(int index, boolean old) {
     oldVersion[index] = old;
   }
@@ -53,17 +53,17 @@
     return oldVersion[index];
   }
 
-  /** Ends a controller's process; another one starts after a while. */
-  public void crash(int index, double backAfterS) {
+  /** Kills a controller's process; a new one starts after the given delay. */
+  public void crash(int index, double restartDelayS) {
     if (processes[index] == null) {
       return;
     }
     processes[index].kill();
     processes[index] = null;
-    cluster.clock.after(backAfterS, () -> start(index));
+    cluster.clock.after(restartDelayS, () -> start(index));
   }
 
-  /** Pauses a controller's process for a while; its clocks run on. */
+  /** Pauses a controller's process for a while; its clocks keep running. */
   public void pause(int index, double seconds) {
     if (processes[index] != null) {
       processes[index].pause(seconds);
@@ -72,7 +72,7 @@
 
   // ---- requests -------------------------------------------------------------------------------
 
-  /** Delivers a request to a controller at once; a dead one never answers. */
+  /** Delivers a request to a controller at once; a stopped one never responds. */
   public void deliver(int index, Request request, Consumer<Response> answer) {
     SimController process = processes[index];
     if (process != null) {
@@ -80,12 +80,15 @@
     }
   }
 
-  /** Sends a user's request to some controller, as the load balancer would; answers may be null. */
+  /**
+   * Sends a user's request to a random controller, as a load balancer does; the response is null if
+   * none arrives.
+   */
   public void user(Request request, Consumer<Response> answer) {
     user(cluster.random.nextInt(processes.length), request, answer);
   }
 
-  /** Sends a user's request to one controller; the answer is null where none comes. */
+  /** Sends a user's request to one controller; the response is null if none arrives. */
   public void user(int index, Request request, Consumer<Response> answer) {
     CompletableFuture<Outcome<Response>> call =
         cluster.networkFaults.call(
@@ -97,12 +100,17 @@
     AsyncCalls.whenAnswered(call, outcome -> answer.accept(responseOf(outcome).orElse(null)));
   }
 
-  /** Delivers a heartbeat to a controller; the answer is null where none comes within a second. */
+  /**
+   * Delivers a heartbeat to a controller; the result is null if no response arrives within a
+   * second.
+   */
   public Response answerTo(int index, Heartbeat heartbeat) {
     return answerTo(index, "POST", "/agent/beat", Json.bytes(heartbeat.write()));
   }
 
-  /** Delivers a request to a controller; the answer is null where none comes within a second. */
+  /**
+   * Delivers a request to a controller; the result is null if no response arrives within a second.
+   */
   public Response answerTo(int index, String method, String path, byte[] body) {
     List<Response> answers = new ArrayList<>();
     deliver(index, new Request(method, path, body), answers::add);
@@ -112,7 +120,7 @@
 
   // ---- peers ----------------------------------------------------------------------------------
 
-  /** One controller sends a request to another one; the answer is empty where none comes. */
+  /** Sends a request from one controller to another; the response is empty if none arrives. */
   void askPeer(
       SimController from,
       String to,
--- a/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
+++ b/src/test/java/org/ternhinge/sim/SimKeyValueStore.java
@@ -14,18 +14,21 @@
 import org.ternhinge.store.Entry;
 
 /**
- * The one key-value store of a simulated cluster: its contents, its limits, and whom it refuses at
- * present. Controllers reach it through a {@link SimStoreClient} each.
+ * The key-value store of a simulated cluster: its contents, its limits, and which controllers it
+ * currently refuses. Each controller accesses it through a {@link SimStoreClient}.
  */
 public final class SimKeyValueStore {
-  /** Longer than the refusal itself, so that a watch that is woken is no longer refused. */
-  private static final double AFTER_S = 0.001;
+  /**
+   * Delay after the end of a refusal before watches resume, so that a resumed watch is no longer
+   * refused.
+   */
+  private static final double RESUME_DELAY_S = 0.001;
 
   private static final String LEADER_KEY = "leader";
 
   private static final String NODE_PREFIX = "node-";
 
-  /** Requests a second that all controllers together may make; 0 where they are not counted. */
+  /** Limit on requests per second of all controllers together; 0 if requests are not limited. */
   private double requestRps;
 
   private final SimClock clock;
@@ -42,7 +45,7 @@
     this.refusedUntil = new SteadyTime[controllers];
   }
 
-  /** Passes every change of an applied transaction to a listener. */
+  /** Sets the listener for all changes of applied transactions. */
   void onChange(Consumer<Change> listener) {
     changeListener = listener;
   }
@@ -53,30 +56,32 @@
 
   // ---- refusals -------------------------------------------------------------------------------
 
-  /** Refuses everybody for so long; leases have their full time again when it is over. */
+  /**
+   * Refuses all requests for a while; leases have their full duration again when the outage ends.
+   */
   void outage(double seconds) {
     outageUntil = clock.now().plusSeconds(seconds);
     contents.extendLeases(seconds);
     clock.after(seconds, contents::renewAllLeases);
-    clock.after(seconds + AFTER_S, this::resumeWatches);
+    clock.after(seconds + RESUME_DELAY_S, this::resumeWatches);
   }
 
-  /** Refuses one controller alone, whose leases may run out meanwhile. */
+  /** Refuses one controller only; its leases may expire meanwhile. */
   void refuse(int controller, double seconds) {
     refusedUntil[controller] = clock.now().plusSeconds(seconds);
-    clock.after(seconds + AFTER_S, this::resumeWatches);
+    clock.after(seconds + RESUME_DELAY_S, this::resumeWatches);
   }
 
-  /** Whether a controller is refused now, alone or with all others. */
+  /** Whether a controller is currently refused. */
   boolean refuses(int controller) {
-    return lasts(outageUntil) || lasts(refusedUntil[controller]);
+    return isActive(outageUntil) || isActive(refusedUntil[controller]);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean isActive(SteadyTime until) {
     return until != null && !until.isBefore(clock.now());
   }
 
-  /** Watches that a fault has suspended are answered with the changes that they missed. */
+  /** Resumes watches that a fault suspended, with the changes that they missed. */
   void resumeWatches() {
     contents.notifyWatches();
   }
@@ -88,19 +93,19 @@
     limits.set(to);
   }
 
-  /** Transactions that were refused since they were too large. */
+  /** Number of transactions rejected because they were too large. */
   public int rejectedTooLarge() {
     return limits.rejectedTooLarge;
   }
 
-  /** Transactions that were refused since they came too fast. */
+  /** Number of transactions rejected because of the rate limit. */
   public int rejectedTooFast() {
     return limits.rejectedTooFast;
   }
 
   // ---- contents -------------------------------------------------------------------------------
 
-  /** A transaction of a controller arrives. */
+  /** Applies a transaction of a controller. */
   Outcome<Revision> compareAndSwap(int controller, CompareAndSwap swap) {
     return refuses(controller)
         ? Outcome.notApplied(Reason.REFUSED, "503")
@@ -115,7 +120,7 @@
     return outcome;
   }
 
-  /** Writes whatever the limits are, as it was written under earlier ones. */
+  /** Writes regardless of the current limits, as if written under earlier ones. */
   public void put(List<Change> changes) {
     contents.compareAndSwap(new CompareAndSwap(List.of(), changes));
   }
@@ -125,23 +130,26 @@
     return contents.get(key).entry().map(Entry::value).orElse(null);
   }
 
-  /** Controllers keep to so many requests a second from now on; before they are not counted. */
+  /**
+   * Limits the requests per second of all controllers together from now on; before they are not
+   * limited.
+   */
   public void limitRequests(double requestsPerS) {
     requestRps = requestsPerS;
   }
 
-  /** Requests a second that all controllers together may make; 0 where they are not counted. */
+  /** Limit on requests per second of all controllers together; 0 if requests are not limited. */
   double requestRps() {
     return requestRps;
   }
 
-  /** The highest term that was claimed. */
+  /** The highest term claimed so far. */
   Term highestTerm() {
     JsonNode term = value(Keys.TERM);
     return new Term(term == null ? 0 : term.path("n").asLong());
   }
 
-  /** The controller in the leader record, or -1. */
+  /** The index of the controller in the leader record, or -1. */
   int leader() {
     JsonNode leader = value(LEADER_KEY);
     return leader == null
--- a/src/test/java/org/ternhinge/sim/SimMachineTypes.java
+++ b/src/test/java/org/ternhinge/sim/SimMachineTypes.java
@@ -6,12 +6,12 @@
 
 /** The machine types that the simulated cloud offers. */
 public final class SimMachineTypes {
-  /** The types, offered in the two usual zones. */
+  /** The machine types, offered in the two default zones. */
   public static final List<MachineType> ALL = in(ClusterSettings.ZONES);
 
   private SimMachineTypes() {}
 
-  /** The types, offered in these zones. */
+  /** The machine types, offered in the given zones. */
   public static List<MachineType> in(List<String> zones) {
     return List.of(
         new MachineType("small", Resources.offer(4, 0, 16), 4, 0, 16, 50, 1, 0.2, 0.1, 5, zones),
--- a/src/test/java/org/ternhinge/sim/SimMachines.java
+++ b/src/test/java/org/ternhinge/sim/SimMachines.java
@@ -9,7 +9,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.wire.Heartbeat;
 
-/** The machines of a simulated cluster: those that boot, that are up, and that were removed. */
+/** The machines of a simulated cluster: booting, running and removed ones. */
 public final class SimMachines {
   private final SimCluster cluster;
   private final TreeMap<MachineId, SimWorker> workers = new TreeMap<>();
@@ -22,7 +22,7 @@
     this.heartbeatHistory = new HeartbeatHistory(cluster);
   }
 
-  /** What the cloud has provisioned. */
+  /** The machines that the cloud has provisioned. */
   ProvisionedMachines provisioned() {
     return provisioned;
   }
@@ -31,18 +31,18 @@
     return heartbeatHistory;
   }
 
-  /** Adds a machine that has come up. */
+  /** Adds a machine that has finished booting. */
   void add(SimWorker worker) {
     workers.put(worker.id(), worker);
   }
 
-  /** Releases a machine, whether it is up or boots. */
+  /** Releases a machine, whether it is booting or running. */
   void release(MachineId id) {
     provisioned.release(id);
     terminate(id);
   }
 
-  /** Ends a machine if it is up. */
+  /** Terminates a machine if it is running. */
   void terminate(MachineId id) {
     SimWorker worker = workers.remove(id);
     if (worker != null) {
@@ -50,37 +50,37 @@
     }
   }
 
-  /** The worker of a machine, or null if it is not up. */
+  /** The worker of a machine, or null if the machine is not running. */
   SimWorker worker(MachineId id) {
     return workers.get(id);
   }
 
-  /** The workers of all machines that are up, ordered by name; a view. */
+  /** The workers of all running machines, ordered by name; a view. */
   Collection<SimWorker> workers() {
     return Collections.unmodifiableCollection(workers.values());
   }
 
-  /** Machines that were ever provisioned. */
+  /** Number of machines provisioned so far. */
   public int totalProvisioned() {
     return provisioned.totalProvisioned();
   }
 
-  /** Machines that are provisioned and not up. */
+  /** Machines that are booting. */
   public List<MachineId> booting() {
     return provisioned.booting();
   }
 
-  /** Machines that are up now, ordered by name. */
+  /** Running machines, ordered by name. */
   public List<SimWorker> live() {
     return List.copyOf(workers.values());
   }
 
-  /** Whether a machine is up. */
+  /** Whether a machine is running. */
   public boolean isLive(MachineId id) {
     return workers.containsKey(id);
   }
 
-  /** Machines that are up and run a job's tasks, ordered by name. */
+  /** Running machines that run tasks of a job, ordered by name. */
   public List<SimWorker> running(JobId id) {
     return cluster.tasks.distinctMachinesOf(id).stream()
         .map(workers::get)
@@ -88,7 +88,7 @@
         .toList();
   }
 
-  /** Machines that have sent a heartbeat and are up no more. */
+  /** Machines that have sent a heartbeat and are no longer running. */
   public List<MachineId> removed() {
     return heartbeatHistory.machines().stream().filter(id -> !isLive(id)).toList();
   }
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -7,16 +7,16 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 
-/** A network that delays, loses and holds back messages, by the seed. */
+/** A network that delays, queues and loses messages at random. */
 final class SimNetwork {
   private final SimClock clock;
   private final RandomGenerator random;
   double lossShare;
 
-  /** The longest way of a message in either direction while links are slow, or 0. */
+  /** Maximum message delay in either direction while links are slow, in seconds; otherwise 0. */
   double maxLinkDelayS;
 
-  /** Whether a cut holds messages back, to deliver them late, or only ever loses them. */
+  /** Whether a partition delivers some messages late instead of dropping all of them. */
   boolean queuesDuringPartition = true;
 
   SimNetwork(SimClock clock, RandomGenerator random) {
@@ -24,17 +24,18 @@
     this.random = random;
   }
 
-  /** Sends a request; the work is done where it arrives. */
+  /** Sends a request; the work runs when the request arrives. */
   <T> CompletableFuture<Outcome<T>> call(
-      Supplier<Boolean> cut, double timeoutS, Consumer<Consumer<Outcome<T>>> work) {
+      Supplier<Boolean> isDisconnected, double timeoutS, Consumer<Consumer<Outcome<T>>> work) {
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
-    if (cut.get()) {
+    if (isDisconnected.get()) {
       if (!queuesDuringPartition || random.nextDouble() < 0.5) {
-        clock.after(1, () -> result.complete(Outcome.notApplied(Reason.NO_CONNECTION, "cut")));
+        clock.after(
+            1, () -> result.complete(Outcome.notApplied(Reason.NO_CONNECTION, "partitioned")));
         return result;
       }
-      // Held back by the cut and delivered long after the sender has given up.
-      clock.after(timeoutS, () -> result.complete(Outcome.unknown("cut")));
+      // Queued during the partition and delivered long after the sender has timed out.
+      clock.after(timeoutS, () -> result.complete(Outcome.unknown("partitioned")));
       clock.after(5 + random.nextDouble() * 60, () -> work.accept(outcome -> {}));
       return result;
     }
@@ -54,7 +55,7 @@
     return result;
   }
 
-  /** A call whose request is lost: refused at once or never answered. */
+  /** A call whose request is lost: refused quickly or never answered. */
   <T> CompletableFuture<Outcome<T>> fail(boolean refused, double timeoutS) {
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
     clock.after(
@@ -62,8 +63,8 @@
         () ->
             result.complete(
                 refused
-                    ? Outcome.notApplied(Reason.NO_CONNECTION, "cut")
-                    : Outcome.unknown("cut")));
+                    ? Outcome.notApplied(Reason.NO_CONNECTION, "partitioned")
+                    : Outcome.unknown("partitioned")));
     return result;
   }
 
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -12,17 +12,15 @@
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/**
- * The key-value store as one controller process reaches it, with that process's share of limits.
- */
+/** The key-value store as seen by one controller process, with its share of the rate limits. */
 final class SimStoreClient extends InMemoryStoreClient {
-  /** Of the limit on changes, what the leader uses; the others share the rest. */
+  /** The leader's share of the limit on changes; the other controllers divide the rest. */
   private static final double LEADER_SHARE = 0.7;
 
-  /** After so long without an answer a listing is given up, in seconds. */
+  /** Timeout of a listing, in seconds. */
   private static final double LIST_TIMEOUT_S = 5;
 
-  /** A watch is given up so long after its own end. */
+  /** Margin after the end of a watch before it times out, in seconds. */
   private static final double WATCH_TIMEOUT_S = 5;
 
   private final SimCluster cluster;
@@ -33,7 +31,7 @@
   private final ResponseTimeouts timeouts;
   private boolean isLeading;
 
-  /** Tokens for requests, or null while they are not counted. */
+  /** Token bucket for requests, or null while requests are not limited. */
   private TokenBucket requests;
 
   SimStoreClient(SimCluster cluster, SimController owner) {
@@ -46,7 +44,10 @@
     this.timeouts = ResponseTimeouts.of(cluster.clock, Tuning.DEFAULT);
   }
 
-  /** The limit is for all controllers together; who leads uses most of it. */
+  /**
+   * The change rate of this process; the limit applies to all controllers together, and the leader
+   * gets most of it.
+   */
   private double rate(boolean leading) {
     return cluster.settings.limits().writeRps() * share(leading);
   }
@@ -64,11 +65,11 @@
     }
   }
 
-  private boolean refused() {
+  private boolean isRefused() {
     return service.refuses(owner.index());
   }
 
-  /** Brings a request to the service and its outcome back, unless the service refuses it. */
+  /** Carries a request to the store and its outcome back, unless the store refuses it. */
   private <T> CompletableFuture<Outcome<T>> send(double limitS, Supplier<Outcome<T>> work) {
     CompletableFuture<Outcome<T>> call =
         cluster.networkFaults.call(
@@ -80,7 +81,7 @@
                 faults.afterLatency(
                     () -> {
                       Outcome<T> outcome =
-                          refused() ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
+                          isRefused() ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
                       faults.afterLatency(() -> answer.accept(outcome));
                     }));
     return owner.guard(call);
@@ -96,8 +97,8 @@
     return timeouts.observe(send(limitS, work));
   }
 
-  /** Takes a token for a request, where requests are counted. */
-  private boolean mayAsk(RequestPriority priority) {
+  /** Takes a token for a request if requests are limited. */
+  private boolean tryTakeRequest(RequestPriority priority) {
     if (service.requestRps() == 0) {
       return true;
     }
@@ -113,7 +114,7 @@
 
   @Override
   public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
-    if (!mayAsk(priority)) {
+    if (!tryTakeRequest(priority)) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.storeRead();
@@ -129,7 +130,7 @@
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap swap, RequestPriority priority) {
-    if (!mayAsk(priority) || !changes.tryTake(priority, swap.changes().size())) {
+    if (!tryTakeRequest(priority) || !changes.tryTake(priority, swap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
     cluster.counts.storeChanges(swap.changes().size());
@@ -140,10 +141,10 @@
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
     return call(Kind.ofWrite(priority), () -> service.compareAndSwap(owner.index(), swap))
-        .thenApply(this::slowDownIfTooFast);
+        .thenApply(this::drainTokensIfRateLimited);
   }
 
-  private Outcome<Revision> slowDownIfTooFast(Outcome<Revision> outcome) {
+  private Outcome<Revision> drainTokensIfRateLimited(Outcome<Revision> outcome) {
     if (outcome instanceof Outcome.NotApplied<Revision> refused && refused.detail().equals("429")) {
       changes.drain();
     }
@@ -159,7 +160,7 @@
             () -> false,
             waitS + WATCH_TIMEOUT_S,
             answer -> {
-              if (refused()) {
+              if (isRefused()) {
                 answer.accept(Outcome.notApplied(Reason.REFUSED, "503"));
                 return;
               }
@@ -168,14 +169,14 @@
                       prefix,
                       from.value(),
                       waitS,
-                      this::watchIsSuspended,
+                      this::isWatchSuspended,
                       seen -> faults.afterLatency(() -> answer.accept(Outcome.applied(seen))));
             });
     return owner.guard(call);
   }
 
-  private boolean watchIsSuspended() {
-    return refused() || cluster.networkFaults.areDisconnected(owner.zone(), NetworkFaults.REGION);
+  private boolean isWatchSuspended() {
+    return isRefused() || cluster.networkFaults.areDisconnected(owner.zone(), NetworkFaults.REGION);
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimTask.java
+++ b/src/test/java/org/ternhinge/sim/SimTask.java
@@ -39,12 +39,12 @@
     state = TaskState.RUNNING;
   }
 
-  /** Ends it with all tasks of its machine; no heartbeat carries it any more. */
+  /** Ends the attempt with its machine or epoch; no heartbeat reports it any more. */
   void kill() {
     state = TaskState.ENDED;
   }
 
-  /** Ends it for a reason that the next heartbeats carry. */
+  /** Ends the attempt for a reason that the following heartbeats report. */
   void end(EndReason reason) {
     state = TaskState.ENDED;
     endReason = reason;
--- a/src/test/java/org/ternhinge/sim/SimTaskRunner.java
+++ b/src/test/java/org/ternhinge/sim/SimTaskRunner.java
@@ -8,20 +8,20 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskStatus;
 
-/** The tasks of one simulated machine: carries out commands and runs tasks to their ends. */
+/** Executes commands and runs the tasks of one simulated machine. */
 final class SimTaskRunner {
-  /** Time of an image fetch. */
+  /** Duration of an image fetch, in seconds. */
   private static final double FETCH_S = 1;
 
-  /** How long a task runs that fails by itself. */
-  private static final double FAILS_AFTER_S = 0.5;
+  /** Run time of a task that fails by itself, in seconds. */
+  private static final double FAILURE_DELAY_S = 0.5;
 
   private final SimCluster cluster;
   private final SimWorker machine;
   private final MachineHang hang;
   private final Runnable onChange;
 
-  /** Attempts by task and attempt number, until they are cleared. */
+  /** Attempts that are not cleared, by task and attempt number. */
   private final Map<String, SimTask> tasks = new LinkedHashMap<>();
 
   private boolean failsEveryTask;
@@ -29,7 +29,7 @@
   /**
    * Creates a runner without tasks.
    *
-   * @param onChange called after each change of a task's state that heartbeats carry
+   * @param onChange called after each change of a task's state that heartbeats report
    */
   SimTaskRunner(SimCluster cluster, SimWorker machine, MachineHang hang, Runnable onChange) {
     this.cluster = cluster;
@@ -38,7 +38,7 @@
     this.onChange = onChange;
   }
 
-  /** Every task that starts from now on fails. */
+  /** Makes every task that starts from now on fail. */
   void failEveryTask() {
     failsEveryTask = true;
   }
@@ -48,7 +48,7 @@
     return tasks.values().stream().map(SimTask::status).toList();
   }
 
-  /** Kills all tasks; their attempts stay until the next epoch. */
+  /** Kills all tasks; their attempts are kept until the next epoch. */
   void killAll() {
     tasks.values().forEach(this::kill);
   }
@@ -60,13 +60,13 @@
   }
 
   private void kill(SimTask task) {
-    noteLeft(task);
+    reportIfLeft(task);
     task.kill();
   }
 
   // ---- commands -------------------------------------------------------------------------------
 
-  /** Carries out a command; a repeated one changes nothing. */
+  /** Executes a command; a repeated one has no effect. */
   void execute(Command command) {
     String key = command.task() + "#" + command.attempt();
     SimTask task = tasks.get(key);
@@ -102,48 +102,48 @@
     hang.runAfterActiveTime(FETCH_S, () -> run(key, task, spec));
   }
 
-  // ---- life of a task -------------------------------------------------------------------------
+  // ---- task lifecycle -------------------------------------------------------------------------
 
-  /** Whether an attempt is still the one under its key. */
-  private boolean holds(String key, SimTask task) {
+  /** Whether an attempt is still the current one under its key. */
+  private boolean isCurrent(String key, SimTask task) {
     return tasks.get(key) == task;
   }
 
-  /** The image is fetched. */
+  /** Runs a task whose image is fetched. */
   private void run(String key, SimTask task, JobSpec spec) {
-    if (!holds(key, task) || !task.isFetching()) {
+    if (!isCurrent(key, task) || !task.isFetching()) {
       return;
     }
     task.markRunning();
     cluster.events.started(machine, task.id(), spec);
     onChange.run();
     if (failsEveryTask || cluster.jobs.isFaulty(task.id().job())) {
-      hang.runAfterActiveTime(FAILS_AFTER_S, () -> fail(key, task));
+      hang.runAfterActiveTime(FAILURE_DELAY_S, () -> fail(key, task));
     } else if (!spec.isService()) {
       hang.runAfterActiveTime(spec.estimateS(), () -> complete(key, task));
     }
   }
 
   private void fail(String key, SimTask task) {
-    if (holds(key, task) && task.isRunning()) {
+    if (isCurrent(key, task) && task.isRunning()) {
       end(task, EndReason.ERROR);
     }
   }
 
   private void complete(String key, SimTask task) {
-    if (holds(key, task) && task.isRunning()) {
+    if (isCurrent(key, task) && task.isRunning()) {
       cluster.events.completed(task.id());
       end(task, EndReason.DONE);
     }
   }
 
   private void end(SimTask task, EndReason reason) {
-    noteLeft(task);
+    reportIfLeft(task);
     task.end(reason);
     onChange.run();
   }
 
-  private void noteLeft(SimTask task) {
+  private void reportIfLeft(SimTask task) {
     if (task.isRunning()) {
       cluster.events.left(machine, task.id());
     }
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -6,18 +6,18 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Users that submit, poll and cancel jobs as the protocol says. Every answer is checked against its
- * rules; what breaks one is among the cluster's violations.
+ * Users that submit, poll and cancel jobs as the protocol prescribes. Every response is checked
+ * against the rules; violations are recorded in the cluster.
  */
 public final class SimUsers {
-  /** A job about which nothing is answered for so long counts as forgotten. */
+  /** Time without a response after which a job counts as forgotten, in seconds. */
   private static final double FORGOTTEN_S = 75;
 
   private static final int SEED = 5;
 
   private static final double POLL_INTERVAL_S = 3;
 
-  /** Far more than the rounding of times, far less than any interval. */
+  /** Larger than any rounding error of times and much smaller than any interval. */
   private static final double TIME_TOLERANCE_S = 1e-6;
 
   private final SimCluster cluster;
@@ -27,9 +27,9 @@
   private final UserCancellations cancellations;
   private final InvalidRequests invalidRequests;
   private final StarvationCheck starvation;
-  private double quietSince = Double.MAX_VALUE;
+  private double timelyAnswersSince = Double.MAX_VALUE;
 
-  /** Creates users of a cluster that have submitted nothing yet. */
+  /** Creates users of a cluster that have not submitted anything yet. */
   public SimUsers(SimCluster cluster) {
     this.cluster = cluster;
     SplittableRandom random = new SplittableRandom(SEED);
@@ -43,27 +43,27 @@
 
   // ---- submissions ----------------------------------------------------------------------------
 
-  /** Submits a job, again and again until it is accepted. */
+  /** Submits a job and retries until it is accepted. */
   public void submit(SubmissionBuilder job) {
     submissions.submit(job.json());
   }
 
-  /** Submits a job as soon as all that it names are accepted. */
+  /** Submits a job as soon as all its dependencies are accepted. */
   public void submitAfterDependencies(SubmissionBuilder job) {
     submissions.submitAfterDependencies(job.json());
   }
 
-  /** Submits a job so many seconds after all that it names are over. */
+  /** Submits a job the given number of seconds after all its dependencies have ended. */
   public void submitAfterEnds(SubmissionBuilder job, double delayS) {
     submissions.submitAfterEnds(job.json(), delayS);
   }
 
-  /** Counts a job as accepted that was submitted before the cluster began. */
+  /** Treats a job as accepted that was submitted before the cluster started. */
   public void assumeAccepted(JobSpec spec) {
     jobs.accepted(spec);
   }
 
-  /** The jobs that were accepted, in that order. */
+  /** The accepted jobs, in order of acceptance. */
   public List<JobId> accepted() {
     return jobs.accepted();
   }
@@ -80,9 +80,9 @@
 
   // ---- polls ----------------------------------------------------------------------------------
 
-  /** All faults are over: from now on every job has to be answered for in time. */
+  /** Requires timely responses for every job from now on, since all faults have ended. */
   public void expectTimelyAnswers() {
-    quietSince = cluster.clock.seconds();
+    timelyAnswersSince = cluster.clock.seconds();
   }
 
   /** Advances the clock while users poll all their jobs, every three seconds and at the end. */
@@ -95,55 +95,58 @@
   }
 
   /**
-   * Asks about every accepted job, and notes those without an answer for too long and those that
-   * wait too long beside free room.
+   * Polls every accepted job, and records jobs that go without a response for too long or that wait
+   * too long despite available capacity.
    */
   public void pollAll() {
     submissions.submitPending();
     for (JobId id : accepted()) {
-      double from = Math.max(quietSince, jobs.lastAnsweredAt(id));
+      double from = Math.max(timelyAnswersSince, jobs.lastAnsweredAt(id));
       if (cluster.clock.seconds() - from > FORGOTTEN_S) {
         jobs.violation("forgotten: " + id + " has no answer since " + from);
       }
       polls.poll(id);
-      if (cluster.clock.seconds() > quietSince && !mayBeCancelled(id)) {
+      if (cluster.clock.seconds() > timelyAnswersSince && !mayBeCancelled(id)) {
         starvation.check(spec(id));
       }
     }
   }
 
-  /** Asks every controller about a job, once it is accepted. */
+  /** Polls a job at every controller, once it is accepted. */
   public void pollAllControllers(JobId id) {
     polls.pollAllControllers(id);
   }
 
-  /** The last state with which a user's question about a job was answered, or null. */
+  /** The job state in the last response to a user, or null. */
   public String lastState(JobId id) {
     return jobs.lastState(id);
   }
 
   // ---- cancellations --------------------------------------------------------------------------
 
-  /** Requests a cancellation until it is answered, unless it was requested before. */
+  /** Requests a cancellation and retries until it is answered, unless one was requested before. */
   public void cancel(JobId id) {
     cancellations.cancel(id);
   }
 
   /**
-   * Asks to cancel all services, those too whose acceptance was never answered: one of them may run
-   * all the same, and would hold its team's limit for ever.
+   * Requests the cancellation of all services, including those whose submission was never answered:
+   * such a service may run all the same, and would use the limit of its team for ever.
    */
   public void cancelServices() {
     jobs.submittedServices().forEach(cancellations::cancel);
   }
 
-  /** Asks one controller to cancel a job; what follows runs as soon as the user has the answer. */
+  /**
+   * Requests a cancellation at one controller; the action runs as soon as the user has the
+   * response.
+   */
   public void cancelAt(int controller, JobId id, Runnable then) {
     cancellations.cancelAt(controller, id, then);
   }
 
   /**
-   * For a share of jobs a cancellation, a poll and a repeated submission arrive at the very end of
+   * For a share of jobs, sends a cancellation, polls and repeated submissions right at the end of
    * the last task.
    */
   public void cancelAtCompletion(double share) {
@@ -155,24 +158,24 @@
     return jobs.cancelRequested(id);
   }
 
-  /** Whether a job may be cancelled by now, for itself or with a dependency. */
+  /** Whether a job may be cancelled by now, by itself or through a dependency. */
   public boolean mayBeCancelled(JobId id) {
     return jobs.mayBeCancelled(id);
   }
 
-  /** Whether a job has to be cancelled: it is, or a dependency is. */
+  /** Whether a job must be cancelled, because it or a dependency was reported as cancelled. */
   public boolean mustBeCancelled(JobId id) {
     return jobs.mustBeCancelled(id);
   }
 
   // ---- invalid requests -----------------------------------------------------------------------
 
-  /** Sends one of the requests that a careful user would not send. */
+  /** Sends a random invalid request, other than one about dependencies. */
   public void sendInvalidRequest() {
     invalidRequests.send();
   }
 
-  /** Sends a submission with invalid names of other jobs, which has to be refused at once. */
+  /** Sends a submission with invalid dependencies, which has to be rejected at once. */
   public void sendInvalidDependencies() {
     invalidRequests.sendInvalidDependencies();
   }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -17,12 +17,14 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * A machine with its worker as the protocol describes it: agent epochs, fencing tokens, the worker
- * lease and heartbeats. Its tasks run in a {@link SimTaskRunner}.
+ * A simulated machine with a worker that follows the protocol: agent epochs, fencing tokens, the
+ * worker lease and heartbeats. Its tasks run in a {@link SimTaskRunner}.
  */
 public final class SimWorker {
-  /** Delay of a heartbeat upon a change, in seconds; changes of that time go out together. */
-  private static final double HEARTBEAT_GAP_S = 0.5;
+  /**
+   * Delay of a heartbeat after a change, in seconds; changes during the delay share one heartbeat.
+   */
+  private static final double HEARTBEAT_DELAY_S = 0.5;
 
   private static final double LEASE_CHECK_S = 0.5;
 
@@ -40,12 +42,12 @@
   private int epoch = 1;
   private long sequence;
   private Term fencingToken = Term.NONE;
-  private SteadyTime leaseFrom;
+  private SteadyTime leaseStart;
 
-  /** Heartbeats that were sent. */
+  /** Number of heartbeats sent. */
   private int heartbeats;
 
-  private boolean dead;
+  private boolean terminated;
 
   SimWorker(SimCluster cluster, MachineId id, MachineType machineType, String zone, boolean spot) {
     this.cluster = cluster;
@@ -60,12 +62,12 @@
     this.target =
         new HeartbeatTarget(cluster.nodeCount(), cluster.random.nextInt(cluster.nodeCount()));
     this.startedAt = cluster.clock.now();
-    this.leaseFrom = startedAt;
-    watchLease();
+    this.leaseStart = startedAt;
+    scheduleLeaseCheck();
     heartbeat();
   }
 
-  /** The name of its machine. */
+  /** The identifier of its machine. */
   public MachineId id() {
     return id;
   }
@@ -89,19 +91,19 @@
     return hang.isActive();
   }
 
-  /** Every task that starts from now on fails. */
+  /** Makes every task that starts from now on fail. */
   void failEveryTask() {
     tasks.failEveryTask();
   }
 
-  /** Stops executing; a hang that is under way may become longer. */
+  /** Hangs for a while, or extends a hang in progress. */
   void hang(double seconds) {
     hang.begin(seconds);
     cluster.clock.after(seconds, this::resume);
   }
 
   private void resume() {
-    if (dead || !hang.hasElapsed()) {
+    if (terminated || !hang.hasElapsed()) {
       return;
     }
     hang.end();
@@ -110,13 +112,13 @@
     heartbeat();
   }
 
-  /** Ends the machine for ever. */
+  /** Terminates the machine permanently. */
   void terminate() {
-    dead = true;
+    terminated = true;
     tasks.killAndClearAll();
   }
 
-  /** Restarts the machine: its tasks are lost and its next epoch begins. */
+  /** Restarts the machine: its tasks are lost and the next epoch begins. */
   void restart() {
     beginEpoch();
     heartbeatSoon();
@@ -124,25 +126,25 @@
 
   // ---- lease ----------------------------------------------------------------------------------
 
-  private void watchLease() {
+  private void scheduleLeaseCheck() {
     cluster.clock.after(
         LEASE_CHECK_S,
         () -> {
-          if (dead) {
+          if (terminated) {
             return;
           }
           if (!isHung()) {
             checkLease();
           } else if (leaseExpired()) {
-            // They can't go on; the worker certainly kills them when it resumes.
+            // The tasks can't continue: the worker kills them as soon as it resumes.
             tasks.killAll();
           }
-          watchLease();
+          scheduleLeaseCheck();
         });
   }
 
   private boolean leaseExpired() {
-    return cluster.clock.now().secondsSince(leaseFrom) > ClusterSettings.LEASE_S;
+    return cluster.clock.now().secondsSince(leaseStart) > ClusterSettings.LEASE_S;
   }
 
   private void checkLease() {
@@ -154,7 +156,7 @@
   private void beginEpoch() {
     tasks.killAndClearAll();
     epoch++;
-    leaseFrom = cluster.clock.now();
+    leaseStart = cluster.clock.now();
   }
 
   // ---- heartbeats -----------------------------------------------------------------------------
@@ -163,9 +165,9 @@
   private void heartbeatSoon() {
     int before = heartbeats;
     cluster.clock.after(
-        HEARTBEAT_GAP_S,
+        HEARTBEAT_DELAY_S,
         () -> {
-          if (!dead && !isHung() && heartbeats == before) {
+          if (!terminated && !isHung() && heartbeats == before) {
             heartbeat();
           }
         });
@@ -186,7 +188,7 @@
   }
 
   private void heartbeat() {
-    if (dead || isHung()) {
+    if (terminated || isHung()) {
       return;
     }
     int number = ++heartbeats;
@@ -200,7 +202,7 @@
   }
 
   private void answered(Outcome<Response> outcome, int sentInEpoch, SteadyTime sent, int number) {
-    if (dead) {
+    if (terminated) {
       return;
     }
     if (isHung()) {
@@ -229,7 +231,7 @@
         });
   }
 
-  /** Applies an answer to a heartbeat: its fencing token, its lease renewal and its commands. */
+  /** Applies a response to a heartbeat: fencing token, lease renewal and commands. */
   private void accept(byte[] body, SteadyTime sent) {
     Term answered = HeartbeatResponses.fencingToken(body);
     if (answered.compareTo(fencingToken) < 0) {
@@ -239,16 +241,16 @@
       fencingToken = answered;
       heartbeatSoon();
     }
-    leaseFrom = sent;
+    leaseStart = sent;
     HeartbeatResponses.commands(body).forEach(tasks::execute);
   }
 
   // ---- direct commands ------------------------------------------------------------------------
 
-  /** A direct command arrives, perhaps long after it was sent. */
+  /** Executes a direct command, which may arrive long after it was sent. */
   void command(
       Term term, AgentEpoch to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
-    if (dead) {
+    if (terminated) {
       return;
     }
     if (isHung()) {
--- a/src/test/java/org/ternhinge/sim/Specs.java
+++ b/src/test/java/org/ternhinge/sim/Specs.java
@@ -5,11 +5,11 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Submissions for tests: a plain one, to be changed field by field. */
+/** Creates and parses job submissions for tests. */
 public final class Specs {
   private Specs() {}
 
-  /** A submission of a small job. */
+  /** A submission of a small job with default fields. */
   public static ObjectNode json(String id, String kind, int tasks) {
     ObjectNode json = Json.object().put("ref", id).put("runflokkur", "c").put("eigandi", "red");
     json.put("gerd", kind).put("forgang", "normal").put("verkbitar", tasks);
@@ -20,7 +20,7 @@
     return json.putNull("skiladagur_s");
   }
 
-  /** Reads a submission that has to be valid. */
+  /** Parses a submission, which must be valid. */
   public static JobSpec of(ObjectNode json) {
     try {
       return JobSpec.read(json);
--- a/src/test/java/org/ternhinge/sim/StarvationCheck.java
+++ b/src/test/java/org/ternhinge/sim/StarvationCheck.java
@@ -7,41 +7,46 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
 
-/** Jobs that wait although a machine that fits has room and their team is under its limit. */
+/**
+ * Detects jobs that wait although a suitable machine has room and their team is below its limit.
+ */
 final class StarvationCheck {
-  private static final double MOST_S = 90;
+  private static final double MAX_WAIT_S = 90;
 
   private final SimCluster cluster;
 
-  /** Since when a job has been waiting beside room, and the starts that it had then. */
+  /**
+   * Time since which a job has been waiting despite capacity, and its number of starts at that
+   * time.
+   */
   private final Map<JobId, Double> since = new HashMap<>();
 
-  private final Map<JobId, Integer> startsThen = new HashMap<>();
+  private final Map<JobId, Integer> previousStarts = new HashMap<>();
 
   StarvationCheck(SimCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** To be called every few seconds for each accepted job that nobody cancelled. */
+  /** Checks an accepted job that nobody cancelled; to be called every few seconds. */
   void check(JobSpec spec) {
     JobId id = spec.id();
     int starts = cluster.tasks.startsOf(id);
-    // Whoever waits for other jobs is not left waiting.
-    boolean waitsForOthers = cluster.jobs.unfinishedDependency(id) != null;
-    if (waitsForOthers
-        || !waitsBesideRoom(spec)
-        || !Integer.valueOf(starts).equals(startsThen.put(id, starts))) {
+    // A job that waits for its dependencies is not starved.
+    boolean waitsForDependencies = cluster.jobs.unfinishedDependency(id) != null;
+    if (waitsForDependencies
+        || !waitsDespiteCapacity(spec)
+        || !Integer.valueOf(starts).equals(previousStarts.put(id, starts))) {
       since.remove(id);
       return;
     }
     double from = since.computeIfAbsent(id, k -> cluster.clock.seconds());
-    if (cluster.clock.seconds() - from > MOST_S) {
+    if (cluster.clock.seconds() - from > MAX_WAIT_S) {
       cluster.violations.add("left waiting: " + id + " since " + from);
       since.remove(id);
     }
   }
 
-  private boolean waitsBesideRoom(JobSpec spec) {
+  private boolean waitsDespiteCapacity(JobSpec spec) {
     int missing = 0;
     for (int i = 0; i < spec.tasks(); i++) {
       TaskId task = new TaskId(spec.id(), i);
@@ -55,27 +60,27 @@
       return false;
     }
     if (!spec.together()) {
-      return placesIn(null, spec, required) >= required;
+      return availablePlaces(null, spec, required) >= required;
     }
     for (String zone : cluster.settings.zones()) {
-      if (placesIn(zone, spec, required) >= required) {
+      if (availablePlaces(zone, spec, required) >= required) {
         return true;
       }
     }
     return false;
   }
 
-  /** Places for a job's tasks, at most as many as are wanted. */
-  private int placesIn(String zone, JobSpec spec, int wanted) {
+  /** Number of available places for tasks of a job, up to the required number. */
+  private int availablePlaces(String zone, JobSpec spec, int required) {
     Map<String, Integer> byZone = new HashMap<>(cluster.placement.tasksByZone(spec.id()));
     int places = 0;
     for (SimWorker worker : cluster.machines.live()) {
-      boolean elsewhere = spec.together() && elsewhere(byZone, worker.zone);
-      if (!isReachable(worker) || !allowed(spec, worker, zone) || elsewhere) {
+      boolean otherZone = spec.together() && runsInOtherZone(byZone, worker.zone);
+      if (!isReachable(worker) || !allowed(spec, worker, zone) || otherZone) {
         continue;
       }
       Resources left = cluster.tasks.freeResources(worker);
-      while (places < wanted
+      while (places < required
           && spec.need().fitsIn(left)
           && byZone.getOrDefault(worker.zone, 0) < spec.zoneLimit()) {
         left = left.minus(spec.need());
@@ -90,7 +95,7 @@
     return worker.links().areHealthy() && !worker.isHung();
   }
 
-  /** Whether a job permits a machine, within a zone or any where that is null. */
+  /** Whether a job permits a machine, in the given zone or in any zone if that is null. */
   private static boolean allowed(JobSpec spec, SimWorker worker, String zone) {
     return spec.allowsType(worker.machineType.name())
         && spec.allowsZone(worker.zone)
@@ -98,7 +103,7 @@
         && (!worker.spot || spec.spotAllowed());
   }
 
-  private static boolean elsewhere(Map<String, Integer> byZone, String zone) {
+  private static boolean runsInOtherZone(Map<String, Integer> byZone, String zone) {
     return byZone.entrySet().stream().anyMatch(e -> e.getValue() > 0 && !e.getKey().equals(zone));
   }
 }
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -4,18 +4,18 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * Faults of the key-value store: outages, refusals of single controllers, late transactions, slow
- * answers and lower limits.
+ * Faults of the key-value store: outages, refusal of single controllers, delayed transactions, slow
+ * responses and lowered limits.
  */
 public final class StoreFaults {
-  private static final double LEAST_LATE_S = 2;
-  private static final double MOST_MORE_LATE_S = 10;
+  private static final double MIN_WRITE_DELAY_S = 2;
+  private static final double WRITE_DELAY_RANGE_S = 10;
 
   private final SimClock clock;
   private final SimKeyValueStore service;
   private final RandomGenerator random;
-  private double lateShare;
-  private SteadyTime lateUntil;
+  private double delayedWriteShare;
+  private SteadyTime writesDelayedUntil;
   private double latencyS;
   private SteadyTime slowUntil;
 
@@ -25,21 +25,21 @@
     this.random = random;
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean isActive(SteadyTime until) {
     return until != null && clock.now().isBefore(until);
   }
 
-  /** The service refuses everybody for so long. */
+  /** Refuses all requests for a while. */
   public void outage(double seconds) {
     service.outage(seconds);
   }
 
-  /** The service refuses one controller alone for so long. */
+  /** Refuses one controller only for a while. */
   public void refuse(int controller, double seconds) {
     service.refuse(controller, seconds);
   }
 
-  /** Again and again the service refuses whoever leads by then. */
+  /** Periodically refuses the controller that leads at that time. */
   public void refuseLeaders(int times, double everyS, double refusedS) {
     for (int i = 0; i < times; i++) {
       clock.after(i * everyS, () -> refuseLeader(refusedS));
@@ -53,27 +53,29 @@
     }
   }
 
-  /** That share of transactions gets no answer and is carried out 2 to 12 s later. */
+  /** Leaves a share of transactions unanswered and applies them 2 to 12 s later. */
   public void delayWrites(double share, double seconds) {
-    lateShare = share;
-    lateUntil = clock.now().plusSeconds(seconds);
+    delayedWriteShare = share;
+    writesDelayedUntil = clock.now().plusSeconds(seconds);
   }
 
-  /** Seconds by which a transaction at hand is carried out late, or 0. */
+  /** Delay of the next transaction in seconds, or 0. */
   double nextWriteDelayS() {
-    boolean late = lasts(lateUntil) && random.nextDouble() < lateShare;
-    return late ? LEAST_LATE_S + random.nextDouble() * MOST_MORE_LATE_S : 0;
+    boolean late = isActive(writesDelayedUntil) && random.nextDouble() < delayedWriteShare;
+    return late ? MIN_WRITE_DELAY_S + random.nextDouble() * WRITE_DELAY_RANGE_S : 0;
   }
 
-  /** Answers take from a quarter of that latency to all of it. */
+  /** Delays responses by between a quarter of the latency and all of it. */
   public void slowResponses(double seconds, double latency) {
     latencyS = latency;
     slowUntil = clock.now().plusSeconds(seconds);
   }
 
-  /** Carries out half of a call, the way there or back, later than usual while it is slow. */
+  /**
+   * Executes one half of a call, request or response, with extra latency while the store is slow.
+   */
   void afterLatency(Runnable work) {
-    if (!lasts(slowUntil)) {
+    if (!isActive(slowUntil)) {
       work.run();
       return;
     }
@@ -81,14 +83,14 @@
   }
 
   /**
-   * From now on the service takes less, without notice; what it holds stays readable. Larger
-   * transactions are answered 400, faster ones 429.
+   * Lowers the limits from now on without notice; stored values stay readable. Transactions that
+   * are too large are answered 400, those above the rate limit 429.
    */
   public void lowerLimits(double valueKb, int maxChangesPerSwap, double writeRps) {
     service.setLimits(new SimCluster.Limits(valueKb, maxChangesPerSwap, writeRps));
   }
 
-  /** The limits become those that the settings name as coming. */
+  /** Lowers the limits to the announced ones. */
   public void lowerLimits() {
     service.setLimits(SimCluster.ANNOUNCED);
   }
--- a/src/test/java/org/ternhinge/sim/StoreLimits.java
+++ b/src/test/java/org/ternhinge/sim/StoreLimits.java
@@ -13,39 +13,39 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The limits of the key-value store as the protocol gives them; they may be lowered at any time.
+ * The limits of the key-value store as the protocol defines them; they may be lowered at any time.
  */
 final class StoreLimits {
   private static final int MAX_BODY = 64 * 1024;
-  private static final int CONDITIONS_TO_A_CHANGE = 4;
+  private static final int CONDITIONS_PER_CHANGE = 4;
 
   private final TokenBucket writes;
-  private SimCluster.Limits now;
+  private SimCluster.Limits current;
 
-  /** Transactions that were too large, and those that came too fast. */
+  /** Numbers of transactions rejected because of their size and because of the rate limit. */
   int rejectedTooLarge;
 
   int rejectedTooFast;
 
   StoreLimits(Clock clock, SimCluster.Limits initial) {
-    this.now = initial;
+    this.current = initial;
     this.writes = new TokenBucket(clock, initial.writeRps());
   }
 
-  /** Changes the limits; stored values stay as they are. */
+  /** Changes the limits; stored values are unaffected. */
   void set(SimCluster.Limits to) {
-    now = to;
+    current = to;
     writes.setRate(to.writeRps());
   }
 
-  /** Applies a transaction if it keeps to the limits. */
+  /** Applies a transaction if it is within the limits. */
   Outcome<Revision> apply(CompareAndSwap swap, Function<CompareAndSwap, Outcome<Revision>> write) {
     String violation = violation(swap);
     if (violation != null) {
       rejectedTooLarge++;
       return Outcome.notApplied(Reason.INVALID, violation);
     }
-    // Counted before the conditions are evaluated, and also if they fail.
+    // The rate limit is charged before the conditions are evaluated, even if they fail.
     int changes = swap.changes().size();
     if (changes > 0 && !writes.tryTake(RequestPriority.RENEWAL, changes)) {
       rejectedTooFast++;
@@ -55,10 +55,10 @@
   }
 
   private String violation(CompareAndSwap swap) {
-    if (swap.changes().size() > now.maxChangesPerSwap()) {
-      return swap.changes().size() + " changes, " + now.maxChangesPerSwap() + " are allowed";
+    if (swap.changes().size() > current.maxChangesPerSwap()) {
+      return swap.changes().size() + " changes, " + current.maxChangesPerSwap() + " are allowed";
     }
-    if (swap.conditions().size() > CONDITIONS_TO_A_CHANGE * now.maxChangesPerSwap()) {
+    if (swap.conditions().size() > CONDITIONS_PER_CHANGE * current.maxChangesPerSwap()) {
       return swap.conditions().size() + " conditions";
     }
     for (Change c : swap.changes()) {
@@ -67,8 +67,8 @@
       }
       if (c instanceof Change.Put put) {
         int size = Json.bytes(put.value()).length;
-        if (size > now.valueKb() * 1024) {
-          return put.key() + " has " + size + " bytes, " + now.valueKb() + " KiB are allowed";
+        if (size > current.valueKb() * 1024) {
+          return put.key() + " has " + size + " bytes, " + current.valueKb() + " KiB are allowed";
         }
       }
     }
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilder.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilder.java
@@ -9,8 +9,9 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Builds submissions for tests, so that the wire's field names stand in one place. A new one is the
- * small job of {@link Specs#json}; each method changes one field and returns this builder.
+ * Builds submissions for tests, so that the wire field names are defined in one place. A new
+ * builder holds the small job of {@link Specs#json}; each method sets one field and returns this
+ * builder.
  */
 public final class SubmissionBuilder {
   private static final String SERVICE = "daemon";
@@ -34,7 +35,7 @@
     return this;
   }
 
-  /** Sets the class of jobs, by which failover is ordered. */
+  /** Sets the job class, which determines the failover order. */
   public SubmissionBuilder jobClass(String name) {
     body.put("runflokkur", name);
     return this;
@@ -58,9 +59,7 @@
     return this;
   }
 
-  /**
-   * Gives a service the priority "production" and no spot machines; other kinds stay as they are.
-   */
+  /** Sets priority "production" and disallows spot machines if the job is a service. */
   public SubmissionBuilder productionIfService() {
     if (SERVICE.equals(body.get("gerd").asText())) {
       priority("production").spotAllowed(false);
@@ -96,7 +95,7 @@
 
   // ---- placement ------------------------------------------------------------------------------
 
-  /** Permits machines of these types only. */
+  /** Restricts the job to these machine types. */
   public SubmissionBuilder machineTypes(String... types) {
     ArrayNode names = body.putArray("velagerdir");
     for (String type : types) {
@@ -105,7 +104,7 @@
     return this;
   }
 
-  /** Permits machines of one zone only. */
+  /** Restricts the job to one zone. */
   public SubmissionBuilder zone(String zone) {
     body.put("svaedi", zone);
     return this;
@@ -131,13 +130,13 @@
 
   // ---- times ----------------------------------------------------------------------------------
 
-  /** Sets how long each task runs, in seconds. */
+  /** Sets the run time of each task, in seconds. */
   public SubmissionBuilder runsFor(double seconds) {
     body.put("aaetlun_s", seconds);
     return this;
   }
 
-  /** Sets the checkpoints of each task, in seconds. */
+  /** Sets the checkpoint interval and the time to save a checkpoint, in seconds. */
   public SubmissionBuilder checkpoints(double intervalS, double saveS) {
     body.put("vista_bil_s", intervalS).put("vistun_s", saveS);
     return this;
@@ -151,7 +150,7 @@
 
   // ---- dependencies ---------------------------------------------------------------------------
 
-  /** Sets the jobs that this one depends on; none leaves the field out. */
+  /** Sets the jobs that this one depends on; an empty list omits the field. */
   public SubmissionBuilder dependsOn(List<JobId> ids) {
     if (!ids.isEmpty()) {
       ArrayNode names = body.putArray("bidur_eftir");
@@ -160,7 +159,7 @@
     return this;
   }
 
-  /** Sets the field of dependencies to any JSON value, a malformed one too. */
+  /** Sets the dependencies field to any JSON value, including malformed ones. */
   public SubmissionBuilder rawDependencies(JsonNode value) {
     body.set("bidur_eftir", value);
     return this;
@@ -178,12 +177,12 @@
     return body;
   }
 
-  /** The submission as it goes over the wire. */
+  /** The submission as serialized on the wire. */
   public byte[] bytes() {
     return Json.bytes(body);
   }
 
-  /** The submission as the controllers read it; it has to be valid. */
+  /** The submission as parsed by the controllers; it must be valid. */
   public JobSpec spec() {
     return Specs.of(body);
   }
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobSpec;
 
-/** Built submissions are read by the controllers with the fields that were set. */
+/** Controllers parse built submissions with the fields that were set. */
 class SubmissionBuilderTest {
   @Test
   void everyFieldIsReadBack() {
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -8,7 +8,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobSpec;
 
-/** What happens to tasks in a cluster, passed on to the checks of the rules. */
+/** Events of tasks in a cluster, forwarded to the rule checks. */
 final class TaskEvents {
   private final JobCatalog jobs;
   private final TaskObservations tasks;
@@ -17,7 +17,7 @@
   private final List<TaskObserver> checks;
   private Consumer<JobId> lastTaskEnded = id -> {};
 
-  /** Creates the events; the checks receive each event in their order. */
+  /** Creates the events; the checks are called in the order of the list. */
   TaskEvents(
       JobCatalog jobs,
       TaskObservations tasks,
@@ -31,26 +31,26 @@
     this.checks = checks;
   }
 
-  /** Commands leave a controller, as a direct message or in an answer to a heartbeat. */
+  /** A controller sends commands, directly or in a response to a heartbeat. */
   void commandsSent(MachineId to, List<Command> commands) {
     cancellations.sent(to, commands);
     dependencyCheck.sent(commands);
   }
 
-  /** A task takes its place on a machine. */
+  /** A task starts on a machine. */
   void started(SimWorker machine, TaskId task, JobSpec spec) {
     TaskObserver.Start start =
         new TaskObserver.Start(machine, task, spec, tasks.started(machine, task));
     checks.forEach(check -> check.started(start));
   }
 
-  /** A task is on a machine no more. */
+  /** A task has left its machine. */
   void left(SimWorker machine, TaskId task) {
     tasks.left(machine, task);
     checks.forEach(check -> check.left(machine, task, jobs.spec(task.job())));
   }
 
-  /** A task is completed, and with it its whole gang. */
+  /** A task completes; the completion of a gang task completes the whole gang. */
   void completed(TaskId task) {
     JobSpec spec = jobs.spec(task.job());
     boolean ended = false;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Sets a listener that is called with each job as its last task ends. */
+  /** Sets a listener that is called with each job when its last task ends. */
   void onLastTaskEnd(Consumer<JobId> listener) {
     lastTaskEnded = listener;
   }
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -17,31 +17,31 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobSpec;
 
-/** Which tasks run where and which have run, as seen on the simulated machines. */
+/** Task starts and running tasks as observed on the simulated machines. */
 public final class TaskObservations {
-  /** A task starts on a machine of a zone. */
+  /** The start of a task on a machine. */
   public record Start(double at, TaskId task, MachineId machine, String zone) {}
 
   private final SimClock clock;
   private final JobCatalog jobs;
   private final Map<TaskId, Set<MachineId>> running = new HashMap<>();
-  private final Map<TaskId, Double> firstStart = new HashMap<>();
+  private final Map<TaskId, Double> firstStarts = new HashMap<>();
   private final Map<MachineId, Integer> startsOn = new HashMap<>();
   private final Map<JobId, Integer> startsOf = new HashMap<>();
   private final Map<MachineId, Integer> startsSentTo = new HashMap<>();
   private int starts;
-  private final List<Start> history = new ArrayList<>();
+  private final List<Start> startHistory = new ArrayList<>();
 
   TaskObservations(SimClock clock, JobCatalog jobs) {
     this.clock = clock;
     this.jobs = jobs;
   }
 
-  /** Notes a start and gives the machines on which the task was already. */
+  /** Records a start and returns the machines on which the task already was. */
   Set<MachineId> started(SimWorker machine, TaskId task) {
     starts++;
-    history.add(new Start(clock.seconds(), task, machine.id(), machine.zone));
-    firstStart.putIfAbsent(task, clock.seconds());
+    startHistory.add(new Start(clock.seconds(), task, machine.id(), machine.zone));
+    firstStarts.putIfAbsent(task, clock.seconds());
     startsOn.merge(machine.id(), 1, Integer::sum);
     startsOf.merge(task.job(), 1, Integer::sum);
     Set<MachineId> machines = running.computeIfAbsent(task, unused -> new HashSet<>());
@@ -54,58 +54,58 @@
     running.get(task).remove(machine.id());
   }
 
-  /** Notes commands that were sent to a machine, whether or not they reach it. */
+  /** Records commands sent to a machine, whether or not they reach it. */
   void sent(MachineId machine, List<Command> commands) {
     long count = commands.stream().filter(c -> c.op() == Command.Op.START).count();
     startsSentTo.merge(machine, (int) count, Integer::sum);
   }
 
-  /** Starts of tasks on all machines so far. */
+  /** Number of task starts on all machines so far. */
   public int starts() {
     return starts;
   }
 
-  /** All starts from a time on, in their order. */
+  /** All starts since the given time, in order. */
   public List<Start> startsSince(double seconds) {
-    return history.stream().filter(start -> start.at() >= seconds).toList();
+    return startHistory.stream().filter(start -> start.at() >= seconds).toList();
   }
 
-  /** The tasks that run now on machines of a zone. */
+  /** The running tasks on machines of a zone. */
   public Set<TaskId> runningIn(String zone, Map<MachineId, String> zones) {
     Set<TaskId> tasks = new HashSet<>();
     running.forEach(
-        (task, where) -> {
-          if (where.stream().anyMatch(machine -> zone.equals(zones.get(machine)))) {
+        (task, machines) -> {
+          if (machines.stream().anyMatch(machine -> zone.equals(zones.get(machine)))) {
             tasks.add(task);
           }
         });
     return tasks;
   }
 
-  /** Starts of tasks on one machine so far. */
+  /** Number of task starts on a machine so far. */
   public int startsOn(MachineId machine) {
     return startsOn.getOrDefault(machine, 0);
   }
 
-  /** Starts of all tasks of a job so far. */
+  /** Number of task starts of a job so far. */
   public int startsOf(JobId id) {
     return startsOf.getOrDefault(id, 0);
   }
 
-  /** Start commands that were sent to a machine, whether or not they reached it. */
+  /** Number of start commands sent to a machine, whether or not they reached it. */
   public int startsSentTo(MachineId machine) {
     return startsSentTo.getOrDefault(machine, 0);
   }
 
-  /** Seconds at which a job's first task started, or nothing. */
+  /** Time of the first task start of a job in seconds, or empty. */
   public OptionalDouble firstStartOf(JobId id) {
-    return firstStart.entrySet().stream()
+    return firstStarts.entrySet().stream()
         .filter(e -> e.getKey().job().equals(id))
         .mapToDouble(Map.Entry::getValue)
         .min();
   }
 
-  /** How many tasks of a job run now. */
+  /** Number of running tasks of a job. */
   public int runningTasks(JobId id) {
     int count = 0;
     for (var e : running.entrySet()) {
@@ -114,19 +114,19 @@
     return count;
   }
 
-  /** The machines that run a job's tasks, one entry a task. */
+  /** The machines that run tasks of a job, one entry per task. */
   public List<MachineId> machinesOf(JobId id) {
     List<MachineId> out = new ArrayList<>();
     running.forEach(
-        (task, where) -> {
+        (task, machines) -> {
           if (task.job().equals(id)) {
-            out.addAll(where);
+            out.addAll(machines);
           }
         });
     return out;
   }
 
-  /** The machines that run a job's tasks, each once and in order. */
+  /** The distinct machines that run tasks of a job, in order. */
   Set<MachineId> distinctMachinesOf(JobId id) {
     return new TreeSet<>(machinesOf(id));
   }
@@ -135,22 +135,22 @@
     return !running.getOrDefault(task, Set.of()).isEmpty();
   }
 
-  /** Shows each task that runs. */
+  /** Calls an action with each running task. */
   public void forEachRunningTask(Consumer<TaskId> action) {
     forEachRunning((task, machines) -> action.accept(task));
   }
 
-  /** Shows each task that runs, with its machines. */
+  /** Calls an action with each running task and its machines. */
   void forEachRunning(BiConsumer<TaskId, Set<MachineId>> action) {
     running.forEach(
-        (task, where) -> {
-          if (!where.isEmpty()) {
-            action.accept(task, where);
+        (task, machines) -> {
+          if (!machines.isEmpty()) {
+            action.accept(task, machines);
           }
         });
   }
 
-  /** What a machine has left beside the tasks that run on it. */
+  /** The resources of a machine that its running tasks leave free. */
   Resources freeResources(SimWorker machine) {
     Resources left = machine.machineType.capacity();
     for (var e : running.entrySet()) {
--- a/src/test/java/org/ternhinge/sim/TaskObserver.java
+++ b/src/test/java/org/ternhinge/sim/TaskObserver.java
@@ -5,19 +5,22 @@
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobSpec;
 
-/** Observes what really runs on the simulated machines, whatever the controllers have recorded. */
+/**
+ * Observes the tasks that actually run on the simulated machines, whatever controllers have
+ * recorded.
+ */
 interface TaskObserver {
 
   /**
-   * The start of a task, which holds its place from now on.
+   * The start of a task, which occupies its machine from now on.
    *
-   * @param alreadyOn other machines on which the task is at that moment
+   * @param alreadyOn other machines on which the task currently is
    */
   record Start(SimWorker machine, TaskId task, JobSpec spec, Set<MachineId> alreadyOn) {}
 
-  /** A task has its image and takes its place on a machine. */
+  /** A task has fetched its image and starts on a machine. */
   void started(Start start);
 
-  /** A task that had started is on its machine no more. */
+  /** A started task has left its machine. */
   default void left(SimWorker machine, TaskId task, JobSpec spec) {}
 }
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -4,10 +4,10 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.model.JobId;
 
-/** Users' cancellations, which are repeated until they are answered. */
+/** Cancellation requests of users, which are retried until answered. */
 final class UserCancellations {
-  private static final int REPEATS = 300;
-  private static final double REPEATED_AFTER_S = 1;
+  private static final int MAX_RETRIES = 300;
+  private static final double RETRY_DELAY_S = 1;
 
   private final SimCluster cluster;
   private final UserJobs jobs;
@@ -24,23 +24,24 @@
   /** Requests a job's cancellation, unless it was requested before. */
   void cancel(JobId id) {
     if (jobs.requestCancel(id)) {
-      send(id, REPEATS);
+      send(id, MAX_RETRIES);
     }
   }
 
-  private void send(JobId id, int repeats) {
+  private void send(JobId id, int retries) {
     boolean accepted = jobs.isAccepted(id);
     cluster.controllers.user(
         UserRequests.cancellation(id),
         answer -> {
-          if (!accept(id, accepted, answer) && repeats > 0) {
-            cluster.clock.after(REPEATED_AFTER_S, () -> send(id, repeats - 1));
+          if (!accept(id, accepted, answer) && retries > 0) {
+            cluster.clock.after(RETRY_DELAY_S, () -> send(id, retries - 1));
           }
         });
   }
 
   /**
-   * Requests a cancellation at one controller; the action runs as soon as the user has the answer.
+   * Requests a cancellation at one controller; the action runs as soon as the user has the
+   * response.
    */
   void cancelAt(int controller, JobId id, Runnable then) {
     jobs.requestCancel(id);
@@ -50,7 +51,7 @@
         UserRequests.cancellation(id),
         answer -> {
           if (!accept(id, accepted, answer)) {
-            cluster.clock.after(REPEATED_AFTER_S, () -> cancelAt(controller, id, then));
+            cluster.clock.after(RETRY_DELAY_S, () -> cancelAt(controller, id, then));
           } else if (answer.status() == 200) {
             then.run();
           }
@@ -58,10 +59,10 @@
   }
 
   /**
-   * Processes an answer; true if it decides the request.
+   * Processes a response; returns whether it decides the request.
    *
-   * @param accepted whether the job was accepted when the request was sent; before that it is
-   *     rightly not found, and the request is repeated
+   * @param accepted whether the job was accepted when the request was sent; before that, 404 is a
+   *     correct response, and the request is retried
    */
   private boolean accept(JobId id, boolean accepted, Response answer) {
     if (answer != null && answer.status() == 200) {
@@ -76,7 +77,7 @@
   }
 
   /**
-   * For a share of jobs a cancellation, a poll and a repeated submission arrive at the very end of
+   * For a share of jobs, sends a cancellation, polls and repeated submissions right at the end of
    * the last task.
    */
   void cancelAtCompletion(double share) {
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -12,9 +12,8 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The users' view of their jobs: which were submitted and accepted, which cancellations were
- * requested, and which answers came. Each answer about a job's state is checked against the earlier
- * ones and against what really ran.
+ * The users' view of their jobs: submissions, acceptances, requested cancellations and responses.
+ * Each reported job state is checked against earlier ones and against the tasks that actually ran.
  */
 final class UserJobs {
   static final String DONE = "done";
@@ -77,7 +76,7 @@
 
   // ---- cancellations --------------------------------------------------------------------------
 
-  /** Notes that a job's cancellation is requested; true at the first time. */
+  /** Records that the cancellation of a job is requested; returns true the first time. */
   boolean requestCancel(JobId id) {
     return cancelRequested.add(id);
   }
@@ -87,8 +86,8 @@
   }
 
   /**
-   * Whether a job may be cancelled by now: its cancellation or that of a dependency was requested,
-   * and was not answered as too late.
+   * Whether a job may be cancelled by now: the cancellation of the job or of a dependency was
+   * requested and not rejected as too late.
    */
   boolean mayBeCancelled(JobId id) {
     return cancelRequested(id)
@@ -98,7 +97,7 @@
                     cancelRequested(dependency) && !DONE.equals(finalStates.get(dependency)));
   }
 
-  /** Whether a job has to be cancelled: it or a dependency was answered as cancelled. */
+  /** Whether a job must be cancelled: the job or a dependency was reported as cancelled. */
   boolean mustBeCancelled(JobId id) {
     return CANCELLED.equals(finalStates.get(id))
         || cluster.jobs.dependencies(id).stream()
@@ -107,7 +106,7 @@
 
   // ---- answers --------------------------------------------------------------------------------
 
-  /** The last state in an answer, or null. */
+  /** The state in the last response, or null. */
   String lastState(JobId id) {
     return lastState.get(id);
   }
@@ -116,7 +115,7 @@
     return lastAnsweredAt.get(id);
   }
 
-  /** Whether an answer has called a job done or cancelled. */
+  /** Whether a response has reported a job as done or cancelled. */
   boolean hasFinalState(JobId id) {
     return finalStates.containsKey(id);
   }
@@ -126,9 +125,10 @@
   }
 
   /**
-   * An answer carries a job's state.
+   * Checks and records a reported job state.
    *
-   * @param previousState the last answered state when the request was sent; only that binds the answer
+   * @param previousState the last reported state when the request was sent; only that state
+   *     constrains the response
    */
   void answered(JobId id, String state, String previousState) {
     lastAnsweredAt.put(id, cluster.clock.seconds());
@@ -150,7 +150,7 @@
       violation("went_back: " + id + " cancelled by nobody");
     }
     if (state.equals(DONE) && answeredDone.add(id)) {
-      checkCancelledWith(id);
+      checkDependentsOf(id);
     }
   }
 
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Rule {@code not_done}: a job is called done only when all its tasks are completed. */
+  /** Rule {@code not_done}: a job is reported as done only when all its tasks are completed. */
   private void checkDone(JobId id) {
     if (!cluster.jobs.allCompleted(id)) {
       violation("not_done: " + id);
@@ -175,10 +175,10 @@
   }
 
   /**
-   * A job that was called cancelled together with a dependency, before the dependency was answered
-   * as done, was cancelled by nobody.
+   * Checks the cancelled jobs once a dependency is reported as done: a job that was reported as
+   * cancelled only because of that dependency was cancelled without a request.
    */
-  private void checkCancelledWith(JobId done) {
+  private void checkDependentsOf(JobId done) {
     for (JobId id : accepted.keySet()) {
       if (CANCELLED.equals(finalStates.get(id)) && !mayBeCancelled(id)) {
         violation("went_back: " + id + " cancelled with " + done + ", which is done");
@@ -186,7 +186,7 @@
     }
   }
 
-  /** Notes a broken rule. */
+  /** Records a rule violation. */
   void violation(String what) {
     cluster.violations.add(what);
   }
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.ternhinge.model.JobId;
 
-/** Users' polls and repeated submissions of accepted jobs. */
+/** Polls and repeated submissions of accepted jobs by users. */
 final class UserPolls {
   private final SimCluster cluster;
   private final UserJobs jobs;
@@ -13,7 +13,7 @@
     this.jobs = jobs;
   }
 
-  /** Polls a job at some controller. */
+  /** Polls a job at a random controller. */
   void poll(JobId id) {
     pollAt(cluster.nextInt(cluster.nodeCount()), id);
   }
@@ -40,7 +40,10 @@
             }));
   }
 
-  /** A known job is answered with its state, whatever its repeated submission says. */
+  /**
+   * Repeats the submission of a known job; the response must be its state, whatever the repeated
+   * submission contains.
+   */
   void repeatSubmission(JobId id, ObjectNode body) {
     String previousState = jobs.lastState(id);
     cluster.controllers.user(
--- a/src/test/java/org/ternhinge/sim/UserRequests.java
+++ b/src/test/java/org/ternhinge/sim/UserRequests.java
@@ -8,7 +8,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** The requests that users send about jobs, and the reading of their answers. */
+/** Builds the requests of users about jobs, and reads the responses. */
 final class UserRequests {
   private static final byte[] NO_BODY = new byte[0];
 
@@ -26,7 +26,7 @@
     return new Request("POST", "/submissions/" + id + "/cancel", NO_BODY);
   }
 
-  /** The job state that an answer tells. */
+  /** The job state in a response. */
   static String state(Response answer) {
     try {
       return Json.text(Json.parse(answer.body()), "astand");
@@ -35,7 +35,10 @@
     }
   }
 
-  /** Passes on answers but those that say only that a node can't decide now, and lost ones. */
+  /**
+   * Wraps a response handler so that it skips lost responses and status 503, with which a
+   * controller says that it cannot decide now.
+   */
   static Consumer<Response> ifDecided(Consumer<Response> action) {
     return answer -> {
       if (answer != null && answer.status() != 503) {
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -9,22 +9,23 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Users' submissions, which are repeated until they are accepted or their time is over, and those
- * that wait for the jobs that they name.
+ * Submissions of users, which are retried until accepted or timed out, and submissions that wait
+ * for their dependencies.
  */
 final class UserSubmissions {
-  /** For so long a submission is repeated, as the protocol has it. */
-  private static final double REPEATED_FOR_S = 60;
+  /** Time for which a submission is retried as the protocol prescribes, in seconds. */
+  private static final double RETRY_PERIOD_S = 60;
 
-  private static final double REPEATED_AFTER_S = 1;
+  private static final double RETRY_DELAY_S = 1;
 
-  /** In place of a delay: submitted as soon as all that it names is accepted. */
+  /** Replaces the delay of a job that is submitted as soon as all its dependencies are accepted. */
   private static final double AS_SOON_AS_ACCEPTED = -1;
 
   /**
-   * A submission that waits for the jobs that it names.
+   * A submission that waits for its dependencies.
    *
-   * @param delayS so many seconds after all of them are over; negative: as soon as all are accepted
+   * @param delayS seconds after all dependencies have ended; if negative, as soon as all are
+   *     accepted
    */
   private record Pending(ObjectNode body, List<JobId> dependencies, double delayS) {
     boolean waitsForEnds() {
@@ -60,12 +61,12 @@
       submitPending();
     } else if (status == 400 || status == 422) {
       jobs.violation("refused: " + spec.id() + " with " + status);
-    } else if (now < jobs.submittedAt(spec.id()) + REPEATED_FOR_S) {
-      cluster.clock.after(REPEATED_AFTER_S, () -> send(request, spec));
+    } else if (now < jobs.submittedAt(spec.id()) + RETRY_PERIOD_S) {
+      cluster.clock.after(RETRY_DELAY_S, () -> send(request, spec));
     }
   }
 
-  /** The jobs that a submission names. */
+  /** The dependencies that a submission names. */
   static List<JobId> dependencies(ObjectNode body) {
     List<JobId> out = new ArrayList<>();
     body.path("bidur_eftir").forEach(name -> out.add(new JobId(name.asText())));
@@ -82,7 +83,7 @@
     submitPending();
   }
 
-  /** Submits what has waited for nothing but this. */
+  /** Submits pending jobs that are ready. */
   void submitPending() {
     for (Pending waiting : List.copyOf(pending)) {
       if (isReady(waiting) && pending.remove(waiting)) {
--- a/src/test/java/org/ternhinge/sim/package-info.java
+++ b/src/test/java/org/ternhinge/sim/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Stand-ins for everything around the controllers, on virtual time, and the rules checked on them.
+ * Simulation of everything around the controllers in virtual time, and checks of the protocol
+ * rules.
  */
 package org.ternhinge.sim;
