--- a/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.MachineType;
 
 /** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
@@ -50,13 +50,15 @@
       boolean scatter,
       String dependency,
       SubmissionRejection expected) {
-    ObjectNode body = Specs.json("wk-1", kind, tasks).put("cpus", cpus).put("eigandi", team);
+    ObjectNode body =
+        SubmissionJson.smallJob("wk-1", kind, tasks).put("cpus", cpus).put("eigandi", team);
     body.put("svaedi", zone).put("together", together).put("scatter", scatter);
     if (dependency != null) {
       body.putArray("bidur_eftir").add(dependency);
     }
     assertEquals(
         Optional.ofNullable(expected),
-        SubmissionValidator.reject(Specs.of(body), world.settings("node-0"), machineTypes()));
+        SubmissionValidator.reject(
+            SubmissionJson.parse(body), world.settings("node-0"), machineTypes()));
   }
 }
--- a/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
+++ b/src/test/java/org/ternhinge/attempt/AbsentAttemptReconcilerTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.ledger.LedgerLoader;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Entry;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.WireException;
@@ -24,7 +24,7 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final AbsentAttemptReconciler reconciler = reconciler(fixture);
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 1));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1));
 
   private static AbsentAttemptReconciler reconciler(LeadershipFixture fixture) {
     return new AbsentAttemptReconciler(fixture.attempts, fixture.authority, fixture.ledger);
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -10,14 +10,14 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 
 /** Opening, stopping and closing of attempts. */
 class AttemptLifecycleTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   /** A start that went out before its record could run without any leader knowing of it. */
   @Test
--- a/src/test/java/org/ternhinge/attempt/CancellationsTest.java
+++ b/src/test/java/org/ternhinge/attempt/CancellationsTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.JobState;
 
@@ -23,7 +23,7 @@
   private final Cancellations cancellations =
       new Cancellations(fixture.ledger, fixture.attempts, fixture.writer);
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 2));
   private final List<JobState.Phase> answers = new ArrayList<>();
 
   CancellationsTest() {
--- a/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
+++ b/src/test/java/org/ternhinge/attempt/CommandDispatcherTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Term;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
 
@@ -27,7 +27,7 @@
 class CommandDispatcherTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 3));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 3));
 
   private List<Message> messages() {
     return fixture.workers.messages();
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Term;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** When a leader raises its own term. */
 class TermFenceTest {
@@ -21,7 +21,7 @@
       new TermFence(fixture.authority, fixture.writer, fixture.machines);
   private final Machine machine = fixture.machine("n-1");
   private final Attempt attempt =
-      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+      fixture.open(fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1)), 0, machine);
 
   /** Only a stopped attempt that stays open for an outstanding start alone is worth a raise. */
   @ParameterizedTest(name = "{0}")
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -113,7 +113,7 @@
       for (int i = from; i < to; i++) {
         if (kind.equals("half") && i % 2 == 0) {
           done.add(Integer.toString(i));
-          cluster.world.jobs.complete(new TaskId(spec.id(), i));
+          cluster.world.jobs.markCompleted(new TaskId(spec.id(), i));
         } else {
           open.add(String.format("1:n-%06d:1:0:%d", 900_000 + number * 1000 + i, i));
         }
--- a/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
+++ b/src/test/java/org/ternhinge/failover/FleetObservationsTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.zone.DisplacedWork.TaskState;
 import org.ternhinge.zone.ZoneObservation;
 
@@ -82,14 +82,14 @@
   void aMachineOfUnknownZoneCountsInThatOfItsAttempts() {
     Machine machine = fixture.machine("n-1");
     assertEquals(new ZoneObservation(0, 0, 0), east());
-    fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+    fixture.open(fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1)), 0, machine);
     assertEquals(new ZoneObservation(1, 0, 0), east());
   }
 
   @Test
   void openTiersAreThoseOfAttemptsOnImpairedMachines() {
     Machine machine = inEast(fixture.machine("n-1"));
-    fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, machine);
+    fixture.open(fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1)), 0, machine);
     assertEquals(Set.of(), observations().openTiers("east"));
     fixture.clock.runFor(60);
     assertEquals(Set.of(TIER), observations().openTiers("east"));
@@ -97,7 +97,7 @@
 
   @Test
   void aDisplacedTaskWaitsUntilItIsPlacedOrOver() {
-    Job job = fixture.job(Specs.json("wk-1", "batch", 1));
+    Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1));
     JobId id = job.spec().id();
     assertEquals(TaskState.PENDING, observations().state(id, 0));
     assertTrue(observations().isPlaceable(id));
--- a/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
@@ -12,14 +12,15 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 
 /** The order of the commands in one answer, and how many it carries. */
 class CommandListTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Attempt attempt =
-      fixture.open(fixture.job(Specs.json("wk-1", "batch", 1)), 0, fixture.machine("n-1"));
+      fixture.open(
+          fixture.job(SubmissionJson.smallJob("wk-1", "batch", 1)), 0, fixture.machine("n-1"));
   private final CommandList commands = new CommandList();
 
   private static TaskId task(int index) {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatCommandsTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.TaskState;
@@ -26,7 +26,7 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatCommands commands = new HeartbeatCommands(fixture.ledger);
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 2));
   private final TaskId unknown = new TaskId(new JobId("wk-9"), 0);
 
   private static List<Command> command(Command.Op op, TaskId task, AttemptNumber number) {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -33,7 +33,7 @@
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.scaling.MachineProvisioner;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Heartbeat;
@@ -47,7 +47,7 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatProcessor processor = processor();
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   private HeartbeatProcessor processor() {
     ReachabilityMonitor reachability =
@@ -218,7 +218,10 @@
     @Test
     void aTaskThatSavesCheckpointsIsStoppedWithTimeToSave() {
       Attempt attempt =
-          attempt(Specs.json("wk-2", "batch", 1).put("vista_bil_s", 60.0).put("vistun_s", 4.0));
+          attempt(
+              SubmissionJson.smallJob("wk-2", "batch", 1)
+                  .put("vista_bil_s", 60.0)
+                  .put("vistun_s", 4.0));
       notice(attempt, 1, 30);
       assertEquals(5, attempt.stopGraceS());
       assertEquals(fixture.now().plusSeconds(30), machine.cloud().reclaimAt().orElseThrow());
@@ -226,14 +229,14 @@
 
     @Test
     void aTaskThatCanNotSaveRunsOn() {
-      Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
+      Attempt attempt = attempt(SubmissionJson.smallJob("wk-2", "batch", 1));
       notice(attempt, 1, 30);
       assertFalse(attempt.stopping());
     }
 
     @Test
     void onlyTheFirstNoticeCounts() {
-      Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
+      Attempt attempt = attempt(SubmissionJson.smallJob("wk-2", "batch", 1));
       notice(attempt, 1, 30);
       SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
       fixture.clock.runFor(1);
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
@@ -38,7 +38,7 @@
           fixture.dispatcher,
           new TermFence(fixture.authority, fixture.writer, fixture.machines));
   private final Machine machine = fixture.machine("n-1");
-  private final Job job = fixture.job(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.job(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   private TaskStatus running(TaskId task, AttemptNumber number) {
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -36,7 +36,7 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.term.BucketedRecords;
@@ -165,7 +165,8 @@
 
   /** A job that the key-value store and the ledger hold. */
   public Job job(ObjectNode json) {
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
+    ObjectNode record =
+        RecordCodec.encodeNew(SubmissionJson.parse(json), clock.wallMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
     core.compareAndSwap(new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
     Revision revision = core.get(key).entry().orElseThrow().revision();
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -15,14 +15,14 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** The life of an attempt: every pair of states, and what follows from them. */
 class AttemptStateTest {
   private final SimClock clock = new SimClock();
 
   private Attempt attempt(boolean recovered) {
-    Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 1)), 1, 8);
+    Job job = new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 1)), 1, 8);
     MachineAttributes site = TestMachines.on("n-1", 1);
     return new Attempt(
         job,
--- a/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
+++ b/src/test/java/org/ternhinge/ledger/BackoffLevelRecordTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.WireException;
 
 /** The level of a failing job's back-off, which the next leader reads from the job's record. */
@@ -20,7 +20,8 @@
   @ValueSource(ints = {0, 1, 6, 1000})
   void theLevelIsReadBack(int level) throws WireException {
     ObjectNode record =
-        RecordCodec.encodeNew(Specs.of(Specs.json("wk-1", "batch", 3)), 1, VALUE_BYTES);
+        RecordCodec.encodeNew(
+            SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 3)), 1, VALUE_BYTES);
     assertFalse(record.has("e"));
     Job job = RecordCodec.decodeFirst(record, Revision.NONE, new SteadyTime(0));
     job.backoffLevel(level);
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -23,7 +23,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
@@ -42,12 +42,12 @@
   }
 
   private Job accept(String name, String priority, String... before) {
-    ObjectNode json = Specs.json("wk-" + name, "batch", 2).put("forgang", priority);
+    ObjectNode json = SubmissionJson.smallJob("wk-" + name, "batch", 2).put("forgang", priority);
     ArrayNode ids = json.putArray("bidur_eftir");
     for (String b : before) {
       ids.add("wk-" + b);
     }
-    JobSpec spec = Specs.of(json);
+    JobSpec spec = SubmissionJson.parse(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE));
     jobs.put(name, job);
     ledger.add(job);
@@ -193,9 +193,9 @@
   /** It was started by an earlier leader, so all before it was done; nothing is read or asked. */
   @Test
   void whatHasBegunNeedsNoProof() throws Exception {
-    ObjectNode json = Specs.json("wk-2", "batch", 2);
+    ObjectNode json = SubmissionJson.smallJob("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE);
+    ObjectNode record = RecordCodec.encodeNew(SubmissionJson.parse(json), 1, VALUE);
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
     assertEquals(List.of(), RecordCodec.unstartedDependencies(record));
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** The life of a job: every pair of phases, and what follows from them. */
 class JobPhaseTest {
@@ -25,7 +25,7 @@
           "final durable", Job::markFinalDurable);
 
   private static Job job() {
-    return new Job(Specs.of(Specs.json("wk-1", "batch", 2)), 1, 8);
+    return new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 2)), 1, 8);
   }
 
   /** A job that was brought into a phase by what happens to it. */
--- a/src/test/java/org/ternhinge/ledger/LedgerTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerTest.java
@@ -22,8 +22,8 @@
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
 import org.ternhinge.sim.SubmissionBuilder;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 
@@ -35,7 +35,7 @@
       new Ledger(Map.of("red", new Team("red", 4000, 10_000, 0, 0)), VALUE_BYTES, new SimClock());
 
   private Job job(ObjectNode json) {
-    JobSpec spec = Specs.of(json);
+    JobSpec spec = SubmissionJson.parse(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE_BYTES));
     ledger.add(job);
     return job;
@@ -76,7 +76,7 @@
   void placementsAreAdmittedOrRefused(
       String name, String kind, String change, String places, AdmissionRefusal expected)
       throws Exception {
-    ObjectNode json = Specs.json("wk-1", kind, 4);
+    ObjectNode json = SubmissionJson.smallJob("wk-1", kind, 4);
     json.setAll((ObjectNode) Json.parse(change.getBytes(StandardCharsets.UTF_8)));
     Job job = job(json);
     List<Placement> list = new ArrayList<>();
@@ -92,7 +92,7 @@
 
   @Test
   void noPlacementsAndUnknownTeamsAreRefused() {
-    Job job = job(Specs.json("wk-1", "batch", 2));
+    Job job = job(SubmissionJson.smallJob("wk-1", "batch", 2));
     assertEquals(
         Optional.of(AdmissionRefusal.NOTHING_TO_PLACE),
         ledger.open(job, List.of(), t -> false, NOW));
@@ -104,7 +104,7 @@
 
   @Test
   void anOpenAttemptBlocksItsTaskAndNumbersNeverRepeat() {
-    Job job = job(Specs.json("wk-1", "batch", 2));
+    Job job = job(SubmissionJson.smallJob("wk-1", "batch", 2));
     assertEquals(Optional.empty(), ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
     Attempt first = job.open(0);
     assertEquals(
@@ -125,12 +125,12 @@
 
   @Test
   void aCancelledJobIsRefusedAndADoneJobIsNotCancelled() {
-    Job job = job(Specs.json("wk-1", "batch", 2));
+    Job job = job(SubmissionJson.smallJob("wk-1", "batch", 2));
     ledger.cancel(job);
     assertEquals(
         Optional.of(AdmissionRefusal.JOB_OVER),
         ledger.open(job, List.of(new Placement(0, A)), t -> false, NOW));
-    Job done = job(Specs.json("wk-2", "batch", 1));
+    Job done = job(SubmissionJson.smallJob("wk-2", "batch", 1));
     ledger.open(done, List.of(new Placement(0, A)), t -> false, NOW);
     ledger.close(done.open(0), true);
     ledger.cancel(done);
@@ -139,7 +139,7 @@
 
   @Test
   void oneFinishedTaskFinishesItsGang() {
-    Job gang = job(Specs.json("wk-1", "group", 3));
+    Job gang = job(SubmissionJson.smallJob("wk-1", "group", 3));
     List<Placement> all = List.of(new Placement(0, A), new Placement(1, A), new Placement(2, B));
     assertEquals(Optional.empty(), ledger.open(gang, all, t -> false, NOW));
     ledger.close(gang.open(1), true);
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -144,13 +144,14 @@
   }
 
   private Job accept(String id, String kind, String priority, int tasks, String... dependencies) {
-    ObjectNode spec = Specs.json(id, kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
+    ObjectNode spec =
+        SubmissionJson.smallJob(id, kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
     if (dependencies.length > 0) {
       List.of(dependencies).forEach(spec.putArray("bidur_eftir")::add);
     }
     spec.put("forgang", priority);
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(spec), 1, ledger.valueBytes());
-    String key = Keys.job(Specs.of(spec).id());
+    ObjectNode record = RecordCodec.encodeNew(SubmissionJson.parse(spec), 1, ledger.valueBytes());
+    String key = Keys.job(SubmissionJson.parse(spec).id());
     List<KeyCondition> none = List.of(KeyCondition.absent(key));
     Outcome<Revision> put =
         core.compareAndSwap(new CompareAndSwap(none, List.of(new Change.Put(key, record, 0))));
--- a/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/ProductionRecordsTest.java
@@ -39,7 +39,7 @@
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.WireException;
@@ -143,13 +143,16 @@
 
   @Test
   void freshRecordsAreTheSame() {
-    var plain = Specs.json("wk-000001", "batch", 3);
-    assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
-    var full = Specs.json("wk-000412", "group", 2).put("forgang", "high").put("svaedi", "east");
+    var plain = SubmissionJson.smallJob("wk-000001", "batch", 3);
+    assertEquals(PLAIN, text(RecordCodec.encodeNew(SubmissionJson.parse(plain), ACCEPTED, 8192)));
+    var full =
+        SubmissionJson.smallJob("wk-000412", "group", 2)
+            .put("forgang", "high")
+            .put("svaedi", "east");
     full.put("accelerators", 1.0).put("together", true).put("skiladagur_s", 900.0);
     full.put("vista_bil_s", 30.0).put("vistun_s", 4.0);
     full.putArray("velagerdir").add("g8").add("small");
-    assertEquals(FULL, text(RecordCodec.encodeNew(Specs.of(full), ACCEPTED, 8192)));
+    assertEquals(FULL, text(RecordCodec.encodeNew(SubmissionJson.parse(full), ACCEPTED, 8192)));
   }
 
   /**
@@ -158,16 +161,17 @@
   @ParameterizedTest
   @CsvSource({"null", "[]"})
   void noDependenciesLeaveNoTrace(String none) throws WireException {
-    var plain = Specs.json("wk-000001", "batch", 3);
+    var plain = SubmissionJson.smallJob("wk-000001", "batch", 3);
     plain.set("bidur_eftir", json("{\"x\":" + none + "}").get("x"));
-    assertEquals(PLAIN, text(RecordCodec.encodeNew(Specs.of(plain), ACCEPTED, 8192)));
+    assertEquals(PLAIN, text(RecordCodec.encodeNew(SubmissionJson.parse(plain), ACCEPTED, 8192)));
   }
 
   /** A job with dependencies is accepted with the same record. */
   @Test
   void aFreshRecordWithDependenciesIsTheSame() {
     assertEquals(
-        WAITING, text(RecordCodec.encodeNew(Specs.of(twenty("batch", 2)), ACCEPTED, 8192)));
+        WAITING,
+        text(RecordCodec.encodeNew(SubmissionJson.parse(twenty("batch", 2)), ACCEPTED, 8192)));
   }
 
   /** How many tasks a segment of a fresh record is for, under the limits on values. */
@@ -196,7 +200,7 @@
   })
   void aSegmentIsForAsManyTasks(
       String kind, int valueBytes, int dependencies, int tasks, boolean fits) {
-    JobSpec spec = Specs.of(twenty(kind, dependencies));
+    JobSpec spec = SubmissionJson.parse(twenty(kind, dependencies));
     assertEquals(tasks, RecordSize.segmentSize(spec, valueBytes));
     assertEquals(fits, RecordSize.fits(spec, valueBytes));
     assertEquals(tasks, RecordCodec.encodeNew(spec, ACCEPTED, valueBytes).get("p").asInt());
@@ -204,7 +208,7 @@
 
   /** A job of twenty tasks that names so many others. */
   private static ObjectNode twenty(String kind, int dependencies) {
-    ObjectNode body = Specs.json("wk-000002", kind, 20);
+    ObjectNode body = SubmissionJson.smallJob("wk-000002", kind, 20);
     if (dependencies > 0) {
       ArrayNode ids = body.putArray("bidur_eftir");
       for (int i = 0; i < dependencies; i++) {
@@ -235,7 +239,7 @@
   /** A job that waited, ran, and was cancelled leaves the same records all along. */
   @Test
   void aDependentJobsHistoryIsWrittenTheSame() {
-    Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
+    Job job = new Job(SubmissionJson.parse(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     assertTrue(job.hasUnmetDependencies());
     endOfDependency("wk-000398", JobState.Phase.DONE);
@@ -259,7 +263,7 @@
   /** A job that never started since one before it is cancelled. */
   @Test
   void aCancellationByDependencyIsWrittenTheSame() {
-    Job job = new Job(Specs.of(twenty("batch", 2)), ACCEPTED, 8);
+    Job job = new Job(SubmissionJson.parse(twenty("batch", 2)), ACCEPTED, 8);
     ledger.add(job);
     endOfDependency("wk-000398", JobState.Phase.CANCELLED);
     assertEquals(WAITING_CANCELLED, text(RecordCodec.encode(job, 0)));
@@ -273,7 +277,9 @@
   /** The same history gives the same records. */
   @Test
   void aJobsHistoryIsWrittenTheSame() {
-    Job job = new Job(Specs.of(Specs.json("wk-000002", "batch", 20)), ACCEPTED, 8);
+    Job job =
+        new Job(
+            SubmissionJson.parse(SubmissionJson.smallJob("wk-000002", "batch", 20)), ACCEPTED, 8);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 8);
     open(job, "n-000009", 3, 1, 8, 12);
@@ -292,7 +298,9 @@
 
   @Test
   void aDoneJobsEndIsTheSame() {
-    Job job = new Job(Specs.of(Specs.json("wk-000003", "batch", 2)), ACCEPTED, 127);
+    Job job =
+        new Job(
+            SubmissionJson.parse(SubmissionJson.smallJob("wk-000003", "batch", 2)), ACCEPTED, 127);
     ledger.add(job);
     open(job, "n-000007", 1, 0, 0, 2);
     close(job, 0, 1);
--- a/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordRepartitionerTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.KeyCondition;
 import org.ternhinge.wire.Json;
@@ -29,8 +29,9 @@
       new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), VALUE_BYTES, clock);
 
   private Job accept(String id, String kind) {
-    ObjectNode json = Specs.json(id, kind, TASKS).put("cpus", 0.001).put("memory_gb", 0.001);
-    Job job = new Job(Specs.of(json), 1, OLD_SEGMENT_SIZE);
+    ObjectNode json =
+        SubmissionJson.smallJob(id, kind, TASKS).put("cpus", 0.001).put("memory_gb", 0.001);
+    Job job = new Job(SubmissionJson.parse(json), 1, OLD_SEGMENT_SIZE);
     job.record().revision(0, new Revision(3));
     ledger.add(job);
     return job;
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** The urgency of writes. */
 class RecordWriteTest {
@@ -16,7 +16,7 @@
   /** Starts are sent in the order of the opens; a stream of the same collection has another. */
   @Test
   void opensKeepTheOrderOfTheJobsOpenAttempts() {
-    Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 40)), 1, 40);
+    Job job = new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 40)), 1, 40);
     MachineAttributes machine = TestMachines.on("n-1", 1);
     for (int i = 0; i < 40; i++) {
       Attempt attempt =
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.PermanentAuthority;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -100,7 +100,9 @@
   private ObjectNode stored(String kind) throws WireException {
     ObjectNode record =
         RecordCodec.encodeNew(
-            Specs.of(Specs.json(JOB.value(), kind, 20)), 1_700_000_000_123L, 8192);
+            SubmissionJson.parse(SubmissionJson.smallJob(JOB.value(), kind, 20)),
+            1_700_000_000_123L,
+            8192);
     String expected = SPEC.replace("KIND", kind) + "\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
     assertEquals(expected, text(record));
     return record;
--- a/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentCapacityTest.java
@@ -17,7 +17,7 @@
 import org.ternhinge.ledger.Ledger.Placement;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 
@@ -28,7 +28,7 @@
   private static final SteadyTime NOW = new SteadyTime(0);
 
   private static ObjectNode json(String kind, int tasks) {
-    return Specs.json("wk-1", kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
+    return SubmissionJson.smallJob("wk-1", kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
   }
 
   private static MachineAttributes site(int machine) {
@@ -56,7 +56,7 @@
   void whatIsAdmittedFits(String kind, int tasks, int kb, int share) {
     int value = kb * 1024;
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), value, new SimClock());
-    JobSpec spec = Specs.of(json(kind, tasks));
+    JobSpec spec = SubmissionJson.parse(json(kind, tasks));
     assertTrue(RecordSize.fits(spec, value));
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, value));
     ledger.add(job);
@@ -97,7 +97,7 @@
   @CsvSource({"group, 110", "batch, 200"})
   void largeSegmentsOfBeforeUnderASmallerLimit(String kind, int tasks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
-    Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
+    Job job = new Job(SubmissionJson.parse(json(kind, tasks)), 1, 127);
     ledger.add(job);
     List<Placement> all = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
@@ -117,7 +117,7 @@
   @CsvSource({"daemon, 140, true", "batch, 1800, false", "batch, 140, false"})
   void onlyAServiceAsksForItsRecordToBeRepartitioned(String kind, int tasks, boolean asks) {
     Ledger ledger = new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), 2048, new SimClock());
-    Job job = new Job(Specs.of(json(kind, tasks)), 1, 127);
+    Job job = new Job(SubmissionJson.parse(json(kind, tasks)), 1, 127);
     ledger.add(job);
     List<Placement> all = new ArrayList<>();
     for (int i = 0; i < 120; i++) {
@@ -139,11 +139,11 @@
   @Test
   void aDescriptionThatLeavesNoRoomIsRefused() {
     ObjectNode json = json("batch", 100);
-    assertTrue(RecordSize.fits(Specs.of(json), 2048));
+    assertTrue(RecordSize.fits(SubmissionJson.parse(json), 2048));
     var ids = json.putArray("bidur_eftir");
     for (int i = 0; i < 150; i++) {
       ids.add("wk-" + (100_000 + i));
     }
-    assertFalse(RecordSize.fits(Specs.of(json), 2048));
+    assertFalse(RecordSize.fits(SubmissionJson.parse(json), 2048));
   }
 }
--- a/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Segments that are over are merged into the first, as far as its list of ranges has room. */
 class SegmentMergerTest {
@@ -23,7 +23,10 @@
   private final SegmentMerger merger = new SegmentMerger(VALUE_BYTES);
 
   private static Job job(int segments) {
-    return new Job(Specs.of(Specs.json("wk-1", "batch", segments * SEGMENT_SIZE)), 1, SEGMENT_SIZE);
+    return new Job(
+        SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", segments * SEGMENT_SIZE)),
+        1,
+        SEGMENT_SIZE);
   }
 
   private static void finish(Job job, int segment) {
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.ledger.WriteQueue.Urgency;
 import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** The queue of jobs with something to write. */
 class WriteQueueTest {
@@ -23,8 +23,8 @@
   private final WriteQueue queue = new WriteQueue(clock);
 
   private static Job job(String id, String priority) {
-    ObjectNode json = Specs.json(id, "batch", 2).put("forgang", priority);
-    return new Job(Specs.of(json), 1, 2);
+    ObjectNode json = SubmissionJson.smallJob(id, "batch", 2).put("forgang", priority);
+    return new Job(SubmissionJson.parse(json), 1, 2);
   }
 
   private Map<Urgency, List<Job>> ready() {
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -15,7 +15,7 @@
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Whether failures of tasks are attributed to machines or to jobs, and what follows. */
 class TaskFailuresTest {
@@ -35,7 +35,7 @@
   private final Job job = job("wk-1");
 
   private Job job(String id) {
-    return fixture.job(Specs.json(id, "batch", 4));
+    return fixture.job(SubmissionJson.smallJob(id, "batch", 4));
   }
 
   /** A job with a task that has run for long enough on a machine. */
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -21,7 +21,7 @@
 import org.ternhinge.sim.DirectStore;
 import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -56,14 +56,14 @@
   }
 
   private static ObjectNode record(JobId id, String[] fixture) {
-    ObjectNode body = Specs.json(id.value(), fixture[1], 1);
+    ObjectNode body = SubmissionJson.smallJob(id.value(), fixture[1], 1);
     if (fixture.length > 2) {
       ArrayNode names = body.putArray("bidur_eftir");
       for (String name : fixture[2].split("\\.", -1)) {
         names.add("wk-" + name);
       }
     }
-    return RecordCodec.encodeNew(Specs.of(body), 1, VALUE_BYTES);
+    return RecordCodec.encodeNew(SubmissionJson.parse(body), 1, VALUE_BYTES);
   }
 
   private String found() {
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Objective;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Which jobs are expected to arrive next. */
 class ArrivalRatesTest {
@@ -42,7 +42,8 @@
     SteadyTime now = START;
     for (int i = 0; i < arrivals; i++) {
       now = START.plusSeconds(i * apartS);
-      rates.recordArrival(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
+      rates.recordArrival(
+          SubmissionJson.parse(SubmissionJson.smallJob("wk-" + i, "batch", 1)), now);
     }
     assertEquals(expected, rates.expectedJobs(now.plusSeconds(afterS), 1).size());
   }
--- a/src/test/java/org/ternhinge/round/JobRankingTest.java
+++ b/src/test/java/org/ternhinge/round/JobRankingTest.java
@@ -5,13 +5,14 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 
 /** The order of jobs by size and waiting time. */
 class JobRankingTest {
   private static JobSpec spec(String kind, int tasks, double cpus, double estimateS) {
-    return Specs.of(Specs.json("wk-1", kind, tasks).put("cpus", cpus).put("aaetlun_s", estimateS));
+    return SubmissionJson.parse(
+        SubmissionJson.smallJob("wk-1", kind, tasks).put("cpus", cpus).put("aaetlun_s", estimateS));
   }
 
   /** A job reads: kind, tasks, tasks done, seconds waited. */
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.ListedMachine;
 
 /** Reconciliation with listings of several pages, some of which the cloud's rate limit delays. */
@@ -107,7 +107,7 @@
     @Test
     void aMachineThatIsListedAsFailedIsReleasedAndItsAttemptsAreClosed() {
       Machine machine = fixture.runningMachine(ScriptedCloud.FIRST.value());
-      Job job = fixture.leadership.job(Specs.json("wk-1", "batch", 1));
+      Job job = fixture.leadership.job(SubmissionJson.smallJob("wk-1", "batch", 1));
       Attempt attempt = fixture.leadership.open(job, 0, machine);
       fixture.cloud.listedState = ListedMachine.State.FAILED;
       inventory.list();
--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Which idle machines are released, with leases of 10 s and a nominal boot time of 20 s. */
 class UnusableMachineCheckTest {
@@ -61,7 +61,7 @@
     TaskFailures failures =
         new TaskFailures(fixture.leadership.ledger, fixture.leadership.machines, 20, start);
     for (int i = 1; i <= 3; i++) {
-      Job job = fixture.leadership.job(Specs.json("wk-" + i, "batch", 1));
+      Job job = fixture.leadership.job(SubmissionJson.smallJob("wk-" + i, "batch", 1));
       failures.failed(machine, job, start.plusSeconds(100));
     }
   }
@@ -79,7 +79,8 @@
   void aMachineWithAnAttemptIsKeptInSpiteOf(ReleaseReason reason) {
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
-    fixture.leadership.open(fixture.leadership.job(Specs.json("wk-9", "batch", 1)), 0, machine);
+    fixture.leadership.open(
+        fixture.leadership.job(SubmissionJson.smallJob("wk-9", "batch", 1)), 0, machine);
     assertFalse(isReleased(machine, 100));
   }
 
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -17,7 +17,7 @@
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
@@ -68,7 +68,7 @@
   }
 
   static JobSpec spec(String id, String kind, int tasks, Map<String, Object> changes) {
-    ObjectNode json = Specs.json(id, kind, tasks);
+    ObjectNode json = SubmissionJson.smallJob(id, kind, tasks);
     changes.forEach(
         (k, v) -> {
           if (v instanceof String s) {
@@ -79,7 +79,7 @@
             json.put(k, ((Number) v).doubleValue());
           }
         });
-    return Specs.of(json);
+    return SubmissionJson.parse(json);
   }
 
   void job(JobSpec spec, boolean withinGuarantee) {
--- a/src/test/java/org/ternhinge/sim/CancellationCheck.java
+++ b/src/test/java/org/ternhinge/sim/CancellationCheck.java
@@ -33,7 +33,7 @@
   }
 
   /** Records that a user has been told that a job is cancelled. */
-  void confirmed(JobId id) {
+  void recordConfirmation(JobId id) {
     if (confirmedAt.putIfAbsent(id, clock.seconds()) == null) {
       clock.after(ClusterSettings.CANCEL_S + TOLERANCE_S, () -> assertNoTaskRuns(id));
     }
@@ -79,14 +79,14 @@
       Double confirmedS =
           command.op() == Command.Op.START ? firstConfirmedAt(command.task().job()) : null;
       if (confirmedS != null) {
-        double late = clock.seconds() - confirmedS;
+        double delayS = clock.seconds() - confirmedS;
         violations.add(
             "start of "
                 + command.task()
                 + " sent to "
                 + machine
                 + " "
-                + late
+                + delayS
                 + " s after its cancel");
       }
     }
--- a/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatHistory.java
@@ -34,7 +34,7 @@
 
   /** Records a heartbeat that a machine sends, and may schedule a late duplicate. */
   void recordSent(MachineId from, byte[] heartbeat) {
-    cluster.counts.heartbeat();
+    cluster.counts.countHeartbeat();
     last.put(from, heartbeat);
     boolean isDuplicated = duplicateUntil != null && !duplicateUntil.isBefore(cluster.clock.now());
     if (isDuplicated && cluster.random.nextDouble() < duplicateShare) {
--- a/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
@@ -54,7 +54,7 @@
     List<Command> commands = HeartbeatResponses.commands(response.body());
     cluster.events.commandsSent(machine.id(), commands);
     if (lost) {
-      cluster.tasks.sent(machine.id(), commands);
+      cluster.tasks.recordSentCommands(machine.id(), commands);
     }
   }
 }
--- a/src/test/java/org/ternhinge/sim/InvalidRequests.java
+++ b/src/test/java/org/ternhinge/sim/InvalidRequests.java
@@ -86,9 +86,9 @@
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.answered(id, UserRequests.state(answer), UserJobs.DONE);
+                jobs.recordReportedState(id, UserRequests.state(answer), UserJobs.DONE);
               } else {
-                jobs.violation("forgotten: cancel of " + id + " answered " + answer.status());
+                jobs.recordViolation("forgotten: cancel of " + id + " answered " + answer.status());
               }
             }));
   }
@@ -96,7 +96,7 @@
   // ---- malformed and unsatisfiable jobs -------------------------------------------------------
 
   private void submitInvalid() {
-    ObjectNode body = Specs.json(String.format("wk-9%05d", ++created), "batch", 2);
+    ObjectNode body = SubmissionJson.smallJob(String.format("wk-9%05d", ++created), "batch", 2);
     int expected = UNSATISFIABLE;
     switch (random.nextInt(6)) {
       case 0 -> body.put("cpus", 4000.0);
@@ -113,7 +113,7 @@
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() != status) {
-                jobs.violation(
+                jobs.recordViolation(
                     "invalid: " + body + " answered " + answer.status() + " and not " + status);
               }
             }));
@@ -124,7 +124,7 @@
   /** Sends a submission with invalid dependencies. */
   void sendInvalidDependencies() {
     String id = String.format("wk-8%05d", ++created);
-    ObjectNode body = Specs.json(id, "batch", 2);
+    ObjectNode body = SubmissionJson.smallJob(id, "batch", 2);
     // Only the end record of an ended service is stored, and users never depend on a service.
     List<JobId> services =
         jobs.accepted().stream()
@@ -193,7 +193,8 @@
             answer -> {
               boolean isServiceCancelled = service != null && jobs.cancelRequested(service);
               if (!isServiceCancelled && !allowed.contains(answer.status())) {
-                jobs.violation("invalid: " + abbreviated(body) + " answered " + answer.status());
+                jobs.recordViolation(
+                    "invalid: " + abbreviated(body) + " answered " + answer.status());
               }
             }));
   }
--- a/src/test/java/org/ternhinge/sim/JobCatalog.java
+++ b/src/test/java/org/ternhinge/sim/JobCatalog.java
@@ -69,7 +69,7 @@
   }
 
   /** Marks a task as completed; returns false if it already was. */
-  public boolean complete(TaskId task) {
+  public boolean markCompleted(TaskId task) {
     return completed.add(task);
   }
 
--- a/src/test/java/org/ternhinge/sim/MessageCounts.java
+++ b/src/test/java/org/ternhinge/sim/MessageCounts.java
@@ -18,11 +18,11 @@
   private int leaderships;
   private long commandsOfStaleTerms;
 
-  void heartbeat() {
+  void countHeartbeat() {
     heartbeats++;
   }
 
-  void commandCallBegan() {
+  void commandCallStarted() {
     commandCalls++;
     concurrentCommandCalls++;
     maxConcurrentCommandCalls = Math.max(maxConcurrentCommandCalls, concurrentCommandCalls);
@@ -38,27 +38,27 @@
     }
   }
 
-  void storeRead() {
+  void countStoreRead() {
     storeReads++;
   }
 
-  void storeChanges(int changes) {
+  void countStoreChanges(int changes) {
     storeChanges += changes;
   }
 
-  void machineListing() {
+  void countMachineListing() {
     machineListings++;
   }
 
-  void provisionCall() {
+  void countProvisionCall() {
     provisionCalls++;
   }
 
-  void releaseCall() {
+  void countReleaseCall() {
     releaseCalls++;
   }
 
-  void leadership() {
+  void countLeadership() {
     leaderships++;
   }
 
--- a/src/test/java/org/ternhinge/sim/NetworkFaults.java
+++ b/src/test/java/org/ternhinge/sim/NetworkFaults.java
@@ -113,16 +113,20 @@
   }
 
   /** Whether two locations can't reach each other. */
-  boolean areDisconnected(String one, String other) {
-    return separatedByZone(one, other) || separatedByPartition(one, other);
+  boolean areDisconnected(String locationA, String locationB) {
+    return separatedByZone(locationA, locationB) || separatedByPartition(locationA, locationB);
   }
 
-  private boolean separatedByZone(String one, String other) {
-    return isActive(zoneIsolatedUntil) && isolatedZone.equals(one) != isolatedZone.equals(other);
+  private boolean separatedByZone(String locationA, String locationB) {
+    return isActive(zoneIsolatedUntil)
+        && isolatedZone.equals(locationA) != isolatedZone.equals(locationB);
   }
 
-  private boolean separatedByPartition(String one, String other) {
-    return isActive(partitionedUntil) && isZone(one) && isZone(other) && !one.equals(other);
+  private boolean separatedByPartition(String locationA, String locationB) {
+    return isActive(partitionedUntil)
+        && isZone(locationA)
+        && isZone(locationB)
+        && !locationA.equals(locationB);
   }
 
   /** Whether a location is a zone rather than the region. */
@@ -130,8 +134,8 @@
     return location != null;
   }
 
-  private double remainingSeconds(String one, String other) {
-    SteadyTime until = separatedByZone(one, other) ? zoneIsolatedUntil : partitionedUntil;
+  private double remainingSeconds(String locationA, String locationB) {
+    SteadyTime until = separatedByZone(locationA, locationB) ? zoneIsolatedUntil : partitionedUntil;
     return until.secondsSince(clock.now());
   }
 
@@ -149,18 +153,18 @@
    * @param work runs at the receiver; it is given the consumer of the response
    */
   <T> CompletableFuture<Outcome<T>> call(
-      String one,
-      String other,
+      String locationA,
+      String locationB,
       Supplier<Boolean> isDisconnected,
       double timeoutS,
       Consumer<Consumer<Outcome<T>>> work) {
-    if (!areDisconnected(one, other)) {
+    if (!areDisconnected(locationA, locationB)) {
       return network.call(isDisconnected, timeoutS, work);
     }
     boolean refused = random.nextBoolean();
     if (!refused) {
       clock.after(
-          remainingSeconds(one, other) + DELIVERY_AFTER_PARTITION_S,
+          remainingSeconds(locationA, locationB) + DELIVERY_AFTER_PARTITION_S,
           () -> work.accept(answer -> {}));
     }
     return network.fail(refused, timeoutS);
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -45,7 +45,7 @@
 
   @Override
   public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
-    cluster.counts.provisionCall();
+    cluster.counts.countProvisionCall();
     return owner.guard(
         cluster.networkFaults.<List<MachineId>>call(
             NetworkFaults.zoneOf(node),
@@ -57,7 +57,7 @@
 
   @Override
   public CompletableFuture<Outcome<Integer>> release(List<MachineId> ids) {
-    cluster.counts.releaseCall();
+    cluster.counts.countReleaseCall();
     return owner.guard(
         cluster.networkFaults.<Integer>call(
             NetworkFaults.zoneOf(node),
@@ -73,7 +73,7 @@
   @Override
   public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
-    cluster.counts.machineListing();
+    cluster.counts.countMachineListing();
     if (cluster.networkFaults.areDisconnected(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
       return owner.guard(cluster.networkFaults.lostCall(TIMEOUT_S));
     }
--- a/src/test/java/org/ternhinge/sim/SimCluster.java
+++ b/src/test/java/org/ternhinge/sim/SimCluster.java
@@ -197,7 +197,7 @@
     for (JobSpec spec : specs) {
       jobs.add(spec);
       for (int i = 0; i < spec.tasks(); i++) {
-        jobs.complete(new TaskId(spec.id(), i));
+        jobs.markCompleted(new TaskId(spec.id(), i));
       }
       ends.add(
           new Change.Put(
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -32,7 +32,7 @@
       AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
-    cluster.counts.commandCallBegan();
+    cluster.counts.commandCallStarted();
     if (cluster.connectDelayS == 0) {
       return counted(send(endpoint, term, epoch, commands, maySend));
     }
@@ -68,7 +68,7 @@
     cluster.counts.commandsSent(commands, term, cluster.store.highestTerm());
     MachineId id = MachineEndpoints.machineAt(endpoint);
     SimWorker worker = cluster.machines.worker(id);
-    cluster.tasks.sent(id, commands);
+    cluster.tasks.recordSentCommands(id, commands);
     cluster.events.commandsSent(id, commands);
     return cluster.networkFaults.call(
         owner.zone(),
--- a/src/test/java/org/ternhinge/sim/SimController.java
+++ b/src/test/java/org/ternhinge/sim/SimController.java
@@ -72,7 +72,7 @@
             new PeerLinks(),
             leading -> {
               if (leading) {
-                cluster.counts.leadership();
+                cluster.counts.countLeadership();
               }
               client.setLeading(leading);
             });
--- a/src/test/java/org/ternhinge/sim/SimNetwork.java
+++ b/src/test/java/org/ternhinge/sim/SimNetwork.java
@@ -39,16 +39,16 @@
       clock.after(5 + random.nextDouble() * 60, () -> work.accept(outcome -> {}));
       return result;
     }
-    boolean late = random.nextDouble() < lossShare;
-    boolean lost = random.nextDouble() < lossShare;
-    double requestDelayS = late ? timeoutS * (0.5 + random.nextDouble() * 8) : delay();
+    boolean isRequestLate = random.nextDouble() < lossShare;
+    boolean isResponseLost = random.nextDouble() < lossShare;
+    double requestDelayS = isRequestLate ? timeoutS * (0.5 + random.nextDouble() * 8) : delay();
     clock.after(timeoutS, () -> result.complete(Outcome.unknown("timeout")));
     clock.after(
         requestDelayS,
         () ->
             work.accept(
                 outcome -> {
-                  if (!lost) {
+                  if (!isResponseLost) {
                     clock.after(delay(), () -> result.complete(outcome));
                   }
                 }));
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -117,7 +117,7 @@
     if (!tryTakeRequest(priority)) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.storeRead();
+    cluster.counts.countStoreRead();
     return super.get(key, priority);
   }
 
@@ -133,7 +133,7 @@
     if (!tryTakeRequest(priority) || !changes.tryTake(priority, swap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.storeChanges(swap.changes().size());
+    cluster.counts.countStoreChanges(swap.changes().size());
     double writeDelayS = faults.nextWriteDelayS();
     if (writeDelayS > 0) {
       cluster.clock.after(writeDelayS, () -> service.compareAndSwap(owner.index(), swap));
--- a/src/test/java/org/ternhinge/sim/SimUsers.java
+++ b/src/test/java/org/ternhinge/sim/SimUsers.java
@@ -60,7 +60,7 @@
 
   /** Treats a job as accepted that was submitted before the cluster started. */
   public void assumeAccepted(JobSpec spec) {
-    jobs.accepted(spec);
+    jobs.recordAccepted(spec);
   }
 
   /** The accepted jobs, in order of acceptance. */
@@ -103,7 +103,7 @@
     for (JobId id : accepted()) {
       double from = Math.max(timelyAnswersSince, jobs.lastAnsweredAt(id));
       if (cluster.clock.seconds() - from > FORGOTTEN_S) {
-        jobs.violation("forgotten: " + id + " has no answer since " + from);
+        jobs.recordViolation("forgotten: " + id + " has no answer since " + from);
       }
       polls.poll(id);
       if (cluster.clock.seconds() > timelyAnswersSince && !mayBeCancelled(id)) {
--- a/src/test/java/org/ternhinge/sim/StoreFaults.java
+++ b/src/test/java/org/ternhinge/sim/StoreFaults.java
@@ -61,8 +61,8 @@
 
   /** Delay of the next transaction in seconds, or 0. */
   double nextWriteDelayS() {
-    boolean late = isActive(writesDelayedUntil) && random.nextDouble() < delayedWriteShare;
-    return late ? MIN_WRITE_DELAY_S + random.nextDouble() * WRITE_DELAY_RANGE_S : 0;
+    boolean isDelayed = isActive(writesDelayedUntil) && random.nextDouble() < delayedWriteShare;
+    return isDelayed ? MIN_WRITE_DELAY_S + random.nextDouble() * WRITE_DELAY_RANGE_S : 0;
   }
 
   /** Delays responses by between a quarter of the latency and all of it. */
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilder.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilder.java
@@ -10,8 +10,8 @@
 
 /**
  * Builds submissions for tests, so that the wire field names are defined in one place. A new
- * builder holds the small job of {@link Specs#json}; each method sets one field and returns this
- * builder.
+ * builder holds the small job of {@link SubmissionJson#smallJob}; each method sets one field and
+ * returns this builder.
  */
 public final class SubmissionBuilder {
   private static final String SERVICE = "daemon";
@@ -24,7 +24,7 @@
 
   /** A small job of a kind: "batch" for an array, "group" for a gang, "daemon" for a service. */
   public static SubmissionBuilder job(String id, String kind, int tasks) {
-    return new SubmissionBuilder(Specs.json(id, kind, tasks));
+    return new SubmissionBuilder(SubmissionJson.smallJob(id, kind, tasks));
   }
 
   // ---- identity -------------------------------------------------------------------------------
@@ -184,6 +184,6 @@
 
   /** The submission as parsed by the controllers; it must be valid. */
   public JobSpec spec() {
-    return Specs.of(body);
+    return SubmissionJson.parse(body);
   }
 }
--- a/src/test/java/org/ternhinge/sim/Specs.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionJson.java
@@ -6,11 +6,11 @@
 import org.ternhinge.wire.WireException;
 
 /** Creates and parses job submissions for tests. */
-public final class Specs {
-  private Specs() {}
+public final class SubmissionJson {
+  private SubmissionJson() {}
 
   /** A submission of a small job with default fields. */
-  public static ObjectNode json(String id, String kind, int tasks) {
+  public static ObjectNode smallJob(String id, String kind, int tasks) {
     ObjectNode json = Json.object().put("ref", id).put("runflokkur", "c").put("eigandi", "red");
     json.put("gerd", kind).put("forgang", "normal").put("verkbitar", tasks);
     json.put("cpus", 1.0).put("accelerators", 0.0).put("memory_gb", 1.0);
@@ -21,7 +21,7 @@
   }
 
   /** Parses a submission, which must be valid. */
-  public static JobSpec of(ObjectNode json) {
+  public static JobSpec parse(ObjectNode json) {
     try {
       return JobSpec.read(json);
     } catch (WireException e) {
--- a/src/test/java/org/ternhinge/sim/TaskEvents.java
+++ b/src/test/java/org/ternhinge/sim/TaskEvents.java
@@ -40,7 +40,7 @@
   /** A task starts on a machine. */
   void started(SimWorker machine, TaskId task, JobSpec spec) {
     TaskObserver.Start start =
-        new TaskObserver.Start(machine, task, spec, tasks.started(machine, task));
+        new TaskObserver.Start(machine, task, spec, tasks.recordStart(machine, task));
     checks.forEach(check -> check.started(start));
   }
 
@@ -56,7 +56,7 @@
     boolean ended = false;
     for (int i = 0; i < spec.tasks(); i++) {
       if (spec.isGang() || i == task.index()) {
-        ended |= jobs.complete(new TaskId(task.job(), i));
+        ended |= jobs.markCompleted(new TaskId(task.job(), i));
       }
     }
     if (ended && jobs.allCompleted(task.job())) {
--- a/src/test/java/org/ternhinge/sim/TaskObservations.java
+++ b/src/test/java/org/ternhinge/sim/TaskObservations.java
@@ -38,7 +38,7 @@
   }
 
   /** Records a start and returns the machines on which the task already was. */
-  Set<MachineId> started(SimWorker machine, TaskId task) {
+  Set<MachineId> recordStart(SimWorker machine, TaskId task) {
     starts++;
     startHistory.add(new Start(clock.seconds(), task, machine.id(), machine.zone));
     firstStarts.putIfAbsent(task, clock.seconds());
@@ -55,7 +55,7 @@
   }
 
   /** Records commands sent to a machine, whether or not they reach it. */
-  void sent(MachineId machine, List<Command> commands) {
+  void recordSentCommands(MachineId machine, List<Command> commands) {
     long count = commands.stream().filter(c -> c.op() == Command.Op.START).count();
     startsSentTo.merge(machine, (int) count, Integer::sum);
   }
--- a/src/test/java/org/ternhinge/sim/UserCancellations.java
+++ b/src/test/java/org/ternhinge/sim/UserCancellations.java
@@ -66,11 +66,11 @@
    */
   private boolean accept(JobId id, boolean accepted, Response answer) {
     if (answer != null && answer.status() == 200) {
-      jobs.answered(id, UserRequests.state(answer), jobs.lastState(id));
+      jobs.recordReportedState(id, UserRequests.state(answer), jobs.lastState(id));
       return true;
     }
     if (answer != null && answer.status() == 404 && accepted) {
-      jobs.violation("forgotten: cancel of " + id + " answered 404");
+      jobs.recordViolation("forgotten: cancel of " + id + " answered 404");
       return true;
     }
     return false;
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -35,12 +35,12 @@
 
   // ---- submissions ----------------------------------------------------------------------------
 
-  void submitted(JobSpec spec, ObjectNode body) {
+  void recordSubmitted(JobSpec spec, ObjectNode body) {
     bodies.put(spec.id(), body.deepCopy());
     submittedAt.put(spec.id(), cluster.clock.seconds());
   }
 
-  void accepted(JobSpec spec) {
+  void recordAccepted(JobSpec spec) {
     accepted.putIfAbsent(spec.id(), spec);
     lastAnsweredAt.put(spec.id(), cluster.clock.seconds());
   }
@@ -56,7 +56,7 @@
   /** All services that were ever submitted, in that order. */
   List<JobId> submittedServices() {
     return bodies.entrySet().stream()
-        .filter(submission -> Specs.of(submission.getValue()).isService())
+        .filter(submission -> SubmissionJson.parse(submission.getValue()).isService())
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -130,24 +130,24 @@
    * @param previousState the last reported state when the request was sent; only that state
    *     constrains the response
    */
-  void answered(JobId id, String state, String previousState) {
+  void recordReportedState(JobId id, String state, String previousState) {
     lastAnsweredAt.put(id, cluster.clock.seconds());
     if (!CANCELLED.equals(lastState.get(id))) {
       lastState.put(id, state);
     }
     if (!isFinal(state) && cluster.cancellations.isOverdue(id)) {
       Double cancelledAt = cluster.cancellations.firstConfirmedAt(id);
-      violation("orphaned: " + id + " is " + state + " although cancelled at " + cancelledAt);
+      recordViolation("orphaned: " + id + " is " + state + " although cancelled at " + cancelledAt);
     }
     if (state.equals(CANCELLED)) {
-      cluster.cancellations.confirmed(id);
+      cluster.cancellations.recordConfirmation(id);
     }
     checkFinalStateStays(id, state, previousState);
     if (state.equals(DONE)) {
       checkDone(id);
     }
     if (state.equals(CANCELLED) && !mayBeCancelled(id)) {
-      violation("went_back: " + id + " cancelled by nobody");
+      recordViolation("went_back: " + id + " cancelled by nobody");
     }
     if (state.equals(DONE) && answeredDone.add(id)) {
       checkDependentsOf(id);
@@ -159,18 +159,18 @@
     if (isFinal(state)) {
       String first = finalStates.putIfAbsent(id, state);
       if (first != null && !first.equals(state)) {
-        violation("went_back: " + id + " was answered " + first + " and then " + state);
+        recordViolation("went_back: " + id + " was answered " + first + " and then " + state);
       }
     }
     if (isFinal(previousState) && !previousState.equals(state)) {
-      violation("went_back: " + id + " from " + previousState + " to " + state);
+      recordViolation("went_back: " + id + " from " + previousState + " to " + state);
     }
   }
 
   /** Rule {@code not_done}: a job is reported as done only when all its tasks are completed. */
   private void checkDone(JobId id) {
     if (!cluster.jobs.allCompleted(id)) {
-      violation("not_done: " + id);
+      recordViolation("not_done: " + id);
     }
   }
 
@@ -181,13 +181,13 @@
   private void checkDependentsOf(JobId done) {
     for (JobId id : accepted.keySet()) {
       if (CANCELLED.equals(finalStates.get(id)) && !mayBeCancelled(id)) {
-        violation("went_back: " + id + " cancelled with " + done + ", which is done");
+        recordViolation("went_back: " + id + " cancelled with " + done + ", which is done");
       }
     }
   }
 
   /** Records a rule violation. */
-  void violation(String what) {
+  void recordViolation(String what) {
     cluster.violations.add(what);
   }
 }
--- a/src/test/java/org/ternhinge/sim/UserPolls.java
+++ b/src/test/java/org/ternhinge/sim/UserPolls.java
@@ -33,9 +33,9 @@
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.answered(id, UserRequests.state(answer), previousState);
+                jobs.recordReportedState(id, UserRequests.state(answer), previousState);
               } else {
-                jobs.violation("forgotten: " + id + " answered " + answer.status());
+                jobs.recordViolation("forgotten: " + id + " answered " + answer.status());
               }
             }));
   }
@@ -51,9 +51,9 @@
         UserRequests.ifDecided(
             answer -> {
               if (answer.status() == 200) {
-                jobs.answered(id, UserRequests.state(answer), previousState);
+                jobs.recordReportedState(id, UserRequests.state(answer), previousState);
               } else {
-                jobs.violation("forgotten: repeat of " + id + " answered " + answer.status());
+                jobs.recordViolation("forgotten: repeat of " + id + " answered " + answer.status());
               }
             }));
   }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -43,9 +43,9 @@
   }
 
   void submit(ObjectNode body) {
-    JobSpec spec = Specs.of(body);
+    JobSpec spec = SubmissionJson.parse(body);
     cluster.jobs.add(spec, dependencies(body));
-    jobs.submitted(spec, body);
+    jobs.recordSubmitted(spec, body);
     send(UserRequests.submission(body), spec);
   }
 
@@ -57,10 +57,10 @@
     int status = answer == null ? 0 : answer.status();
     double now = cluster.clock.seconds();
     if (status == 200 || status == 201) {
-      jobs.accepted(spec);
+      jobs.recordAccepted(spec);
       submitPending();
     } else if (status == 400 || status == 422) {
-      jobs.violation("refused: " + spec.id() + " with " + status);
+      jobs.recordViolation("refused: " + spec.id() + " with " + status);
     } else if (now < jobs.submittedAt(spec.id()) + RETRY_PERIOD_S) {
       cluster.clock.after(RETRY_DELAY_S, () -> send(request, spec));
     }
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.model.JobId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Submissions: what is read, what is refused. */
 class JobSpecTest {
@@ -57,7 +57,7 @@
         "bidur_eftir | [\"wk-2\",\"no id\"]"
       })
   void invalidFieldsAreNamed(String field, String value) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.set(field, parse(value));
     WireException error = assertThrows(WireException.class, () -> JobSpec.read(body));
     assertTrue(error.getMessage().startsWith(field + ":"), error.getMessage());
@@ -66,7 +66,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"verkbitar", "cpus", "mynd", "together", "aaetlun_s", "eigandi"})
   void missingFieldsAreRefused(String field) {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.remove(field);
     assertThrows(WireException.class, () -> JobSpec.read(body));
   }
@@ -83,7 +83,7 @@
         "[\"wk-3\",\"wk-2\",\"wk-3\",\"wk-3\"] | wk-3 wk-2"
       })
   void dependenciesAreReadOnceInTheirOrder(String list, String expected) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     if (list != null) {
       body.set("bidur_eftir", parse(list));
     }
@@ -101,7 +101,7 @@
 
   @Test
   void nullableFieldsMayBeOmittedAndUnknownOnesAreIgnored() throws WireException {
-    ObjectNode body = Specs.json("wk-1", "daemon", 5);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "daemon", 5);
     body.remove(List.of("velagerdir", "svaedi", "skiladagur_s"));
     body.put("extra", 1).put("scatter", true);
     JobSpec spec = JobSpec.read(body);
@@ -119,7 +119,7 @@
       })
   void anOmittedConstraintAllowsAnything(
       String types, String zone, boolean allowsType, boolean allowsZone) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.set("velagerdir", parse(types));
     body.set("svaedi", parse(zone));
     JobSpec spec = JobSpec.read(body);
--- a/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
+++ b/src/test/java/org/ternhinge/zone/DisplacementLogTest.java
@@ -12,14 +12,15 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
 /** The events about displaced tasks. */
 class DisplacementLogTest {
   private static final SteadyTime START = new SteadyTime(0);
-  private static final JobSpec JOB = Specs.of(Specs.json("wk-1", "batch", 9));
+  private static final JobSpec JOB =
+      SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 9));
 
   private final DisplacementLog log =
       new DisplacementLog(
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
@@ -56,7 +56,8 @@
   }
 
   private static JobSpec job(String id, String jobClass, String kind, int tasks, String zone) {
-    return Specs.of(Specs.json(id, kind, tasks).put("runflokkur", jobClass).put("svaedi", zone));
+    return SubmissionJson.parse(
+        SubmissionJson.smallJob(id, kind, tasks).put("runflokkur", jobClass).put("svaedi", zone));
   }
 
   private void displace(String id, String jobClass, int tasks) {
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -23,7 +23,7 @@
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
@@ -267,9 +267,9 @@
 
   @Test
   void heldTasksAreHiddenAndBecomeExpectedJobs() {
-    JobSpec array = Specs.of(Specs.json("wk-1", "batch", 5));
-    JobSpec gang = Specs.of(Specs.json("wk-2", "group", 3));
-    JobSpec other = Specs.of(Specs.json("wk-3", "batch", 4));
+    JobSpec array = SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 5));
+    JobSpec gang = SubmissionJson.parse(SubmissionJson.smallJob("wk-2", "group", 3));
+    JobSpec other = SubmissionJson.parse(SubmissionJson.smallJob("wk-3", "batch", 4));
     observe(6, MACHINES);
     failover.attemptLost(array, 1, 1, "north", now);
     failover.attemptLost(array, 3, 1, "north", now);
