--- a/src/main/java/org/ternhinge/attempt/AttemptStatusUpdater.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptStatusUpdater.java
@@ -11,7 +11,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.metrics.Metrics;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
@@ -46,7 +46,7 @@
   }
 
   /** Applies the reported tasks that match an open attempt on the machine. */
-  public void applyReportedTasks(Machine machine, Heartbeat status, SteadyTime now) {
+  public void applyReportedTasks(Machine machine, Heartbeat status, MonotonicTime now) {
     for (TaskStatus task : status.tasks()) {
       Job job = ledger.job(task.task().job());
       Attempt attempt = job == null ? null : job.openAttempt(task.task().index());
@@ -64,7 +64,7 @@
         && attempt.epoch().equals(status.epoch());
   }
 
-  private void applyReport(Machine machine, Attempt attempt, TaskStatus task, SteadyTime now) {
+  private void applyReport(Machine machine, Attempt attempt, TaskStatus task, MonotonicTime now) {
     if (task.ended()) {
       applyEnd(machine, attempt, task.endReason(), now);
     } else {
@@ -72,7 +72,7 @@
     }
   }
 
-  private void applyState(Machine machine, Attempt attempt, AttemptState state, SteadyTime now) {
+  private void applyState(Machine machine, Attempt attempt, AttemptState state, MonotonicTime now) {
     AttemptState before = attempt.state();
     attempt.observe(state, now);
     JobSpec spec = attempt.job().spec();
@@ -105,7 +105,7 @@
     machine.recordImageUse(spec.image(), spec.imageGb(), cacheGb);
   }
 
-  private void applyEnd(Machine machine, Attempt attempt, EndReason endReason, SteadyTime now) {
+  private void applyEnd(Machine machine, Attempt attempt, EndReason endReason, MonotonicTime now) {
     Job job = attempt.job();
     LOG.debug(
         "task {} attempt {} on {} ended: {}",
@@ -121,7 +121,7 @@
   }
 
   /** Records the success or failure of the task for its machine and its job. */
-  private void recordOutcome(Machine machine, Job job, EndReason endReason, SteadyTime now) {
+  private void recordOutcome(Machine machine, Job job, EndReason endReason, MonotonicTime now) {
     switch (endReason) {
       case DONE -> failures.recordSuccess(machine, job, now);
       case ERROR -> failures.recordFailure(machine, job, now);
--- a/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
+++ b/src/main/java/org/ternhinge/attempt/ClosingEvidence.java
@@ -50,7 +50,7 @@
   }
 
   ClosingEvidence(EndReason reported) {
-    this.text = reported.word();
+    this.text = reported.wireName();
   }
 
   /** Returns the evidence for an end that the worker reports. */
--- a/src/main/java/org/ternhinge/attempt/CommandMessage.java
+++ b/src/main/java/org/ternhinge/attempt/CommandMessage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Command;
 
 /**
@@ -13,7 +13,7 @@
  * @param commands the commands; an empty list only requests the worker's status
  */
 record CommandMessage(
-    Machine machine, AgentEpoch epoch, List<Command> commands, SteadyTime sentAt) {
+    Machine machine, AgentEpoch epoch, List<Command> commands, MonotonicTime sentAt) {
 
   /**
    * Marks the starts in this message as settled: each was executed or never will be. Does nothing
--- a/src/main/java/org/ternhinge/attempt/TermFence.java
+++ b/src/main/java/org/ternhinge/attempt/TermFence.java
@@ -9,7 +9,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.OutstandingStarts;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Raises the leader's own term to fence outstanding starts: direct starts without a response, which
@@ -31,7 +31,7 @@
   private final MachineRegistry machines;
 
   /** When the last raise was started; null before the first. */
-  private SteadyTime lastRaiseAt;
+  private MonotonicTime lastRaiseAt;
 
   private boolean raiseInProgress;
 
@@ -43,7 +43,7 @@
   }
 
   /** Whether the term must be raised to close any of these attempts. */
-  public boolean isNeededForAny(Machine machine, List<Attempt> attempts, SteadyTime now) {
+  public boolean isNeededForAny(Machine machine, List<Attempt> attempts, MonotonicTime now) {
     for (Attempt attempt : attempts) {
       if (isNeeded(machine, attempt, now)) {
         return true;
@@ -53,7 +53,7 @@
   }
 
   /** Whether a stopped attempt stays open only because an unfenced start may still arrive. */
-  public boolean isNeeded(Machine machine, Attempt attempt, SteadyTime now) {
+  public boolean isNeeded(Machine machine, Attempt attempt, MonotonicTime now) {
     OutstandingStarts starts = machine.outstandingStarts();
     return attempt.isStopRequested()
         && !attempt.isReported()
@@ -63,7 +63,7 @@
   }
 
   /** Raises the term, unless a raise is in progress or was started recently. */
-  public void raise(SteadyTime now) {
+  public void raise(MonotonicTime now) {
     if (raiseInProgress || wasRaisedRecently(now)) {
       return;
     }
@@ -72,7 +72,7 @@
     writer.raiseTerm(this::handleRaised);
   }
 
-  private boolean wasRaisedRecently(SteadyTime now) {
+  private boolean wasRaisedRecently(MonotonicTime now) {
     return lastRaiseAt != null && now.secondsSince(lastRaiseAt) < MIN_INTERVAL_S;
   }
 
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -163,14 +163,14 @@
   }
 
   private void scheduleLeaderRead(double seconds) {
-    clock.after(seconds, lockedExecutor.guarded(this::readLeader));
+    clock.schedule(seconds, lockedExecutor.guarded(this::readLeader));
   }
 
   private void readLeader() {
     if (localLeadership != null) {
       return;
     }
-    lockedExecutor.whenAnswered(
+    lockedExecutor.whenComplete(
         store.get(Keys.LEADER, RequestPriority.RENEWAL), this::handleLeaderRead);
   }
 
@@ -223,7 +223,7 @@
   // ---- watch of another leader ----------------------------------------------------------------
 
   private void watch(Revision from) {
-    lockedExecutor.whenAnswered(
+    lockedExecutor.whenComplete(
         store.watch(Keys.LEADER, from, WATCH_WAIT_S), outcome -> handleWatchResult(from, outcome));
   }
 
--- a/src/main/java/org/ternhinge/election/LeadershipClaim.java
+++ b/src/main/java/org/ternhinge/election/LeadershipClaim.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import org.ternhinge.ledger.Keys;
 import org.ternhinge.limit.RequestPriority;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
@@ -61,7 +61,7 @@
   void start() {
     candidate
         .lockedExecutor()
-        .whenAnswered(
+        .whenComplete(
             candidate.store().get(Keys.TERM, RequestPriority.RENEWAL), this::handleTermRead);
   }
 
@@ -74,11 +74,11 @@
   }
 
   private void requestLease(TermRecord lastTerm) {
-    SteadyTime sent = candidate.clock().now();
+    MonotonicTime sent = candidate.clock().now();
     long millis = (long) (candidate.tuning().leadershipS() * MILLIS_PER_S);
     candidate
         .lockedExecutor()
-        .whenAnswered(
+        .whenComplete(
             candidate.store().grantLease(millis),
             outcome -> handleLeaseGrant(lastTerm, sent, outcome));
   }
@@ -87,7 +87,7 @@
    * If the response was lost, the store may hold an unused lease, which expires since it is not
    * renewed.
    */
-  private void handleLeaseGrant(TermRecord lastTerm, SteadyTime sent, Outcome<Long> outcome) {
+  private void handleLeaseGrant(TermRecord lastTerm, MonotonicTime sent, Outcome<Long> outcome) {
     if (!(outcome instanceof Outcome.Applied<Long> granted)) {
       listener.failed(false);
       return;
@@ -121,7 +121,7 @@
             new Change.Put(Keys.LEADER, claimed.toJson(), lease.id()));
     candidate
         .lockedExecutor()
-        .whenAnswered(
+        .whenComplete(
             candidate
                 .store()
                 .compareAndSwap(new CompareAndSwap(conditions, changes), RequestPriority.RENEWAL),
@@ -136,6 +136,6 @@
     // An unknown outcome counts as a failure too: once the lease is revoked, a claim that is
     // applied late either fails or writes a term that stays unused.
     lease.release();
-    listener.failed(outcome.isBecause(Reason.CONFLICT));
+    listener.failed(outcome.isNotApplied(Reason.CONFLICT));
   }
 }
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -4,9 +4,9 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.store.KeyValueStore;
 
 /**
@@ -29,8 +29,8 @@
   private final Tuning tuning;
   private final LockedExecutor lockedExecutor;
   private final Runnable onExpired;
-  private SteadyTime lastRenewalSentAt;
-  private SteadyTime validUntil;
+  private MonotonicTime lastRenewalSentAt;
+  private MonotonicTime validUntil;
 
   /** Number of renewals scheduled so far; only the one scheduled last is sent. */
   private long scheduledRenewals;
@@ -50,7 +50,7 @@
    */
   LeadershipLease(
       long id,
-      SteadyTime requested,
+      MonotonicTime requested,
       KeyValueStore store,
       Clock clock,
       Tuning tuning,
@@ -76,7 +76,7 @@
   }
 
   /** The time until which the lease is guaranteed to be in force. */
-  SteadyTime validUntil() {
+  MonotonicTime validUntil() {
     return validUntil;
   }
 
@@ -88,10 +88,10 @@
   /** Revokes the lease, which removes every key that is attached to it, and stops its renewals. */
   void release() {
     released = true;
-    AsyncCalls.ignore(store.revokeLease(id));
+    AsyncCalls.logExceptions(store.revokeLease(id));
   }
 
-  private SteadyTime validityEnd(SteadyTime requestSent) {
+  private MonotonicTime validityEnd(MonotonicTime requestSent) {
     return requestSent.plusSeconds(tuning.validityS());
   }
 
@@ -102,7 +102,7 @@
 
   private void renewAfter(double seconds) {
     long scheduleNumber = ++scheduledRenewals;
-    clock.after(seconds, lockedExecutor.guarded(() -> renewIfScheduledLast(scheduleNumber)));
+    clock.schedule(seconds, lockedExecutor.guarded(() -> renewIfScheduledLast(scheduleNumber)));
   }
 
   private void renewIfScheduledLast(long scheduleNumber) {
@@ -110,16 +110,16 @@
       return;
     }
     long renewalNumber = ++sentRenewals;
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     lastRenewalSentAt = now;
     renewAfter(tuning.renewalOverdueS());
-    lockedExecutor.whenAnswered(
+    lockedExecutor.whenComplete(
         store.renewLease(id, tuning.validityS()),
         outcome -> handleRenewalResponse(renewalNumber, now, outcome));
   }
 
   private void handleRenewalResponse(
-      long renewalNumber, SteadyTime requestSent, Outcome<Long> outcome) {
+      long renewalNumber, MonotonicTime requestSent, Outcome<Long> outcome) {
     if (released || expired) {
       return;
     }
@@ -129,7 +129,7 @@
       if (newest) {
         scheduleNextRenewal();
       }
-    } else if (outcome.isBecause(Reason.NOT_FOUND)) {
+    } else if (outcome.isNotApplied(Reason.NOT_FOUND)) {
       expired = true;
       onExpired.run();
     } else if (newest) {
--- a/src/main/java/org/ternhinge/election/LocalLeadership.java
+++ b/src/main/java/org/ternhinge/election/LocalLeadership.java
@@ -4,8 +4,8 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.LeadershipLoss;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 
 /** A leadership held by this node, from a successful claim until it is lost. */
@@ -67,7 +67,7 @@
   /**
    * The time until which the leadership is guaranteed to be in force, unless it is lost earlier.
    */
-  SteadyTime validUntil() {
+  MonotonicTime validUntil() {
     return lease.validUntil();
   }
 
--- a/src/main/java/org/ternhinge/failover/ZoneRecordStore.java
+++ b/src/main/java/org/ternhinge/failover/ZoneRecordStore.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 import org.ternhinge.term.LeadershipContext;
@@ -32,7 +32,7 @@
   private boolean revisionKnown;
 
   private boolean writeDue;
-  private SteadyTime readDeadline;
+  private MonotonicTime readDeadline;
 
   /**
    * Creates a store that has not read the record yet.
@@ -69,7 +69,7 @@
       writeDue = false;
       context
           .writer()
-          .write(ZoneRecord.KEY, () -> failover.record(clock.now(), clock.wallMillis()));
+          .write(ZoneRecord.KEY, () -> failover.record(clock.now(), clock.wallClockMillis()));
     }
   }
 
@@ -94,7 +94,7 @@
 
   private void restore(Entry entry) {
     context.writer().setRevision(entry.key(), entry.revision());
-    failover.restore(entry.value(), clock.now(), clock.wallMillis());
+    failover.restore(entry.value(), clock.now(), clock.wallClockMillis());
     onRestored.run();
   }
 }
--- a/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
+++ b/src/main/java/org/ternhinge/heartbeat/AgentStatusUpdater.java
@@ -13,7 +13,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineDescription;
 import org.ternhinge.machine.ReportedTasks;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Heartbeat;
 
@@ -62,7 +62,7 @@
   }
 
   @Override
-  public Result apply(Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+  public Result apply(Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     if (machine.agent().isOutdated(status)) {
       return Result.OUTDATED;
     }
@@ -77,7 +77,7 @@
     return Result.APPLIED;
   }
 
-  private void updateEpochAndSequence(Machine machine, Heartbeat status, SteadyTime now) {
+  private void updateEpochAndSequence(Machine machine, Heartbeat status, MonotonicTime now) {
     AgentState agent = machine.agent();
     if (status.epoch().compareTo(agent.epoch()) > 0) {
       epochChange.begin(machine, status.epoch(), now);
@@ -97,7 +97,7 @@
     }
   }
 
-  private void updateLastHeard(Machine machine, SteadyTime now) {
+  private void updateLastHeard(Machine machine, MonotonicTime now) {
     boolean first = !machine.agent().hasReported();
     machine.agent().recordMessage(now);
     if (first) {
@@ -113,7 +113,7 @@
     }
   }
 
-  private void updateTasks(Machine machine, Heartbeat status, SteadyTime now) {
+  private void updateTasks(Machine machine, Heartbeat status, MonotonicTime now) {
     if (!machine.tasks().equals(status.tasks())) {
       reportedTasks.update(machine, status.tasks());
       attemptUpdater.applyReportedTasks(machine, status, now);
@@ -121,7 +121,7 @@
   }
 
   private void reconcileAbsentAttempts(
-      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+      Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     if (absentAttempts.reconcile(machine, status, origin) == Finding.RESPONSE_MISSED) {
       reachability.recordMissedResponse(machine, now);
     }
--- a/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/org/ternhinge/heartbeat/HeartbeatProcessor.java
@@ -10,7 +10,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -72,7 +72,7 @@
    * @param mayCommand whether commands may be sent; otherwise, a response only renews the lease
    */
   public HeartbeatResult process(Heartbeat heartbeat, boolean mayCommand) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     if (higherTermCheck.endsLeadership(heartbeat)) {
       return Rejected.HIGHER_TERM;
     }
@@ -112,7 +112,7 @@
   }
 
   private HeartbeatResult respondToCurrent(
-      Machine machine, Heartbeat heartbeat, boolean mayCommand, SteadyTime now) {
+      Machine machine, Heartbeat heartbeat, boolean mayCommand, MonotonicTime now) {
     if (hasMissedResponse(machine, heartbeat)) {
       reachability.recordMissedResponse(machine, now);
     }
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -16,7 +16,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.ReportedTasks;
 import org.ternhinge.model.AgentEpoch;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.RoundTrigger;
 import org.ternhinge.wire.Heartbeat;
@@ -89,7 +89,7 @@
   }
 
   /** Checks all machines. Called periodically while the leadership is valid. */
-  public void check(SteadyTime now) {
+  public void check(MonotonicTime now) {
     boolean fenceNeeded = false;
     for (Machine machine : List.copyOf(machines.all())) {
       expireReservations(machine, now);
@@ -113,14 +113,14 @@
     }
   }
 
-  private void expireReservations(Machine machine, SteadyTime now) {
+  private void expireReservations(Machine machine, MonotonicTime now) {
     if (machine.removeExpiredReservations(now)) {
       rounds.requestRound();
     }
   }
 
   /** Probes a worker that may be unreachable for commands; a response proves that it is not. */
-  private void probeIfUnreachable(Machine machine, SteadyTime now) {
+  private void probeIfUnreachable(Machine machine, MonotonicTime now) {
     if (machine.agent().hasEndpoint()
         && !machine.outbox().isInFlight()
         && dispatcher.hasFreeSlot()
@@ -159,7 +159,7 @@
     return stopping;
   }
 
-  private void repeatOverdueStops(List<Attempt> stopping, SteadyTime now) {
+  private void repeatOverdueStops(List<Attempt> stopping, MonotonicTime now) {
     for (Attempt attempt : stopping) {
       if (isStopOverdue(attempt, now)) {
         attempts.stop(attempt, 0);
@@ -172,7 +172,7 @@
    * tasks of a gang learn that their peers are checkpointing and until the next heartbeat reports
    * it.
    */
-  private boolean isStopOverdue(Attempt attempt, SteadyTime now) {
+  private boolean isStopOverdue(Attempt attempt, MonotonicTime now) {
     double allowedS =
         attempt.stopGraceS() + workerSettings.gangPeerS() + workerSettings.heartbeatIntervalS();
     return attempt.stopGraceS() > 0
--- a/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReachabilityMonitor.java
@@ -2,7 +2,7 @@
 
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.RoundTrigger;
 
 /**
@@ -28,7 +28,7 @@
   }
 
   /** Records that a heartbeat does not reflect the previous response. */
-  void recordMissedResponse(Machine machine, SteadyTime now) {
+  void recordMissedResponse(Machine machine, MonotonicTime now) {
     machine.health().reachability().recordMissedAnswer(now, this::areOthersReachable);
     if (machine.health().reachability().isUnreachable()) {
       rounds.requestRound();
@@ -36,7 +36,7 @@
   }
 
   /** Records that the worker's epoch ended although responses had renewed its lease. */
-  void recordLapsedLease(Machine machine, SteadyTime now) {
+  void recordLapsedLease(Machine machine, MonotonicTime now) {
     machine.health().reachability().recordLeaseExpiry(now, this::areOthersReachable);
   }
 
--- a/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
+++ b/src/main/java/org/ternhinge/heartbeat/ReclaimNoticeHandler.java
@@ -7,7 +7,7 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.JobSpec;
 
@@ -31,7 +31,7 @@
   }
 
   /** Handles a reclaim notice in a status report, unless the machine has already had one. */
-  void handle(Machine machine, Heartbeat status, SteadyTime now) {
+  void handle(Machine machine, Heartbeat status, MonotonicTime now) {
     if (status.reclaimNoticeS().isEmpty() || machine.cloud().hasReclaimNotice()) {
       return;
     }
--- a/src/main/java/org/ternhinge/http/Reply.java
+++ b/src/main/java/org/ternhinge/http/ClientResponse.java
@@ -1,17 +1,17 @@
 package org.ternhinge.http;
 
-/** A whole response as a client receives it. */
-public final class Reply {
+/** A complete response received by a client. */
+public final class ClientResponse {
   private final int status;
   private final byte[] body;
 
   /**
-   * Creates a reply.
+   * Creates a response.
    *
    * @param status HTTP status
-   * @param body bytes of the body, which are not copied
+   * @param body the body; the array is not copied
    */
-  public Reply(int status, byte[] body) {
+  public ClientResponse(int status, byte[] body) {
     this.status = status;
     this.body = body;
   }
@@ -21,7 +21,7 @@
     return status;
   }
 
-  /** The bytes of the body, which must not be changed. */
+  /** The body; the array must not be modified. */
   public byte[] body() {
     return body;
   }
--- a/src/main/java/org/ternhinge/http/InboundConnections.java
+++ b/src/main/java/org/ternhinge/http/InboundConnections.java
@@ -4,48 +4,48 @@
 import java.util.function.IntConsumer;
 
 /**
- * Counts the connections that are open to this process against their {@link SocketShares}. For use
- * on the event loop alone.
+ * Tracks the open inbound connections of this process against the {@link SocketBudget}. Confined to
+ * the event loop.
  */
 final class InboundConnections {
-  private final SocketShares shares;
+  private final SocketBudget budget;
   private final IntConsumer listener;
-  private int open;
-  private int openToWorkers;
+  private int openConnections;
+  private int openWorkerConnections;
 
   /**
-   * Creates a counter at zero.
+   * Creates a tracker without connections.
    *
-   * @param listener gets the number of open connections after each change
+   * @param listener receives the number of open connections after each change
    */
-  InboundConnections(SocketShares shares, IntConsumer listener) {
-    this.shares = shares;
+  InboundConnections(SocketBudget budget, IntConsumer listener) {
+    this.budget = budget;
     this.listener = listener;
   }
 
-  /** Counts a new connection until it closes; false, and not counted, if there are too many. */
+  /** Tracks a new connection until it closes; returns false, without tracking it, at the limit. */
   boolean tryAdd(Channel channel) {
-    if (open >= shares.all()) {
+    if (openConnections >= budget.maxInbound()) {
       return false;
     }
-    change(1);
-    Channels.onClose(channel, () -> change(-1));
+    adjust(1);
+    Channels.onClose(channel, () -> adjust(-1));
     return true;
   }
 
-  private void change(int difference) {
-    open += difference;
-    listener.accept(open);
+  private void adjust(int delta) {
+    openConnections += delta;
+    listener.accept(openConnections);
   }
 
-  /** Counts a connection, which {@link #tryAdd} has counted, as a worker's until it closes. */
+  /** Marks a connection added by {@link #tryAdd} as a worker's until it closes. */
   void addWorker(Channel channel) {
-    openToWorkers++;
-    Channels.onClose(channel, () -> openToWorkers--);
+    openWorkerConnections++;
+    Channels.onClose(channel, () -> openWorkerConnections--);
   }
 
-  /** Whether more connections of workers are open than their share. */
-  boolean exceedsWorkerShare() {
-    return openToWorkers > shares.workers();
+  /** Whether workers have more open connections than the budget allows to persist. */
+  boolean exceedsWorkerLimit() {
+    return openWorkerConnections > budget.maxPersistentWorkers();
   }
 }
--- a/src/main/java/org/ternhinge/http/PendingCall.java
+++ b/src/main/java/org/ternhinge/http/PendingCall.java
@@ -17,23 +17,23 @@
 import org.ternhinge.model.Outcome.Reason;
 
 /**
- * A request of {@link HttpCaller} from its start to its outcome. For use on the event loop alone,
- * except for {@link #result()}.
+ * A call of {@link PooledHttpClient} that has no outcome yet. Confined to the event loop, except
+ * for {@link #result()}.
  */
 final class PendingCall {
   private final Endpoint endpoint;
   private final Request request;
   private final BooleanSupplier maySend;
-  private final CompletableFuture<Outcome<Reply>> result = new CompletableFuture<>();
+  private final CompletableFuture<Outcome<ClientResponse>> result = new CompletableFuture<>();
   private Future<?> timer;
 
   /** The connection that the request was written to; null until then. */
   private Channel channel;
 
   /**
-   * Creates a call that is not sent yet.
+   * Creates a call without sending it.
    *
-   * @param maySend condition that must hold when the request is written
+   * @param maySend condition that must hold immediately before the request is written
    */
   PendingCall(Endpoint endpoint, Request request, BooleanSupplier maySend) {
     this.endpoint = endpoint;
@@ -45,7 +45,7 @@
     return endpoint;
   }
 
-  CompletableFuture<Outcome<Reply>> result() {
+  CompletableFuture<Outcome<ClientResponse>> result() {
     return result;
   }
 
@@ -61,14 +61,14 @@
     return maySend.getAsBoolean();
   }
 
-  /** Starts the time-out of the whole call. */
+  /** Starts the timer of the call time-out. */
   void startTimer(EventLoop loop, double timeoutS) {
     timer = Channels.schedule(loop, timeoutS, this::timeOut);
   }
 
   /** Writes the request to a connection. */
-  void write(Channel to) {
-    channel = to;
+  void write(Channel connection) {
+    channel = connection;
     byte[] body = request.body();
     boolean hasBody = body.length > 0;
     ByteBuf content = hasBody ? Unpooled.wrappedBuffer(body) : Unpooled.EMPTY_BUFFER;
@@ -85,15 +85,15 @@
 
   private void timeOut() {
     if (channel == null) {
-      finish(Outcome.notApplied(Reason.NO_CONNECTION, "no connection in time"));
+      complete(Outcome.notApplied(Reason.NO_CONNECTION, "no connection within the time-out"));
     } else {
-      finish(Outcome.unknown("no answer in time"));
+      complete(Outcome.unknown("no response within the time-out"));
       Channels.close(channel);
     }
   }
 
-  /** Ends the call; a second outcome has no effect. */
-  void finish(Outcome<Reply> outcome) {
+  /** Completes the call; later outcomes are ignored. */
+  void complete(Outcome<ClientResponse> outcome) {
     timer.cancel(false);
     result.complete(outcome);
   }
--- a/src/main/java/org/ternhinge/http/ServerConnection.java
+++ b/src/main/java/org/ternhinge/http/ServerConnection.java
@@ -23,7 +23,7 @@
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** Names and values of the headers are constants and numbers, which need no validation. */
+  /** Without validation, as all header names and values are constants or numbers. */
   private static final HttpHeadersFactory HEADERS =
       DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
@@ -31,7 +31,7 @@
   private final InboundConnections connections;
   private final String workersPath;
   private boolean awaitingResponse;
-  private boolean worker;
+  private boolean fromWorker;
 
   /**
    * Creates the handler of one connection.
@@ -50,8 +50,8 @@
       send(ctx, Response.of(HttpResponseStatus.BAD_REQUEST.code()), false);
       return;
     }
-    Request request = read(message);
-    boolean keepAlive = HttpUtil.isKeepAlive(message) && !exceedsShare(ctx, request.path());
+    Request request = toRequest(message);
+    boolean keepAlive = HttpUtil.isKeepAlive(message) && !exceedsWorkerLimit(ctx, request.path());
     awaitingResponse = true;
     try {
       handler.handle(
@@ -62,7 +62,7 @@
     }
   }
 
-  private static Request read(FullHttpRequest message) {
+  private static Request toRequest(FullHttpRequest message) {
     byte[] body = new byte[message.content().readableBytes()];
     message.content().readBytes(body);
     String uri = message.uri();
@@ -72,16 +72,16 @@
   }
 
   /**
-   * Whether the connection is a worker's beyond the workers' share. Such workers are served, but
-   * have to reconnect for each request, so that users and health probes find a socket however many
-   * machines there are.
+   * Whether this is a worker's connection beyond the limit of persistent ones. Such workers are
+   * served, but must reconnect for each request, which keeps sockets available for users and health
+   * probes regardless of the number of machines.
    */
-  private boolean exceedsShare(ChannelHandlerContext ctx, String path) {
-    if (!worker && path.equals(workersPath)) {
-      worker = true;
+  private boolean exceedsWorkerLimit(ChannelHandlerContext ctx, String path) {
+    if (!fromWorker && path.equals(workersPath)) {
+      fromWorker = true;
       connections.addWorker(ctx.channel());
     }
-    return worker && connections.exceedsWorkerShare();
+    return fromWorker && connections.exceedsWorkerLimit();
   }
 
   private void send(ChannelHandlerContext ctx, Response response, boolean keepAlive) {
@@ -89,13 +89,13 @@
     if (!ctx.channel().isActive()) {
       return;
     }
-    var done = ctx.writeAndFlush(message(response, keepAlive));
+    var written = ctx.writeAndFlush(toHttpMessage(response, keepAlive));
     if (!keepAlive) {
-      var unused = done.addListener(ChannelFutureListener.CLOSE);
+      var unused = written.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  private static FullHttpResponse message(Response response, boolean keepAlive) {
+  private static FullHttpResponse toHttpMessage(Response response, boolean keepAlive) {
     FullHttpResponse message =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -114,7 +114,7 @@
     return message;
   }
 
-  /** Closes a connection whose client has sent nothing, or only a part of a request, for long. */
+  /** Closes an idle connection whose client has sent no request or only a part of one. */
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof IdleStateEvent && !awaitingResponse) {
@@ -124,7 +124,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    LOG.debug("connection failed: {}", cause.toString());
+    LOG.debug("closing inbound connection: {}", cause.toString());
     Channels.close(ctx);
   }
 }
--- a/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
+++ b/src/main/java/org/ternhinge/leadership/LeadershipRecovery.java
@@ -7,8 +7,8 @@
 import org.ternhinge.ledger.LedgerLoader;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.MachineReleaser;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.ControllerServices;
@@ -52,7 +52,7 @@
             });
   }
 
-  private void restore(LedgerLoader.LoadedState loaded, SteadyTime now) {
+  private void restore(LedgerLoader.LoadedState loaded, MonotonicTime now) {
     for (Job job : loaded.jobs()) {
       ledger.add(job);
     }
@@ -70,7 +70,7 @@
   }
 
   /** Stops the attempts of cancelled jobs that an earlier leader may not have stopped. */
-  private void stopCancelledJobs(SteadyTime now) {
+  private void stopCancelledJobs(MonotonicTime now) {
     for (Job job : ledger.jobs()) {
       if (job.isCancelled()) {
         for (Attempt attempt : job.openAttempts()) {
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -10,7 +10,7 @@
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ReportedTaskCounts;
 import org.ternhinge.machine.TaskFailures;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.scaling.MachineProvisioner;
 import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.term.LeadershipContext;
@@ -56,8 +56,8 @@
    * Returns the latest possible lease expiry of a machine that has sent no heartbeat to this
    * leader. An earlier leader may have renewed leases until the end of its grace period.
    */
-  private static SteadyTime initialLeaseEnd(
-      Settings settings, Tuning tuning, SteadyTime electedAt) {
+  private static MonotonicTime initialLeaseEnd(
+      Settings settings, Tuning tuning, MonotonicTime electedAt) {
     double graceS = Election.gracePeriodS(tuning, settings.workers()) * (1 + Settings.DRIFT);
     return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
--- a/src/main/java/org/ternhinge/ledger/AdmissionControl.java
+++ b/src/main/java/org/ternhinge/ledger/AdmissionControl.java
@@ -75,7 +75,7 @@
   }
 
   private Optional<AdmissionRefusal> checkTeamLimit(JobSpec spec, int tasks) {
-    Resources used = usage.ofTeam(spec.team()).plus(spec.need().times(tasks));
+    Resources used = usage.ofTeam(spec.team()).plus(spec.taskResources().times(tasks));
     return refuseIf(
         !Ledger.isWithinLimits(teams.get(spec.team()), used), AdmissionRefusal.TEAM_LIMIT);
   }
@@ -154,17 +154,17 @@
 
     private Optional<AdmissionRefusal> checkZone(int zone) {
       int tasks = tasksByZone.merge(zone, 1, Integer::sum);
-      if (tasks > spec.zoneLimit()) {
+      if (tasks > spec.maxTasksPerZone()) {
         return Optional.of(AdmissionRefusal.ZONE_LIMIT);
       }
-      return refuseIf(spec.together() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
+      return refuseIf(spec.singleZone() && tasksByZone.size() > 1, AdmissionRefusal.SEVERAL_ZONES);
     }
 
     private Optional<AdmissionRefusal> checkMachineCapacity(MachineAttributes machine) {
       Resources free =
           freeByMachine
               .computeIfAbsent(machine.id(), id -> machine.capacity().minus(usage.ofMachine(id)))
-              .minus(spec.need());
+              .minus(spec.taskResources());
       freeByMachine.put(machine.id(), free);
       boolean full = free.cpus() < 0 || free.gpus() < 0 || free.memory() < 0;
       return refuseIf(full, AdmissionRefusal.MACHINE_FULL);
--- a/src/main/java/org/ternhinge/ledger/Attempt.java
+++ b/src/main/java/org/ternhinge/ledger/Attempt.java
@@ -4,7 +4,7 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.TaskId;
 
 /**
@@ -24,10 +24,10 @@
   private final AgentEpoch epoch;
   private final int zone;
   private final boolean recovered;
-  private final SteadyTime openedAt;
+  private final MonotonicTime openedAt;
 
   private AttemptState state;
-  private SteadyTime runningSince;
+  private MonotonicTime runningSince;
 
   /** The stop request with the shortest grace period so far, or null. */
   private StopRequest stopRequest;
@@ -43,7 +43,7 @@
       AgentEpoch epoch,
       int zone,
       boolean recovered,
-      SteadyTime openedAt) {
+      MonotonicTime openedAt) {
     this.job = job;
     this.task = new TaskId(job.spec().id(), index);
     this.number = number;
@@ -91,7 +91,7 @@
   }
 
   /** When this leader opened the attempt, or loaded it if an earlier leader opened it. */
-  public SteadyTime openedAt() {
+  public MonotonicTime openedAt() {
     return openedAt;
   }
 
@@ -121,7 +121,7 @@
   }
 
   /** When the worker first reported it as running, or null if it has not. */
-  public SteadyTime runningSince() {
+  public MonotonicTime runningSince() {
     return runningSince;
   }
 
@@ -133,7 +133,7 @@
    * @param reported a {@linkplain AttemptState#isReported reported} state
    * @throws IllegalTransitionException if workers do not report this state or the attempt is closed
    */
-  public void observe(AttemptState reported, SteadyTime at) {
+  public void observe(AttemptState reported, MonotonicTime at) {
     if (!reported.isReported()) {
       throw new IllegalTransitionException(toString(), state, reported);
     }
@@ -169,7 +169,7 @@
   }
 
   /** Requests a stop; replaces an earlier request only if the grace period is shorter. */
-  public void requestStop(double graceS, SteadyTime at) {
+  public void requestStop(double graceS, MonotonicTime at) {
     if (stopRequest == null || graceS < stopRequest.graceS()) {
       stopRequest = new StopRequest(graceS, at);
     }
--- a/src/main/java/org/ternhinge/ledger/DependencyGraph.java
+++ b/src/main/java/org/ternhinge/ledger/DependencyGraph.java
@@ -154,7 +154,7 @@
     for (Job job : waiting) {
       job.unmetDependencies().remove(state.id());
       if (!job.hasUnmetDependencies()) {
-        job.setReadyMillis(Math.max(job.acceptedMillis(), clock.wallMillis()));
+        job.setReadyMillis(Math.max(job.acceptedMillis(), clock.wallClockMillis()));
         jobBecameReady = true;
       }
     }
--- a/src/main/java/org/ternhinge/ledger/JobRecordState.java
+++ b/src/main/java/org/ternhinge/ledger/JobRecordState.java
@@ -2,8 +2,8 @@
 
 import it.unimi.dsi.fastutil.ints.Int2LongOpenHashMap;
 import java.util.BitSet;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.wire.JobSpec;
 
 /**
@@ -31,7 +31,7 @@
   private final Int2LongOpenHashMap revisions = new Int2LongOpenHashMap();
 
   private boolean unsentAttempts;
-  private SteadyTime dirtySince;
+  private MonotonicTime dirtySince;
   private boolean repartitionRequested;
   private boolean repartitionTooLarge;
 
@@ -115,11 +115,11 @@
   }
 
   /** When the job was added to the write queue. */
-  SteadyTime dirtySince() {
+  MonotonicTime dirtySince() {
     return dirtySince;
   }
 
-  void setDirtySince(SteadyTime at) {
+  void setDirtySince(MonotonicTime at) {
     dirtySince = at;
   }
 
--- a/src/main/java/org/ternhinge/ledger/Ledger.java
+++ b/src/main/java/org/ternhinge/ledger/Ledger.java
@@ -13,8 +13,8 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.TaskId;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.TaskStatus;
@@ -227,7 +227,7 @@
    * @return the reason for a refusal, or empty if the attempts were opened
    */
   public Optional<AdmissionRefusal> open(
-      Job job, List<Placement> placements, Predicate<TaskId> stillReported, SteadyTime now) {
+      Job job, List<Placement> placements, Predicate<TaskId> stillReported, MonotonicTime now) {
     RepartitionPolicy.repartitionWaitingGang(job, valueBytes);
     Optional<AdmissionRefusal> refusal = admit(job, placements, stillReported);
     if (refusal.isEmpty()) {
@@ -242,7 +242,7 @@
     return admission.check(job, placements, stillReported);
   }
 
-  private void openAll(Job job, List<Placement> placements, SteadyTime now) {
+  private void openAll(Job job, List<Placement> placements, MonotonicTime now) {
     AttemptNumber number = job.highestAttempt().next();
     job.setHighestAttempt(number);
     job.record().setHasUnsentAttempts(true);
@@ -301,7 +301,7 @@
 
   /** Returns the jobs to write, as {@link WriteQueue#ready} does. */
   Map<WriteQueue.Urgency, List<Job>> readyToWrite(
-      SteadyTime batchedBefore, SteadyTime overdueBefore) {
+      MonotonicTime batchedBefore, MonotonicTime overdueBefore) {
     return writeQueue.ready(batchedBefore, overdueBefore);
   }
 
--- a/src/main/java/org/ternhinge/ledger/LedgerWriter.java
+++ b/src/main/java/org/ternhinge/ledger/LedgerWriter.java
@@ -179,14 +179,14 @@
       return;
     }
     awaitingCallback = true;
-    locked.whenAnswered(
+    locked.whenComplete(
         store.compareAndSwap(pending.request(), RequestPriority.ATTEMPT), this::handleAnswer);
   }
 
   private void schedulePoll() {
     if (!pollScheduled) {
       pollScheduled = true;
-      clock.after(POLL_S, locked.guarded(this::poll));
+      clock.schedule(POLL_S, locked.guarded(this::poll));
     }
   }
 
@@ -197,7 +197,7 @@
 
   private void retryAfter(double seconds) {
     awaitingCallback = true;
-    clock.after(seconds, locked.guarded(this::retry));
+    clock.schedule(seconds, locked.guarded(this::retry));
   }
 
   private void retry() {
--- a/src/main/java/org/ternhinge/ledger/StopRequest.java
+++ b/src/main/java/org/ternhinge/ledger/StopRequest.java
@@ -1,6 +1,6 @@
 package org.ternhinge.ledger;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * A request to stop an attempt.
@@ -8,4 +8,4 @@
  * @param graceS seconds for a checkpoint, counted from when the task receives the stop command
  * @param requestedAt when the request was made
  */
-public record StopRequest(double graceS, SteadyTime requestedAt) {}
+public record StopRequest(double graceS, MonotonicTime requestedAt) {}
--- a/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
+++ b/src/main/java/org/ternhinge/ledger/TransactionAssembler.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.ternhinge.ledger.WriteQueue.Urgency;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Selects the writes of the next transaction. While tokens are scarce, cancellations go first, then
@@ -59,7 +59,7 @@
   }
 
   private void addByUrgency(TransactionDraft draft) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     Map<Urgency, List<Job>> ready =
         ledger.readyToWrite(now.plusSeconds(-BATCH_S), now.plusSeconds(-OVERDUE_S));
     for (Urgency urgency : Urgency.values()) {
--- a/src/main/java/org/ternhinge/ledger/WriteQueue.java
+++ b/src/main/java/org/ternhinge/ledger/WriteQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Queue of the jobs with pending writes, which are ordered by urgency. */
 final class WriteQueue {
@@ -56,7 +56,7 @@
    * @param batchedBefore ends of tasks that were queued after this time are still batched
    * @param overdueBefore ends of tasks that were queued before this time are as urgent as starts
    */
-  Map<Urgency, List<Job>> ready(SteadyTime batchedBefore, SteadyTime overdueBefore) {
+  Map<Urgency, List<Job>> ready(MonotonicTime batchedBefore, MonotonicTime overdueBefore) {
     Map<Urgency, List<Job>> ready = new EnumMap<>(Urgency.class);
     for (Urgency urgency : Urgency.values()) {
       ready.put(urgency, new ArrayList<>());
@@ -70,7 +70,7 @@
     return ready;
   }
 
-  private static Urgency urgency(Job job, SteadyTime overdueBefore) {
+  private static Urgency urgency(Job job, MonotonicTime overdueBefore) {
     if (job.isCancelledByDependency()) {
       // The cancellation is already visible to users, and there may be thousands of such jobs.
       return Urgency.TASK_ENDS;
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -4,7 +4,7 @@
 import org.ternhinge.config.Settings;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Heartbeat;
 
@@ -18,8 +18,8 @@
   private long sequence = -1;
   private Term fencingToken = Term.NONE;
   private Term answeredTerm = Term.NONE;
-  private SteadyTime lastMessageAt;
-  private SteadyTime leaseExpiry;
+  private MonotonicTime lastMessageAt;
+  private MonotonicTime leaseExpiry;
   private Endpoint endpoint;
 
   /** The endpoint as received; it is parsed only when this text changes. */
@@ -27,7 +27,7 @@
 
   private boolean termAnnounced;
 
-  AgentState(SteadyTime leaseExpiry) {
+  AgentState(MonotonicTime leaseExpiry) {
     this.leaseExpiry = leaseExpiry;
   }
 
@@ -83,7 +83,7 @@
   // ---- heartbeats and the lease -----------------------------------------------------------------
 
   /** Records the arrival of a message that is newer than all earlier ones. */
-  public void recordMessage(SteadyTime now) {
+  public void recordMessage(MonotonicTime now) {
     lastMessageAt = now;
   }
 
@@ -96,17 +96,17 @@
    * Returns when the newest message arrived; null unless the agent {@linkplain #hasReported has
    * reported}.
    */
-  public SteadyTime lastMessageAt() {
+  public MonotonicTime lastMessageAt() {
     return lastMessageAt;
   }
 
   /** Returns the seconds since the newest message; infinite if none has arrived. */
-  public double silenceS(SteadyTime now) {
+  public double silenceS(MonotonicTime now) {
     return hasReported() ? now.secondsSince(lastMessageAt) : Double.POSITIVE_INFINITY;
   }
 
   /** Returns whether the agent has missed heartbeats or has never reported. */
-  public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
+  public boolean isOverdue(Settings.Workers workers, MonotonicTime now) {
     return silenceS(now) >= workers.overdueS();
   }
 
@@ -114,17 +114,17 @@
    * Returns the time after which the agent has killed its tasks, unless a later answer extends the
    * lease.
    */
-  public SteadyTime leaseExpiry() {
+  public MonotonicTime leaseExpiry() {
     return leaseExpiry;
   }
 
   /** Returns whether the lease has certainly expired. */
-  public boolean isLeaseExpired(SteadyTime now) {
+  public boolean isLeaseExpired(MonotonicTime now) {
     return leaseExpiry.isBefore(now);
   }
 
   /** Extends the lease. An expiry before the current one has no effect. */
-  public void extendLease(SteadyTime until) {
+  public void extendLease(MonotonicTime until) {
     leaseExpiry = until.max(leaseExpiry);
   }
 
--- a/src/main/java/org/ternhinge/machine/BootTimes.java
+++ b/src/main/java/org/ternhinge/machine/BootTimes.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.MachineType;
 
 /**
@@ -59,7 +59,7 @@
       Comparator.comparing(machine -> machine.cloud().provisionedAt());
 
   /** A completed boot, with its duration as a ratio to the nominal boot time. */
-  private record Boot(SteadyTime provisionedAt, SteadyTime upAt, double ratio) {}
+  private record Boot(MonotonicTime provisionedAt, MonotonicTime upAt, double ratio) {}
 
   /** The machines of one type in one zone. */
   private record Pool(String typeName, String zoneName) {}
@@ -78,7 +78,7 @@
     /** Boot ratio at the quantile {@link #ON_TIME_QUANTILE}. */
     private double expectedRatio = NOMINAL_RATIO;
 
-    void evictBefore(SteadyTime time) {
+    void evictBefore(MonotonicTime time) {
       while (!boots.isEmpty() && boots.peekFirst().upAt().isBefore(time)) {
         boots.removeFirst();
       }
@@ -87,21 +87,21 @@
 
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final Map<Pool, BootStatistics> statisticsByPool = new HashMap<>();
 
   /** Creates an instance without observed boots. */
   public BootTimes(
-      MachineRegistry machines, MachineTypeCatalog machineTypes, SteadyTime electedAt) {
+      MachineRegistry machines, MachineTypeCatalog machineTypes, MonotonicTime electedAt) {
     this.machines = machines;
     this.machineTypes = machineTypes;
     this.electedAt = electedAt;
   }
 
   /** Records the first heartbeat of a machine in this leadership. */
-  public void recordBoot(Machine machine, SteadyTime now) {
+  public void recordBoot(Machine machine, MonotonicTime now) {
     MachineType machineType = machineType(machine);
-    SteadyTime provisionedAt = machine.cloud().provisionedAt();
+    MonotonicTime provisionedAt = machine.cloud().provisionedAt();
     if (machineType == null || provisionedAt.isBefore(electedAt)) {
       // It may have sent its first heartbeat to an earlier leader.
       return;
@@ -111,7 +111,7 @@
   }
 
   /** Returns the machines that are late; they do not count as expected capacity. */
-  public Set<MachineId> lateMachines(SteadyTime now) {
+  public Set<MachineId> lateMachines(MonotonicTime now) {
     collectOverdue(now);
     Set<MachineId> late = new HashSet<>();
     for (BootStatistics statistics : statisticsByPool.values()) {
@@ -121,7 +121,7 @@
     return late;
   }
 
-  private void collectOverdue(SteadyTime now) {
+  private void collectOverdue(MonotonicTime now) {
     for (BootStatistics statistics : statisticsByPool.values()) {
       statistics.overdue = new ArrayList<>();
       statistics.evictBefore(now.plusSeconds(-OBSERVATION_WINDOW_S));
@@ -147,7 +147,7 @@
    * Adds the machines that are late by the expected ratio of their pool and, of the other overdue
    * ones, a share with the earliest provision times.
    */
-  private void addLate(BootStatistics statistics, SteadyTime now, Set<MachineId> late) {
+  private void addLate(BootStatistics statistics, MonotonicTime now, Set<MachineId> late) {
     List<Machine> otherOverdue = new ArrayList<>();
     for (Machine machine : statistics.overdue) {
       double ratio = elapsedRatio(machine, machineType(machine), now);
@@ -169,14 +169,14 @@
    * Overdue machines are included with their current ratio. Boots of machines that were provisioned
    * long before the overdue ones are excluded, since conditions may have changed.
    */
-  private double expectedRatio(BootStatistics statistics, SteadyTime now) {
+  private double expectedRatio(BootStatistics statistics, MonotonicTime now) {
     List<Double> ratios = new ArrayList<>();
     ratios.add(NOMINAL_RATIO);
-    SteadyTime windowStart = null;
+    MonotonicTime windowStart = null;
     for (Machine machine : statistics.overdue) {
       MachineType machineType = machineType(machine);
       ratios.add(elapsedRatio(machine, machineType, now));
-      SteadyTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
+      MonotonicTime since = machine.cloud().provisionedAt().plusSeconds(-machineType.bootS());
       windowStart = windowStart == null || since.isBefore(windowStart) ? since : windowStart;
     }
     for (Boot boot : statistics.boots) {
@@ -190,7 +190,7 @@
   }
 
   /** Returns the elapsed boot time of a machine as a ratio to the nominal boot time. */
-  private static double elapsedRatio(Machine machine, MachineType machineType, SteadyTime now) {
+  private static double elapsedRatio(Machine machine, MachineType machineType, MonotonicTime now) {
     return (now.secondsSince(machine.cloud().provisionedAt()) - HEARTBEAT_MARGIN_S)
         / machineType.bootS();
   }
@@ -199,7 +199,7 @@
    * Returns whether a booting machine has exceeded its boot time-out and should be released, since
    * it will probably never come up.
    */
-  public boolean hasBootTimedOut(Machine machine, SteadyTime now) {
+  public boolean hasBootTimedOut(Machine machine, MonotonicTime now) {
     MachineType machineType = machineType(machine);
     if (machineType == null || !isBooting(machine)) {
       return false;
--- a/src/main/java/org/ternhinge/machine/CloudStatus.java
+++ b/src/main/java/org/ternhinge/machine/CloudStatus.java
@@ -1,42 +1,42 @@
 package org.ternhinge.machine;
 
 import java.util.Optional;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The state of one machine as reported by the cloud: its provision time, its last listing, and
  * whether it is being released, reclaimed or terminated. Guarded by the controller's lock.
  */
 public final class CloudStatus {
-  private final SteadyTime discoveredAt;
-  private SteadyTime provisionedAt;
-  private SteadyTime listedAt;
+  private final MonotonicTime discoveredAt;
+  private MonotonicTime provisionedAt;
+  private MonotonicTime listedAt;
   private boolean listedRunning;
-  private SteadyTime reclaimAt;
+  private MonotonicTime reclaimAt;
   private boolean releasing;
   private boolean terminated;
 
-  CloudStatus(SteadyTime now) {
+  CloudStatus(MonotonicTime now) {
     this.discoveredAt = now;
     this.provisionedAt = now;
   }
 
   /** Returns when the machine was discovered in this leadership; it was provisioned earlier. */
-  public SteadyTime discoveredAt() {
+  public MonotonicTime discoveredAt() {
     return discoveredAt;
   }
 
   /** Returns an upper bound of the provision time. */
-  public SteadyTime provisionedAt() {
+  public MonotonicTime provisionedAt() {
     return provisionedAt;
   }
 
-  void setProvisionedAt(SteadyTime at) {
+  void setProvisionedAt(MonotonicTime at) {
     provisionedAt = at;
   }
 
   /** Records that a listing contains the machine. */
-  public void recordListing(SteadyTime at, boolean running) {
+  public void recordListing(MonotonicTime at, boolean running) {
     listedAt = at;
     listedRunning = running;
   }
@@ -52,7 +52,7 @@
   }
 
   /** Returns the last time at which the machine was confirmed to exist. */
-  public SteadyTime lastConfirmedAt() {
+  public MonotonicTime lastConfirmedAt() {
     return listedAt == null ? discoveredAt : listedAt;
   }
 
@@ -60,14 +60,14 @@
    * Records a notice of the cloud that it will reclaim the spot machine. Only the first notice has
    * an effect.
    */
-  public void recordReclaimNotice(SteadyTime at) {
+  public void recordReclaimNotice(MonotonicTime at) {
     if (reclaimAt == null) {
       reclaimAt = at;
     }
   }
 
   /** Returns when the cloud will reclaim the machine; empty without a notice. */
-  public Optional<SteadyTime> reclaimAt() {
+  public Optional<MonotonicTime> reclaimAt() {
     return Optional.ofNullable(reclaimAt);
   }
 
--- a/src/main/java/org/ternhinge/machine/CommandOutbox.java
+++ b/src/main/java/org/ternhinge/machine/CommandOutbox.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.Command;
 
 /**
@@ -12,7 +12,7 @@
 public final class CommandOutbox {
   private final Deque<Command> queue = new ArrayDeque<>();
   private boolean inFlight;
-  private SteadyTime pausedUntil;
+  private MonotonicTime pausedUntil;
 
   /** Appends a command to the queue. */
   public void add(Command command) {
@@ -48,12 +48,12 @@
   }
 
   /** Pauses direct messages until the given time after one has failed. */
-  public void pauseUntil(SteadyTime time) {
+  public void pauseUntil(MonotonicTime time) {
     pausedUntil = time;
   }
 
   /** Returns whether direct messages are paused after a recent failure. */
-  public boolean isPaused(SteadyTime now) {
+  public boolean isPaused(MonotonicTime now) {
     return pausedUntil != null && now.isBefore(pausedUntil);
   }
 }
--- a/src/main/java/org/ternhinge/machine/CommandReachability.java
+++ b/src/main/java/org/ternhinge/machine/CommandReachability.java
@@ -1,7 +1,7 @@
 package org.ternhinge.machine;
 
 import java.util.function.BooleanSupplier;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Tracks whether answers and commands reach the worker of one machine. If they are lost while its
@@ -21,8 +21,8 @@
 
   private int missedAnswers;
   private boolean unreachable;
-  private SteadyTime unreachableSince;
-  private SteadyTime probedAt;
+  private MonotonicTime unreachableSince;
+  private MonotonicTime probedAt;
 
   /**
    * Records that a later heartbeat shows no effect of the last answer.
@@ -30,7 +30,7 @@
    * @param othersReachable whether enough other workers are reachable to rule out a fault of this
    *     node; evaluated only if it affects the result, since it iterates over all machines
    */
-  public void recordMissedAnswer(SteadyTime now, BooleanSupplier othersReachable) {
+  public void recordMissedAnswer(MonotonicTime now, BooleanSupplier othersReachable) {
     missedAnswers++;
     if (missedAnswers >= UNREACHABLE_AFTER && !unreachable && othersReachable.getAsBoolean()) {
       unreachable = true;
@@ -39,7 +39,7 @@
   }
 
   /** Records that the worker's epoch has ended although its heartbeats were answered. */
-  public void recordLeaseExpiry(SteadyTime now, BooleanSupplier othersReachable) {
+  public void recordLeaseExpiry(MonotonicTime now, BooleanSupplier othersReachable) {
     missedAnswers = UNREACHABLE_AFTER - 1;
     recordMissedAnswer(now, othersReachable);
   }
@@ -64,12 +64,12 @@
   }
 
   /** Returns the seconds for which the worker has been unreachable; 0 if it is reachable. */
-  public double unreachableForS(SteadyTime now) {
+  public double unreachableForS(MonotonicTime now) {
     return unreachable ? now.secondsSince(unreachableSince) : 0;
   }
 
   /** Returns whether a probe is due. Returning true starts a new probe interval. */
-  public boolean isProbeDue(SteadyTime now) {
+  public boolean isProbeDue(MonotonicTime now) {
     if (!unreachable || (probedAt != null && now.secondsSince(probedAt) < PROBE_INTERVAL_S)) {
       return false;
     }
--- a/src/main/java/org/ternhinge/machine/JobBackoff.java
+++ b/src/main/java/org/ternhinge/machine/JobBackoff.java
@@ -11,7 +11,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Exponential back-off of jobs whose tasks fail on every machine. Guarded by the controller's lock.
@@ -71,7 +71,7 @@
    *
    * @param changesPerS change rate that the key-value store accepts, per second
    */
-  JobBackoff(Ledger ledger, double changesPerS, SteadyTime now) {
+  JobBackoff(Ledger ledger, double changesPerS, MonotonicTime now) {
     this.ledger = ledger;
     this.slots = new RetrySlots(CHANGES_PER_RETRY / (changesPerS * RETRY_SHARE), now);
   }
@@ -79,7 +79,7 @@
   // ---- outcomes of tasks ------------------------------------------------------------------------
 
   /** Restores the back-off of jobs at the levels that they reached under earlier leaders. */
-  public void recover(Collection<Job> jobs, SteadyTime now) {
+  public void recover(Collection<Job> jobs, MonotonicTime now) {
     for (Job job : jobs) {
       if (job.backoffLevel() > 0) {
         backOff(job, job.backoffLevel(), now);
@@ -99,7 +99,7 @@
   }
 
   /** Records the failure of a task and returns all failures of its job since the last success. */
-  JobFailures recordFailure(Machine machine, Job job, SteadyTime now) {
+  JobFailures recordFailure(Machine machine, Job job, MonotonicTime now) {
     JobFailures failures = failuresOf(job);
     failures.recordFailure(machine.id(), now);
     return failures;
@@ -109,7 +109,7 @@
    * Starts or extends the back-off of a job that is not known to be healthy if it has failed on
    * enough machines.
    */
-  void backOffIfFaulty(Job job, JobFailures failures, SteadyTime now) {
+  void backOffIfFaulty(Job job, JobFailures failures, MonotonicTime now) {
     boolean faulty = failures.isBackingOff() || failures.machineCount() >= BACKOFF_MACHINES;
     // Simultaneous failures of tasks that ran concurrently count as one try.
     if (faulty && !failures.isBlocked(now)) {
@@ -118,15 +118,15 @@
   }
 
   /** Blocks a job for a short time because a worker could not read its description yet. */
-  void recordUnknownJob(Job job, SteadyTime now) {
+  void recordUnknownJob(Job job, MonotonicTime now) {
     JobFailures failures = failuresOf(job);
     if (!failures.isBlocked(now)) {
       failures.blockUntil(now.plusSeconds(UNKNOWN_JOB_BLOCK_S));
     }
   }
 
-  private void backOff(Job job, int level, SteadyTime now) {
-    SteadyTime until = slots.reserve(now.plusSeconds(backoffS(level)), now);
+  private void backOff(Job job, int level, MonotonicTime now) {
+    MonotonicTime until = slots.reserve(now.plusSeconds(backoffS(level)), now);
     failuresOf(job).backOff(level, until);
     ledger.setBackoffLevel(job, level);
     LOG.info(
@@ -142,7 +142,7 @@
   // ---- effect on placements ---------------------------------------------------------------------
 
   /** Returns whether no task of a job may be started now. */
-  public boolean isBlocked(Job job, SteadyTime now) {
+  public boolean isBlocked(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     if (failures == null) {
       return false;
@@ -155,7 +155,7 @@
   }
 
   /** Returns whether a job backs off, so that only one of its tasks may be started at a time. */
-  public boolean isLimitedToSingleTask(Job job, SteadyTime now) {
+  public boolean isLimitedToSingleTask(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures != null
         && failures.isBackingOff()
@@ -164,7 +164,7 @@
   }
 
   /** Returns the machines on which no task of a job should be placed now. */
-  public Set<MachineId> avoidedMachines(Job job, SteadyTime now) {
+  public Set<MachineId> avoidedMachines(Job job, MonotonicTime now) {
     JobFailures failures = failuresByJob.get(job.spec().id());
     return failures == null ? Set.of() : failures.avoidedMachines(now);
   }
@@ -174,12 +174,12 @@
   /**
    * Returns whether a job is healthy: a task of it has succeeded, or has been running for a while.
    */
-  static boolean isHealthy(Job job, SteadyTime now) {
+  static boolean isHealthy(Job job, MonotonicTime now) {
     if (job.doneCount() > 0) {
       return true;
     }
     for (Attempt attempt : job.openAttempts()) {
-      SteadyTime since = attempt.runningSince();
+      MonotonicTime since = attempt.runningSince();
       if (since != null && now.secondsSince(since) > HEALTHY_RUN_TIME_S) {
         return true;
       }
--- a/src/main/java/org/ternhinge/machine/JobFailures.java
+++ b/src/main/java/org/ternhinge/machine/JobFailures.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Failures of one job's tasks since the last success: the machines on which they failed and the
@@ -20,16 +20,16 @@
   static final double AVOIDANCE_S = 45;
 
   /** Time of the last failure, by machine. */
-  private final Map<MachineId, SteadyTime> lastFailures = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> lastFailures = new HashMap<>();
 
   /** Number of back-offs since the last success; 0 if the job does not back off. */
   private int backoffLevel;
 
   /** No task of the job is started before this time; null if unlimited. */
-  private SteadyTime blockedUntil;
+  private MonotonicTime blockedUntil;
 
   /** Records the failure of a task on a machine. */
-  void recordFailure(MachineId machine, SteadyTime now) {
+  void recordFailure(MachineId machine, MonotonicTime now) {
     lastFailures.put(machine, now);
   }
 
@@ -48,18 +48,18 @@
   }
 
   /** Blocks the job until the given time, which replaces an earlier limit. */
-  void blockUntil(SteadyTime time) {
+  void blockUntil(MonotonicTime time) {
     blockedUntil = time;
   }
 
   /** Sets the back-off level and blocks the job until the given time. */
-  void backOff(int level, SteadyTime until) {
+  void backOff(int level, MonotonicTime until) {
     backoffLevel = level;
     blockedUntil = until;
   }
 
   /** Returns whether no task of the job may be started now. */
-  boolean isBlocked(SteadyTime now) {
+  boolean isBlocked(MonotonicTime now) {
     return blockedUntil != null && now.isBefore(blockedUntil);
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Returns the machines on which no task of the job should be placed now. */
-  Set<MachineId> avoidedMachines(SteadyTime now) {
+  Set<MachineId> avoidedMachines(MonotonicTime now) {
     Set<MachineId> avoided = new HashSet<>();
     lastFailures.forEach(
         (machine, failedAt) -> {
--- a/src/main/java/org/ternhinge/machine/Machine.java
+++ b/src/main/java/org/ternhinge/machine/Machine.java
@@ -7,8 +7,8 @@
 import java.util.function.Supplier;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.TaskStatus;
 
@@ -29,7 +29,7 @@
    * @param resources the resources of one task
    * @param until when the reservation expires
    */
-  public record Reservation(JobId job, Resources resources, SteadyTime until) {}
+  public record Reservation(JobId job, Resources resources, MonotonicTime until) {}
 
   private final MachineId id;
   private final CloudStatus cloud;
@@ -42,7 +42,7 @@
   private MachineDescription description = MachineDescription.UNKNOWN;
   private List<TaskStatus> tasks = List.of();
   private long tasksRevision;
-  private SteadyTime idleSince;
+  private MonotonicTime idleSince;
 
   /** Cached planner's view; null if it is invalid. */
   private Snapshot.MachineView view;
@@ -52,7 +52,7 @@
    *
    * @param leaseExpiry latest possible expiry of the lease of its worker
    */
-  Machine(MachineId id, SteadyTime now, SteadyTime leaseExpiry) {
+  Machine(MachineId id, MonotonicTime now, MonotonicTime leaseExpiry) {
     this.id = id;
     this.cloud = new CloudStatus(now);
     this.agent = new AgentState(leaseExpiry);
@@ -105,7 +105,7 @@
   }
 
   /** Sets the upper bound of the provision time. */
-  public void setProvisionedAt(SteadyTime at) {
+  public void setProvisionedAt(MonotonicTime at) {
     cloud.setProvisionedAt(at);
     invalidateView();
   }
@@ -152,12 +152,12 @@
   }
 
   /** Returns the time since which the machine has had no open attempt. */
-  public SteadyTime idleSince() {
+  public MonotonicTime idleSince() {
     return idleSince;
   }
 
   /** Records that the machine has no open attempt from now on. */
-  public void markIdle(SteadyTime now) {
+  public void markIdle(MonotonicTime now) {
     idleSince = now;
     invalidateView();
   }
@@ -187,7 +187,7 @@
   }
 
   /** Removes the expired reservations and returns whether there were any. */
-  public boolean removeExpiredReservations(SteadyTime now) {
+  public boolean removeExpiredReservations(MonotonicTime now) {
     boolean expired =
         !reservations.isEmpty()
             && reservations.removeIf(reservation -> reservation.until().isBefore(now));
--- a/src/main/java/org/ternhinge/machine/MachineHealth.java
+++ b/src/main/java/org/ternhinge/machine/MachineHealth.java
@@ -1,6 +1,6 @@
 package org.ternhinge.machine;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The health state of one machine, which decides whether tasks may be placed on it. Guarded by the
@@ -9,8 +9,8 @@
 public final class MachineHealth {
   private final MachineFailures failures = new MachineFailures();
   private final CommandReachability reachability = new CommandReachability();
-  private SteadyTime quarantinedUntil;
-  private SteadyTime placementsBlockedUntil;
+  private MonotonicTime quarantinedUntil;
+  private MonotonicTime placementsBlockedUntil;
 
   /** Returns the failures of tasks since the last success on the machine. */
   MachineFailures failures() {
@@ -23,11 +23,11 @@
   }
 
   /** Returns whether the machine is quarantined because tasks fail on it. */
-  public boolean isQuarantined(SteadyTime now) {
+  public boolean isQuarantined(MonotonicTime now) {
     return quarantinedUntil != null && now.isBefore(quarantinedUntil);
   }
 
-  void quarantineUntil(SteadyTime time) {
+  void quarantineUntil(MonotonicTime time) {
     quarantinedUntil = time;
   }
 
@@ -39,12 +39,12 @@
    * Blocks placements until the given time because the machine refused a task for lack of
    * resources.
    */
-  void blockPlacementsUntil(SteadyTime time) {
+  void blockPlacementsUntil(MonotonicTime time) {
     placementsBlockedUntil = time;
   }
 
   /** Returns whether the machine has not recently refused a task for lack of resources. */
-  public boolean acceptsTasks(SteadyTime now) {
+  public boolean acceptsTasks(MonotonicTime now) {
     return placementsBlockedUntil == null || placementsBlockedUntil.isBefore(now);
   }
 }
--- a/src/main/java/org/ternhinge/machine/MachineRegistry.java
+++ b/src/main/java/org/ternhinge/machine/MachineRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The machines known in the current leadership, and the names of removed ones. Names are never
@@ -21,7 +21,7 @@
 
   private final Collection<Machine> all = Collections.unmodifiableCollection(machines.values());
   private final Set<MachineId> removedIds = new HashSet<>();
-  private final SteadyTime initialLeaseExpiry;
+  private final MonotonicTime initialLeaseExpiry;
 
   /**
    * Creates an empty registry.
@@ -29,12 +29,12 @@
    * @param initialLeaseExpiry latest possible lease expiry of a machine that has sent no heartbeat
    *     in this leadership, whichever earlier leader last renewed the lease
    */
-  public MachineRegistry(SteadyTime initialLeaseExpiry) {
+  public MachineRegistry(MonotonicTime initialLeaseExpiry) {
     this.initialLeaseExpiry = initialLeaseExpiry;
   }
 
   /** Returns the machine with a name, which is added if it is not registered. */
-  public Machine findOrAdd(MachineId id, SteadyTime now) {
+  public Machine findOrAdd(MachineId id, MonotonicTime now) {
     return machines.computeIfAbsent(id, key -> new Machine(key, now, initialLeaseExpiry));
   }
 
--- a/src/main/java/org/ternhinge/machine/RetrySlots.java
+++ b/src/main/java/org/ternhinge/machine/RetrySlots.java
@@ -1,7 +1,7 @@
 package org.ternhinge.machine;
 
 import java.util.TreeSet;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Limits the rate of retries across all failing jobs. Each retry costs changes of the key-value
@@ -10,7 +10,7 @@
  */
 final class RetrySlots {
   private final double slotS;
-  private final SteadyTime origin;
+  private final MonotonicTime origin;
   private final TreeSet<Long> reserved = new TreeSet<>();
 
   /**
@@ -18,13 +18,13 @@
    *
    * @param slotS length of a slot in seconds
    */
-  RetrySlots(double slotS, SteadyTime origin) {
+  RetrySlots(double slotS, MonotonicTime origin) {
     this.slotS = slotS;
     this.origin = origin;
   }
 
   /** Reserves the first free slot that starts at or after a time, and returns its start. */
-  SteadyTime reserve(SteadyTime earliest, SteadyTime now) {
+  MonotonicTime reserve(MonotonicTime earliest, MonotonicTime now) {
     reserved.headSet((long) Math.floor(now.secondsSince(origin) / slotS)).clear();
     long slot = (long) Math.ceil(earliest.secondsSince(origin) / slotS);
     while (!reserved.add(slot)) {
--- a/src/main/java/org/ternhinge/machine/TaskFailures.java
+++ b/src/main/java/org/ternhinge/machine/TaskFailures.java
@@ -7,7 +7,7 @@
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Attributes failures of tasks to machines or to jobs, and quarantines faulty machines. Guarded by
@@ -47,7 +47,8 @@
    *
    * @param changesPerS change rate that the key-value store accepts, per second
    */
-  public TaskFailures(Ledger ledger, MachineRegistry machines, double changesPerS, SteadyTime now) {
+  public TaskFailures(
+      Ledger ledger, MachineRegistry machines, double changesPerS, MonotonicTime now) {
     this.machines = machines;
     this.jobBackoff = new JobBackoff(ledger, changesPerS, now);
   }
@@ -58,7 +59,7 @@
   }
 
   /** Records the success of a task, which clears its machine and its job of suspicion. */
-  public void recordSuccess(Machine machine, Job job, SteadyTime now) {
+  public void recordSuccess(Machine machine, Job job, MonotonicTime now) {
     if (!machine.health().isQuarantined(now)) {
       machine.health().failures().clear();
     }
@@ -69,13 +70,13 @@
   }
 
   /** Attributes earlier failures of a job to a machine after the job has proved healthy. */
-  private void attributeToMachine(Machine machine, Job job, SteadyTime now) {
+  private void attributeToMachine(Machine machine, Job job, MonotonicTime now) {
     machine.health().failures().markJobHealthy(job.spec().id());
     updateQuarantine(machine, now);
   }
 
   /** Records the failure of a task that was not caused by the controller. */
-  public void recordFailure(Machine machine, Job job, SteadyTime now) {
+  public void recordFailure(Machine machine, Job job, MonotonicTime now) {
     JobId id = job.spec().id();
     JobFailures jobFailures = jobBackoff.recordFailure(machine, job, now);
     if (JobBackoff.isHealthy(job, now)) {
@@ -92,25 +93,25 @@
   }
 
   /** Records that a machine refused a task for lack of resources. */
-  public void recordRefusal(Machine machine, SteadyTime now) {
+  public void recordRefusal(Machine machine, MonotonicTime now) {
     machine.health().blockPlacementsUntil(now.plusSeconds(REFUSAL_PAUSE_S));
   }
 
   /**
    * Records that a worker refused a task because it could not read the description of the job yet.
    */
-  public void recordUnknownJob(Job job, SteadyTime now) {
+  public void recordUnknownJob(Job job, MonotonicTime now) {
     jobBackoff.recordUnknownJob(job, now);
   }
 
-  private void updateQuarantines(Set<MachineId> ids, SteadyTime now) {
+  private void updateQuarantines(Set<MachineId> ids, MonotonicTime now) {
     for (MachineId id : ids) {
       machines.find(id).ifPresent(machine -> updateQuarantine(machine, now));
     }
   }
 
   /** Starts or ends the quarantine of a machine according to the failures attributed to it. */
-  private void updateQuarantine(Machine machine, SteadyTime now) {
+  private void updateQuarantine(Machine machine, MonotonicTime now) {
     boolean quarantine = shouldQuarantine(machine);
     if (quarantine && !machine.health().isQuarantined(now)) {
       machine.health().quarantineUntil(now.plusSeconds(QUARANTINE_S));
--- a/src/main/java/org/ternhinge/peer/PeerLink.java
+++ b/src/main/java/org/ternhinge/peer/PeerLink.java
@@ -29,10 +29,10 @@
 import org.ternhinge.model.Endpoint;
 
 /**
- * The link between controllers, over which a node relays requests to the leader. Nothing depends on
- * its delivery: a node that gets no response in time uses the key-value store instead.
+ * Connections to the other controllers, over which a node forwards requests to the leader. Delivery
+ * is best-effort: a node that gets no response in time uses the key-value store instead.
  *
- * <p>Methods may be called from any thread; the state is confined to the event loop.
+ * <p>Thread-safe; the state is confined to the event loop.
  */
 public final class PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
@@ -48,9 +48,9 @@
   private long lastId;
 
   /**
-   * Creates a link.
+   * Creates a link without connections.
    *
-   * @param peers addresses of the other controllers by their names
+   * @param peers addresses of the other controllers by node name
    */
   public PeerLink(EventLoop loop, Map<String, Endpoint> peers) {
     this.loop = loop;
@@ -93,18 +93,19 @@
   /**
    * Sends a request to another controller.
    *
-   * @param timeoutS limit of the whole call, in seconds
-   * @param answer gets the response once, or nothing when none came in time; on the event loop
+   * @param timeoutS time limit of the call in seconds
+   * @param callback called once, on the event loop, with the response, or empty if none arrived in
+   *     time
    */
-  public void ask(
-      String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
-    loop.execute(() -> askOnLoop(node, request, timeoutS, answer));
+  public void send(
+      String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
+    loop.execute(() -> sendOnLoop(node, request, timeoutS, callback));
   }
 
-  private void askOnLoop(
-      String node, Request request, double timeoutS, Consumer<Optional<Response>> answer) {
+  private void sendOnLoop(
+      String node, Request request, double timeoutS, Consumer<Optional<Response>> callback) {
     Frame.RequestFrame frame = new Frame.RequestFrame(++lastId, request);
-    pendingById.put(frame.id(), answer);
+    pendingById.put(frame.id(), callback);
     var unused = Channels.schedule(loop, timeoutS, () -> complete(frame.id(), Optional.empty()));
     Channel open = channelByNode.get(node);
     Endpoint endpoint = peers.get(node);
@@ -117,7 +118,7 @@
     }
   }
 
-  private void connect(String node, Endpoint endpoint, Frame first) {
+  private void connect(String node, Endpoint endpoint, Frame firstFrame) {
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -125,33 +126,33 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(initializer())
         .connect(endpoint.host(), endpoint.port())
-        .addListener((ChannelFuture done) -> connected(node, done, first));
+        .addListener((ChannelFuture connectFuture) -> onConnected(node, connectFuture, firstFrame));
   }
 
-  private void connected(String node, ChannelFuture done, Frame first) {
-    if (!done.isSuccess()) {
-      complete(first.id(), Optional.empty());
+  private void onConnected(String node, ChannelFuture connectFuture, Frame firstFrame) {
+    if (!connectFuture.isSuccess()) {
+      complete(firstFrame.id(), Optional.empty());
       return;
     }
-    Channel channel = done.channel();
+    Channel channel = connectFuture.channel();
     Channel previous = channelByNode.put(node, channel);
     if (previous != null && previous != channel) {
       Channels.close(previous);
     }
     Channels.onClose(channel, () -> channelByNode.remove(node, channel));
-    write(channel, first);
+    write(channel, firstFrame);
   }
 
-  /** Completes a request unless it is completed already. */
+  /** Completes a request unless it has already completed. */
   private void complete(long id, Optional<Response> response) {
-    Consumer<Optional<Response>> answer = pendingById.remove(id);
-    if (answer != null) {
-      answer.accept(response);
+    Consumer<Optional<Response>> callback = pendingById.remove(id);
+    if (callback != null) {
+      callback.accept(response);
     }
   }
 
   /** Closes the connection to a node that did not answer; the next request opens a new one. */
-  public void reset(String node) {
+  public void closeConnection(String node) {
     loop.execute(
         () -> {
           Channel channel = channelByNode.remove(node);
@@ -165,15 +166,16 @@
     Channels.write(channel, Unpooled.wrappedBuffer(frame.encode()));
   }
 
-  /** Receives the frames of one connection, of either direction. */
+  /** Handles the frames of an inbound or outbound connection. */
   private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
-      Frame frame = Frame.read(in.nioBuffer());
-      if (frame instanceof Frame.ResponseFrame answered) {
-        complete(answered.id(), Optional.of(answered.response()));
-      } else if (frame instanceof Frame.RequestFrame asked) {
-        handler.handle(asked.request(), response -> respond(ctx, asked.id(), response));
+      Frame frame = Frame.decode(in.nioBuffer());
+      if (frame instanceof Frame.ResponseFrame responseFrame) {
+        complete(responseFrame.id(), Optional.of(responseFrame.response()));
+      } else if (frame instanceof Frame.RequestFrame requestFrame) {
+        handler.handle(
+            requestFrame.request(), response -> respond(ctx, requestFrame.id(), response));
       }
     }
 
@@ -183,7 +185,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("peer link failed: {}", cause.toString());
+      LOG.debug("closing controller connection: {}", cause.toString());
       Channels.close(ctx);
     }
   }
--- a/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
+++ b/src/main/java/org/ternhinge/request/BootstrapMachineTypes.java
@@ -68,7 +68,7 @@
    * Loads the types from the key-value store, or else from the cloud, and retries until successful.
    */
   public void load() {
-    lockedExecutor.whenAnswered(
+    lockedExecutor.whenComplete(
         store.get(Keys.MACHINE_TYPES, RequestPriority.BOOKKEEPING), this::handleStoreResponse);
   }
 
@@ -99,7 +99,7 @@
             e.getMessage());
       }
     }
-    lockedExecutor.whenAnswered(cloud.machineTypes(), this::handleCloudResponse);
+    lockedExecutor.whenComplete(cloud.machineTypes(), this::handleCloudResponse);
   }
 
   private void handleCloudResponse(Outcome<List<MachineType>> outcome) {
@@ -107,7 +107,7 @@
       finishLoading(applied.value());
       storeCopy(applied.value());
     } else {
-      clock.after(RETRY_S, lockedExecutor.guarded(this::load));
+      clock.schedule(RETRY_S, lockedExecutor.guarded(this::load));
     }
   }
 
@@ -124,6 +124,6 @@
     Change copy = new Change.Put(Keys.MACHINE_TYPES, MachineType.writeAll(types), 0);
     CompareAndSwap compareAndSwap =
         new CompareAndSwap(List.of(KeyCondition.absent(Keys.MACHINE_TYPES)), List.of(copy));
-    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
+    AsyncCalls.logExceptions(store.compareAndSwap(compareAndSwap, RequestPriority.BOOKKEEPING));
   }
 }
--- a/src/main/java/org/ternhinge/request/ConnectivityProbe.java
+++ b/src/main/java/org/ternhinge/request/ConnectivityProbe.java
@@ -54,12 +54,12 @@
 
   /** Starts the checks at a fixed interval, for the lifetime of the process. */
   public void start() {
-    clock.after(CHECK_INTERVAL_S, this::check);
+    clock.schedule(CHECK_INTERVAL_S, this::check);
   }
 
   private void check() {
     lockedExecutor.execute(this::probeIfDue);
-    clock.after(CHECK_INTERVAL_S, this::check);
+    clock.schedule(CHECK_INTERVAL_S, this::check);
   }
 
   /** Other controllers are probed only while the key-value store does not respond. */
@@ -67,7 +67,7 @@
     if (!connectivity.isStoreProbeDue()) {
       return;
     }
-    lockedExecutor.whenAnswered(
+    lockedExecutor.whenComplete(
         store.get(Keys.LEADER, RequestPriority.BOOKKEEPING), this::handleStoreResponse);
     if (connectivity.isPeerProbeDue() && !otherNodes.isEmpty()) {
       String node = otherNodes.get(nextProbedIndex++ % otherNodes.size());
--- a/src/main/java/org/ternhinge/request/DependencyCheck.java
+++ b/src/main/java/org/ternhinge/request/DependencyCheck.java
@@ -12,7 +12,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.JobState;
 
 /**
@@ -25,7 +25,7 @@
   sealed interface Result permits Passed, Rejected, Unavailable {}
 
   /** All dependencies exist and none is a service. */
-  record Passed(DependencyVerdict verdict) implements Result {}
+  record Passed(DependencyCheckResult verdict) implements Result {}
 
   /**
    * The job is rejected, since it could never run.
@@ -62,7 +62,7 @@
   private void checkNext(Deque<JobId> unchecked, boolean anyCancelled, Consumer<Result> callback) {
     JobId next = unchecked.poll();
     if (next == null) {
-      callback.accept(new Passed(new DependencyVerdict(anyCancelled)));
+      callback.accept(new Passed(new DependencyCheckResult(anyCancelled)));
       return;
     }
     lookUp(next, result -> handleLookupResult(next, result, unchecked, anyCancelled, callback));
--- a/src/main/java/org/ternhinge/request/HeartbeatHandler.java
+++ b/src/main/java/org/ternhinge/request/HeartbeatHandler.java
@@ -77,7 +77,7 @@
     }
     responseCallback.accept(
         commands
-            .map(list -> Command.answer(leadership.authority().term(), list))
+            .map(list -> Command.heartbeatResponse(leadership.authority().term(), list))
             .map(body -> Response.of(Responses.OK, body))
             .orElse(Responses.busy()));
     return true;
--- a/src/main/java/org/ternhinge/request/JobLookup.java
+++ b/src/main/java/org/ternhinge/request/JobLookup.java
@@ -150,7 +150,7 @@
     }
 
     private void readEntry(JobId job, String key, Consumer<Entry> present, Runnable absent) {
-      AsyncCalls.whenAnswered(
+      AsyncCalls.whenComplete(
           store.get(key, priority), outcome -> handleReadOutcome(job, outcome, present, absent));
     }
 
--- a/src/main/java/org/ternhinge/request/JobQueryHandler.java
+++ b/src/main/java/org/ternhinge/request/JobQueryHandler.java
@@ -45,6 +45,6 @@
   }
 
   private static Response fullState(JobState state) {
-    return Response.of(Responses.OK, state.full());
+    return Response.of(Responses.OK, state.detailBody());
   }
 }
--- a/src/main/java/org/ternhinge/request/LeaderSearch.java
+++ b/src/main/java/org/ternhinge/request/LeaderSearch.java
@@ -9,7 +9,7 @@
 import org.ternhinge.leadership.LeadershipRole;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Finds the leader by sending a request to all other controllers. A node whose calls the key-value
@@ -29,7 +29,7 @@
    *
    * @param storedLeader the leader according to the key-value store at that time
    */
-  private record FoundLeader(String node, SteadyTime at, Optional<String> storedLeader) {}
+  private record FoundLeader(String node, MonotonicTime at, Optional<String> storedLeader) {}
 
   private final LeadershipRole role;
   private final PeerClient peers;
@@ -38,7 +38,7 @@
   private final Clock clock;
   private final LockedExecutor lockedExecutor;
   private Optional<FoundLeader> lastFound = Optional.empty();
-  private SteadyTime nextSearchAt;
+  private MonotonicTime nextSearchAt;
 
   /**
    * Creates a search without a known leader.
--- a/src/main/java/org/ternhinge/request/NodeConnectivity.java
+++ b/src/main/java/org/ternhinge/request/NodeConnectivity.java
@@ -1,7 +1,7 @@
 package org.ternhinge.request;
 
 import org.ternhinge.model.Clock;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Records when the key-value store and the other controllers last responded to this node, and
@@ -27,8 +27,8 @@
 
   private final Clock clock;
   private final boolean hasPeers;
-  private SteadyTime lastStoreResponseAt;
-  private SteadyTime lastPeerResponseAt;
+  private MonotonicTime lastStoreResponseAt;
+  private MonotonicTime lastPeerResponseAt;
 
   /**
    * Creates the state of a node that is regarded as connected until the first time limit passes.
@@ -77,7 +77,7 @@
         && secondsSince(lastPeerResponseAt) > ISOLATED_AFTER_S;
   }
 
-  private double secondsSince(SteadyTime responseAt) {
+  private double secondsSince(MonotonicTime responseAt) {
     return clock.now().secondsSince(responseAt);
   }
 }
--- a/src/main/java/org/ternhinge/request/ResponseDeadline.java
+++ b/src/main/java/org/ternhinge/request/ResponseDeadline.java
@@ -36,7 +36,7 @@
             pendingCallback.accept(response);
           }
         };
-    clock.after(seconds, () -> first.accept(Responses.busy()));
+    clock.schedule(seconds, () -> first.accept(Responses.busy()));
     return first;
   }
 }
--- a/src/main/java/org/ternhinge/request/Responses.java
+++ b/src/main/java/org/ternhinge/request/Responses.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.ternhinge.http.Response;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 import org.ternhinge.wire.ErrorBody;
 import org.ternhinge.wire.JobState;
 
@@ -35,7 +35,7 @@
    * As {@link #busy}, with the result of the dependency check for the controller that forwarded the
    * request.
    */
-  static Response busy(DependencyVerdict verdict) {
+  static Response busy(DependencyCheckResult verdict) {
     return new Response(UNAVAILABLE, verdict.write(), RETRY_AFTER_S);
   }
 
@@ -62,7 +62,7 @@
 
   /** The response with the state of a job that was accepted before or has just been cancelled. */
   static Response existingJob(JobState state) {
-    return Response.of(OK, state.brief());
+    return Response.of(OK, state.summaryBody());
   }
 
   /** The response for the result of a lookup; 404 for a job that was never accepted. */
--- a/src/main/java/org/ternhinge/request/SubmissionFallback.java
+++ b/src/main/java/org/ternhinge/request/SubmissionFallback.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.ternhinge.http.Response;
-import org.ternhinge.wire.DependencyVerdict;
+import org.ternhinge.wire.DependencyCheckResult;
 
 /** Destination of a submission that this node can't write itself. */
 interface SubmissionFallback {
@@ -14,7 +14,7 @@
    * @param responseCallback receives the final response, or a busy one if no node accepts the
    *     submission
    */
-  void forward(Optional<DependencyVerdict> verdict, Consumer<Response> responseCallback);
+  void forward(Optional<DependencyCheckResult> verdict, Consumer<Response> responseCallback);
 
   /**
    * The fallback of a submission that has already been forwarded to the other nodes; responds busy.
--- a/src/main/java/org/ternhinge/round/SnapshotBuilder.java
+++ b/src/main/java/org/ternhinge/round/SnapshotBuilder.java
@@ -7,8 +7,8 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.machine.Machine;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.scaling.ScaleOutOptions;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.term.LeadershipContext;
@@ -28,7 +28,7 @@
   private final FleetState fleet;
   private final ArrivalRates arrivalRates;
   private final ScaleOutOptions scaleOutOptions;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final MachineViews machineViews;
   private final JobViews jobViews;
 
@@ -50,11 +50,11 @@
   }
 
   /** Whether tasks may be placed on a machine now. */
-  boolean isPlaceable(Machine machine, SteadyTime now) {
+  boolean isPlaceable(Machine machine, MonotonicTime now) {
     return machineViews.isPlaceable(machine, now);
   }
 
-  Snapshot snapshot(SteadyTime now) {
+  Snapshot snapshot(MonotonicTime now) {
     List<Snapshot.MachineView> machines = machineViews.list(now);
     return new Snapshot(
         machines,
@@ -80,7 +80,7 @@
    * Whether every live machine has reported to this leader or has had enough time to report. Before
    * that, tasks could be placed in accelerator slots although better machines are about to report.
    */
-  private boolean isInventoryComplete(SteadyTime now) {
+  private boolean isInventoryComplete(MonotonicTime now) {
     double firstReportsS = FIRST_REPORT_INTERVALS * settings.workers().heartbeatIntervalS();
     if (now.secondsSince(electedAt) > firstReportsS) {
       return true;
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -6,7 +6,7 @@
 import org.ternhinge.attempt.TermAnnouncer;
 import org.ternhinge.config.Settings;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.ListedMachine;
 
@@ -30,7 +30,7 @@
 
   private final CommandDispatcher dispatcher;
   private final TermAnnouncer termAnnouncer;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final double discoveryPeriodS;
 
   /** Indexes of the zones in which the term was announced to a worker. */
@@ -50,7 +50,7 @@
   }
 
   /** Sets the number of announcements that a new listing permits. */
-  void beginListing(SteadyTime now) {
+  void beginListing(MonotonicTime now) {
     remainingAnnouncements =
         now.secondsSince(electedAt) < discoveryPeriodS
             ? 0
--- a/src/main/java/org/ternhinge/scaling/MachineListReader.java
+++ b/src/main/java/org/ternhinge/scaling/MachineListReader.java
@@ -6,8 +6,8 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.ListedMachine;
@@ -23,7 +23,7 @@
      *
      * @param startedAt when the first page was requested
      */
-    void onListing(List<ListedMachine> listing, SteadyTime startedAt);
+    void onListing(List<ListedMachine> listing, MonotonicTime startedAt);
   }
 
   /** Maximum number of machines per page. */
@@ -45,10 +45,10 @@
   /** Machines read so far for the current listing. */
   private final List<ListedMachine> listing = new ArrayList<>();
 
-  private SteadyTime startedAt;
+  private MonotonicTime startedAt;
 
   /** When the current page was first requested, retries excluded. */
-  private SteadyTime pageFirstRequestedAt;
+  private MonotonicTime pageFirstRequestedAt;
 
   /**
    * Creates a reader that is not started.
--- a/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
+++ b/src/main/java/org/ternhinge/scaling/MachineProvisioner.java
@@ -18,9 +18,9 @@
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.LockedExecutor;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.store.Entry;
 import org.ternhinge.term.BucketedRecords;
@@ -117,7 +117,7 @@
       sendAfter(retryPolicy.failedDelayS(), provision);
       return;
     }
-    locked.whenAnswered(
+    locked.whenComplete(
         cloud.provision(provision.request()), outcome -> handleOutcome(provision, outcome));
   }
 
@@ -139,7 +139,7 @@
   }
 
   private void handleMachines(OpenProvision provision, List<MachineId> ids) {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     Set<MachineId> unseen = new HashSet<>();
     for (MachineId id : ids) {
       if (!machines.wasRemoved(id) && !isSeen(addMachine(provision.request(), id, now))) {
@@ -156,7 +156,7 @@
     rounds.requestRound();
   }
 
-  private Machine addMachine(ProvisionRequest request, MachineId id, SteadyTime now) {
+  private Machine addMachine(ProvisionRequest request, MachineId id, MonotonicTime now) {
     Machine machine = machines.findOrAdd(id, now);
     if (!machine.description().isKnown()) {
       machine.setDescription(
@@ -209,7 +209,7 @@
   // ---- state for the planner --------------------------------------------------------------------
 
   /** Returns whether an offer is paused because the cloud lacked capacity for it. */
-  boolean isPaused(OfferKey offer, SteadyTime now) {
+  boolean isPaused(OfferKey offer, MonotonicTime now) {
     return offerBackoff.isPaused(offer, now);
   }
 
--- a/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
+++ b/src/main/java/org/ternhinge/scaling/UnusableMachineCheck.java
@@ -11,7 +11,7 @@
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.MachineTypeCatalog;
 import org.ternhinge.machine.ZoneMachineCounts;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.MachineType;
 
@@ -59,7 +59,7 @@
 
   private final Settings settings;
   private final Ledger ledger;
-  private final SteadyTime electedAt;
+  private final MonotonicTime electedAt;
   private final MachineRegistry machines;
   private final MachineTypeCatalog machineTypes;
   private final MachineReleaser releaser;
@@ -82,7 +82,7 @@
   }
 
   /** Releases the idle machines that are currently unusable. */
-  public void check(SteadyTime now) {
+  public void check(MonotonicTime now) {
     boolean[] silentZones = silentZones(now);
     for (Machine machine : List.copyOf(machines.all())) {
       if (isIdle(machine)) {
@@ -106,7 +106,7 @@
   /**
    * Returns, by zone index, whether so many machines are silent that the network must be the cause.
    */
-  private boolean[] silentZones(SteadyTime now) {
+  private boolean[] silentZones(MonotonicTime now) {
     List<ZoneMachineCounts.Count> machineCounts =
         ZoneMachineCounts.of(
             machines.all(),
@@ -126,7 +126,7 @@
 
   /** Returns why a machine is unusable; empty if it is usable or its type is unknown. */
   private Optional<ReleaseReason> releaseReason(
-      Machine machine, boolean[] silentZones, SteadyTime now) {
+      Machine machine, boolean[] silentZones, MonotonicTime now) {
     Optional<MachineType> type = machineTypes.typeOf(machine);
     if (type.isEmpty()) {
       return Optional.empty();
@@ -150,7 +150,7 @@
    * starts with the provision request, whichever leader sent it, but a running machine also needs
    * time to discover a new leader.
    */
-  private boolean hasBootTimedOut(Machine machine, MachineType type, SteadyTime now) {
+  private boolean hasBootTimedOut(Machine machine, MachineType type, MonotonicTime now) {
     if (machine.agent().hasReported()) {
       return false;
     }
@@ -164,7 +164,7 @@
         && bootTimes.hasBootTimedOut(machine, now);
   }
 
-  private boolean isSilent(Machine machine, boolean[] silentZones, SteadyTime now) {
+  private boolean isSilent(Machine machine, boolean[] silentZones, MonotonicTime now) {
     int zone = machine.description().zone();
     boolean inSilentZone = zone >= 0 && silentZones[zone];
     int leases = inSilentZone ? SILENT_ZONE_GRACE_LEASES : SILENCE_GRACE_LEASES;
@@ -173,7 +173,7 @@
         && machine.agent().leaseExpiry().plusSeconds(allowedS).isBefore(now);
   }
 
-  private boolean isUnreachable(Machine machine, SteadyTime now) {
+  private boolean isUnreachable(Machine machine, MonotonicTime now) {
     return machine.health().reachability().unreachableForS(now)
         > MAX_UNREACHABLE_LEASES * settings.workers().leaseS();
   }
--- a/src/main/java/org/ternhinge/schedule/AcceleratorSlots.java
+++ b/src/main/java/org/ternhinge/schedule/AcceleratorSlots.java
@@ -27,19 +27,19 @@
 
   private static Optional<JobSpec> findSample(Snapshot snapshot) {
     for (JobView job : snapshot.jobs()) {
-      if (job.spec().need().gpus() > 0) {
+      if (job.spec().taskResources().gpus() > 0) {
         return Optional.of(job.spec());
       }
     }
     for (MachineView machine : snapshot.machines()) {
       for (AttemptView attempt : machine.attempts()) {
-        if (attempt.spec().need().gpus() > 0) {
+        if (attempt.spec().taskResources().gpus() > 0) {
           return Optional.of(attempt.spec());
         }
       }
     }
     for (JobView job : snapshot.expectedJobs()) {
-      if (job.spec().need().gpus() > 0) {
+      if (job.spec().taskResources().gpus() > 0) {
         return Optional.of(job.spec());
       }
     }
@@ -57,24 +57,24 @@
    */
   int lostSlots(JobSpec spec, MachineCapacity machine) {
     Resources capacity = machine.machineType().capacity();
-    if (capacity.gpus() == 0 || spec.need().gpus() > 0) {
+    if (capacity.gpus() == 0 || spec.taskResources().gpus() > 0) {
       return 0;
     }
     if (sampleJob != null && (!machine.allows(sampleJob) || isPreemptibleBySample(spec))) {
       return 0;
     }
-    Resources task = sampleJob == null ? assumedTask(capacity) : sampleJob.need();
+    Resources task = sampleJob == null ? assumedTask(capacity) : sampleJob.taskResources();
     Resources room = machine.freeWithoutArrays();
-    int slots = task.timesIn(room);
+    int slots = task.countFittingIn(room);
     if (spec.kind() != JobKind.ARRAY) {
-      return slots - task.timesIn(room.minus(spec.need()));
+      return slots - task.countFittingIn(room.minus(spec.taskResources()));
     }
     if (slots == 0) {
       return 0;
     }
     Resources spare = room.minus(task.times(slots));
     Resources arrays = room.minus(machine.free());
-    return arrays.plus(spec.need()).fitsIn(spare) ? 0 : 1;
+    return arrays.plus(spec.taskResources()).fitsIn(spare) ? 0 : 1;
   }
 
   /** Whether a job is an array of lower priority than the sample, so the sample can preempt it. */
@@ -101,7 +101,9 @@
       return 0;
     }
     Resources room = machine.free();
-    int slots = sampleJob.need().timesIn(room);
-    return slots == 0 ? 0 : slots - sampleJob.need().timesIn(room.minus(spec.need()));
+    int slots = sampleJob.taskResources().countFittingIn(room);
+    return slots == 0
+        ? 0
+        : slots - sampleJob.taskResources().countFittingIn(room.minus(spec.taskResources()));
   }
 }
--- a/src/main/java/org/ternhinge/schedule/GangReservations.java
+++ b/src/main/java/org/ternhinge/schedule/GangReservations.java
@@ -166,7 +166,7 @@
     for (MachineCapacity machine : hosts(spec)) {
       if ((zone == PlanBuilder.ANY_ZONE || machine.zone() == zone)
           && machine.allows(spec)
-          && (mayPreempt || machine.freeCpus() >= spec.need().cpus())
+          && (mayPreempt || machine.freeCpus() >= spec.taskResources().cpus())
           && !PlanBuilder.isAvoided(job, machine)) {
         builder.countEvaluation();
         preemption.addGangSlots(job, machine, mayPreempt, slots);
@@ -179,7 +179,7 @@
 
   /** The machines with enough capacity for a task; cached for gangs with the same request. */
   private List<MachineCapacity> hosts(JobSpec spec) {
-    return hostsByNeed.computeIfAbsent(spec.need(), this::findHosts);
+    return hostsByNeed.computeIfAbsent(spec.taskResources(), this::findHosts);
   }
 
   private List<MachineCapacity> findHosts(Resources need) {
--- a/src/main/java/org/ternhinge/schedule/PlanBuilder.java
+++ b/src/main/java/org/ternhinge/schedule/PlanBuilder.java
@@ -83,7 +83,7 @@
   static long smallestRequestCpus(List<JobView> jobs) {
     long smallest = Long.MAX_VALUE;
     for (JobView job : jobs) {
-      smallest = Math.min(smallest, job.spec().need().cpus());
+      smallest = Math.min(smallest, job.spec().taskResources().cpus());
     }
     return smallest;
   }
@@ -109,7 +109,8 @@
       planned.add(new Plan.Victim(attempt.spec().id(), attempt.index()));
     }
     plan.preemptions()
-        .add(new Plan.Preemption(machine.view().id(), forJob.id(), forJob.need(), planned));
+        .add(
+            new Plan.Preemption(machine.view().id(), forJob.id(), forJob.taskResources(), planned));
   }
 
   /** Adds the provisioning of machines of an offer to the plan. */
@@ -138,7 +139,7 @@
   /** Adds the resources of tasks to their team's usage. */
   void charge(JobSpec spec, int tasks) {
     if (tasks > 0) {
-      teamUse.merge(spec.team(), spec.need().times(tasks), Resources::plus);
+      teamUse.merge(spec.team(), spec.taskResources().times(tasks), Resources::plus);
     }
   }
 
@@ -160,7 +161,7 @@
     for (MachineView machine : snapshot.machines()) {
       for (AttemptView attempt : machine.attempts()) {
         if (attempt.spec().kind() == JobKind.ARRAY) {
-          arrayUse.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
+          arrayUse.merge(attempt.spec().team(), attempt.spec().taskResources(), Resources::plus);
         }
       }
     }
@@ -172,10 +173,12 @@
     Resources use = teamUse(spec.team()).minus(ignoredUse);
     long tasks = Integer.MAX_VALUE;
     if (team.cpusMax() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.need().cpus()));
+      tasks =
+          Math.min(tasks, Math.floorDiv(team.cpusMax() - use.cpus(), spec.taskResources().cpus()));
     }
-    if (team.gpusMax() > 0 && spec.need().gpus() > 0) {
-      tasks = Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.need().gpus()));
+    if (team.gpusMax() > 0 && spec.taskResources().gpus() > 0) {
+      tasks =
+          Math.min(tasks, Math.floorDiv(team.gpusMax() - use.gpus(), spec.taskResources().gpus()));
     }
     return (int) Math.max(0, tasks);
   }
@@ -189,7 +192,7 @@
 
   /** The zones to search one by one; only {@link #ANY_ZONE} if the tasks may be spread. */
   static int[] candidateZones(JobView job) {
-    if (!job.spec().together()) {
+    if (!job.spec().singleZone()) {
       return new int[] {ANY_ZONE};
     }
     return IntStream.range(0, job.openByZone().size()).toArray();
@@ -197,10 +200,10 @@
 
   /** Whether another task of a job may be placed in a zone, given its tasks by zone. */
   static boolean zoneAllows(JobSpec spec, int[] tasksByZone, int zone) {
-    if (tasksByZone[zone] >= spec.zoneLimit()) {
+    if (tasksByZone[zone] >= spec.maxTasksPerZone()) {
       return false;
     }
-    if (spec.together()) {
+    if (spec.singleZone()) {
       for (int other = 0; other < tasksByZone.length; other++) {
         if (other != zone && tasksByZone[other] > 0) {
           return false;
@@ -244,6 +247,7 @@
       score += machine.colocationPenalty(spec);
     }
     long capacityCpus = Math.max(1, machine.machineType().capacity().cpus());
-    return score + UNUSED_CPUS_PENALTY_S * (machine.freeCpus() - spec.need().cpus()) / capacityCpus;
+    return score
+        + UNUSED_CPUS_PENALTY_S * (machine.freeCpus() - spec.taskResources().cpus()) / capacityCpus;
   }
 }
--- a/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/PreemptionPlanner.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.List;
 import org.ternhinge.config.Team;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.UnplaceableRequests.Search;
@@ -43,7 +43,7 @@
 
   PreemptionPlanner(PlanBuilder builder) {
     this.builder = builder;
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     this.cheapestFirst = Comparator.comparingDouble(attempt -> preemptionCost(attempt, now));
     this.lowestPriority = lowestPriority(builder.machines());
   }
@@ -126,21 +126,21 @@
     if (candidates.isEmpty() || !builder.scopePermits(scope, spec, machine)) {
       return;
     }
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     Resources room = machine.roomAfterPreemptions(spec.id());
     List<AttemptView> victims = new ArrayList<>();
     double cost = 0;
     long freedCpus = 0;
     for (AttemptView candidate : candidates) {
-      if (spec.need().fitsIn(room) && limitPermits(spec, freedCpus, scope)) {
+      if (spec.taskResources().fitsIn(room) && limitPermits(spec, freedCpus, scope)) {
         break;
       }
       victims.add(candidate);
-      freedCpus += candidate.spec().need().cpus();
-      room = room.plus(candidate.spec().need());
+      freedCpus += candidate.spec().taskResources().cpus();
+      room = room.plus(candidate.spec().taskResources());
       cost += preemptionCost(candidate, now);
     }
-    boolean enough = limitPermits(spec, freedCpus, scope) && spec.need().fitsIn(room);
+    boolean enough = limitPermits(spec, freedCpus, scope) && spec.taskResources().fitsIn(room);
     if (!victims.isEmpty() && enough) {
       options.add(new PreemptionOption(machine, victims, builder.score(spec, machine) + cost));
     }
@@ -151,7 +151,7 @@
    * the scope is not limited to the job's own team.
    */
   private static boolean limitPermits(JobSpec spec, long freedCpus, PlacementScope scope) {
-    return !scope.ownTeamOnly() || spec.need().cpus() <= freedCpus;
+    return !scope.ownTeamOnly() || spec.taskResources().cpus() <= freedCpus;
   }
 
   // ---- gangs ------------------------------------------------------------------------------------
@@ -171,26 +171,26 @@
     JobSpec spec = job.spec();
     Resources room = machine.roomAfterPreemptions(spec.id());
     boolean canPreempt = mayPreempt && !nonePreemptible(job, machine.lowestPriority());
-    if (!canPreempt && !spec.need().fitsIn(room)) {
+    if (!canPreempt && !spec.taskResources().fitsIn(room)) {
       return;
     }
     double cost = builder.score(spec, machine);
-    while (spec.need().fitsIn(room)) {
+    while (spec.taskResources().fitsIn(room)) {
       slots.add(new GangReservations.GangSlot(machine, List.of(), cost));
-      room = room.minus(spec.need());
+      room = room.minus(spec.taskResources());
     }
     if (!canPreempt) {
       return;
     }
-    SteadyTime now = builder.snapshot().now();
+    MonotonicTime now = builder.snapshot().now();
     List<AttemptView> victims = new ArrayList<>();
     for (AttemptView attempt : preemptibleAttempts(job, machine, PlacementScope.STANDARD)) {
       victims.add(attempt);
-      room = room.plus(attempt.spec().need());
+      room = room.plus(attempt.spec().taskResources());
       cost += GANG_VICTIM_COST + preemptionCost(attempt, now);
-      if (spec.need().fitsIn(room)) {
+      if (spec.taskResources().fitsIn(room)) {
         slots.add(new GangReservations.GangSlot(machine, List.copyOf(victims), cost));
-        room = room.minus(spec.need());
+        room = room.minus(spec.taskResources());
         victims.clear();
       }
     }
@@ -214,7 +214,8 @@
     JobSpec spec = job.spec();
     List<AttemptView> candidates = List.of();
     for (AttemptView attempt : machine.view().attempts()) {
-      boolean takesAcceleratorSlot = attempt.spec().need().gpus() > 0 && spec.need().gpus() == 0;
+      boolean takesAcceleratorSlot =
+          attempt.spec().taskResources().gpus() > 0 && spec.taskResources().gpus() == 0;
       if (isPreemptible(attempt, job)
           && !machine.isPreempted(attempt)
           && (attempt.spec().kind() != JobKind.GANG || attempt.spec().tasks() == 1)
@@ -271,14 +272,14 @@
     }
     // No Resources are created, as this runs for each task of each machine.
     Resources use = builder.teamUse(victim.team());
-    Resources freed = victim.need();
+    Resources freed = victim.taskResources();
     boolean countsGpus = freed.gpus() > 0 && team.gpus() > 0;
     return use.cpus() - freed.cpus() >= team.cpus()
         && (!countsGpus || use.gpus() - freed.gpus() >= team.gpus());
   }
 
   /** The cost of preempting a task: lost work in CPU seconds, plus costs of kind and priority. */
-  private static double preemptionCost(AttemptView attempt, SteadyTime now) {
+  private static double preemptionCost(AttemptView attempt, MonotonicTime now) {
     JobSpec spec = attempt.spec();
     double lostS = attempt.runningSince() == null ? 0 : now.secondsSince(attempt.runningSince());
     if (spec.checkpointIntervalS() > 0) {
--- a/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
+++ b/src/main/java/org/ternhinge/schedule/ScalingPlanner.java
@@ -136,7 +136,7 @@
     for (int i = 0; i < provisionedCounts.length; i++) {
       Offer offer = offers.get(i);
       builder.countEvaluation();
-      int tasksPerMachine = spec.need().timesIn(offer.machineType().capacity());
+      int tasksPerMachine = spec.taskResources().countFittingIn(offer.machineType().capacity());
       if (tasksPerMachine > 0
           && PlanBuilder.zoneAllows(spec, zones, offer.zone())
           && provisionedCounts[i] < offer.maxCount()
@@ -176,7 +176,8 @@
   void reserveForExpected(JobView expected) {
     JobSpec spec = expected.spec();
     int remaining = spec.tasks();
-    TaskShape shape = new TaskShape(spec.need(), PlacementConstraints.ofSingleMachine(spec));
+    TaskShape shape =
+        new TaskShape(spec.taskResources(), PlacementConstraints.ofSingleMachine(spec));
     ArrayDeque<MachineCapacity> machines =
         roomByShape.computeIfAbsent(shape, key -> busyMachinesFirst());
     while (remaining > 0 && !machines.isEmpty()) {
@@ -198,9 +199,9 @@
     }
     int reserved = 0;
     Resources room = roomWithPreemption(machine, spec);
-    while (reserved < maxTasks && spec.need().fitsIn(room)) {
+    while (reserved < maxTasks && spec.taskResources().fitsIn(room)) {
       machine.place(spec);
-      room = room.minus(spec.need());
+      room = room.minus(spec.taskResources());
       reserved++;
     }
     return reserved;
@@ -235,9 +236,9 @@
     for (AttemptView attempt : machine.view().attempts()) {
       JobSpec running = attempt.spec();
       if (running.priority().compareTo(spec.priority()) > 0 && running.kind() != JobKind.GANG) {
-        cpus += running.need().cpus();
-        gpus += running.need().gpus();
-        memory += running.need().memory();
+        cpus += running.taskResources().cpus();
+        gpus += running.taskResources().gpus();
+        memory += running.taskResources().memory();
       }
     }
     return new Resources(cpus, gpus, memory);
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.ternhinge.http.CallTimeouts;
-import org.ternhinge.http.HttpCaller;
-import org.ternhinge.http.Reply;
+import org.ternhinge.http.ClientResponse;
+import org.ternhinge.http.PooledHttpClient;
 import org.ternhinge.http.Request;
 import org.ternhinge.http.ServiceClient;
 import org.ternhinge.limit.RequestPriority;
@@ -47,7 +47,7 @@
    * @param responseTimeouts time-outs of calls, which adapt to the response times
    */
   public HttpKeyValueStore(
-      HttpCaller http,
+      PooledHttpClient http,
       Endpoint endpoint,
       TokenBucket requestTokens,
       TokenBucket writeTokens,
@@ -67,7 +67,7 @@
         body -> Json.decode(body, reader));
   }
 
-  private <T> Outcome<T> toErrorOutcome(Reply reply) {
+  private <T> Outcome<T> toErrorOutcome(ClientResponse reply) {
     return switch (reply.status()) {
       case 404 -> Outcome.notApplied(Reason.NOT_FOUND, "");
       case 409 -> conflict(reply.body());
@@ -123,7 +123,7 @@
   }
 
   private static Outcome<ReadResult> emptyIfNotFound(Outcome<ReadResult> outcome) {
-    return outcome.isBecause(Reason.NOT_FOUND)
+    return outcome.isNotApplied(Reason.NOT_FOUND)
         ? Outcome.applied(new ReadResult(Optional.empty()))
         : outcome;
   }
@@ -149,7 +149,7 @@
       CompareAndSwap compareAndSwap, RequestPriority priority) {
     int changes = compareAndSwap.changes().size();
     if (changes > 0 && !writeTokens.tryTake(priority, changes)) {
-      return CompletableFuture.completedFuture(ServiceClient.noTokens());
+      return CompletableFuture.completedFuture(ServiceClient.rateLimited());
     }
     Request request = Request.post("/txn", compareAndSwap.write());
     return responseTimeouts
@@ -160,7 +160,7 @@
   }
 
   private Outcome<Revision> pauseWritesIfTooMany(Outcome<Revision> outcome) {
-    if (outcome.isBecause(Reason.TOO_MANY_REQUESTS)) {
+    if (outcome.isNotApplied(Reason.TOO_MANY_REQUESTS)) {
       writeTokens.drain();
     }
     return outcome;
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -5,9 +5,9 @@
 import org.ternhinge.config.Tuning;
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
 
 /**
  * Adaptive time-outs for calls to the key-value store. Like TCP's retransmission timer they follow
@@ -130,7 +130,7 @@
   public <T> CompletableFuture<Outcome<T>> measure(
       Kind kind, DoubleFunction<CompletableFuture<Outcome<T>>> send) {
     double timeoutS = timeoutS(kind);
-    SteadyTime sent = clock.now();
+    MonotonicTime sent = clock.now();
     return send.apply(timeoutS)
         .whenComplete((outcome, error) -> recordOutcome(outcome, secondsSince(sent), timeoutS));
   }
@@ -140,12 +140,12 @@
    * since its time-out may be far longer than those of other calls.
    */
   public <T> CompletableFuture<Outcome<T>> observe(CompletableFuture<Outcome<T>> call) {
-    SteadyTime sent = clock.now();
+    MonotonicTime sent = clock.now();
     return call.whenComplete(
         (outcome, error) -> recordOutcome(outcome, secondsSince(sent), Double.POSITIVE_INFINITY));
   }
 
-  private double secondsSince(SteadyTime sent) {
+  private double secondsSince(MonotonicTime sent) {
     return clock.now().secondsSince(sent);
   }
 
--- a/src/main/java/org/ternhinge/term/LeadershipContext.java
+++ b/src/main/java/org/ternhinge/term/LeadershipContext.java
@@ -3,7 +3,7 @@
 import org.ternhinge.ledger.Authority;
 import org.ternhinge.ledger.Ledger;
 import org.ternhinge.ledger.LedgerWriter;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The dependencies shared by the components of one leadership.
@@ -23,7 +23,7 @@
     Ledger ledger,
     LedgerWriter writer,
     RoundTrigger rounds,
-    SteadyTime electedAt) {
+    MonotonicTime electedAt) {
 
   /**
    * Creates a store that packs many small entries into few records.
--- a/src/main/java/org/ternhinge/term/LeadershipExecutor.java
+++ b/src/main/java/org/ternhinge/term/LeadershipExecutor.java
@@ -53,7 +53,7 @@
 
   /** Runs an action under the lock after a delay, unless the leadership has ended by then. */
   public void schedule(double seconds, Runnable action) {
-    clock.after(seconds, () -> execute(action));
+    clock.schedule(seconds, () -> execute(action));
   }
 
   /**
@@ -65,6 +65,6 @@
    */
   public <T> void whenAnswered(
       CompletableFuture<Outcome<T>> answer, Consumer<Outcome<T>> consumer) {
-    AsyncCalls.whenAnswered(answer, outcome -> execute(() -> consumer.accept(outcome)));
+    AsyncCalls.whenComplete(answer, outcome -> execute(() -> consumer.accept(outcome)));
   }
 }
--- a/src/main/java/org/ternhinge/wire/HeartbeatReader.java
+++ b/src/main/java/org/ternhinge/wire/HeartbeatReader.java
@@ -11,12 +11,13 @@
 import org.ternhinge.model.Term;
 
 /**
- * Reads heartbeats token by token, without a JSON tree, as hundreds of them arrive every second.
+ * Streaming parser of heartbeats. It builds no JSON tree, since hundreds of heartbeats arrive every
+ * second.
  */
 final class HeartbeatReader {
   private HeartbeatReader() {}
 
-  /** Reads a whole heartbeat. */
+  /** Reads a complete heartbeat and checks that nothing follows it. */
   static Heartbeat read(byte[] body) throws WireException {
     try (JsonStreamReader in = new JsonStreamReader(body)) {
       in.beginObject();
@@ -37,7 +38,7 @@
     return fields.heartbeat();
   }
 
-  /** The fields of a heartbeat as they are read, in any order. */
+  /** Collects the fields of a heartbeat, which may come in any order. */
   private static final class Fields {
     private String machine;
     private String endpoint;
@@ -47,7 +48,7 @@
     private long epoch = -1;
     private long sequence = -1;
     private long fencingToken = -1;
-    private OptionalDouble notice = OptionalDouble.empty();
+    private OptionalDouble reclaimNoticeS = OptionalDouble.empty();
     private List<TaskStatus> tasks;
 
     void read(String field, JsonStreamReader in) throws IOException, WireException {
@@ -60,7 +61,7 @@
         case "vakt" -> epoch = in.count(field);
         case "raodnumer" -> sequence = in.count(field);
         case "valdmerki" -> fencingToken = in.count(field);
-        case "fyrirvari_s" -> notice = optionalAmount(in, field);
+        case "fyrirvari_s" -> reclaimNoticeS = optionalAmount(in, field);
         case "verkbitar" -> tasks = tasks(in);
         default -> in.skip();
       }
@@ -89,7 +90,7 @@
           new AgentEpoch(epoch),
           sequence,
           new Term(fencingToken),
-          notice,
+          reclaimNoticeS,
           tasks);
     }
   }
@@ -118,8 +119,8 @@
       switch (field) {
         case "verkbiti" -> task = TaskIds.parse(in.text(field), field);
         case "tilraun" -> attempt = in.count(field);
-        case "astand" -> state = TaskState.of(in.text(field));
-        case "astaeda" -> endReason = in.isNull() ? null : EndReason.of(in.text(field));
+        case "astand" -> state = TaskState.fromWireName(in.text(field));
+        case "astaeda" -> endReason = in.isNull() ? null : EndReason.fromWireName(in.text(field));
         case "saved" -> saved = !in.isNull() && in.flag(field);
         default -> in.skip();
       }
--- a/src/main/java/org/ternhinge/wire/JobKind.java
+++ b/src/main/java/org/ternhinge/wire/JobKind.java
@@ -1,29 +1,29 @@
 package org.ternhinge.wire;
 
-/** How the tasks of a job relate to one another. */
+/** The scheduling model of a job's tasks. */
 public enum JobKind {
   /** Independent tasks, each of which runs to completion. */
   ARRAY("batch"),
-  /** All tasks run at the same time, or none does. */
+  /** Gang-scheduled tasks: all of them run at the same time, or none does. */
   GANG("group"),
   /** Replicas that run until the job is cancelled. */
   SERVICE("daemon");
 
-  private final String word;
+  private final String wireName;
 
-  JobKind(String word) {
-    this.word = word;
+  JobKind(String wireName) {
+    this.wireName = wireName;
   }
 
-  /** The kind as messages carry it. */
-  public String word() {
-    return word;
+  /** The name of the kind in messages. */
+  public String wireName() {
+    return wireName;
   }
 
-  /** Parses the kind of a message. */
-  public static JobKind of(String word) throws WireException {
+  /** Parses the name of a kind in a message. */
+  public static JobKind fromWireName(String name) throws WireException {
     for (JobKind kind : values()) {
-      if (kind.word.equals(word)) {
+      if (kind.wireName.equals(name)) {
         return kind;
       }
     }
--- a/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
+++ b/src/main/java/org/ternhinge/wire/JsonStreamWriter.java
@@ -6,15 +6,15 @@
 import java.io.UncheckedIOException;
 
 /**
- * Writes a message field by field, the counterpart of {@link JsonStreamReader}. Hundreds of answers
- * to heartbeats are written every second; a tree of each would only be garbage.
+ * Writes a JSON message field by field; the counterpart of {@link JsonStreamReader}. Hundreds of
+ * heartbeat responses are written every second; building a tree of each would only add garbage.
  */
 final class JsonStreamWriter {
-  /** Enough for an answer without commands, as most are. */
+  /** Sufficient for a response without commands, the most frequent case. */
   private static final int INITIAL_BYTES = 64;
 
-  /** A call of the generator. */
-  private interface Step {
+  /** A call of the JSON generator, which may throw. */
+  private interface GeneratorCall {
     void run() throws IOException;
   }
 
@@ -57,17 +57,17 @@
     write(() -> generator.writeNumberField(name, value));
   }
 
-  /** Returns the whole message; nothing can be added afterwards. */
+  /** Completes the message and returns it; no further writes are allowed. */
   byte[] bytes() {
     write(generator::close);
     return buffer.toByteArray();
   }
 
-  private static void write(Step step) {
+  private static void write(GeneratorCall step) {
     try {
       step.run();
     } catch (IOException e) {
-      throw new UncheckedIOException("a message in memory can always be written", e);
+      throw new UncheckedIOException("JSON message could not be written to memory", e);
     }
   }
 }
--- a/src/main/java/org/ternhinge/wire/Priority.java
+++ b/src/main/java/org/ternhinge/wire/Priority.java
@@ -19,20 +19,20 @@
     this.level = level;
   }
 
-  /** The number of lower priorities. */
+  /** The rank of the priority: the number of lower ones. */
   public int level() {
     return level;
   }
 
-  /** The priority as messages carry it. */
-  public String word() {
+  /** The name of the priority in messages. */
+  public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Parses the priority of a message. */
-  public static Priority of(String word) throws WireException {
+  /** Parses the name of a priority in a message. */
+  public static Priority fromWireName(String name) throws WireException {
     for (Priority priority : values()) {
-      if (priority.word().equals(word)) {
+      if (priority.wireName().equals(name)) {
         return priority;
       }
     }
--- a/src/main/java/org/ternhinge/wire/TaskStatus.java
+++ b/src/main/java/org/ternhinge/wire/TaskStatus.java
@@ -8,11 +8,11 @@
  * The status of one task in a worker's heartbeat.
  *
  * @param task the task
- * @param attempt the attempt that the worker has
+ * @param attempt the attempt that the worker runs or has run
  * @param state the state of the attempt
- * @param endReason why it ended; null until it has, since an Optional would be allocated for each
+ * @param endReason why the attempt ended; null until then. An Optional would be allocated for each
  *     task of each heartbeat
- * @param saved whether a stopped attempt has saved its progress
+ * @param saved whether a stopped attempt has saved a checkpoint
  */
 public record TaskStatus(
     TaskId task, AttemptNumber attempt, TaskState state, EndReason endReason, boolean saved) {
@@ -25,16 +25,16 @@
   /** Writes the status into an empty object. */
   void write(ObjectNode out) {
     out.put("verkbiti", task.toString()).put("tilraun", attempt.value());
-    out.put("astand", state.word());
+    out.put("astand", state.wireName());
     if (endReason != null) {
-      out.put("astaeda", endReason.word());
+      out.put("astaeda", endReason.wireName());
     }
     if (saved) {
       out.put("saved", true);
     }
   }
 
-  // Written out for speed; the documentation of package model says why.
+  // Explicit for performance; see the documentation of package model.
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskStatus that
--- a/src/main/java/org/ternhinge/zone/FailoverQueue.java
+++ b/src/main/java/org/ternhinge/zone/FailoverQueue.java
@@ -10,7 +10,7 @@
 import org.pcollections.TreePSet;
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.wire.JobSpec;
 
 /**
@@ -39,7 +39,7 @@
       boolean pinned,
       PSet<Integer> held,
       PSet<Integer> released,
-      SteadyTime since) {
+      MonotonicTime since) {
     private DisplacedJob with(PSet<Integer> nowHeld, PSet<Integer> nowReleased) {
       return new DisplacedJob(spec, tier, zone, pinned, nowHeld, nowReleased, since);
     }
@@ -73,7 +73,10 @@
    * @param minRate minimum release rate, in tasks per second
    */
   FailoverQueue(
-      ZoneFailoverSettings.Release settings, FailoverOrder order, double minRate, SteadyTime now) {
+      ZoneFailoverSettings.Release settings,
+      FailoverOrder order,
+      double minRate,
+      MonotonicTime now) {
     this.settings = settings;
     this.order = order;
     this.minRate = minRate;
@@ -89,7 +92,7 @@
    * Adds a task that lost its attempt with a zone; a task that was already released is not held
    * again.
    */
-  void displace(JobSpec spec, int task, String zone, SteadyTime now) {
+  void displace(JobSpec spec, int task, String zone, MonotonicTime now) {
     DisplacedJob before = displaced.get(spec.id());
     if (before == null) {
       boolean pinned = spec.zone().equals(Optional.of(zone));
@@ -139,7 +142,7 @@
    *
    * @param firstOpenTier the most important tier with attempts still open in lost zones
    */
-  List<JobTasks> release(DisplacedWork work, int firstOpenTier, SteadyTime now) {
+  List<JobTasks> release(DisplacedWork work, int firstOpenTier, MonotonicTime now) {
     bucket = bucket.refilled(rate(), now);
     List<DisplacedJob> jobs = new ArrayList<>(displaced.values());
     jobs.sort(RELEASE_ORDER);
@@ -164,7 +167,7 @@
     return Math.max(minRate, peakHeld / settings.drainS());
   }
 
-  private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, SteadyTime now) {
+  private int firstBlockingTier(List<DisplacedJob> sorted, DisplacedWork work, MonotonicTime now) {
     for (DisplacedJob job : sorted) {
       if (blocks(job, work, now)) {
         return job.tier;
@@ -173,14 +176,14 @@
     return order.size();
   }
 
-  private boolean blocks(DisplacedJob job, DisplacedWork work, SteadyTime now) {
+  private boolean blocks(DisplacedJob job, DisplacedWork work, MonotonicTime now) {
     double waitedS = now.secondsSince(job.since);
     return !job.pinned
         && work.isPlaceable(job.spec.id())
         && waitedS < (job.tier + 1) * settings.tierHoldS();
   }
 
-  private boolean isDue(DisplacedJob job, SteadyTime now) {
+  private boolean isDue(DisplacedJob job, MonotonicTime now) {
     return now.secondsSince(job.since) >= job.tier * settings.tierHoldS();
   }
 
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -1,7 +1,7 @@
 package org.ternhinge.zone;
 
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * A penalty for recent losses of a zone, as in route flap damping (RFC 2439): each loss adds one,
@@ -10,20 +10,20 @@
  * @param value the penalty at the time {@code at}
  * @param at the time to which the value refers
  */
-record FlapPenalty(double value, SteadyTime at) {
+record FlapPenalty(double value, MonotonicTime at) {
   /** Returns the penalty of a zone that was never lost. */
-  static FlapPenalty none(SteadyTime now) {
+  static FlapPenalty none(MonotonicTime now) {
     return new FlapPenalty(0, now);
   }
 
   /** Returns the value after decay up to the given time. */
-  double valueAt(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
+  double valueAt(MonotonicTime now, ZoneFailoverSettings.Flaps flaps) {
     double halfLives = Math.max(0, now.secondsSince(at)) / flaps.halfLifeS();
     return value * Math.pow(0.5, halfLives);
   }
 
   /** Returns the penalty after another loss, up to the configured maximum. */
-  FlapPenalty increased(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
+  FlapPenalty increased(MonotonicTime now, ZoneFailoverSettings.Flaps flaps) {
     return new FlapPenalty(Math.min(flaps.max(), valueAt(now, flaps) + 1), now);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ImmutableTokenBucket.java
+++ b/src/main/java/org/ternhinge/zone/ImmutableTokenBucket.java
@@ -1,6 +1,6 @@
 package org.ternhinge.zone;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * An immutable token bucket whose rate may change over time. Its capacity is the number of tokens
@@ -10,14 +10,14 @@
  * @param tokens number of tokens at the time {@code at}; negative after an overdraft
  * @param at time to which the number refers
  */
-record ImmutableTokenBucket(double tokens, SteadyTime at) {
+record ImmutableTokenBucket(double tokens, MonotonicTime at) {
   /** Returns a bucket with one token. */
-  static ImmutableTokenBucket withOneToken(SteadyTime now) {
+  static ImmutableTokenBucket withOneToken(MonotonicTime now) {
     return new ImmutableTokenBucket(1, now);
   }
 
   /** Returns the bucket with the tokens added up to the given time. */
-  ImmutableTokenBucket refilled(double tokensPerSecond, SteadyTime now) {
+  ImmutableTokenBucket refilled(double tokensPerSecond, MonotonicTime now) {
     double elapsedS = Math.max(0, now.secondsSince(at));
     double capacity = tokensPerSecond + 1;
     return new ImmutableTokenBucket(Math.min(capacity, tokens + tokensPerSecond * elapsedS), now);
--- a/src/main/java/org/ternhinge/zone/RecoveryLimits.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryLimits.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 
 /**
@@ -18,7 +18,7 @@
   private final RecoveryRateLimiter rateLimiter;
   private ImmutableTokenBucket releases;
 
-  RecoveryLimits(RecoveryRateLimiter rateLimiter, SteadyTime now) {
+  RecoveryLimits(RecoveryRateLimiter rateLimiter, MonotonicTime now) {
     this.rateLimiter = rateLimiter;
     this.releases = ImmutableTokenBucket.withOneToken(now);
   }
@@ -33,7 +33,7 @@
       ZoneSnapshot snapshot,
       PlacementLookup placementLookup,
       List<ZoneEvent> events,
-      SteadyTime now) {
+      MonotonicTime now) {
     rateLimiter.refill(snapshot, now);
     releases = releases.refilled(Math.max(1, RELEASE_SHARE * fleetSize(snapshot)), now);
     PlanLimiter planLimiter = new PlanLimiter(rateLimiter, placementLookup);
--- a/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
+++ b/src/main/java/org/ternhinge/zone/RecoveryRateLimiter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * Limits the rate of task starts in recovering zones; the rate doubles with each step of the
@@ -27,7 +27,7 @@
   }
 
   /** Refills the buckets, and removes those of zones that are not recovering. */
-  void refill(ZoneSnapshot zones, SteadyTime now) {
+  void refill(ZoneSnapshot zones, MonotonicTime now) {
     buckets.keySet().removeIf(zone -> zones.state(zone) != ZoneState.RECOVERING);
     zones
         .zones()
--- a/src/main/java/org/ternhinge/zone/ZoneFailover.java
+++ b/src/main/java/org/ternhinge/zone/ZoneFailover.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.wire.JobSpec;
@@ -47,7 +47,7 @@
       List<String> names,
       double leaseS,
       double minReleaseRate,
-      SteadyTime now) {
+      MonotonicTime now) {
     this.order = new FailoverOrder(settings.tiers());
     this.zones = new ZoneTable(settings, names, leaseS, now);
     this.queue = new FailoverQueue(settings.release(), order, minReleaseRate, now);
@@ -74,18 +74,18 @@
   // ---- record -----------------------------------------------------------------------------------
 
   /** Returns the record of all zones for the next leader. */
-  public ObjectNode record(SteadyTime now, long wallMillis) {
+  public ObjectNode record(MonotonicTime now, long wallMillis) {
     return zones.record(now, wallMillis);
   }
 
   /** Restores the record of an earlier leader; unknown zone names are ignored. */
-  public void restore(JsonNode record, SteadyTime now, long wallMillis) {
+  public void restore(JsonNode record, MonotonicTime now, long wallMillis) {
     zones.restore(record, now, wallMillis);
     publish(now);
   }
 
   /** Returns the unavailable and recovering zones with the time of their last state change. */
-  public Map<String, SteadyTime> lostSince() {
+  public Map<String, MonotonicTime> lostSince() {
     return zones.lostSince();
   }
 
@@ -97,7 +97,7 @@
    *
    * @param attempt number of the attempt; 0 if unknown
    */
-  public void attemptLost(JobSpec job, int task, long attempt, String zone, SteadyTime now) {
+  public void attemptLost(JobSpec job, int task, long attempt, String zone, MonotonicTime now) {
     if (current.read().state(zone) == ZoneState.AVAILABLE) {
       return;
     }
@@ -112,7 +112,7 @@
    *
    * @return the events to log, state changes first
    */
-  public List<ZoneEvent> observe(Observations observed, SteadyTime now) {
+  public List<ZoneEvent> observe(Observations observed, MonotonicTime now) {
     zones.setObservations(observed.zones());
     if (queue.isEmpty() && displacements.isEmpty() && zones.areAllHealthy()) {
       // Fast path: there is nothing to decide or publish.
@@ -129,7 +129,7 @@
     return events;
   }
 
-  private void removeResolved(DisplacedWork work, List<ZoneEvent> events, SteadyTime now) {
+  private void removeResolved(DisplacedWork work, List<ZoneEvent> events, MonotonicTime now) {
     for (FailoverQueue.JobTasks placed : queue.removeResolved(work)) {
       double waitedS = now.secondsSince(placed.job().since());
       metrics.recordMoved(order.name(placed.job().tier()), waitedS, placed.tasks().size());
@@ -138,7 +138,7 @@
     displacements.retain(queue.jobs());
   }
 
-  private void release(Observations observed, List<ZoneEvent> events, SteadyTime now) {
+  private void release(Observations observed, List<ZoneEvent> events, MonotonicTime now) {
     int firstOpenTier = order.size();
     for (String zone : zones.lostSince().keySet()) {
       for (int tier : observed.openTiers(zone)) {
@@ -150,7 +150,7 @@
     }
   }
 
-  private void publish(SteadyTime now) {
+  private void publish(MonotonicTime now) {
     ZoneSnapshot next = new ZoneSnapshot(zones.status(rateLimiter, now), queue.held());
     rateLimiter.refill(next, now);
     current.update(previous -> next);
@@ -169,7 +169,7 @@
    * @param events the list to which events of starts in recovering zones are added
    */
   public Plan limit(
-      Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, SteadyTime now) {
+      Plan plan, PlacementLookup placementLookup, List<ZoneEvent> events, MonotonicTime now) {
     ZoneSnapshot snapshot = current.read();
     if (snapshot.allAvailable()) {
       return plan;
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -1,7 +1,7 @@
 package org.ternhinge.zone;
 
 import org.ternhinge.config.ZoneFailoverSettings;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
  * The state machine of one zone, as an immutable value; each observation yields the next value.
@@ -21,17 +21,17 @@
  */
 record ZoneHealth(
     ZoneState state,
-    SteadyTime since,
-    SteadyTime impairedSince,
-    SteadyTime lostSince,
-    SteadyTime healthySince,
+    MonotonicTime since,
+    MonotonicTime impairedSince,
+    MonotonicTime lostSince,
+    MonotonicTime healthySince,
     FlapPenalty penalty,
     boolean suppressed,
     int step,
     int tolerated) {
 
   /** Returns the initial health of a zone. */
-  static ZoneHealth available(SteadyTime now) {
+  static ZoneHealth available(MonotonicTime now) {
     return new ZoneHealth(
         ZoneState.AVAILABLE, now, null, null, null, FlapPenalty.none(now), false, 0, 0);
   }
@@ -46,7 +46,7 @@
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
-      SteadyTime now) {
+      MonotonicTime now) {
     if (!observation.isConclusive()) {
       // A new leader does not judge a zone by machines that have not reported yet.
       return this;
@@ -67,7 +67,7 @@
 
   /** Returns the same state with updated threshold times and tolerated machines. */
   private ZoneHealth measured(
-      ZoneObservation observation, ZoneFailoverSettings.Detection detection, SteadyTime now) {
+      ZoneObservation observation, ZoneFailoverSettings.Detection detection, MonotonicTime now) {
     int stillTolerated = Math.min(tolerated, observation.impaired());
     double share = observation.share(stillTolerated);
     boolean enoughMachines = observation.expected() - stillTolerated >= detection.minMachines();
@@ -83,14 +83,14 @@
         stillTolerated);
   }
 
-  private static SteadyTime startOf(boolean holds, SteadyTime before, SteadyTime now) {
+  private static MonotonicTime startOf(boolean holds, MonotonicTime before, MonotonicTime now) {
     if (!holds) {
       return null;
     }
     return before == null ? now : before;
   }
 
-  private ZoneHealth toSuspect(SteadyTime now) {
+  private ZoneHealth toSuspect(MonotonicTime now) {
     return transitionTo(ZoneState.SUSPECT, tolerated, now);
   }
 
@@ -98,7 +98,7 @@
       ZoneObservation observation,
       boolean confirmable,
       ZoneFailoverSettings settings,
-      SteadyTime now) {
+      MonotonicTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
     if (confirmable && hasLasted(lostSince, detection.confirmS(), now)) {
       return toUnavailable(settings.flaps(), now);
@@ -112,11 +112,11 @@
     return partlyImpaired ? transitionTo(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
-  private ZoneHealth toUnavailable(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth toUnavailable(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
     return transitionTo(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
   }
 
-  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
     FlapPenalty more = penalty.increased(now, flaps);
     boolean suppress = suppressed || more.value() > flaps.suppressAt();
     return new ZoneHealth(
@@ -124,7 +124,7 @@
   }
 
   private ZoneHealth nextFromUnavailable(
-      ZoneObservation observation, ZoneFailoverSettings settings, SteadyTime now) {
+      ZoneObservation observation, ZoneFailoverSettings settings, MonotonicTime now) {
     ZoneFailoverSettings.Flaps flaps = settings.flaps();
     boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
     ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
@@ -137,7 +137,7 @@
     return mayRecover ? transitionTo(ZoneState.RECOVERING, 0, now) : current;
   }
 
-  private ZoneHealth nextFromRecovering(ZoneFailoverSettings settings, SteadyTime now) {
+  private ZoneHealth nextFromRecovering(ZoneFailoverSettings settings, MonotonicTime now) {
     if (impairedSince != null) {
       return toSuspect(now);
     }
@@ -148,12 +148,12 @@
     return reached == step ? this : withStep(reached);
   }
 
-  private static boolean hasLasted(SteadyTime from, double seconds, SteadyTime now) {
+  private static boolean hasLasted(MonotonicTime from, double seconds, MonotonicTime now) {
     return from != null && now.secondsSince(from) >= seconds;
   }
 
   /** Returns the zone in another state, not suppressed and at the first step. */
-  private ZoneHealth transitionTo(ZoneState other, int otherTolerated, SteadyTime now) {
+  private ZoneHealth transitionTo(ZoneState other, int otherTolerated, MonotonicTime now) {
     return new ZoneHealth(
         other, now, impairedSince, lostSince, healthySince, penalty, false, 0, otherTolerated);
   }
--- a/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
+++ b/src/test/java/org/ternhinge/attempt/AttemptLifecycleTest.java
@@ -10,14 +10,14 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.Job;
 import org.ternhinge.machine.Machine;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 
 /** Tests starting, stopping and closing of attempts. */
 class AttemptLifecycleTest {
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Machine machine = fixture.addMachine("n-1");
-  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.addJob(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   /** If a start was sent before the write, the next leader might not know of the running task. */
   @Test
--- a/src/test/java/org/ternhinge/attempt/TermFenceTest.java
+++ b/src/test/java/org/ternhinge/attempt/TermFenceTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.Term;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Tests when a leader raises its own term to fence outstanding starts. */
 class TermFenceTest {
@@ -21,7 +21,7 @@
       new TermFence(fixture.authority, fixture.writer, fixture.machines);
   private final Machine machine = fixture.addMachine("n-1");
   private final Attempt attempt =
-      fixture.openAttempt(fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, machine);
+      fixture.openAttempt(fixture.addJob(SubmissionJson.smallJob("wk-1", "batch", 1)), 0, machine);
 
   /** Only a stopped attempt that stays open because of an outstanding start requires a raise. */
   @ParameterizedTest(name = "{0}")
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.TimeUnit;
 import org.ternhinge.model.Clock;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -40,7 +40,7 @@
 
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
   private final ExecutorService requests = Executors.newCachedThreadPool();
-  private final StoreCore store = new StoreCore(new RealClock());
+  private final InMemoryStore store = new InMemoryStore(new RealClock());
   private final HttpServer server;
   private final List<String> zones;
 
@@ -85,17 +85,17 @@
   /** The real clock, for leases. */
   private final class RealClock implements Clock {
     @Override
-    public SteadyTime now() {
-      return new SteadyTime(System.nanoTime());
+    public MonotonicTime now() {
+      return new MonotonicTime(System.nanoTime());
     }
 
     @Override
-    public long wallMillis() {
+    public long wallClockMillis() {
       return System.currentTimeMillis();
     }
 
     @Override
-    public void after(double seconds, Runnable action) {
+    public void schedule(double seconds, Runnable action) {
       var unused =
           timers.schedule(() -> locked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
     }
@@ -193,12 +193,12 @@
           "breytingatal");
     } else if (path.equals("/holds")) {
       long life = Json.count(Json.parse(body), "life_ms");
-      reply(exchange, 200, Json.object().put("leiga", store.grant(life)));
+      reply(exchange, 200, Json.object().put("leiga", store.grantLease(life)));
     } else if (path.endsWith("/extend")) {
       long id = Long.parseLong(path.split("/", -1)[2]);
-      outcome(exchange, store.renew(id), "leiga");
+      outcome(exchange, store.renewLease(id), "leiga");
     } else {
-      store.revoke(Long.parseLong(path.split("/", -1)[2]));
+      store.revokeLease(Long.parseLong(path.split("/", -1)[2]));
       reply(exchange, 200, Json.object());
     }
   }
@@ -208,7 +208,7 @@
     if (outcome instanceof Outcome.Applied<Long> a) {
       reply(exchange, 200, Json.object().put(field, a.value()));
     } else {
-      boolean notFound = outcome.isBecause(Outcome.Reason.NOT_FOUND);
+      boolean notFound = outcome.isNotApplied(Outcome.Reason.NOT_FOUND);
       ObjectNode out = Json.object();
       out.putArray("failed");
       reply(exchange, notFound ? 404 : 409, out);
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -75,12 +75,14 @@
     DependentJobs.assertAnswer(201, end.equals("done") ? "queued" : end, answer.response());
     cluster.users.assumeAccepted(body.spec());
     cluster.run(150);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(60);
     cluster.assertNoRuleBroken();
     assertEquals(end, cluster.users.lastState(id));
     assertEquals(
-        end.equals("done"), cluster.world.tasks.began(id).isPresent(), "whether it ever ran");
+        end.equals("done"),
+        cluster.world.tasks.firstStartOf(id).isPresent(),
+        "whether it ever ran");
   }
 
   /** Submits the job to depend on and brings it into a state. */
@@ -127,7 +129,7 @@
         assertEquals("cancelled", cluster.users.lastState(NAMED));
       }
       case "done long ago" ->
-          cluster.world.storeEnds(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
+          cluster.world.storeEndRecords(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
       case "old version's" -> acceptedByTheOldVersion();
       default -> throw new IllegalArgumentException(named);
     }
@@ -139,7 +141,7 @@
     cluster.world.jobs.add(spec);
     ObjectNode record = Json.object();
     record.set("s", spec.write());
-    record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 0).put("d", "");
+    record.put("t", cluster.world.clock.wallClockMillis()).put("p", 127).put("h", 0).put("d", "");
     record.putArray("o");
     cluster.world.store.put(List.of(new Change.Put("j/wk-1", record, 0)));
     cluster.users.assumeAccepted(spec);
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -71,7 +71,7 @@
       all.forEach(cluster.users::cancel);
     }
     cluster.run(60);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(400);
     cluster.assertNoRuleBroken();
     assertEquals(led + 1, cluster.world.counts.leaderships(), "no leadership is lost");
@@ -102,7 +102,7 @@
       ObjectNode record = Json.object();
       if (from == 0) {
         record.set("s", spec.write());
-        record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 1);
+        record.put("t", cluster.world.clock.wallClockMillis()).put("p", 127).put("h", 1);
         if (kind.equals("cancelled")) {
           record.put("c", true);
         }
@@ -113,7 +113,7 @@
       for (int i = from; i < to; i++) {
         if (kind.equals("half") && i % 2 == 0) {
           done.add(Integer.toString(i));
-          cluster.world.jobs.complete(new TaskId(spec.id(), i));
+          cluster.world.jobs.markCompleted(new TaskId(spec.id(), i));
         } else {
           open.add(String.format("1:n-%06d:1:0:%d", 900_000 + number * 1000 + i, i));
         }
@@ -135,7 +135,7 @@
   @CsvSource({"391, 0", "392, 12", "393, 30"})
   void workGoesOnUnderLowerLimits(long seed, double at) {
     cluster = new DependentJobs(seed, 0, new SimCluster.Size(3, 10, 200, 30));
-    cluster.world.clock.after(at, cluster.world.storeFaults::lowerLimits);
+    cluster.world.clock.schedule(at, cluster.world.storeFaults::lowerLimits);
     int led = cluster.world.counts.leaderships();
     List<JobId> firsts = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -145,7 +145,7 @@
       cluster.run(6);
     }
     cluster.run(500);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(100);
     cluster.assertNoRuleBroken();
     assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
@@ -193,7 +193,7 @@
       all.forEach(cluster.users::cancel);
     }
     cluster.run(300);
-    cluster.users.quiet();
+    cluster.users.expectTimelyAnswers();
     cluster.run(200);
     cluster.assertNoRuleBroken();
     assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
--- a/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
+++ b/src/test/java/org/ternhinge/election/LeadershipLeaseTest.java
@@ -13,27 +13,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Tuning;
 import org.ternhinge.model.LockedExecutor;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.StoreCore;
 
 /** Validity of a lease and times of its renewals, depending on when renewals are answered. */
 class LeadershipLeaseTest {
   private static final double VALIDITY_S = 6 * 0.999 - 0.3;
 
-  private record Renewal(SteadyTime sent, CompletableFuture<Outcome<Long>> answer) {}
+  private record Renewal(MonotonicTime sent, CompletableFuture<Outcome<Long>> answer) {}
 
   private final SimClock clock = new SimClock();
   private final List<Renewal> renewals = new ArrayList<>();
-  private final SteadyTime requested = clock.now();
+  private final MonotonicTime requested = clock.now();
   private int expirations;
 
   /** A store whose renewals are answered by the test. */
   private final DirectStore store =
-      new DirectStore(new StoreCore(clock)) {
+      new DirectStore(new InMemoryStore(clock)) {
         @Override
         public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
           Renewal renewal = new Renewal(clock.now(), new CompletableFuture<>());
--- a/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/CommandListTest.java
@@ -12,7 +12,7 @@
 import org.ternhinge.model.AttemptNumber;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 
 /** Tests the order and the maximum number of the commands in one heartbeat response. */
@@ -20,7 +20,9 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final Attempt attempt =
       fixture.openAttempt(
-          fixture.addJob(Specs.json("wk-1", "batch", 1)), 0, fixture.addMachine("n-1"));
+          fixture.addJob(SubmissionJson.smallJob("wk-1", "batch", 1)),
+          0,
+          fixture.addMachine("n-1"));
   private final CommandList commands = new CommandList();
 
   private static TaskId task(int index) {
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -30,10 +30,10 @@
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.scaling.MachineProvisioner;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.EndReason;
 import org.ternhinge.wire.Heartbeat;
@@ -47,7 +47,7 @@
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatProcessor processor = processor();
   private final Machine machine = fixture.addMachine("n-1");
-  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.addJob(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   private HeartbeatProcessor processor() {
     ReachabilityMonitor reachability =
@@ -89,7 +89,7 @@
     return assertInstanceOf(Accepted.class, process(heartbeat)).commands();
   }
 
-  private SteadyTime leaseFromNow() {
+  private MonotonicTime leaseFromNow() {
     return fixture.now().plusSeconds(LEASE_S);
   }
 
@@ -148,7 +148,7 @@
     void outdatedHeartbeatIsIgnoredButGetsStops() {
       Attempt attempt = fixture.openAttempt(job, 0, machine);
       process(fixture.heartbeat(machine).sequence(5).withTask(attempt, TaskState.RUNNING).build());
-      SteadyTime received = fixture.now();
+      MonotonicTime received = fixture.now();
       attempt.requestStop(0, received);
       fixture.clock.runFor(1);
       Heartbeat outdated = fixture.heartbeat(machine).sequence(4).build();
@@ -217,7 +217,10 @@
     @Test
     void taskWithCheckpointsIsStoppedWithGrace() {
       Attempt attempt =
-          attempt(Specs.json("wk-2", "batch", 1).put("vista_bil_s", 60.0).put("vistun_s", 4.0));
+          attempt(
+              SubmissionJson.smallJob("wk-2", "batch", 1)
+                  .put("vista_bil_s", 60.0)
+                  .put("vistun_s", 4.0));
       sendNotice(attempt, 1, 30);
       assertEquals(5, attempt.stopGraceS());
       assertEquals(fixture.now().plusSeconds(30), machine.cloud().reclaimAt().orElseThrow());
@@ -225,16 +228,16 @@
 
     @Test
     void taskWithoutCheckpointsKeepsRunning() {
-      Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
+      Attempt attempt = attempt(SubmissionJson.smallJob("wk-2", "batch", 1));
       sendNotice(attempt, 1, 30);
       assertFalse(attempt.isStopRequested());
     }
 
     @Test
     void onlyFirstNoticeHasEffect() {
-      Attempt attempt = attempt(Specs.json("wk-2", "batch", 1));
+      Attempt attempt = attempt(SubmissionJson.smallJob("wk-2", "batch", 1));
       sendNotice(attempt, 1, 30);
-      SteadyTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
+      MonotonicTime reclaimAt = machine.cloud().reclaimAt().orElseThrow();
       fixture.clock.runFor(1);
       sendNotice(attempt, 2, 28);
       assertEquals(reclaimAt, machine.cloud().reclaimAt().orElseThrow());
--- a/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/LeaseMonitorTest.java
@@ -20,7 +20,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.TaskId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.TaskState;
 import org.ternhinge.wire.TaskStatus;
@@ -38,7 +38,7 @@
           fixture.dispatcher,
           new TermFence(fixture.authority, fixture.writer, fixture.machines));
   private final Machine machine = fixture.addMachine("n-1");
-  private final Job job = fixture.addJob(Specs.json("wk-1", "batch", 2));
+  private final Job job = fixture.addJob(SubmissionJson.smallJob("wk-1", "batch", 2));
 
   private TaskStatus running(TaskId task, AttemptNumber number) {
     return new TaskStatus(task, number, TaskState.RUNNING, null, false);
@@ -49,7 +49,7 @@
   @CsvSource({"11.9, 1, 0", "12.1, 0, 1"})
   void reservationsExpire(double ageS, int left, int rounds) {
     JobId forJob = new JobId("wk-2");
-    Resources resources = Resources.offer(1, 0, 1);
+    Resources resources = Resources.ofCapacity(1, 0, 1);
     machine.reserve(new Machine.Reservation(forJob, resources, fixture.now().plusSeconds(12)));
     fixture.clock.runFor(ageS);
     monitor.check(fixture.now());
--- a/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
+++ b/src/test/java/org/ternhinge/http/ConnectionPoolTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.Endpoint;
 
-/** Which idle connections are kept, reused and closed. */
+/** Reuse, limits and eviction of idle connections. */
 class ConnectionPoolTest {
   private static final Endpoint FIRST = new Endpoint("10.0.0.1", 80);
   private static final Endpoint SECOND = new Endpoint("10.0.0.2", 80);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void theMostRecentlyUsedConnectionToTheEndpointIsReused() {
+  void mostRecentlyUsedConnectionIsReusedFirst() {
     EmbeddedChannel older = idle(FIRST);
     EmbeddedChannel newer = idle(FIRST);
     idle(SECOND);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aConnectionThatHasClosedIsNotReused() {
+  void closedConnectionIsNotReused() {
     EmbeddedChannel open = idle(FIRST);
     EmbeddedChannel closed = idle(FIRST);
     Channels.close(closed);
@@ -43,17 +43,17 @@
   }
 
   @Test
-  void atMostFourConnectionsToAnEndpointAreKept() {
+  void atMostFourIdleConnectionsPerEndpointAreKept() {
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       channels.add(idle(FIRST));
     }
     assertTrue(channels.get(3).isActive());
-    assertFalse(channels.get(4).isActive(), "the fifth is closed");
+    assertFalse(channels.get(4).isActive(), "the fifth connection is closed");
   }
 
   @Test
-  void aLowerLimitClosesTheLeastRecentlyUsedConnections() {
+  void lowerLimitClosesTheLeastRecentlyUsedConnections() {
     EmbeddedChannel eldest = idle(FIRST);
     EmbeddedChannel middle = idle(SECOND);
     EmbeddedChannel newest = idle(FIRST);
@@ -62,17 +62,17 @@
     assertTrue(middle.isActive());
     assertTrue(newest.isActive());
     idle(SECOND);
-    assertFalse(middle.isActive(), "the limit holds for connections that are released later");
+    assertFalse(middle.isActive(), "the limit applies to connections that are released later");
     assertEquals(Optional.of(newest), pool.poll(FIRST));
   }
 
   @Test
-  void anEndpointOfNoMoreUseLosesItsConnections() {
+  void closeAllClosesOnlyTheConnectionsOfItsEndpoint() {
     EmbeddedChannel closed = idle(FIRST);
-    EmbeddedChannel kept = idle(SECOND);
+    EmbeddedChannel remaining = idle(SECOND);
     pool.closeAll(FIRST);
     assertFalse(closed.isActive());
     assertEquals(Optional.empty(), pool.poll(FIRST));
-    assertEquals(Optional.of(kept), pool.poll(SECOND));
+    assertEquals(Optional.of(remaining), pool.poll(SECOND));
   }
 }
--- a/src/test/java/org/ternhinge/http/LoopbackServer.java
+++ b/src/test/java/org/ternhinge/http/LoopbackServer.java
@@ -11,41 +11,41 @@
 import java.util.concurrent.TimeUnit;
 import org.ternhinge.model.Endpoint;
 
-/** A server on loopback that answers every request with the same response, and a client for it. */
+/** Loopback server that returns the same response to every request, with a client for it. */
 public final class LoopbackServer implements AutoCloseable {
-  private static final SocketShares SHARES = SocketShares.of(64);
+  private static final SocketBudget BUDGET = SocketBudget.of(64);
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final HttpCaller client = new HttpCaller(group.next(), SHARES);
+  private final PooledHttpClient client = new PooledHttpClient(group.next(), BUDGET);
   private final List<Request> requests = new CopyOnWriteArrayList<>();
   private final Endpoint endpoint;
 
-  /** Starts a server at any free port. */
+  /** Starts a server on a free port. */
   public LoopbackServer(int status, String body) throws InterruptedException {
     Response response = Response.of(status, body.getBytes(StandardCharsets.UTF_8));
     HttpServer.Handler handler =
-        (request, answer) -> {
+        (request, responder) -> {
           requests.add(request);
-          answer.accept(response);
+          responder.accept(response);
         };
     Channel channel =
-        new HttpServer(group, handler, SHARES, "/work").listen(new Endpoint("127.0.0.1", 0));
+        new HttpServer(group, handler, BUDGET, "/work").listen(new Endpoint("127.0.0.1", 0));
     int port = ((InetSocketAddress) channel.localAddress()).getPort();
     endpoint = new Endpoint("127.0.0.1", port);
   }
 
   /** A client on the same event loop. */
-  public HttpCaller client() {
+  public PooledHttpClient client() {
     return client;
   }
 
-  /** Where the server listens. */
+  /** The address of the server. */
   public Endpoint endpoint() {
     return endpoint;
   }
 
-  /** The requests that have arrived so far; their paths have no query. */
+  /** The requests received so far; their paths do not include the query. */
   public List<Request> requests() {
     return requests;
   }
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -30,13 +30,13 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.Endpoint;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.term.BucketedRecords;
@@ -58,7 +58,7 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   public final SimClock clock = new SimClock();
-  public final StoreCore storeCore = new StoreCore(clock);
+  public final InMemoryStore storeCore = new InMemoryStore(clock);
   public final PausableStore store = new PausableStore(new DirectStore(storeCore));
   public final List<Command> sentCommands = new ArrayList<>();
   public final RecordingWorkers workers = new RecordingWorkers(sentCommands);
@@ -105,7 +105,7 @@
   }
 
   private AgentStatusSink.Result recordStatus(
-      Machine machine, Heartbeat status, MessageOrigin origin, SteadyTime now) {
+      Machine machine, Heartbeat status, MessageOrigin origin, MonotonicTime now) {
     reportedStatuses.add(status);
     return AgentStatusSink.Result.APPLIED;
   }
@@ -165,7 +165,8 @@
 
   /** Adds a job to the key-value store and the ledger. */
   public Job addJob(ObjectNode json) {
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), clock.wallMillis(), VALUE_BYTES);
+    ObjectNode record =
+        RecordCodec.encodeNew(SubmissionJson.parse(json), clock.wallClockMillis(), VALUE_BYTES);
     String key = Keys.JOBS + json.get("ref").textValue();
     storeCore.compareAndSwap(
         new CompareAndSwap(List.of(), List.of(new Change.Put(key, record, 0))));
@@ -189,7 +190,7 @@
             0,
             "east",
             false,
-            Resources.offer(8, 0, 64));
+            Resources.ofCapacity(8, 0, 64));
     ledger.open(job, List.of(new Ledger.Placement(index, attributes)), task -> false, clock.now());
     writer.sendNext();
     return job.openAttempt(index);
@@ -206,7 +207,7 @@
   }
 
   /** Returns the time of the simulated clock. */
-  public SteadyTime now() {
+  public MonotonicTime now() {
     return clock.now();
   }
 }
--- a/src/test/java/org/ternhinge/leadership/PausableStore.java
+++ b/src/test/java/org/ternhinge/leadership/PausableStore.java
@@ -49,7 +49,7 @@
     CompletableFuture<Outcome<Revision>> outcome = new CompletableFuture<>();
     deferred.add(
         () ->
-            AsyncCalls.whenAnswered(
+            AsyncCalls.whenComplete(
                 super.compareAndSwap(compareAndSwap, priority), outcome::complete));
     return outcome;
   }
@@ -60,7 +60,7 @@
       return super.get(key, priority);
     }
     CompletableFuture<Outcome<ReadResult>> outcome = new CompletableFuture<>();
-    deferred.add(() -> AsyncCalls.whenAnswered(super.get(key, priority), outcome::complete));
+    deferred.add(() -> AsyncCalls.whenComplete(super.get(key, priority), outcome::complete));
     return outcome;
   }
 }
--- a/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
+++ b/src/test/java/org/ternhinge/ledger/AttemptStateTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Lifecycle of an attempt: all pairs of states, and the properties derived from the state. */
 class AttemptStateTest {
   private final SimClock clock = new SimClock();
 
   private Attempt attempt(boolean recovered) {
-    Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 1)), 1, 8);
+    Job job = new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 1)), 1, 8);
     MachineAttributes site = TestMachines.on("n-1", 1);
     return new Attempt(
         job, 0, new AttemptNumber(1), site.id(), site.epoch(), site.zone(), recovered, clock.now());
@@ -146,7 +146,7 @@
     @Test
     void runningSinceIsTimeOfFirstRunningStatus() {
       Attempt attempt = inState(AttemptState.FETCHING);
-      SteadyTime first = clock.now();
+      MonotonicTime first = clock.now();
       attempt.observe(AttemptState.RUNNING, first);
       attempt.observe(AttemptState.RUNNING, first.plusSeconds(5));
       assertEquals(first, attempt.runningSince());
@@ -169,7 +169,7 @@
     void laterRequestCountsOnlyWithShorterGracePeriod(
         double firstS, double secondS, double expectedS, double expectedAtS) {
       Attempt attempt = attempt(false);
-      SteadyTime start = clock.now();
+      MonotonicTime start = clock.now();
       attempt.requestStop(firstS, start);
       attempt.requestStop(secondS, start.plusSeconds(1));
       StopRequest expected = new StopRequest(expectedS, start.plusSeconds(expectedAtS));
--- a/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
+++ b/src/test/java/org/ternhinge/ledger/DependencyGraphTest.java
@@ -23,7 +23,7 @@
 import org.ternhinge.model.MachineId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.JobState;
 import org.ternhinge.wire.JobState.Phase;
@@ -42,12 +42,12 @@
   }
 
   private Job accept(String name, String priority, String... dependencies) {
-    ObjectNode json = Specs.json("wk-" + name, "batch", 2).put("forgang", priority);
+    ObjectNode json = SubmissionJson.smallJob("wk-" + name, "batch", 2).put("forgang", priority);
     ArrayNode ids = json.putArray("bidur_eftir");
     for (String dependency : dependencies) {
       ids.add("wk-" + dependency);
     }
-    JobSpec spec = Specs.of(json);
+    JobSpec spec = SubmissionJson.parse(json);
     Job job = new Job(spec, 1, RecordSize.segmentSize(spec, VALUE_BYTES));
     jobs.put(name, job);
     ledger.add(job);
@@ -74,7 +74,7 @@
         .forEach(
             name -> {
               String state =
-                  ledger.findState(jobs.get(name)).map(s -> s.phase().word()).orElse("unknown");
+                  ledger.findState(jobs.get(name)).map(s -> s.phase().wireName()).orElse("unknown");
               out.add(name + ":" + state);
             });
     return String.join(" ", out);
@@ -174,8 +174,8 @@
     accept("2", "high", "1");
     accept("1", "low");
     assertEquals(Optional.empty(), ledger.dependencies().pollUnresolved());
-    assertEquals("high", jobs.get("1").plannedSpec().priority().word());
-    assertEquals("low", jobs.get("1").spec().priority().word(), "specification is unchanged");
+    assertEquals("high", jobs.get("1").plannedSpec().priority().wireName());
+    assertEquals("low", jobs.get("1").spec().priority().wireName(), "specification is unchanged");
     end("1", Phase.DONE);
     assertNull(refusal(jobs.get("2")));
   }
@@ -185,20 +185,20 @@
     accept("1", "low");
     accept("2", "normal", "1");
     accept("3", "low", "2");
-    assertEquals("normal", jobs.get("1").plannedSpec().priority().word());
-    assertEquals("normal", jobs.get("2").plannedSpec().priority().word());
+    assertEquals("normal", jobs.get("1").plannedSpec().priority().wireName());
+    assertEquals("normal", jobs.get("2").plannedSpec().priority().wireName());
     accept("4", "high", "3");
     for (String name : List.of("1", "2", "3")) {
-      assertEquals("high", jobs.get(name).plannedSpec().priority().word());
+      assertEquals("high", jobs.get(name).plannedSpec().priority().wireName());
     }
   }
 
   /** An earlier leader started the job, so all dependencies were done and none is looked up. */
   @Test
   void startedJobHasNoUnmetDependencies() throws Exception {
-    ObjectNode json = Specs.json("wk-2", "batch", 2);
+    ObjectNode json = SubmissionJson.smallJob("wk-2", "batch", 2);
     json.putArray("bidur_eftir").add("wk-1");
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(json), 1, VALUE_BYTES);
+    ObjectNode record = RecordCodec.encodeNew(SubmissionJson.parse(json), 1, VALUE_BYTES);
     record.put("h", 3);
     Job job = RecordCodec.decodeFirst(record, new Revision(1), clock.now());
     assertEquals(List.of(), RecordCodec.unstartedDependencies(record));
--- a/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
+++ b/src/test/java/org/ternhinge/ledger/JobPhaseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Lifecycle of a job: all pairs of phases, and the properties derived from the phase. */
 class JobPhaseTest {
@@ -25,7 +25,7 @@
           "final durable", Job::markFinalRecordDurable);
 
   private static Job job() {
-    return new Job(Specs.of(Specs.json("wk-1", "batch", 2)), 1, 8);
+    return new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 2)), 1, 8);
   }
 
   /** Creates a job and brings it into a phase by regular transitions. */
--- a/src/test/java/org/ternhinge/ledger/LargeMachines.java
+++ b/src/test/java/org/ternhinge/ledger/LargeMachines.java
@@ -21,7 +21,7 @@
         zone,
         zone == 0 ? "east" : "west",
         false,
-        Resources.offer(64, 0, 256));
+        Resources.ofCapacity(64, 0, 256));
   }
 
   /** Creates placements of the tasks from {@code from}, inclusive, to {@code to}, exclusive. */
--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -19,9 +19,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Revision;
 import org.ternhinge.model.Term;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -35,7 +35,7 @@
   private static final int TASKS = 500;
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final List<CompareAndSwap> sent = new ArrayList<>();
   private Runnable afterEachWrite = () -> {};
   private int tokens = 16;
@@ -98,7 +98,8 @@
               ? Outcome.unknown("no answer")
               : core.compareAndSwap(compareAndSwap);
       afterEachWrite.run();
-      clock.after(0.01, () -> out.complete(responseLost ? Outcome.unknown("no answer") : outcome));
+      clock.schedule(
+          0.01, () -> out.complete(responseLost ? Outcome.unknown("no answer") : outcome));
       return out;
     }
 
@@ -146,13 +147,14 @@
   }
 
   private Job accept(String id, String kind, String priority, int tasks, String... dependencies) {
-    ObjectNode spec = Specs.json(id, kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
+    ObjectNode spec =
+        SubmissionJson.smallJob(id, kind, tasks).put("cpus", 0.001).put("memory_gb", 0.001);
     if (dependencies.length > 0) {
       List.of(dependencies).forEach(spec.putArray("bidur_eftir")::add);
     }
     spec.put("forgang", priority);
-    ObjectNode record = RecordCodec.encodeNew(Specs.of(spec), 1, ledger.valueBytes());
-    String key = Keys.job(Specs.of(spec).id());
+    ObjectNode record = RecordCodec.encodeNew(SubmissionJson.parse(spec), 1, ledger.valueBytes());
+    String key = Keys.job(SubmissionJson.parse(spec).id());
     List<KeyCondition> none = List.of(KeyCondition.absent(key));
     Outcome<Revision> put =
         core.compareAndSwap(new CompareAndSwap(none, List.of(new Change.Put(key, record, 0))));
--- a/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
+++ b/src/test/java/org/ternhinge/ledger/RecordWriteTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Order of the attempts in a record write. */
 class RecordWriteTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
 
   /**
    * Starts are sent in the order of {@code openedAttempts}; a stream over the open attempts would
@@ -19,7 +19,7 @@
    */
   @Test
   void openedAttemptsKeepOrderOfOpenAttempts() {
-    Job job = new Job(Specs.of(Specs.json("wk-1", "batch", 40)), 1, 40);
+    Job job = new Job(SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 40)), 1, 40);
     MachineAttributes machine = TestMachines.on("n-1", 1);
     for (int i = 0; i < 40; i++) {
       Attempt attempt =
--- a/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
+++ b/src/test/java/org/ternhinge/ledger/RepartitionedRecordsTest.java
@@ -16,10 +16,10 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.Revision;
 import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.InMemoryStore;
+import org.ternhinge.sim.PermanentAuthority;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.SteadyAuthority;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
@@ -43,7 +43,7 @@
           + "\"vistun_s\":0.0},\"t\":1700000000123,";
 
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final Ledger ledger =
       new Ledger(Map.of("red", new Team("red", 0, 0, 0, 0)), SMALL_VALUE_BYTES, clock);
 
@@ -97,7 +97,9 @@
   private ObjectNode stored(String kind) throws WireException {
     ObjectNode record =
         RecordCodec.encodeNew(
-            Specs.of(Specs.json(JOB.value(), kind, 20)), 1_700_000_000_123L, 8192);
+            SubmissionJson.parse(SubmissionJson.smallJob(JOB.value(), kind, 20)),
+            1_700_000_000_123L,
+            8192);
     String expected = SPEC.replace("KIND", kind) + "\"p\":127,\"h\":0,\"d\":\"\",\"o\":[]}";
     assertEquals(expected, text(record));
     return record;
@@ -127,7 +129,7 @@
         new LedgerWriter(
             ledger,
             new DirectStore(core),
-            new SteadyAuthority(term),
+            new PermanentAuthority(term),
             clock,
             new ReentrantLock(),
             16,
--- a/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
+++ b/src/test/java/org/ternhinge/ledger/SegmentMergerTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.model.AttemptNumber;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Finished segments are merged into the first one as far as its list of ranges has space. */
 class SegmentMergerTest {
@@ -23,7 +23,10 @@
   private final SegmentMerger merger = new SegmentMerger(VALUE_BYTES);
 
   private static Job job(int segments) {
-    return new Job(Specs.of(Specs.json("wk-1", "batch", segments * SEGMENT_SIZE)), 1, SEGMENT_SIZE);
+    return new Job(
+        SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", segments * SEGMENT_SIZE)),
+        1,
+        SEGMENT_SIZE);
   }
 
   private static void finish(Job job, int segment) {
@@ -39,7 +42,7 @@
   }
 
   private static void open(Job job, int index) {
-    SteadyTime now = new SimClock().now();
+    MonotonicTime now = new SimClock().now();
     MachineAttributes site = TestMachines.on("n-1", 1);
     AttemptNumber number = new AttemptNumber(1);
     job.openAttemptsByTask()
--- a/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
+++ b/src/test/java/org/ternhinge/ledger/WriteQueueTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.ledger.WriteQueue.Urgency;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Queue of the jobs with pending writes. */
 class WriteQueueTest {
@@ -23,12 +23,12 @@
   private final WriteQueue queue = new WriteQueue(clock);
 
   private static Job job(String id, String priority) {
-    ObjectNode json = Specs.json(id, "batch", 2).put("forgang", priority);
-    return new Job(Specs.of(json), 1, 2);
+    ObjectNode json = SubmissionJson.smallJob(id, "batch", 2).put("forgang", priority);
+    return new Job(SubmissionJson.parse(json), 1, 2);
   }
 
   private Map<Urgency, List<Job>> ready() {
-    SteadyTime now = clock.now();
+    MonotonicTime now = clock.now();
     return queue.ready(now.plusSeconds(-BATCH_S), now.plusSeconds(-OVERDUE_S));
   }
 
--- a/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
+++ b/src/test/java/org/ternhinge/machine/MachineRegistryTest.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /** Registration, look-up and removal of machines. */
 class MachineRegistryTest {
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final MachineId FIRST = new MachineId("n-1");
   private static final MachineId SECOND = new MachineId("n-2");
-  private final SteadyTime leaseExpiry = NOW.plusSeconds(40);
+  private final MonotonicTime leaseExpiry = NOW.plusSeconds(40);
   private final MachineRegistry registry = new MachineRegistry(leaseExpiry);
 
   @Test
--- a/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
+++ b/src/test/java/org/ternhinge/machine/TaskFailuresTest.java
@@ -14,8 +14,8 @@
 import org.ternhinge.ledger.Attempt;
 import org.ternhinge.ledger.AttemptState;
 import org.ternhinge.ledger.Job;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Attribution of failures to machines or jobs, with quarantine and back-off as results. */
 class TaskFailuresTest {
@@ -25,7 +25,7 @@
   private static final double SLOT_S = 0.02;
 
   private final LeadershipFixture fixture = new LeadershipFixture();
-  private final SteadyTime start = fixture.now();
+  private final MonotonicTime start = fixture.now();
   private final TaskFailures failures =
       new TaskFailures(fixture.ledger, fixture.machines, CHANGES_PER_S, start);
   private final JobBackoff backoff = failures.jobBackoff();
@@ -35,7 +35,7 @@
   private final Job job = job("wk-1");
 
   private Job job(String id) {
-    return fixture.addJob(Specs.json(id, "batch", 4));
+    return fixture.addJob(SubmissionJson.smallJob(id, "batch", 4));
   }
 
   /** Creates a job that is healthy because a task has run for long enough. */
@@ -46,7 +46,7 @@
     return healthy;
   }
 
-  private void failOnThreeMachines(SteadyTime now) {
+  private void failOnThreeMachines(MonotonicTime now) {
     for (Machine machine : List.of(first, second, third)) {
       failures.recordFailure(machine, job, now);
     }
@@ -175,7 +175,7 @@
     @Test
     void blocksFurtherTasksDuringTry() {
       failOnThreeMachines(start);
-      SteadyTime later = start.plusSeconds(10);
+      MonotonicTime later = start.plusSeconds(10);
       assertFalse(backoff.isBlocked(job, later));
       fixture.openAttempt(job, 0, first);
       assertTrue(backoff.isBlocked(job, later));
--- a/src/test/java/org/ternhinge/model/LockedExecutorTest.java
+++ b/src/test/java/org/ternhinge/model/LockedExecutorTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Actions and handlers run under the lock and leave it free. */
+/** Actions and handlers run under the lock, which is released afterwards. */
 class LockedExecutorTest {
   private final ReentrantLock lock = new ReentrantLock();
   private final LockedExecutor executor = new LockedExecutor(lock);
-  private final List<Boolean> held = new ArrayList<>();
+  private final List<Boolean> lockHeldDuringAction = new ArrayList<>();
 
-  private void note() {
-    held.add(lock.isHeldByCurrentThread());
+  private void recordLockState() {
+    lockHeldDuringAction.add(lock.isHeldByCurrentThread());
   }
 
   @Test
-  void everyKindOfActionRunsUnderTheLock() {
-    executor.execute(this::note);
-    executor.guarded(this::note).run();
+  void actionsAndHandlersRunUnderTheLock() {
+    executor.execute(this::recordLockState);
+    executor.guarded(this::recordLockState).run();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(call, result -> note());
-    call.complete(Outcome.applied("answer"));
-    assertEquals(List.of(true, true, true), held);
+    executor.whenComplete(call, result -> recordLockState());
+    call.complete(Outcome.applied("response"));
+    assertEquals(List.of(true, true, true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
 
   @Test
-  void theLockIsFreeAgainAfterAnActionThatThrows() {
+  void lockIsReleasedAfterAnActionThrows() {
     Runnable failing =
         () -> {
           throw new IllegalStateException("in the action");
@@ -45,30 +45,30 @@
 
   @ParameterizedTest(name = "fails: {0}")
   @ValueSource(booleans = {false, true})
-  void aHandlerGetsAnOutcomeHoweverTheCallEnds(boolean fails) {
+  void handlerReceivesAnOutcomeHoweverTheCallEnds(boolean fails) {
     List<Outcome<String>> results = new ArrayList<>();
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(call, results::add);
+    executor.whenComplete(call, results::add);
     if (fails) {
-      call.completeExceptionally(new IllegalStateException("no answer"));
+      call.completeExceptionally(new IllegalStateException("no response"));
     } else {
-      call.complete(Outcome.applied("answer"));
+      call.complete(Outcome.applied("response"));
     }
-    Outcome<String> failed = Outcome.unknown("java.lang.IllegalStateException: no answer");
-    assertEquals(List.of(fails ? failed : Outcome.applied("answer")), results);
+    Outcome<String> failed = Outcome.unknown("java.lang.IllegalStateException: no response");
+    assertEquals(List.of(fails ? failed : Outcome.applied("response")), results);
   }
 
   @Test
-  void theLockIsFreeAgainAfterAHandlerThatThrows() {
+  void lockIsReleasedAfterAHandlerThrows() {
     CompletableFuture<Outcome<String>> call = new CompletableFuture<>();
-    executor.whenAnswered(
+    executor.whenComplete(
         call,
         result -> {
           throw new IllegalStateException("in the handler");
         });
-    executor.whenAnswered(call, result -> note());
-    call.complete(Outcome.applied("answer"));
-    assertEquals(List.of(true), held);
+    executor.whenComplete(call, result -> recordLockState());
+    call.complete(Outcome.applied("response"));
+    assertEquals(List.of(true), lockHeldDuringAction);
     assertFalse(lock.isLocked());
   }
 }
--- a/src/test/java/org/ternhinge/peer/PeerLinkTest.java
+++ b/src/test/java/org/ternhinge/peer/PeerLinkTest.java
@@ -19,7 +19,7 @@
 import org.ternhinge.http.Response;
 import org.ternhinge.model.Endpoint;
 
-/** Requests between controllers, on loopback; nothing here depends on the speed. */
+/** Requests between controllers over loopback. Results do not depend on timing. */
 class PeerLinkTest {
   private static final double LONG_S = 20;
   private static final double SHORT_S = 0.05;
@@ -29,11 +29,11 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   @AfterEach
-  void end() {
+  void closeEventLoop() {
     var unused = group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** A link to one other node, whose requests a handler answers. */
+  /** Creates a link to one other node, whose requests are handled by the given handler. */
   private PeerLink linkTo(String node, HttpServer.Handler handler) throws InterruptedException {
     Channel channel =
         new PeerLink(group.next(), Map.of()).listen(new Endpoint("127.0.0.1", 0), handler);
@@ -41,34 +41,35 @@
     return new PeerLink(group.next(), Map.of(node, new Endpoint("127.0.0.1", port)));
   }
 
-  private static Optional<Response> ask(PeerLink link, String node, double timeoutS)
+  private static Optional<Response> send(PeerLink link, String node, double timeoutS)
       throws Exception {
-    CompletableFuture<Optional<Response>> answer = new CompletableFuture<>();
-    link.ask(node, REQUEST, timeoutS, answer::complete);
-    return answer.get(30, TimeUnit.SECONDS);
+    CompletableFuture<Optional<Response>> result = new CompletableFuture<>();
+    link.send(node, REQUEST, timeoutS, result::complete);
+    return result.get(30, TimeUnit.SECONDS);
   }
 
   @Test
-  void anAnswerReachesTheNodeThatAsked() throws Exception {
+  void responseReachesTheRequestingNode() throws Exception {
     PeerLink link =
-        linkTo("node-1", (request, answer) -> answer.accept(Response.of(201, request.body())));
+        linkTo(
+            "node-1", (request, responder) -> responder.accept(Response.of(201, request.body())));
     for (int i = 0; i < 2; i++) {
-      Response response = ask(link, "node-1", LONG_S).orElseThrow();
+      Response response = send(link, "node-1", LONG_S).orElseThrow();
       assertEquals(201, response.status());
       assertArrayEquals(REQUEST.body(), response.body());
-      link.reset("node-1");
+      link.closeConnection("node-1");
     }
   }
 
   @Test
-  void aNodeThatDoesNotAnswerInTimeGivesNoResponse() throws Exception {
-    PeerLink link = linkTo("node-1", (request, answer) -> {});
-    assertEquals(Optional.empty(), ask(link, "node-1", SHORT_S));
+  void timedOutRequestEndsWithoutAResponse() throws Exception {
+    PeerLink link = linkTo("node-1", (request, responder) -> {});
+    assertEquals(Optional.empty(), send(link, "node-1", SHORT_S));
   }
 
   @Test
-  void anUnknownNodeGivesNoResponse() throws Exception {
-    PeerLink link = linkTo("node-1", (request, answer) -> {});
-    assertEquals(Optional.empty(), ask(link, "node-2", LONG_S));
+  void requestToAnUnknownNodeEndsWithoutAResponse() throws Exception {
+    PeerLink link = linkTo("node-1", (request, responder) -> {});
+    assertEquals(Optional.empty(), send(link, "node-2", LONG_S));
   }
 }
--- a/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
+++ b/src/test/java/org/ternhinge/request/BootstrapMachineTypesTest.java
@@ -16,9 +16,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.StoreCore;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -29,7 +29,7 @@
 /** Sources from which a node loads the machine types. */
 class BootstrapMachineTypesTest {
   private final SimClock clock = new SimClock();
-  private final StoreCore core = new StoreCore(clock);
+  private final InMemoryStore core = new InMemoryStore(clock);
   private final DirectStore store = new DirectStore(core);
   private final MachineTypeCloud cloud = new MachineTypeCloud();
   private final List<List<MachineType>> loaded = new ArrayList<>();
@@ -96,7 +96,7 @@
   @Test
   void unreadableCopyIsIgnored() {
     Change copy = new Change.Put(Keys.MACHINE_TYPES, Json.object().put("other", 1), 0);
-    AsyncCalls.ignore(
+    AsyncCalls.logExceptions(
         store.compareAndSwap(
             new CompareAndSwap(List.of(), List.of(copy)), RequestPriority.BOOKKEEPING));
     types.load();
--- a/src/test/java/org/ternhinge/request/JobLookupTest.java
+++ b/src/test/java/org/ternhinge/request/JobLookupTest.java
@@ -19,9 +19,9 @@
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.DirectStore;
+import org.ternhinge.sim.InMemoryStore;
 import org.ternhinge.sim.SimClock;
-import org.ternhinge.sim.Specs;
-import org.ternhinge.sim.StoreCore;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.wire.Json;
@@ -31,7 +31,7 @@
   private static final int VALUE_BYTES = 8 * 1024;
 
   private final SimClock clock = new SimClock();
-  private final DirectStore store = new DirectStore(new StoreCore(clock));
+  private final DirectStore store = new DirectStore(new InMemoryStore(clock));
   private final JobLookup lookup = new JobLookup(store);
   private JobLookup.Result result;
   private DependencyCheck.Result checked;
@@ -39,7 +39,7 @@
   private void put(String key, ObjectNode value) {
     CompareAndSwap compareAndSwap =
         new CompareAndSwap(List.of(), List.of(new Change.Put(key, value, 0)));
-    AsyncCalls.ignore(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
+    AsyncCalls.logExceptions(store.compareAndSwap(compareAndSwap, RequestPriority.ACCEPT));
   }
 
   /** Stores jobs such as {@code 1:batch 2:done 3:cancelled 4:batch<1.3}. */
@@ -56,19 +56,19 @@
   }
 
   private static ObjectNode record(JobId id, String[] fixture) {
-    ObjectNode body = Specs.json(id.value(), fixture[1], 1);
+    ObjectNode body = SubmissionJson.smallJob(id.value(), fixture[1], 1);
     if (fixture.length > 2) {
       ArrayNode names = body.putArray("bidur_eftir");
       for (String name : fixture[2].split("\\.", -1)) {
         names.add("wk-" + name);
       }
     }
-    return RecordCodec.encodeNew(Specs.of(body), 1, VALUE_BYTES);
+    return RecordCodec.encodeNew(SubmissionJson.parse(body), 1, VALUE_BYTES);
   }
 
   private String found() {
     if (result instanceof JobLookup.Found found) {
-      return found.state().phase().word() + (found.service() ? " service" : "");
+      return found.state().phase().wireName() + (found.service() ? " service" : "");
     }
     return result instanceof JobLookup.Absent ? "absent" : "unavailable";
   }
--- a/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
+++ b/src/test/java/org/ternhinge/round/ArrivalRatesTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.config.Objective;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.sim.SubmissionJson;
 
 /** The number of jobs that are expected to arrive. */
 class ArrivalRatesTest {
-  private static final SteadyTime START = new SteadyTime(0);
+  private static final MonotonicTime START = new MonotonicTime(0);
 
   /**
    * Room is reserved for 45 s of arrivals plus their standard deviation, if jobs of the class have
@@ -39,10 +39,11 @@
                 new Objective("wait", Optional.of("c"), maxWaitS),
                 new Objective("finished", Optional.of("c"), 1),
                 new Objective("wait", Optional.empty(), 1)));
-    SteadyTime now = START;
+    MonotonicTime now = START;
     for (int i = 0; i < arrivals; i++) {
       now = START.plusSeconds(i * apartS);
-      rates.recordArrival(Specs.of(Specs.json("wk-" + i, "batch", 1)), now);
+      rates.recordArrival(
+          SubmissionJson.parse(SubmissionJson.smallJob("wk-" + i, "batch", 1)), now);
     }
     assertEquals(expected, rates.expectedJobs(now.plusSeconds(afterS), 1).size());
   }
--- a/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
+++ b/src/test/java/org/ternhinge/scaling/MachineInventoryTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.limit.RequestPriority;
 import org.ternhinge.machine.Machine;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.ListedMachine;
 
 /** Reconciliation with paged listings, some pages of which are rate-limited. */
@@ -106,7 +106,7 @@
     @Test
     void machineListedAsFailedIsReleasedAndItsAttemptsClosed() {
       Machine machine = fixture.runningMachine(ScriptedCloud.FIRST.value());
-      Job job = fixture.leadership.addJob(Specs.json("wk-1", "batch", 1));
+      Job job = fixture.leadership.addJob(SubmissionJson.smallJob("wk-1", "batch", 1));
       Attempt attempt = fixture.leadership.openAttempt(job, 0, machine);
       fixture.cloud.listedState = ListedMachine.State.FAILED;
       inventory.start();
