--- a/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
+++ b/src/test/java/org/ternhinge/scaling/UnusableMachineCheckTest.java
@@ -12,15 +12,15 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.TaskFailures;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.sim.SubmissionJson;
 
 /** Release of unusable idle machines, with leases of 10 s and a nominal boot time of 20 s. */
 class UnusableMachineCheckTest {
   private static final double LEASE_S = 10;
 
   private final ScalingFixture fixture = new ScalingFixture();
-  private final SteadyTime start = fixture.start;
+  private final MonotonicTime start = fixture.start;
   private final UnusableMachineCheck check =
       new UnusableMachineCheck(
           fixture.context,
@@ -61,7 +61,7 @@
     TaskFailures failures =
         new TaskFailures(fixture.leadership.ledger, fixture.leadership.machines, 20, start);
     for (int i = 1; i <= 3; i++) {
-      Job job = fixture.leadership.addJob(Specs.json("wk-" + i, "batch", 1));
+      Job job = fixture.leadership.addJob(SubmissionJson.smallJob("wk-" + i, "batch", 1));
       failures.recordFailure(machine, job, start.plusSeconds(100));
     }
   }
@@ -80,7 +80,7 @@
     Machine machine = fixture.bootingMachine("n-1");
     makeUnusable(machine, reason);
     fixture.leadership.openAttempt(
-        fixture.leadership.addJob(Specs.json("wk-9", "batch", 1)), 0, machine);
+        fixture.leadership.addJob(SubmissionJson.smallJob("wk-9", "batch", 1)), 0, machine);
     assertFalse(isReleasedAfter(machine, 100));
   }
 
--- a/src/test/java/org/ternhinge/schedule/PlannerFixture.java
+++ b/src/test/java/org/ternhinge/schedule/PlannerFixture.java
@@ -11,13 +11,13 @@
 import org.ternhinge.config.Team;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Snapshot.AttemptView;
 import org.ternhinge.schedule.Snapshot.JobView;
 import org.ternhinge.schedule.Snapshot.MachineView;
 import org.ternhinge.schedule.Snapshot.Offer;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
@@ -25,11 +25,13 @@
 abstract class PlannerFixture {
   static final List<String> ZONES = List.of("east", "west");
   static final MachineType PLAIN =
-      new MachineType("plain", Resources.offer(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
+      new MachineType(
+          "plain", Resources.ofCapacity(4, 0, 16), 4, 0, 16, 50, 0.5, 0.2, 0.05, 20, ZONES);
   static final MachineType ACCELERATED =
-      new MachineType("fast", Resources.offer(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
+      new MachineType(
+          "fast", Resources.ofCapacity(16, 2, 64), 16, 2, 64, 50, 0.5, 5, 1.5, 40, ZONES);
 
-  static final SteadyTime NOW = new SteadyTime(1_000_000_000_000L);
+  static final MonotonicTime NOW = new MonotonicTime(1_000_000_000_000L);
 
   /** Seconds without a started task after which a job is overdue. */
   private static final double OVERDUE_S = 120;
@@ -46,8 +48,8 @@
       String name, MachineType machineType, int zone, Set<String> images, AttemptView... attempts) {
     Resources free = machineType.capacity();
     for (AttemptView attempt : attempts) {
-      free = free.minus(attempt.spec().need());
-      teamUse.merge(attempt.spec().team(), attempt.spec().need(), Resources::plus);
+      free = free.minus(attempt.spec().taskResources());
+      teamUse.merge(attempt.spec().team(), attempt.spec().taskResources(), Resources::plus);
     }
     MachineView machine =
         new MachineView(
@@ -68,7 +70,7 @@
   }
 
   static JobSpec spec(String id, String kind, int tasks, Map<String, Object> changes) {
-    ObjectNode json = Specs.json(id, kind, tasks);
+    ObjectNode json = SubmissionJson.smallJob(id, kind, tasks);
     changes.forEach(
         (k, v) -> {
           if (v instanceof String s) {
@@ -79,7 +81,7 @@
             json.put(k, ((Number) v).doubleValue());
           }
         });
-    return Specs.of(json);
+    return SubmissionJson.parse(json);
   }
 
   void job(JobSpec spec, boolean withinGuarantee) {
--- a/src/test/java/org/ternhinge/sim/BootFaults.java
+++ b/src/test/java/org/ternhinge/sim/BootFaults.java
@@ -4,32 +4,34 @@
 import java.util.Set;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** Faults of machines that are provisioned: they come up late or never, and lists that lag. */
+/**
+ * Faults of machine provisioning: slow boots, machines that never boot, and stale machine lists.
+ */
 public final class BootFaults {
-  private final Set<Integer> dead = new HashSet<>();
+  private final Set<Integer> neverBooting = new HashSet<>();
   private String slowType = "";
   private String slowZone = "";
   private double slowFactor = 1;
   private double listLagS;
 
-  /** The machines with these numbers, in the order of provisioning from 0, never come up. */
-  public void neverComesUp(Set<Integer> machines) {
-    dead.addAll(machines);
+  /** Machines with these numbers, counted from 0 in order of provisioning, never finish booting. */
+  public void neverBoots(Set<Integer> machines) {
+    neverBooting.addAll(machines);
   }
 
   /**
-   * Multiplies the boot time of machines of a type from now on.
+   * Multiplies the boot time of machines of one type that are provisioned from now on.
    *
    * @param zone the zone, or null for all
    */
-  public void slow(String type, String zone, double factor) {
+  public void slowBoots(String type, String zone, double factor) {
     slowType = type;
     slowZone = zone;
     slowFactor = factor;
   }
 
-  /** Sets the lag of machine lists, in seconds. */
-  public void listLags(double seconds) {
+  /** Sets how far machine lists lag behind the actual state, in seconds. */
+  public void setListLag(double seconds) {
     listLagS = seconds;
   }
 
@@ -37,11 +39,11 @@
     return listLagS;
   }
 
-  boolean neverComesUp(int machine) {
-    return dead.contains(machine);
+  boolean neverBoots(int machine) {
+    return neverBooting.contains(machine);
   }
 
-  double factor(ProvisionRequest request) {
+  double bootTimeFactor(ProvisionRequest request) {
     boolean slow =
         request.type().equals(slowType) && (slowZone == null || request.zone().equals(slowZone));
     return slow ? slowFactor : 1;
--- a/src/test/java/org/ternhinge/sim/DelayedStore.java
+++ b/src/test/java/org/ternhinge/sim/DelayedStore.java
@@ -9,9 +9,9 @@
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/** A client whose messages to and from the key-value store are delayed, each by itself. */
-public final class DelayedStore extends StoreCoreClient {
-  /** A watch times out so many seconds after its own end. */
+/** A client that delays each request to the key-value store and each response independently. */
+public final class DelayedStore extends InMemoryStoreClient {
+  /** Margin after the end of a watch before it times out, in seconds. */
   private static final double WATCH_SLACK_S = 5;
 
   private final SimClock clock;
@@ -19,28 +19,28 @@
   private final DoubleSupplier delayS;
   private boolean refuses;
 
-  /** Calls that were sent, without watches. */
+  /** Number of calls sent, excluding watches. */
   private int calls;
 
   /**
-   * Creates a client whose calls take time.
+   * Creates a client with delayed messages.
    *
-   * @param delayS delay of the next message in seconds, asked once a message
+   * @param delayS supplies the delay of the next message in seconds; called once per message
    */
   public DelayedStore(
-      SimClock clock, StoreCore core, ResponseTimeouts timeouts, DoubleSupplier delayS) {
-    super(core);
+      SimClock clock, InMemoryStore store, ResponseTimeouts timeouts, DoubleSupplier delayS) {
+    super(store);
     this.clock = clock;
     this.timeouts = timeouts;
     this.delayS = delayS;
   }
 
-  /** Sets whether the store answers this node 503 from now on. */
+  /** Sets whether the store rejects calls of this client with status 503 from now on. */
   public void refuse(boolean refused) {
     refuses = refused;
   }
 
-  /** Calls that were sent, without watches. */
+  /** Number of calls sent, excluding watches. */
   public int calls() {
     return calls;
   }
@@ -58,7 +58,7 @@
   private <T> CompletableFuture<Outcome<T>> send(double limitS, Supplier<Outcome<T>> work) {
     calls++;
     CompletableFuture<Outcome<T>> result = new CompletableFuture<>();
-    clock.after(limitS, () -> result.complete(Outcome.unknown("no answer in time")));
+    clock.schedule(limitS, () -> result.complete(Outcome.unknown("no answer in time")));
     afterDelay(
         () -> {
           Outcome<T> outcome = refuses ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
@@ -68,16 +68,16 @@
   }
 
   private void afterDelay(Runnable action) {
-    clock.after(delayS.getAsDouble(), action);
+    clock.schedule(delayS.getAsDouble(), action);
   }
 
   @Override
   public CompletableFuture<Outcome<WatchResult>> watch(String prefix, Revision from, double waitS) {
     CompletableFuture<Outcome<WatchResult>> result = new CompletableFuture<>();
-    clock.after(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
+    clock.schedule(waitS + WATCH_SLACK_S, () -> result.complete(Outcome.unknown("no answer")));
     afterDelay(
         () ->
-            core()
+            store()
                 .watch(
                     prefix,
                     from.value(),
--- a/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
+++ b/src/test/java/org/ternhinge/sim/HeartbeatTransport.java
@@ -6,9 +6,9 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.Command;
 
-/** The way of one machine's heartbeats to a controller and of the answers back. */
+/** Carries one machine's heartbeats to a controller and the responses back. */
 final class HeartbeatTransport {
-  /** An answer that comes later than this is ignored, in seconds. */
+  /** Time after which a response is ignored, in seconds. */
   static final double TIMEOUT_S = 4;
 
   private final SimCluster cluster;
@@ -19,42 +19,42 @@
     this.machine = machine;
   }
 
-  /** Sends a heartbeat to a controller; each call may meet a fault that is active. */
+  /** Sends a heartbeat to a controller, subject to the faults that are active. */
   CompletableFuture<Outcome<Response>> send(byte[] heartbeat, int controller) {
     MachineLinks links = machine.links();
-    boolean answerIsLost = links.losesInbound();
-    if (cluster.machineFaults.delays(machine.id(), heartbeat)) {
+    boolean isResponseLost = links.dropsInbound();
+    if (cluster.machineFaults.scheduleIfDelayed(machine.id(), heartbeat)) {
       return cluster.network.fail(false, TIMEOUT_S);
     }
-    if (links.losesHeartbeats()) {
+    if (links.dropsHeartbeats()) {
       return cluster.networkFaults.lostCall(TIMEOUT_S);
     }
     return cluster.networkFaults.call(
         machine.zone,
         NetworkFaults.zoneOf(controller),
-        () -> links.isCut() || cluster.networkFaults.cutFromWorkers(controller),
+        () -> links.isIsolated() || cluster.networkFaults.isIsolatedFromWorkers(controller),
         TIMEOUT_S,
         to ->
             cluster.controllers.deliver(
                 controller,
                 HeartbeatHistory.request(heartbeat),
                 response -> {
-                  noteCommands(response, answerIsLost);
-                  if (!answerIsLost) {
+                  recordCommands(response, isResponseLost);
+                  if (!isResponseLost) {
                     to.accept(Outcome.applied(response));
                   }
                 }));
   }
 
-  /** A controller has answered; the commands of a lost answer count as sent all the same. */
-  private void noteCommands(Response response, boolean lost) {
+  /** Records the commands in a response; those of a lost response count as sent as well. */
+  private void recordCommands(Response response, boolean lost) {
     if (response.status() != 200) {
       return;
     }
     List<Command> commands = HeartbeatResponses.commands(response.body());
-    cluster.events.commandsLeave(machine.id(), commands);
+    cluster.events.commandsSent(machine.id(), commands);
     if (lost) {
-      cluster.tasks.sent(machine.id(), commands);
+      cluster.tasks.recordSentCommands(machine.id(), commands);
     }
   }
 }
--- a/src/test/java/org/ternhinge/sim/StoreCore.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStore.java
@@ -11,20 +11,20 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.ternhinge.model.Clock;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Revision;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.store.Change;
 import org.ternhinge.store.CompareAndSwap;
 import org.ternhinge.store.Entry;
 import org.ternhinge.store.KeyValueStore;
 
-/** The key-value store's behaviour as its protocol page gives it, without a network. */
-public final class StoreCore {
+/** An in-memory key-value store that behaves as the store protocol specifies, without a network. */
+public final class InMemoryStore {
   private record Value(JsonNode value, long revision, long lease) {}
 
-  private record Lease(double lifeS, SteadyTime ends) {}
+  private record Lease(double lifeS, MonotonicTime ends) {}
 
   private record Watch(
       String prefix,
@@ -41,7 +41,7 @@
   private long lastLease;
 
   /** Creates an empty store. */
-  public StoreCore(Clock clock) {
+  public InMemoryStore(Clock clock) {
     this.clock = clock;
   }
 
@@ -94,7 +94,7 @@
     Set<String> touched = new HashSet<>();
     for (Change c : swap.changes()) {
       if (!touched.add(c.key())) {
-        throw new IllegalStateException("a key stands twice in a transaction: " + c.key());
+        throw new IllegalStateException("duplicate key in transaction: " + c.key());
       }
       if (c instanceof Change.Put put) {
         keys.put(put.key(), new Value(put.value(), revision, put.lease()));
@@ -103,12 +103,12 @@
         log.add(new Change.Observed(c.key(), null, new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
     return Outcome.applied(new Revision(revision));
   }
 
   /** Grants a lease. */
-  public long grant(long millis) {
+  public long grantLease(long millis) {
     long id = ++lastLease;
     leases.put(id, new Lease(millis / 1000.0, clock.now().plusSeconds(millis / 1000.0)));
     expireLater(id, millis / 1000.0);
@@ -116,18 +116,18 @@
   }
 
   private void expireLater(long id, double seconds) {
-    clock.after(
+    clock.schedule(
         seconds + 0.05,
         () -> {
           Lease lease = leases.get(id);
           if (lease != null && lease.ends.isBefore(clock.now())) {
-            revoke(id);
+            revokeLease(id);
           }
         });
   }
 
-  /** Renews a lease that has not ended. */
-  public Outcome<Long> renew(long id) {
+  /** Renews a lease that has not expired. */
+  public Outcome<Long> renewLease(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
       return Outcome.notApplied(Reason.NOT_FOUND, "");
@@ -137,18 +137,18 @@
     return Outcome.applied(id);
   }
 
-  /** After an outage every lease has its full time again. */
-  public void renewAll() {
-    List.copyOf(leases.keySet()).forEach(this::renew);
+  /** Renews all leases after an outage, so that each has its full duration again. */
+  public void renewAllLeases() {
+    List.copyOf(leases.keySet()).forEach(this::renewLease);
   }
 
-  /** During an outage no lease ends. */
-  public void hold(double seconds) {
+  /** Extends all leases by the duration of an outage, so that none expires during it. */
+  public void extendLeases(double seconds) {
     leases.replaceAll((id, l) -> new Lease(l.lifeS, clock.now().plusSeconds(seconds + l.lifeS)));
   }
 
-  /** Ends a lease and removes its keys. */
-  public void revoke(long id) {
+  /** Revokes a lease and removes its keys. */
+  public void revokeLease(long id) {
     if (leases.remove(id) == null) {
       return;
     }
@@ -156,22 +156,28 @@
     for (var it = keys.entrySet().iterator(); it.hasNext(); ) {
       var entry = it.next();
       if (entry.getValue().lease == id) {
-        // The key first: a tree's entry may hold another key after its removal.
+        // Read the key before the removal, after which a TreeMap entry may hold another key.
         String key = entry.getKey();
         it.remove();
         log.add(new Change.Observed(key, null, new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
   }
 
-  /** Passes on the changes after a revision, as soon as there are any or the time is over. */
+  /**
+   * Watches a prefix: answers with the changes after a revision as soon as there are any, or when
+   * the time is over.
+   */
   public void watch(
       String prefix, long from, double waitS, Consumer<KeyValueStore.WatchResult> to) {
     watch(prefix, from, waitS, () -> false, to);
   }
 
-  /** A watch that is not answered, not even at its end, while it is suspended, as in an outage. */
+  /**
+   * Watches a prefix; the watch is not answered, not even at its end, while it is suspended, for
+   * example during an outage.
+   */
   public void watch(
       String prefix,
       long from,
@@ -181,34 +187,34 @@
     Watch watch = new Watch(prefix, from, suspended, to);
     if (!answer(watch, false)) {
       watches.add(watch);
-      clock.after(waitS, () -> endWatch(watch));
+      clock.schedule(waitS, () -> endWatch(watch));
     }
   }
 
   private void endWatch(Watch watch) {
     if (watch.suspended.getAsBoolean()) {
-      clock.after(0.1, () -> endWatch(watch));
+      clock.schedule(0.1, () -> endWatch(watch));
     } else if (watches.remove(watch)) {
       answer(watch, true);
     }
   }
 
-  private boolean answer(Watch watch, boolean anyway) {
+  private boolean answer(Watch watch, boolean evenIfEmpty) {
     List<Change.Observed> out = new ArrayList<>();
     for (Change.Observed c : log) {
       if (c.revision().value() > watch.from && c.key().startsWith(watch.prefix)) {
         out.add(c);
       }
     }
-    if (out.isEmpty() && !anyway) {
+    if (out.isEmpty() && !evenIfEmpty) {
       return false;
     }
     watch.to.accept(new KeyValueStore.WatchResult(new Revision(revision), out));
     return true;
   }
 
-  /** Answers the watches that have changes and are not suspended. */
-  public void wake() {
+  /** Answers watches that have changes and are not suspended. */
+  public void notifyWatches() {
     for (Watch w : List.copyOf(watches)) {
       if (!w.suspended.getAsBoolean() && answer(w, false)) {
         watches.remove(w);
--- a/src/test/java/org/ternhinge/sim/StoreCoreClient.java
+++ b/src/test/java/org/ternhinge/sim/InMemoryStoreClient.java
@@ -10,52 +10,52 @@
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
 /**
- * A client of a {@link StoreCore} without limits on rates. Subclasses decide how a call reaches the
- * store and how its outcome comes back.
+ * A client of an {@link InMemoryStore} without rate limits. Subclasses define how a call reaches
+ * the store and how its outcome is returned.
  */
-abstract class StoreCoreClient implements KeyValueStore {
-  private final StoreCore core;
+abstract class InMemoryStoreClient implements KeyValueStore {
+  private final InMemoryStore store;
 
-  StoreCoreClient(StoreCore core) {
-    this.core = core;
+  InMemoryStoreClient(InMemoryStore store) {
+    this.store = store;
   }
 
   /** The store behind this client. */
-  final StoreCore core() {
-    return core;
+  final InMemoryStore store() {
+    return store;
   }
 
-  /** Carries out a call of a kind, whose timeout depends on the answers so far. */
+  /** Executes a call; the timeout of its kind adapts to earlier response times. */
   abstract <T> CompletableFuture<Outcome<T>> call(Kind kind, Supplier<Outcome<T>> work);
 
-  /** Carries out a call with a timeout of its own in seconds. */
+  /** Executes a call with an explicit timeout in seconds. */
   abstract <T> CompletableFuture<Outcome<T>> call(double limitS, Supplier<Outcome<T>> work);
 
   @Override
   public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
-    return call(Kind.ofRead(priority), () -> Outcome.applied(core.get(key)));
+    return call(Kind.ofRead(priority), () -> Outcome.applied(store.get(key)));
   }
 
   @Override
   public CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority) {
-    return call(Kind.READ, () -> Outcome.applied(core.list(prefix, after, limit)));
+    return call(Kind.READ, () -> Outcome.applied(store.list(prefix, after, limit)));
   }
 
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap swap, RequestPriority priority) {
-    return call(Kind.ofWrite(priority), () -> core.compareAndSwap(swap));
+    return call(Kind.ofWrite(priority), () -> store.compareAndSwap(swap));
   }
 
   @Override
   public CompletableFuture<Outcome<Long>> grantLease(long millis) {
-    return call(Kind.LEASE, () -> Outcome.applied(core.grant(millis)));
+    return call(Kind.LEASE, () -> Outcome.applied(store.grantLease(millis)));
   }
 
   @Override
   public CompletableFuture<Outcome<Long>> renewLease(long lease, double timeoutS) {
-    return call(timeoutS, () -> core.renew(lease));
+    return call(timeoutS, () -> store.renewLease(lease));
   }
 
   @Override
@@ -63,7 +63,7 @@
     return call(
         Kind.LEASE,
         () -> {
-          core.revoke(lease);
+          store.revokeLease(lease);
           return Outcome.applied(lease);
         });
   }
--- a/src/test/java/org/ternhinge/sim/MachineFaults.java
+++ b/src/test/java/org/ternhinge/sim/MachineFaults.java
@@ -8,99 +8,103 @@
 import java.util.random.RandomGenerator;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
 /**
- * Faults of machines and of their links: cuts, lost commands, lost heartbeats, hangs, restarts, and
- * heartbeats that arrive late or twice.
+ * Faults of machines and of their links: network partitions, lost commands, lost heartbeats, hangs,
+ * restarts, and delayed or duplicated heartbeats.
  */
 public final class MachineFaults {
   private final SimCluster cluster;
 
-  /** Apart from the cluster's own, so that a seed means the same days with and without faults. */
+  /**
+   * Separate from the cluster's source, so that a seed produces the same workload with and without
+   * faults.
+   */
   private final RandomGenerator random;
 
   /** Machines whose next heartbeat is delayed, with the delay in seconds. */
   private final Map<MachineId, Double> heartbeatDelaysS = new HashMap<>();
 
-  private final Map<String, SteadyTime> zonesCutUntil = new HashMap<>();
+  private final Map<String, MonotonicTime> zonesIsolatedUntil = new HashMap<>();
 
   MachineFaults(SimCluster cluster, RandomGenerator random) {
     this.cluster = cluster;
     this.random = random;
   }
 
-  private SteadyTime in(double seconds) {
+  private MonotonicTime fromNow(double seconds) {
     return cluster.clock.now().plusSeconds(seconds);
   }
 
-  private Optional<SimWorker> someWorker(RandomGenerator source) {
+  private Optional<SimWorker> randomWorker(RandomGenerator source) {
     List<SimWorker> live = cluster.machines.live();
     return live.isEmpty() ? Optional.empty() : Optional.of(live.get(source.nextInt(live.size())));
   }
 
-  // ---- cuts and ends --------------------------------------------------------------------------
+  // ---- isolation and termination --------------------------------------------------------------
 
-  /** Cuts all machines of a zone off from everything. */
-  public void cutMachinesOfZone(String zone, double seconds) {
+  /** Isolates all machines of a zone from the network. */
+  public void isolateMachinesOfZone(String zone, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
-        worker.links().cut(seconds);
+        worker.links().isolate(seconds);
       }
     }
   }
 
-  /** Cuts every other machine of a zone off from everything. */
-  public void cutHalfOfZone(String zone, double seconds) {
-    boolean cut = false;
+  /** Isolates every other machine of a zone from the network. */
+  public void isolateHalfOfZone(String zone, double seconds) {
+    boolean isolates = false;
     for (SimWorker worker : cluster.machines.live()) {
       if (worker.zone.equals(zone)) {
-        cut = !cut;
-        if (cut) {
-          worker.links().cut(seconds);
+        isolates = !isolates;
+        if (isolates) {
+          worker.links().isolate(seconds);
         }
       }
     }
   }
 
-  /** Cuts a zone's machines, and machines that come up there meanwhile are cut off as well. */
-  public void cutZone(String zone, double seconds) {
-    cutMachinesOfZone(zone, seconds);
-    zonesCutUntil.put(zone, in(seconds));
+  /** Isolates the machines of a zone, including machines that start there during the fault. */
+  public void isolateZone(String zone, double seconds) {
+    isolateMachinesOfZone(zone, seconds);
+    zonesIsolatedUntil.put(zone, fromNow(seconds));
   }
 
-  /** A machine has come up. */
-  void cameUp(SimWorker worker) {
-    Optional.ofNullable(zonesCutUntil.get(worker.zone)).ifPresent(worker.links()::cutUntil);
+  /** Applies zone faults to a machine that has started. */
+  void machineStarted(SimWorker worker) {
+    Optional.ofNullable(zonesIsolatedUntil.get(worker.zone))
+        .ifPresent(worker.links()::isolateUntil);
   }
 
-  /** Cuts off a machine that runs a job's task. */
-  public void cutSomeWorkerWith(JobId id, double seconds) {
+  /** Isolates a machine that runs a task of a job. */
+  public void isolateWorkerOf(JobId id, double seconds) {
     List<MachineId> machines = cluster.tasks.machinesOf(id);
     if (!machines.isEmpty()) {
-      cluster.machines.worker(machines.get(0)).links().cut(seconds);
+      cluster.machines.worker(machines.get(0)).links().isolate(seconds);
     }
   }
 
-  /** Cuts a random machine off, or ends it where the time is 0. */
-  public void cutOrEndSomeWorker(double cutS) {
-    someWorker(cluster.random)
+  /** Isolates a random machine, or terminates it if the time is 0. */
+  public void isolateOrTerminateRandomWorker(double isolationS) {
+    randomWorker(cluster.random)
         .ifPresent(
             worker -> {
-              if (cutS > 0) {
-                worker.links().cut(cutS);
+              if (isolationS > 0) {
+                worker.links().isolate(isolationS);
               } else {
-                cluster.machines.end(worker.id());
+                cluster.machines.terminate(worker.id());
               }
             });
   }
 
-  /** A machine restarts at once; what ran there is lost. */
+  /** Restarts a machine at once; its running tasks are lost. */
   public void restart(SimWorker worker) {
     worker.restart();
   }
 
-  /** A share of all machines restart together. */
+  /** Restarts a share of all machines at the same time. */
   public void restartMachines(double share) {
     for (SimWorker worker : cluster.machines.live()) {
       if (cluster.random.nextDouble() < share) {
@@ -109,58 +113,58 @@
     }
   }
 
-  /** Every task that starts on a machine fails from now on. */
+  /** Makes every task that starts on a machine fail from now on. */
   public void failAllTasksOn(SimWorker worker) {
     worker.failEveryTask();
   }
 
   // ---- lost commands and lost heartbeats ------------------------------------------------------
 
-  /** Some machine's heartbeats arrive, while neither answers nor commands reach it. */
-  public Optional<SimWorker> dropInboundOfSomeWorker(double seconds) {
-    Optional<SimWorker> worker = someWorker(cluster.random);
-    worker.ifPresent(some -> some.links().loseInbound(seconds));
+  /** Drops responses and commands to a random machine, while its heartbeats arrive. */
+  public Optional<SimWorker> dropInboundOfRandomWorker(double seconds) {
+    Optional<SimWorker> worker = randomWorker(cluster.random);
+    worker.ifPresent(target -> target.links().dropInbound(seconds));
     return worker;
   }
 
-  /** A machine's heartbeats arrive, while neither answers nor commands reach it. */
+  /** Drops responses and commands to a machine, while its heartbeats arrive. */
   public void dropInbound(MachineId id, double seconds) {
-    cluster.machines.worker(id).links().loseInbound(seconds);
+    cluster.machines.worker(id).links().dropInbound(seconds);
   }
 
-  /** Heartbeats of all machines of a job reach no controller, while direct commands reach them. */
+  /** Drops the heartbeats of all machines that run a job, while direct commands reach them. */
   public void dropHeartbeatsOf(JobId id, double seconds) {
     for (SimWorker worker : cluster.machines.running(id)) {
-      worker.links().loseHeartbeats(seconds);
+      worker.links().dropHeartbeats(seconds);
     }
   }
 
-  /** Heartbeats of a share of all machines reach no controller. */
+  /** Drops the heartbeats of a share of all machines. */
   public void dropHeartbeatsOfShare(double share, double seconds) {
     for (SimWorker worker : cluster.machines.live()) {
       if (random.nextDouble() < share) {
-        worker.links().loseHeartbeats(seconds);
+        worker.links().dropHeartbeats(seconds);
       }
     }
   }
 
-  /** Some machine's heartbeats reach no controller. */
-  public void dropHeartbeatsOfSomeWorker(double seconds) {
-    someWorker(random).ifPresent(worker -> worker.links().loseHeartbeats(seconds));
+  /** Drops the heartbeats of a random machine. */
+  public void dropHeartbeatsOfRandomWorker(double seconds) {
+    randomWorker(random).ifPresent(worker -> worker.links().dropHeartbeats(seconds));
   }
 
   // ---- hangs ----------------------------------------------------------------------------------
 
-  /** Some machine executes nothing for a while; what arrives waits for it. */
-  public void hangSomeWorker(double seconds) {
-    someWorker(random).ifPresent(worker -> worker.hang(seconds));
+  /** Hangs a random machine for a while; arriving messages are queued. */
+  public void hangRandomWorker(double seconds) {
+    randomWorker(random).ifPresent(worker -> worker.hang(seconds));
   }
 
-  /** Machines that run a job's tasks, at most so many, execute nothing for a while. */
-  public List<SimWorker> hangWorkersOf(JobId id, int most, double seconds) {
+  /** Hangs machines that run tasks of a job, up to a limit, and returns them. */
+  public List<SimWorker> hangWorkersOf(JobId id, int limit, double seconds) {
     List<SimWorker> hung = new ArrayList<>();
     for (SimWorker worker : cluster.machines.running(id)) {
-      if (hung.size() < most) {
+      if (hung.size() < limit) {
         worker.hang(seconds);
         hung.add(worker);
       }
@@ -170,23 +174,23 @@
 
   // ---- late and duplicate heartbeats ----------------------------------------------------------
 
-  /** Some machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  /** Delays the next heartbeat of a random machine; it is delivered to the leader at that time. */
   public void delayHeartbeat(double seconds) {
-    someWorker(random).ifPresent(worker -> delayHeartbeat(worker.id(), seconds));
+    randomWorker(random).ifPresent(worker -> delayHeartbeat(worker.id(), seconds));
   }
 
-  /** A machine's next heartbeat is delayed and then delivered to the leader of that time. */
+  /** Delays the next heartbeat of a machine; it is delivered to the leader at that time. */
   public void delayHeartbeat(MachineId id, double seconds) {
     heartbeatDelaysS.put(id, seconds);
   }
 
-  /** Whether a heartbeat is delayed; if so, its late delivery is scheduled. */
-  boolean delays(MachineId id, byte[] heartbeat) {
+  /** Schedules the late delivery of a heartbeat if it is to be delayed; returns whether it is. */
+  boolean scheduleIfDelayed(MachineId id, byte[] heartbeat) {
     Double seconds = heartbeatDelaysS.remove(id);
     if (seconds == null) {
       return false;
     }
-    cluster.clock.after(seconds, () -> deliverLate(heartbeat));
+    cluster.clock.schedule(seconds, () -> deliverLate(heartbeat));
     return true;
   }
 
@@ -197,15 +201,15 @@
   }
 
   /**
-   * For a while a share of all heartbeats arrives a second time, from a second to several leases
-   * late.
+   * Duplicates a share of all heartbeats for a while; duplicates arrive from one second to several
+   * leases late.
    */
   public void duplicateHeartbeats(double share, double seconds) {
     cluster.machines.heartbeatHistory().duplicate(share, seconds);
   }
 
-  /** A duplicate of a machine's last heartbeat reaches every controller. */
-  public void repeatHeartbeat(MachineId id) {
-    cluster.machines.heartbeatHistory().repeatLast(id);
+  /** Delivers a duplicate of a machine's last heartbeat to every controller. */
+  public void resendHeartbeat(MachineId id) {
+    cluster.machines.heartbeatHistory().resendLast(id);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MachineLinks.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinks.java
@@ -1,64 +1,67 @@
 package org.ternhinge.sim;
 
-import org.ternhinge.model.SteadyTime;
+import org.ternhinge.model.MonotonicTime;
 
-/** The links of one machine: which messages to and from it are lost at present. */
+/** The network links of one machine: which messages to and from it are currently lost. */
 final class MachineLinks {
   private final SimClock clock;
-  private SteadyTime cutUntil;
-  private SteadyTime inboundLostUntil;
-  private SteadyTime heartbeatsLostUntil;
+  private MonotonicTime isolatedUntil;
+  private MonotonicTime inboundDroppedUntil;
+  private MonotonicTime heartbeatsDroppedUntil;
 
   /** Creates links that lose nothing. */
   MachineLinks(SimClock clock) {
     this.clock = clock;
-    this.cutUntil = clock.now();
-    this.inboundLostUntil = clock.now();
-    this.heartbeatsLostUntil = clock.now();
+    this.isolatedUntil = clock.now();
+    this.inboundDroppedUntil = clock.now();
+    this.heartbeatsDroppedUntil = clock.now();
   }
 
-  /** For so many seconds nothing passes in either direction. */
-  void cut(double seconds) {
-    cutUntil(in(seconds));
+  /** Drops all messages in both directions for the given number of seconds. */
+  void isolate(double seconds) {
+    isolateUntil(fromNow(seconds));
   }
 
-  /** Until a time nothing passes in either direction. */
-  void cutUntil(SteadyTime end) {
-    cutUntil = end;
+  /** Drops all messages in both directions until the given time. */
+  void isolateUntil(MonotonicTime end) {
+    isolatedUntil = end;
   }
 
-  /** For so many seconds heartbeats arrive, but neither answers nor commands reach the machine. */
-  void loseInbound(double seconds) {
-    inboundLostUntil = in(seconds);
+  /**
+   * Drops responses and commands to the machine for the given number of seconds, while its
+   * heartbeats arrive.
+   */
+  void dropInbound(double seconds) {
+    inboundDroppedUntil = fromNow(seconds);
   }
 
-  /** For so many seconds heartbeats reach no controller, while commands reach the machine. */
-  void loseHeartbeats(double seconds) {
-    heartbeatsLostUntil = in(seconds);
+  /** Drops heartbeats for the given number of seconds, while commands reach the machine. */
+  void dropHeartbeats(double seconds) {
+    heartbeatsDroppedUntil = fromNow(seconds);
   }
 
-  boolean isCut() {
-    return lasts(cutUntil);
+  boolean isIsolated() {
+    return isActive(isolatedUntil);
   }
 
-  boolean losesInbound() {
-    return lasts(inboundLostUntil);
+  boolean dropsInbound() {
+    return isActive(inboundDroppedUntil);
   }
 
-  boolean losesHeartbeats() {
-    return lasts(heartbeatsLostUntil);
+  boolean dropsHeartbeats() {
+    return isActive(heartbeatsDroppedUntil);
   }
 
-  /** Whether no message is lost in any direction. */
-  boolean areWhole() {
-    return !isCut() && !losesInbound() && !losesHeartbeats();
+  /** Whether no messages are lost in either direction. */
+  boolean areHealthy() {
+    return !isIsolated() && !dropsInbound() && !dropsHeartbeats();
   }
 
-  private SteadyTime in(double seconds) {
+  private MonotonicTime fromNow(double seconds) {
     return clock.now().plusSeconds(seconds);
   }
 
-  private boolean lasts(SteadyTime until) {
+  private boolean isActive(MonotonicTime until) {
     return clock.now().isBefore(until);
   }
 }
--- a/src/test/java/org/ternhinge/sim/MachineLinksTest.java
+++ b/src/test/java/org/ternhinge/sim/MachineLinksTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which messages the links of a machine lose, and for how long. */
+/** Each link fault drops only its own kind of message, and only until it ends. */
 class MachineLinksTest {
   private static final double FAULT_S = 10;
 
@@ -17,27 +17,27 @@
 
   @Test
   void newLinksLoseNothing() {
-    assertTrue(links.areWhole());
+    assertTrue(links.areHealthy());
   }
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({
-    "cut, true, false, false",
-    "inbound lost, false, true, false",
-    "heartbeats lost, false, false, true"
+    "isolated, true, false, false",
+    "inbound dropped, false, true, false",
+    "heartbeats dropped, false, false, true"
   })
-  void aFaultConcernsItsOwnMessagesUntilItEnds(
-      String fault, boolean cut, boolean inbound, boolean heartbeats) {
+  void faultDropsOnlyItsOwnMessagesUntilItEnds(
+      String fault, boolean isolated, boolean inbound, boolean heartbeats) {
     switch (fault) {
-      case "cut" -> links.cut(FAULT_S);
-      case "inbound lost" -> links.loseInbound(FAULT_S);
-      default -> links.loseHeartbeats(FAULT_S);
+      case "isolated" -> links.isolate(FAULT_S);
+      case "inbound dropped" -> links.dropInbound(FAULT_S);
+      default -> links.dropHeartbeats(FAULT_S);
     }
-    assertEquals(cut, links.isCut());
-    assertEquals(inbound, links.losesInbound());
-    assertEquals(heartbeats, links.losesHeartbeats());
-    assertFalse(links.areWhole());
+    assertEquals(isolated, links.isIsolated());
+    assertEquals(inbound, links.dropsInbound());
+    assertEquals(heartbeats, links.dropsHeartbeats());
+    assertFalse(links.areHealthy());
     clock.runFor(FAULT_S);
-    assertTrue(links.areWhole());
+    assertTrue(links.areHealthy());
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCloud.java
+++ b/src/test/java/org/ternhinge/sim/SimCloud.java
@@ -10,14 +10,14 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** The cloud as one controller reaches it. */
+/** The cloud API as seen by one controller. */
 final class SimCloud implements Cloud {
   private static final double TIMEOUT_S = 5;
 
-  /** Time of a listing, in seconds. */
+  /** Duration of a listing call, in seconds. */
   private static final double LIST_S = 1;
 
-  /** Passes answers on to a process that is still alive. */
+  /** Delivers responses only to a process that is still alive. */
   interface Guard {
     <T> CompletableFuture<T> guard(CompletableFuture<T> from);
   }
@@ -45,19 +45,19 @@
 
   @Override
   public CompletableFuture<Outcome<List<MachineId>>> provision(ProvisionRequest request) {
-    cluster.counts.provisionCall();
+    cluster.counts.countProvisionCall();
     return owner.guard(
         cluster.networkFaults.<List<MachineId>>call(
             NetworkFaults.zoneOf(node),
             NetworkFaults.REGION,
             () -> false,
             TIMEOUT_S,
-            to -> to.accept(Outcome.applied(cluster.machines.stock().provisionNow(request)))));
+            to -> to.accept(Outcome.applied(cluster.machines.provisioned().provision(request)))));
   }
 
   @Override
   public CompletableFuture<Outcome<Integer>> release(List<MachineId> ids) {
-    cluster.counts.releaseCall();
+    cluster.counts.countReleaseCall();
     return owner.guard(
         cluster.networkFaults.<Integer>call(
             NetworkFaults.zoneOf(node),
@@ -73,11 +73,11 @@
   @Override
   public CompletableFuture<Outcome<ListedMachine.Page>> list(
       MachineId after, int limit, RequestPriority priority) {
-    cluster.counts.machineListing();
-    if (cluster.networkFaults.apart(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
+    cluster.counts.countMachineListing();
+    if (cluster.networkFaults.areDisconnected(NetworkFaults.zoneOf(node), NetworkFaults.REGION)) {
       return owner.guard(cluster.networkFaults.lostCall(TIMEOUT_S));
     }
-    List<ListedMachine> provisioned = cluster.machines.stock().list();
+    List<ListedMachine> provisioned = cluster.machines.provisioned().list();
     List<ListedMachine> page =
         provisioned.stream()
             .filter(listed -> after == null || listed.machine().compareTo(after) > 0)
@@ -88,7 +88,7 @@
             && !page.get(page.size() - 1).equals(provisioned.get(provisioned.size() - 1));
     ListedMachine.Page answer = new ListedMachine.Page(page, more);
     CompletableFuture<Outcome<ListedMachine.Page>> out = new CompletableFuture<>();
-    cluster.clock.after(LIST_S, () -> out.complete(Outcome.applied(answer)));
+    cluster.clock.schedule(LIST_S, () -> out.complete(Outcome.applied(answer)));
     return owner.guard(out);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -13,7 +13,7 @@
 import org.ternhinge.wire.Command;
 import org.ternhinge.worker.Workers;
 
-/** The way of one controller process's direct commands to the workers. */
+/** Carries direct commands of one controller process to the workers. */
 final class SimCommandClient implements Workers {
   private static final double TIMEOUT_S = 3;
 
@@ -32,15 +32,15 @@
       AgentEpoch epoch,
       List<Command> commands,
       BooleanSupplier maySend) {
-    cluster.counts.commandCallBegan();
-    if (cluster.connectS == 0) {
+    cluster.counts.commandCallStarted();
+    if (cluster.connectDelayS == 0) {
       return counted(send(endpoint, term, epoch, commands, maySend));
     }
     CompletableFuture<Outcome<Answer>> answer = new CompletableFuture<>();
-    owner.after(
-        cluster.connectS,
+    owner.schedule(
+        cluster.connectDelayS,
         () ->
-            AsyncCalls.whenAnswered(
+            AsyncCalls.whenComplete(
                 send(endpoint, term, epoch, commands, maySend), answer::complete));
     return counted(answer);
   }
@@ -54,7 +54,7 @@
             }));
   }
 
-  /** The connection is there. */
+  /** Sends commands over an established connection. */
   private CompletableFuture<Outcome<Answer>> send(
       Endpoint endpoint,
       Term term,
@@ -63,17 +63,17 @@
       BooleanSupplier maySend) {
     if (!maySend.getAsBoolean()) {
       return CompletableFuture.completedFuture(
-          Outcome.notApplied(Reason.WITHDRAWN, "not to be sent any more"));
+          Outcome.notApplied(Reason.WITHDRAWN, "withdrawn before sending"));
     }
-    cluster.counts.commandsLeave(commands, term, cluster.store.term());
+    cluster.counts.commandsSent(commands, term, cluster.store.highestTerm());
     MachineId id = MachineEndpoints.machineAt(endpoint);
     SimWorker worker = cluster.machines.worker(id);
-    cluster.tasks.sent(id, commands);
-    cluster.events.commandsLeave(id, commands);
+    cluster.tasks.recordSentCommands(id, commands);
+    cluster.events.commandsSent(id, commands);
     return cluster.networkFaults.call(
         owner.zone(),
         worker == null ? owner.zone() : worker.zone,
-        () -> !reaches(worker),
+        () -> !canReach(worker),
         TIMEOUT_S,
         to -> {
           if (worker != null) {
@@ -82,11 +82,11 @@
         });
   }
 
-  private boolean reaches(SimWorker worker) {
+  private boolean canReach(SimWorker worker) {
     return worker != null
-        && !worker.links().isCut()
-        && !worker.links().losesInbound()
-        && !cluster.networkFaults.cutFromWorkers(owner.index());
+        && !worker.links().isIsolated()
+        && !worker.links().dropsInbound()
+        && !cluster.networkFaults.isIsolatedFromWorkers(owner.index());
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -12,17 +12,15 @@
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.store.ResponseTimeouts.Kind;
 
-/**
- * The key-value store as one controller process reaches it, with that process's share of limits.
- */
-final class SimStoreClient extends StoreCoreClient {
-  /** Of the limit on changes, what the leader uses; the others share the rest. */
+/** The key-value store as seen by one controller process, with its share of the rate limits. */
+final class SimStoreClient extends InMemoryStoreClient {
+  /** The leader's share of the limit on changes; the other controllers divide the rest. */
   private static final double LEADER_SHARE = 0.7;
 
-  /** After so long without an answer a listing is given up, in seconds. */
+  /** Timeout of a listing, in seconds. */
   private static final double LIST_TIMEOUT_S = 5;
 
-  /** A watch is given up so long after its own end. */
+  /** Margin after the end of a watch before it times out, in seconds. */
   private static final double WATCH_TIMEOUT_S = 5;
 
   private final SimCluster cluster;
@@ -33,7 +31,7 @@
   private final ResponseTimeouts timeouts;
   private boolean isLeading;
 
-  /** Tokens for requests, or null while they are not counted. */
+  /** Token bucket for requests, or null while requests are not limited. */
   private TokenBucket requests;
 
   SimStoreClient(SimCluster cluster, SimController owner) {
@@ -46,7 +44,10 @@
     this.timeouts = ResponseTimeouts.of(cluster.clock, Tuning.DEFAULT);
   }
 
-  /** The limit is for all controllers together; who leads uses most of it. */
+  /**
+   * The change rate of this process; the limit applies to all controllers together, and the leader
+   * gets most of it.
+   */
   private double rate(boolean leading) {
     return cluster.settings.limits().writeRps() * share(leading);
   }
@@ -56,7 +57,7 @@
     return leading ? LEADER_SHARE : follower;
   }
 
-  void leads(boolean leading) {
+  void setLeading(boolean leading) {
     isLeading = leading;
     changes.setRate(rate(leading));
     if (requests != null) {
@@ -64,11 +65,11 @@
     }
   }
 
-  private boolean refused() {
+  private boolean isRefused() {
     return service.refuses(owner.index());
   }
 
-  /** Brings a request to the service and its outcome back, unless the service refuses it. */
+  /** Carries a request to the store and its outcome back, unless the store refuses it. */
   private <T> CompletableFuture<Outcome<T>> send(double limitS, Supplier<Outcome<T>> work) {
     CompletableFuture<Outcome<T>> call =
         cluster.networkFaults.call(
@@ -77,11 +78,11 @@
             () -> false,
             limitS,
             answer ->
-                faults.delayed(
+                faults.afterLatency(
                     () -> {
                       Outcome<T> outcome =
-                          refused() ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
-                      faults.delayed(() -> answer.accept(outcome));
+                          isRefused() ? Outcome.notApplied(Reason.REFUSED, "503") : work.get();
+                      faults.afterLatency(() -> answer.accept(outcome));
                     }));
     return owner.guard(call);
   }
@@ -96,8 +97,8 @@
     return timeouts.observe(send(limitS, work));
   }
 
-  /** Takes a token for a request, where requests are counted. */
-  private boolean mayAsk(RequestPriority priority) {
+  /** Takes a token for a request if requests are limited. */
+  private boolean tryTakeRequest(RequestPriority priority) {
     if (service.requestRps() == 0) {
       return true;
     }
@@ -113,37 +114,37 @@
 
   @Override
   public CompletableFuture<Outcome<ReadResult>> get(String key, RequestPriority priority) {
-    if (!mayAsk(priority)) {
+    if (!tryTakeRequest(priority)) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.storeRead();
+    cluster.counts.countStoreRead();
     return super.get(key, priority);
   }
 
   @Override
   public CompletableFuture<Outcome<Page>> list(
       String prefix, String after, int limit, RequestPriority priority) {
-    return send(LIST_TIMEOUT_S, () -> Outcome.applied(core().list(prefix, after, limit)));
+    return send(LIST_TIMEOUT_S, () -> Outcome.applied(store().list(prefix, after, limit)));
   }
 
   @Override
   public CompletableFuture<Outcome<Revision>> compareAndSwap(
       CompareAndSwap swap, RequestPriority priority) {
-    if (!mayAsk(priority) || !changes.tryTake(priority, swap.changes().size())) {
+    if (!tryTakeRequest(priority) || !changes.tryTake(priority, swap.changes().size())) {
       return CompletableFuture.completedFuture(Outcome.notApplied(Reason.RATE_LIMITED, ""));
     }
-    cluster.counts.storeChanges(swap.changes().size());
-    double late = faults.lateBy();
-    if (late > 0) {
-      cluster.clock.after(late, () -> service.compareAndSwap(owner.index(), swap));
+    cluster.counts.countStoreChanges(swap.changes().size());
+    double writeDelayS = faults.nextWriteDelayS();
+    if (writeDelayS > 0) {
+      cluster.clock.schedule(writeDelayS, () -> service.compareAndSwap(owner.index(), swap));
       return timeouts.measure(
           Kind.ofWrite(priority), limitS -> owner.guard(cluster.network.fail(false, limitS)));
     }
     return call(Kind.ofWrite(priority), () -> service.compareAndSwap(owner.index(), swap))
-        .thenApply(this::slowDownIfTooFast);
+        .thenApply(this::drainTokensIfRateLimited);
   }
 
-  private Outcome<Revision> slowDownIfTooFast(Outcome<Revision> outcome) {
+  private Outcome<Revision> drainTokensIfRateLimited(Outcome<Revision> outcome) {
     if (outcome instanceof Outcome.NotApplied<Revision> refused && refused.detail().equals("429")) {
       changes.drain();
     }
@@ -159,23 +160,23 @@
             () -> false,
             waitS + WATCH_TIMEOUT_S,
             answer -> {
-              if (refused()) {
+              if (isRefused()) {
                 answer.accept(Outcome.notApplied(Reason.REFUSED, "503"));
                 return;
               }
-              core()
+              store()
                   .watch(
                       prefix,
                       from.value(),
                       waitS,
-                      this::watchIsSuspended,
-                      seen -> faults.delayed(() -> answer.accept(Outcome.applied(seen))));
+                      this::isWatchSuspended,
+                      seen -> faults.afterLatency(() -> answer.accept(Outcome.applied(seen))));
             });
     return owner.guard(call);
   }
 
-  private boolean watchIsSuspended() {
-    return refused() || cluster.networkFaults.apart(owner.zone(), NetworkFaults.REGION);
+  private boolean isWatchSuspended() {
+    return isRefused() || cluster.networkFaults.areDisconnected(owner.zone(), NetworkFaults.REGION);
   }
 
   @Override
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -7,8 +7,8 @@
 import org.ternhinge.model.AgentEpoch;
 import org.ternhinge.model.AsyncCalls;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Outcome;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
@@ -17,12 +17,14 @@
 import org.ternhinge.worker.Workers;
 
 /**
- * A machine with its worker as the protocol describes it: agent epochs, fencing tokens, the worker
- * lease and heartbeats. Its tasks run in a {@link SimTaskRunner}.
+ * A simulated machine with a worker that follows the protocol: agent epochs, fencing tokens, the
+ * worker lease and heartbeats. Its tasks run in a {@link SimTaskRunner}.
  */
 public final class SimWorker {
-  /** Delay of a heartbeat upon a change, in seconds; changes of that time go out together. */
-  private static final double HEARTBEAT_GAP_S = 0.5;
+  /**
+   * Delay of a heartbeat after a change, in seconds; changes during the delay share one heartbeat.
+   */
+  private static final double HEARTBEAT_DELAY_S = 0.5;
 
   private static final double LEASE_CHECK_S = 0.5;
 
@@ -31,7 +33,7 @@
   final MachineType machineType;
   final String zone;
   final boolean spot;
-  final SteadyTime startedAt;
+  final MonotonicTime startedAt;
   private final MachineHang hang;
   private final MachineLinks links;
   private final SimTaskRunner tasks;
@@ -40,12 +42,12 @@
   private int epoch = 1;
   private long sequence;
   private Term fencingToken = Term.NONE;
-  private SteadyTime leaseFrom;
+  private MonotonicTime leaseStart;
 
-  /** Heartbeats that were sent. */
+  /** Number of heartbeats sent. */
   private int heartbeats;
 
-  private boolean dead;
+  private boolean terminated;
 
   SimWorker(SimCluster cluster, MachineId id, MachineType machineType, String zone, boolean spot) {
     this.cluster = cluster;
@@ -60,12 +62,12 @@
     this.target =
         new HeartbeatTarget(cluster.nodeCount(), cluster.random.nextInt(cluster.nodeCount()));
     this.startedAt = cluster.clock.now();
-    this.leaseFrom = startedAt;
-    watchLease();
+    this.leaseStart = startedAt;
+    scheduleLeaseCheck();
     heartbeat();
   }
 
-  /** The name of its machine. */
+  /** The identifier of its machine. */
   public MachineId id() {
     return id;
   }
@@ -85,23 +87,23 @@
     return links;
   }
 
-  boolean hung() {
-    return hang.lasts();
+  boolean isHung() {
+    return hang.isActive();
   }
 
-  /** Every task that starts from now on fails. */
+  /** Makes every task that starts from now on fail. */
   void failEveryTask() {
     tasks.failEveryTask();
   }
 
-  /** Stops executing; a hang that is under way may become longer. */
+  /** Hangs for a while, or extends a hang in progress. */
   void hang(double seconds) {
     hang.begin(seconds);
-    cluster.clock.after(seconds, this::resume);
+    cluster.clock.schedule(seconds, this::resume);
   }
 
   private void resume() {
-    if (dead || !hang.isOver()) {
+    if (terminated || !hang.hasElapsed()) {
       return;
     }
     hang.end();
@@ -110,13 +112,13 @@
     heartbeat();
   }
 
-  /** Ends the machine for ever. */
-  void die() {
-    dead = true;
+  /** Terminates the machine permanently. */
+  void terminate() {
+    terminated = true;
     tasks.killAndClearAll();
   }
 
-  /** Restarts the machine: its tasks are lost and its next epoch begins. */
+  /** Restarts the machine: its tasks are lost and the next epoch begins. */
   void restart() {
     beginEpoch();
     heartbeatSoon();
@@ -124,25 +126,25 @@
 
   // ---- lease ----------------------------------------------------------------------------------
 
-  private void watchLease() {
-    cluster.clock.after(
+  private void scheduleLeaseCheck() {
+    cluster.clock.schedule(
         LEASE_CHECK_S,
         () -> {
-          if (dead) {
+          if (terminated) {
             return;
           }
-          if (!hung()) {
+          if (!isHung()) {
             checkLease();
           } else if (leaseExpired()) {
-            // They can't go on; the worker certainly kills them when it resumes.
+            // The tasks can't continue: the worker kills them as soon as it resumes.
             tasks.killAll();
           }
-          watchLease();
+          scheduleLeaseCheck();
         });
   }
 
   private boolean leaseExpired() {
-    return cluster.clock.now().secondsSince(leaseFrom) > ClusterSettings.LEASE_S;
+    return cluster.clock.now().secondsSince(leaseStart) > ClusterSettings.LEASE_S;
   }
 
   private void checkLease() {
@@ -154,7 +156,7 @@
   private void beginEpoch() {
     tasks.killAndClearAll();
     epoch++;
-    leaseFrom = cluster.clock.now();
+    leaseStart = cluster.clock.now();
   }
 
   // ---- heartbeats -----------------------------------------------------------------------------
@@ -162,10 +164,10 @@
   /** Sends a heartbeat after a short delay, unless another one is sent meanwhile. */
   private void heartbeatSoon() {
     int before = heartbeats;
-    cluster.clock.after(
-        HEARTBEAT_GAP_S,
+    cluster.clock.schedule(
+        HEARTBEAT_DELAY_S,
         () -> {
-          if (!dead && !hung() && heartbeats == before) {
+          if (!terminated && !isHung() && heartbeats == before) {
             heartbeat();
           }
         });
@@ -186,25 +188,26 @@
   }
 
   private void heartbeat() {
-    if (dead || hung()) {
+    if (terminated || isHung()) {
       return;
     }
     int number = ++heartbeats;
-    int inEpoch = epoch;
-    SteadyTime sent = cluster.clock.now();
+    int sentInEpoch = epoch;
+    MonotonicTime sent = cluster.clock.now();
     byte[] body = Json.bytes(nextHeartbeat().write());
-    cluster.machines.heartbeatHistory().sent(id, body);
-    AsyncCalls.whenAnswered(
+    cluster.machines.heartbeatHistory().recordSent(id, body);
+    AsyncCalls.whenComplete(
         transport.send(body, target.controller()),
-        outcome -> answered(outcome, inEpoch, sent, number));
+        outcome -> answered(outcome, sentInEpoch, sent, number));
   }
 
-  private void answered(Outcome<Response> outcome, int inEpoch, SteadyTime sent, int number) {
-    if (dead) {
+  private void answered(
+      Outcome<Response> outcome, int sentInEpoch, MonotonicTime sent, int number) {
+    if (terminated) {
       return;
     }
-    if (hung()) {
-      hang.defer(() -> answered(outcome, inEpoch, sent, number));
+    if (isHung()) {
+      hang.defer(() -> answered(outcome, sentInEpoch, sent, number));
       return;
     }
     boolean late = cluster.clock.now().secondsSince(sent) > HeartbeatTransport.TIMEOUT_S;
@@ -212,15 +215,15 @@
     Response response =
         !late && outcome instanceof Outcome.Applied<Response> applied ? applied.value() : null;
     if (response != null && response.status() == 200) {
-      if (inEpoch == epoch) {
+      if (sentInEpoch == epoch) {
         accept(response.body(), sent);
       }
     } else if (response != null && response.status() == 421) {
       nextS = target.followRedirect(response.body());
     } else {
-      nextS = target.next();
+      nextS = target.switchToNext();
     }
-    cluster.clock.after(
+    cluster.clock.schedule(
         nextS,
         () -> {
           if (heartbeats == number) {
@@ -229,8 +232,8 @@
         });
   }
 
-  /** Applies an answer to a heartbeat: its fencing token, its lease renewal and its commands. */
-  private void accept(byte[] body, SteadyTime sent) {
+  /** Applies a response to a heartbeat: fencing token, lease renewal and commands. */
+  private void accept(byte[] body, MonotonicTime sent) {
     Term answered = HeartbeatResponses.fencingToken(body);
     if (answered.compareTo(fencingToken) < 0) {
       return;
@@ -239,19 +242,19 @@
       fencingToken = answered;
       heartbeatSoon();
     }
-    leaseFrom = sent;
+    leaseStart = sent;
     HeartbeatResponses.commands(body).forEach(tasks::execute);
   }
 
   // ---- direct commands ------------------------------------------------------------------------
 
-  /** A direct command arrives, perhaps long after it was sent. */
+  /** Executes a direct command, which may arrive long after it was sent. */
   void command(
       Term term, AgentEpoch to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
-    if (dead) {
+    if (terminated) {
       return;
     }
-    if (hung()) {
+    if (isHung()) {
       hang.defer(() -> command(term, to, commands, answer));
       return;
     }
--- a/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionBuilderTest.java
@@ -13,10 +13,10 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.wire.JobSpec;
 
-/** Built submissions are read by the controllers with the fields that were set. */
+/** Controllers parse built submissions with the fields that were set. */
 class SubmissionBuilderTest {
   @Test
-  void eachFieldIsRead() {
+  void everyFieldIsReadBack() {
     JobSpec spec =
         SubmissionBuilder.job("wk-2", "group", 3)
             .team("blue")
@@ -40,7 +40,7 @@
     assertEquals("img-7", spec.image());
     assertEquals(List.of("small", "fast"), spec.types());
     assertEquals(Optional.of("west"), spec.zone());
-    assertTrue(spec.together() && spec.isGang());
+    assertTrue(spec.singleZone() && spec.isGang());
     assertEquals(40, spec.estimateS());
     assertEquals(30, spec.checkpointIntervalS());
     assertEquals(5, spec.checkpointSaveS());
@@ -50,13 +50,13 @@
 
   @ParameterizedTest(name = "{0}")
   @CsvSource({"batch, true", "group, true", "daemon, false"})
-  void onlyServicesLoseSpotMachinesByBeingProduction(String kind, boolean spotAllowed) {
+  void productionServiceDisallowsSpotMachines(String kind, boolean spotAllowed) {
     SubmissionBuilder job = SubmissionBuilder.job("wk-1", kind, 1).productionIfService();
     assertEquals(spotAllowed, job.spec().spotAllowed());
   }
 
   @Test
-  void noDependenciesLeaveTheFieldOut() {
+  void emptyDependenciesOmitTheField() {
     assertFalse(
         SubmissionBuilder.job("wk-1", "batch", 1).dependsOn(List.of()).json().has("bidur_eftir"));
   }
--- a/src/test/java/org/ternhinge/sim/Specs.java
+++ b/src/test/java/org/ternhinge/sim/SubmissionJson.java
@@ -5,12 +5,12 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Submissions for tests: a plain one, to be changed field by field. */
-public final class Specs {
-  private Specs() {}
+/** Creates and parses job submissions for tests. */
+public final class SubmissionJson {
+  private SubmissionJson() {}
 
-  /** A submission of a small job. */
-  public static ObjectNode json(String id, String kind, int tasks) {
+  /** A submission of a small job with default fields. */
+  public static ObjectNode smallJob(String id, String kind, int tasks) {
     ObjectNode json = Json.object().put("ref", id).put("runflokkur", "c").put("eigandi", "red");
     json.put("gerd", kind).put("forgang", "normal").put("verkbitar", tasks);
     json.put("cpus", 1.0).put("accelerators", 0.0).put("memory_gb", 1.0);
@@ -20,8 +20,8 @@
     return json.putNull("skiladagur_s");
   }
 
-  /** Reads a submission that has to be valid. */
-  public static JobSpec of(ObjectNode json) {
+  /** Parses a submission, which must be valid. */
+  public static JobSpec parse(ObjectNode json) {
     try {
       return JobSpec.read(json);
     } catch (WireException e) {
--- a/src/test/java/org/ternhinge/sim/UserJobs.java
+++ b/src/test/java/org/ternhinge/sim/UserJobs.java
@@ -12,9 +12,8 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * The users' view of their jobs: which were submitted and accepted, which cancellations were
- * requested, and which answers came. Each answer about a job's state is checked against the earlier
- * ones and against what really ran.
+ * The users' view of their jobs: submissions, acceptances, requested cancellations and responses.
+ * Each reported job state is checked against earlier ones and against the tasks that actually ran.
  */
 final class UserJobs {
   static final String DONE = "done";
@@ -36,12 +35,12 @@
 
   // ---- submissions ----------------------------------------------------------------------------
 
-  void submitted(JobSpec spec, ObjectNode body) {
+  void recordSubmitted(JobSpec spec, ObjectNode body) {
     bodies.put(spec.id(), body.deepCopy());
     submittedAt.put(spec.id(), cluster.clock.seconds());
   }
 
-  void accepted(JobSpec spec) {
+  void recordAccepted(JobSpec spec) {
     accepted.putIfAbsent(spec.id(), spec);
     lastAnsweredAt.put(spec.id(), cluster.clock.seconds());
   }
@@ -57,7 +56,7 @@
   /** All services that were ever submitted, in that order. */
   List<JobId> submittedServices() {
     return bodies.entrySet().stream()
-        .filter(submission -> Specs.of(submission.getValue()).isService())
+        .filter(submission -> SubmissionJson.parse(submission.getValue()).isService())
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -77,7 +76,7 @@
 
   // ---- cancellations --------------------------------------------------------------------------
 
-  /** Notes that a job's cancellation is requested; true at the first time. */
+  /** Records that the cancellation of a job is requested; returns true the first time. */
   boolean requestCancel(JobId id) {
     return cancelRequested.add(id);
   }
@@ -87,8 +86,8 @@
   }
 
   /**
-   * Whether a job may be cancelled by now: its cancellation or that of a dependency was requested,
-   * and was not answered as too late.
+   * Whether a job may be cancelled by now: the cancellation of the job or of a dependency was
+   * requested and not rejected as too late.
    */
   boolean mayBeCancelled(JobId id) {
     return cancelRequested(id)
@@ -98,8 +97,8 @@
                     cancelRequested(dependency) && !DONE.equals(finalStates.get(dependency)));
   }
 
-  /** Whether a job has to be cancelled: it or a dependency was answered as cancelled. */
-  boolean hasToBeCancelled(JobId id) {
+  /** Whether a job must be cancelled: the job or a dependency was reported as cancelled. */
+  boolean mustBeCancelled(JobId id) {
     return CANCELLED.equals(finalStates.get(id))
         || cluster.jobs.dependencies(id).stream()
             .anyMatch(dependency -> CANCELLED.equals(finalStates.get(dependency)));
@@ -107,7 +106,7 @@
 
   // ---- answers --------------------------------------------------------------------------------
 
-  /** The last state in an answer, or null. */
+  /** The state in the last response, or null. */
   String lastState(JobId id) {
     return lastState.get(id);
   }
@@ -116,8 +115,8 @@
     return lastAnsweredAt.get(id);
   }
 
-  /** Whether an answer has called a job done or cancelled. */
-  boolean isOver(JobId id) {
+  /** Whether a response has reported a job as done or cancelled. */
+  boolean hasFinalState(JobId id) {
     return finalStates.containsKey(id);
   }
 
@@ -126,68 +125,69 @@
   }
 
   /**
-   * An answer carries a job's state.
+   * Checks and records a reported job state.
    *
-   * @param before the last answered state when the request was sent; only that binds the answer
+   * @param previousState the last reported state when the request was sent; only that state
+   *     constrains the response
    */
-  void answered(JobId id, String state, String before) {
+  void recordReportedState(JobId id, String state, String previousState) {
     lastAnsweredAt.put(id, cluster.clock.seconds());
     if (!CANCELLED.equals(lastState.get(id))) {
       lastState.put(id, state);
     }
     if (!isFinal(state) && cluster.cancellations.isOverdue(id)) {
       Double cancelledAt = cluster.cancellations.firstConfirmedAt(id);
-      violation("orphaned: " + id + " is " + state + " although cancelled at " + cancelledAt);
+      recordViolation("orphaned: " + id + " is " + state + " although cancelled at " + cancelledAt);
     }
     if (state.equals(CANCELLED)) {
-      cluster.cancellations.confirmed(id);
+      cluster.cancellations.recordConfirmation(id);
     }
-    checkFinalStateStays(id, state, before);
+    checkFinalStateStays(id, state, previousState);
     if (state.equals(DONE)) {
       checkDone(id);
     }
     if (state.equals(CANCELLED) && !mayBeCancelled(id)) {
-      violation("went_back: " + id + " cancelled by nobody");
+      recordViolation("went_back: " + id + " cancelled by nobody");
     }
     if (state.equals(DONE) && answeredDone.add(id)) {
-      checkCancelledWith(id);
+      checkDependentsOf(id);
     }
   }
 
   /** Rule {@code went_back}: a final state never changes. */
-  private void checkFinalStateStays(JobId id, String state, String before) {
+  private void checkFinalStateStays(JobId id, String state, String previousState) {
     if (isFinal(state)) {
       String first = finalStates.putIfAbsent(id, state);
       if (first != null && !first.equals(state)) {
-        violation("went_back: " + id + " was answered " + first + " and then " + state);
+        recordViolation("went_back: " + id + " was answered " + first + " and then " + state);
       }
     }
-    if (isFinal(before) && !before.equals(state)) {
-      violation("went_back: " + id + " from " + before + " to " + state);
+    if (isFinal(previousState) && !previousState.equals(state)) {
+      recordViolation("went_back: " + id + " from " + previousState + " to " + state);
     }
   }
 
-  /** Rule {@code not_done}: a job is called done only when all its tasks are completed. */
+  /** Rule {@code not_done}: a job is reported as done only when all its tasks are completed. */
   private void checkDone(JobId id) {
     if (!cluster.jobs.allCompleted(id)) {
-      violation("not_done: " + id);
+      recordViolation("not_done: " + id);
     }
   }
 
   /**
-   * A job that was called cancelled together with a dependency, before the dependency was answered
-   * as done, was cancelled by nobody.
+   * Checks the cancelled jobs once a dependency is reported as done: a job that was reported as
+   * cancelled only because of that dependency was cancelled without a request.
    */
-  private void checkCancelledWith(JobId done) {
+  private void checkDependentsOf(JobId done) {
     for (JobId id : accepted.keySet()) {
       if (CANCELLED.equals(finalStates.get(id)) && !mayBeCancelled(id)) {
-        violation("went_back: " + id + " cancelled with " + done + ", which is done");
+        recordViolation("went_back: " + id + " cancelled with " + done + ", which is done");
       }
     }
   }
 
-  /** Notes a broken rule. */
-  void violation(String what) {
+  /** Records a rule violation. */
+  void recordViolation(String what) {
     cluster.violations.add(what);
   }
 }
--- a/src/test/java/org/ternhinge/sim/UserSubmissions.java
+++ b/src/test/java/org/ternhinge/sim/UserSubmissions.java
@@ -9,26 +9,27 @@
 import org.ternhinge.wire.JobSpec;
 
 /**
- * Users' submissions, which are repeated until they are accepted or their time is over, and those
- * that wait for the jobs that they name.
+ * Submissions of users, which are retried until accepted or timed out, and submissions that wait
+ * for their dependencies.
  */
 final class UserSubmissions {
-  /** For so long a submission is repeated, as the protocol has it. */
-  private static final double REPEATED_FOR_S = 60;
+  /** Time for which a submission is retried as the protocol prescribes, in seconds. */
+  private static final double RETRY_PERIOD_S = 60;
 
-  private static final double REPEATED_AFTER_S = 1;
+  private static final double RETRY_DELAY_S = 1;
 
-  /** In place of a delay: submitted as soon as all that it names is accepted. */
+  /** Replaces the delay of a job that is submitted as soon as all its dependencies are accepted. */
   private static final double AS_SOON_AS_ACCEPTED = -1;
 
   /**
-   * A submission that waits for the jobs that it names.
+   * A submission that waits for its dependencies.
    *
-   * @param lateS so many seconds after all of them are over; negative: as soon as all are accepted
+   * @param delayS seconds after all dependencies have ended; if negative, as soon as all are
+   *     accepted
    */
-  private record Pending(ObjectNode body, List<JobId> named, double lateS) {
+  private record Pending(ObjectNode body, List<JobId> dependencies, double delayS) {
     boolean waitsForEnds() {
-      return lateS >= 0;
+      return delayS >= 0;
     }
   }
 
@@ -42,9 +43,9 @@
   }
 
   void submit(ObjectNode body) {
-    JobSpec spec = Specs.of(body);
-    cluster.jobs.add(spec, named(body));
-    jobs.submitted(spec, body);
+    JobSpec spec = SubmissionJson.parse(body);
+    cluster.jobs.add(spec, dependencies(body));
+    jobs.recordSubmitted(spec, body);
     send(UserRequests.submission(body), spec);
   }
 
@@ -56,43 +57,43 @@
     int status = answer == null ? 0 : answer.status();
     double now = cluster.clock.seconds();
     if (status == 200 || status == 201) {
-      jobs.accepted(spec);
+      jobs.recordAccepted(spec);
       submitPending();
     } else if (status == 400 || status == 422) {
-      jobs.violation("refused: " + spec.id() + " with " + status);
-    } else if (now < jobs.submittedAt(spec.id()) + REPEATED_FOR_S) {
-      cluster.clock.after(REPEATED_AFTER_S, () -> send(request, spec));
+      jobs.recordViolation("refused: " + spec.id() + " with " + status);
+    } else if (now < jobs.submittedAt(spec.id()) + RETRY_PERIOD_S) {
+      cluster.clock.schedule(RETRY_DELAY_S, () -> send(request, spec));
     }
   }
 
-  /** The jobs that a submission names. */
-  static List<JobId> named(ObjectNode body) {
+  /** The dependencies that a submission names. */
+  static List<JobId> dependencies(ObjectNode body) {
     List<JobId> out = new ArrayList<>();
     body.path("bidur_eftir").forEach(name -> out.add(new JobId(name.asText())));
     return out;
   }
 
-  void submitAfterNamed(ObjectNode body) {
-    pending.add(new Pending(body, named(body), AS_SOON_AS_ACCEPTED));
+  void submitAfterDependencies(ObjectNode body) {
+    pending.add(new Pending(body, dependencies(body), AS_SOON_AS_ACCEPTED));
     submitPending();
   }
 
-  void submitLate(ObjectNode body, double lateS) {
-    pending.add(new Pending(body, named(body), lateS));
+  void submitAfterEnds(ObjectNode body, double delayS) {
+    pending.add(new Pending(body, dependencies(body), delayS));
     submitPending();
   }
 
-  /** Submits what has waited for nothing but this. */
+  /** Submits pending jobs that are ready. */
   void submitPending() {
     for (Pending waiting : List.copyOf(pending)) {
       if (isReady(waiting) && pending.remove(waiting)) {
-        cluster.clock.after(Math.max(0, waiting.lateS), () -> submit(waiting.body));
+        cluster.clock.schedule(Math.max(0, waiting.delayS), () -> submit(waiting.body));
       }
     }
   }
 
   private boolean isReady(Pending waiting) {
-    return waiting.named.stream()
-        .allMatch(id -> jobs.isAccepted(id) && (!waiting.waitsForEnds() || jobs.isOver(id)));
+    return waiting.dependencies.stream()
+        .allMatch(id -> jobs.isAccepted(id) && (!waiting.waitsForEnds() || jobs.hasFinalState(id)));
   }
 }
--- a/src/test/java/org/ternhinge/wire/JobSpecTest.java
+++ b/src/test/java/org/ternhinge/wire/JobSpecTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ternhinge.model.JobId;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 
-/** Submissions: what is read, what is refused. */
+/** Parsing and validation of submissions. */
 class JobSpecTest {
 
   private static JsonNode parse(String text) throws WireException {
@@ -56,8 +56,8 @@
         "bidur_eftir | [[\"wk-2\"]]",
         "bidur_eftir | [\"wk-2\",\"no id\"]"
       })
-  void invalidFieldsAreNamed(String field, String value) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+  void invalidFieldIsNamedInTheError(String field, String value) throws WireException {
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.set(field, parse(value));
     WireException error = assertThrows(WireException.class, () -> JobSpec.read(body));
     assertTrue(error.getMessage().startsWith(field + ":"), error.getMessage());
@@ -65,13 +65,13 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"verkbitar", "cpus", "mynd", "together", "aaetlun_s", "eigandi"})
-  void missingFieldsAreRefused(String field) {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+  void missingFieldIsRejected(String field) {
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.remove(field);
     assertThrows(WireException.class, () -> JobSpec.read(body));
   }
 
-  /** A list that is null, omitted or empty names nobody; a repeated name counts once. */
+  /** A null, omitted or empty list means no dependencies; duplicates are dropped. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -82,31 +82,34 @@
         "[\"wk-2\"] | wk-2",
         "[\"wk-3\",\"wk-2\",\"wk-3\",\"wk-3\"] | wk-3 wk-2"
       })
-  void dependenciesAreReadOnceInTheirOrder(String list, String expected) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+  void dependenciesKeepTheirOrderWithoutDuplicates(String list, String expected)
+      throws WireException {
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     if (list != null) {
       body.set("bidur_eftir", parse(list));
     }
     JobSpec spec = JobSpec.read(body);
     String names = spec.dependencies().stream().map(JobId::value).collect(Collectors.joining(" "));
     assertEquals(expected, names);
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{", "nul", "{}x", "NaN", "[1,"})
-  void whatIsNoJsonIsRefused(String text) {
+  void malformedJsonIsRejected(String text) {
     assertThrows(WireException.class, () -> parse(text));
   }
 
   @Test
-  void nullableFieldsMayBeOmittedAndUnknownOnesAreIgnored() throws WireException {
-    ObjectNode body = Specs.json("wk-1", "daemon", 5);
+  void omittedNullableFieldsAndUnknownFieldsAreAccepted() throws WireException {
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "daemon", 5);
     body.remove(List.of("velagerdir", "svaedi", "skiladagur_s"));
     body.put("extra", 1).put("scatter", true);
     JobSpec spec = JobSpec.read(body);
-    assertEquals(3, spec.zoneLimit());
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(3, spec.maxTasksPerZone());
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @ParameterizedTest(name = "types {0}, zone {1}")
@@ -117,19 +120,20 @@
         "[\"g8\",\"c4\"] | \"a\" | true | true",
         "[\"c4\"] | \"b\" | false | false",
       })
-  void anOmittedConstraintAllowsAnything(
+  void nullConstraintAllowsAnything(
       String types, String zone, boolean allowsType, boolean allowsZone) throws WireException {
-    ObjectNode body = Specs.json("wk-1", "batch", 3);
+    ObjectNode body = SubmissionJson.smallJob("wk-1", "batch", 3);
     body.set("velagerdir", parse(types));
     body.set("svaedi", parse(zone));
     JobSpec spec = JobSpec.read(body);
     assertEquals(allowsType, spec.allowsType("g8"));
     assertEquals(allowsZone, spec.allowsZone("a"));
-    assertEquals(spec, JobSpec.read(spec.write()), "what is written reads back the same");
+    assertEquals(
+        spec, JobSpec.read(spec.write()), "the serialized submission is parsed to an equal one");
   }
 
   @Test
-  void deepNestingDoesNoHarm() {
+  void deeplyNestedJsonIsRejected() {
     String deep = "[".repeat(5000) + "]".repeat(5000);
     assertThrows(WireException.class, () -> parse(deep));
   }
--- a/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
+++ b/src/test/java/org/ternhinge/zone/FailoverQueueTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
-import org.ternhinge.model.SteadyTime;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.model.MonotonicTime;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobKind;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
@@ -34,7 +34,7 @@
 
   private final Map<JobId, DisplacedWork.TaskState> states = new HashMap<>();
   private final Set<JobId> unplaceable = new HashSet<>();
-  private SteadyTime now = new SteadyTime(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private FailoverQueue queue = new FailoverQueue(RELEASE, order, 1000, now);
 
   private final DisplacedWork work =
@@ -56,7 +56,8 @@
   }
 
   private static JobSpec job(String id, String jobClass, String kind, int tasks, String zone) {
-    return Specs.of(Specs.json(id, kind, tasks).put("runflokkur", jobClass).put("svaedi", zone));
+    return SubmissionJson.parse(
+        SubmissionJson.smallJob(id, kind, tasks).put("runflokkur", jobClass).put("svaedi", zone));
   }
 
   private void displace(String id, String jobClass, int tasks) {
--- a/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
+++ b/src/test/java/org/ternhinge/zone/PlanLimiterTest.java
@@ -18,12 +18,12 @@
 import org.ternhinge.config.ZoneFailoverSettings;
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.MachineId;
+import org.ternhinge.model.MonotonicTime;
 import org.ternhinge.model.Resources;
-import org.ternhinge.model.SteadyTime;
 import org.ternhinge.schedule.Plan;
 import org.ternhinge.schedule.Snapshot;
 import org.ternhinge.sim.SimMachineTypes;
-import org.ternhinge.sim.Specs;
+import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.TaskState;
 
@@ -34,7 +34,7 @@
   private static final JobId GANG = new JobId("wk-2");
   private static final int MACHINES = 40;
 
-  private SteadyTime now = new SteadyTime(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private ZoneFailover failover;
 
   /** Machines n-0 to n-39 are in the first zone, n-40 to n-79 in the second, and so on. */
@@ -173,7 +173,7 @@
     loseAndRecover();
     Plan plan = new Plan();
     MachineId machine = new MachineId("n-50");
-    Resources room = Resources.need(1, 0, 1);
+    Resources room = Resources.ofRequest(1, 0, 1);
     plan.preemptions()
         .add(new Plan.Preemption(machine, ARRAY, room, List.of(new Plan.Victim(ARRAY, 0))));
     Plan.Preemption preemptionForOtherJob =
@@ -214,7 +214,7 @@
         Set.of(),
         true,
         40,
-        new SteadyTime(0));
+        new MonotonicTime(0));
   }
 
   private static Snapshot.MachineView machine(int zone) {
@@ -227,8 +227,8 @@
         SimMachineTypes.ALL.get(0).capacity(),
         true,
         Set.of(),
-        new SteadyTime(0),
-        new SteadyTime(0),
+        new MonotonicTime(0),
+        new MonotonicTime(0),
         List.of(),
         List.of());
   }
@@ -269,9 +269,9 @@
 
   @Test
   void heldTasksAreRemovedAndBecomeExpectedJobs() {
-    JobSpec array = Specs.of(Specs.json("wk-1", "batch", 5));
-    JobSpec gang = Specs.of(Specs.json("wk-2", "group", 3));
-    JobSpec other = Specs.of(Specs.json("wk-3", "batch", 4));
+    JobSpec array = SubmissionJson.parse(SubmissionJson.smallJob("wk-1", "batch", 5));
+    JobSpec gang = SubmissionJson.parse(SubmissionJson.smallJob("wk-2", "group", 3));
+    JobSpec other = SubmissionJson.parse(SubmissionJson.smallJob("wk-3", "batch", 4));
     observe(6, MACHINES);
     failover.attemptLost(array, 1, 1, "north", now);
     failover.attemptLost(array, 3, 1, "north", now);
