--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -21,7 +21,7 @@
    * @param machineTypes all machine types by their name
    * @return the first reason for a rejection, or nothing if the job is valid
    */
-  public static Optional<SubmissionRejection> reject(
+  public static Optional<SubmissionRejection> validate(
       JobSpec spec, Settings settings, Map<String, MachineType> machineTypes) {
     Team team = settings.teams().get(spec.team());
     if (team == null) {
@@ -40,7 +40,7 @@
     if (!RecordSize.fits(spec, settings.storeLimits().valueBytes())) {
       return Optional.of(SubmissionRejection.DESCRIPTION_TOO_LONG);
     }
-    return rejectZones(spec, tasksAtOnce);
+    return validateZones(spec, tasksAtOnce);
   }
 
   /** The fewest tasks that have to run at the same time for the job to run at all. */
@@ -48,7 +48,7 @@
     return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
 
-  private static Optional<SubmissionRejection> rejectZones(JobSpec spec, int tasksAtOnce) {
+  private static Optional<SubmissionRejection> validateZones(JobSpec spec, int tasksAtOnce) {
     boolean tooManyForOneZone = spec.scatter() && tasksAtOnce > spec.zoneLimit();
     if (tooManyForOneZone && spec.zone().isPresent()) {
       return Optional.of(SubmissionRejection.SCATTERED_IN_ONE_ZONE);
--- a/src/main/java/org/ternhinge/attempt/AttemptObserver.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptObserver.java
@@ -86,7 +86,7 @@
       machine.health().reachability().effectSeen();
     }
     if (before != state && attempt.state() == AttemptState.RUNNING) {
-      metrics.started(now.secondsSince(attempt.openedAt()));
+      metrics.recordStart(now.secondsSince(attempt.openedAt()));
     }
   }
 
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -18,7 +18,7 @@
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.worker.Workers.Answer;
+import org.ternhinge.worker.WorkerClient.Answer;
 
 /**
  * Sends commands to workers directly, one message at a time to a machine, so that commands keep
@@ -34,7 +34,7 @@
   private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
   private final AgentStatusSink statusSink;
-  private final Settings.Workers workerSettings;
+  private final Settings.WorkerTimings workerSettings;
   private final Clock clock;
   private final Metrics metrics;
   private final Authority authority;
@@ -172,7 +172,7 @@
     SteadyTime now = clock.now();
     message.settleStarts();
     message.machine().health().reachability().probeAnswered();
-    metrics.commandAnswered(now.secondsSince(message.sentAt()));
+    metrics.recordCommand(now.secondsSince(message.sentAt()));
     statusSink.apply(message.machine(), status, MessageOrigin.COMMAND_RESPONSE, now);
   }
 
--- a/src/main/java/org/ternhinge/attempt/CommandSender.java
+++ b/src/main/java/org/ternhinge/attempt/CommandSender.java
@@ -12,8 +12,8 @@
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.term.LeadershipExecutor;
 import org.ternhinge.wire.Command;
-import org.ternhinge.worker.Workers;
-import org.ternhinge.worker.Workers.Answer;
+import org.ternhinge.worker.WorkerClient;
+import org.ternhinge.worker.WorkerClient.Answer;
 
 /**
  * Sends messages to workers and counts those in flight, each of which takes a socket. Guarded by
@@ -21,7 +21,7 @@
  */
 final class CommandSender {
   private final LeadershipExecutor executor;
-  private final Workers workers;
+  private final WorkerClient workers;
   private final Authority authority;
   private final Lock lock;
   private final int maxInFlight;
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * Announces this leadership's term to workers that have not sent it a heartbeat. Such a worker may
@@ -76,8 +76,8 @@
   }
 
   private void answered(
-      Machine machine, Endpoint endpoint, Outcome<Workers.Answer> outcome, int attemptsLeft) {
-    if (!(outcome instanceof Outcome.Applied<Workers.Answer> applied)) {
+      Machine machine, Endpoint endpoint, Outcome<WorkerClient.Answer> outcome, int attemptsLeft) {
+    if (!(outcome instanceof Outcome.Applied<WorkerClient.Answer> applied)) {
       return;
     }
     Heartbeat status = applied.value().heartbeat();
@@ -87,8 +87,8 @@
     }
   }
 
-  private boolean isRefusedForEpoch(Workers.Answer answer) {
-    return answer instanceof Workers.Answer.Refused
+  private boolean isRefusedForEpoch(WorkerClient.Answer answer) {
+    return answer instanceof WorkerClient.Answer.Refused
         && answer.heartbeat().fencingToken().compareTo(authority.term()) <= 0;
   }
 }
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -55,7 +55,7 @@
             List.of("z"),
             Map.of(),
             List.of(),
-            new Settings.Workers(3, 24, 30, 5, 44),
+            new Settings.WorkerTimings(3, 24, 30, 5, 44),
             new Settings.StoreLimits(80, 30, 8, 16),
             new Settings.CloudLimits(4, 10),
             100,
@@ -69,8 +69,8 @@
         new Term(1), List.of(new Command(Command.Op.START, task, new AttemptNumber(1), 0)));
     for (int i = 0; i < REQUESTS; i++) {
       Thread.sleep(PAUSE_MS);
-      ask(clientPort, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-      ask(
+      sendRequest(clientPort, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+      sendRequest(
           clientPort,
           "POST /agent/beat HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: "
               + HEARTBEAT.length()
@@ -97,7 +97,7 @@
     }
   }
 
-  private static void ask(int port, String request) {
+  private static void sendRequest(int port, String request) {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       OutputStream out = socket.getOutputStream();
       out.write(request.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -10,13 +10,13 @@
   private Logging() {}
 
   /** Makes each line begin with the time of day. */
-  static void showTimes() {
+  static void showTimestamps() {
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX");
   }
 
   /** Sets the level; {@code info} where the given one is null or unknown. */
-  static void set(String level) {
+  static void setLevel(String level) {
     String wanted = level == null ? "" : level.toLowerCase(Locale.ROOT);
     String chosen = LEVELS.contains(wanted) ? wanted : "info";
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", chosen);
--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -51,7 +51,7 @@
 
   /** Runs the command line and ends the process with its exit code where that is not 0. */
   public static void main(String[] args) {
-    Logging.set(System.getenv("LOG_LEVEL"));
+    Logging.setLevel(System.getenv("LOG_LEVEL"));
     int code = new CommandLine(new Main()).execute(args);
     if (code != 0) {
       System.exit(code);
@@ -65,7 +65,7 @@
       return EXIT_BAD_SETTINGS;
     }
     if (configuration.get().tuning.logTimes()) {
-      Logging.showTimes();
+      Logging.showTimestamps();
     }
     Service.run(configuration.get().settings, configuration.get().tuning);
     return EXIT_OK;
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -32,7 +32,7 @@
 import org.ternhinge.store.HttpKeyValueStore;
 import org.ternhinge.store.ResponseTimeouts;
 import org.ternhinge.term.ControllerServices;
-import org.ternhinge.worker.HttpWorkers;
+import org.ternhinge.worker.HttpWorkerClient;
 
 /** Assembles a controller and runs it until the process ends. */
 final class Service {
@@ -95,7 +95,7 @@
             budget.changes(),
             ResponseTimeouts.of(clock, tuning)),
         new HttpCloud(http, settings.cloud(), cloudTokens),
-        new HttpWorkers(http),
+        new HttpWorkerClient(http),
         clock,
         lock,
         Executors.newSingleThreadExecutor(),
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -36,17 +36,17 @@
     List<String> zones,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
+    WorkerTimings workers,
     StoreLimits storeLimits,
     CloudLimits cloudLimits,
     int maxSockets,
     double clockErrorS) {
 
   /** Upper bound of the relative drift between the steady clocks of two machines. */
-  public static final double DRIFT = 0.001;
+  public static final double MAX_CLOCK_DRIFT = 0.001;
 
   /** The intervals of heartbeats, and how long workers run tasks without a leader. In seconds. */
-  public record Workers(
+  public record WorkerTimings(
       double heartbeatIntervalS,
       double leaseS,
       double gangWaitS,
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.ternhinge.config.Settings.CloudLimits;
 import org.ternhinge.config.Settings.StoreLimits;
-import org.ternhinge.config.Settings.Workers;
+import org.ternhinge.config.Settings.WorkerTimings;
 import org.ternhinge.model.Endpoint;
 
 /** Reads and checks the platform's settings; each error names its field by the whole path. */
@@ -30,10 +30,10 @@
   private static final double THOUSANDTHS = 1000;
 
   /** Largest amount, so that no sum of amounts in thousandths overflows. */
-  private static final double MAX_AMOUNT = 1e9;
+  private static final double MAX_RESOURCE_AMOUNT = 1e9;
 
   /** Added before rounding down, so that no thousandth is lost to floating-point arithmetic. */
-  private static final double ROUNDING = 1e-6;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private SettingsReader() {}
 
@@ -108,15 +108,15 @@
     return List.copyOf(objectives);
   }
 
-  private static Workers workers(JsonNode node) throws SettingsException {
-    Workers workers =
-        new Workers(
+  private static WorkerTimings workers(JsonNode node) throws SettingsException {
+    WorkerTimings workers =
+        new WorkerTimings(
             positive(node, "report_s", WORKERS),
             positive(node, "lease_s", WORKERS),
             positive(node, "gang_wait_s", WORKERS),
             positive(node, "gang_peer_s", WORKERS),
             positive(node, "cancel_s", WORKERS));
-    if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.DRIFT)) {
+    if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) {
       // Otherwise a cancellation can't take effect in time: a worker that is not reached ends its
       // tasks only when its lease expires, and that may have been renewed just before.
       throw new SettingsException(
@@ -155,25 +155,26 @@
 
   // ---- single fields --------------------------------------------------------------------------
 
-  private static JsonNode object(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static JsonNode object(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isObject()) {
       throw new SettingsException(path + field + ": an object is needed");
     }
     return node;
   }
 
-  private static String text(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static String text(JsonNode parent, String field, String path) throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isTextual() || node.textValue().isEmpty()) {
       throw new SettingsException(path + field + ": a name is needed");
     }
     return node.textValue();
   }
 
-  private static Endpoint endpoint(JsonNode at, String field, String path)
+  private static Endpoint endpoint(JsonNode parent, String field, String path)
       throws SettingsException {
-    String text = text(at, field, path);
+    String text = text(parent, field, path);
     try {
       return Endpoint.parse(text);
     } catch (IllegalArgumentException e) {
@@ -181,22 +182,26 @@
     }
   }
 
-  private static double positive(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static double positive(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isNumber() || !(node.doubleValue() > 0)) {
       throw new SettingsException(path + field + ": a number above 0 is needed");
     }
     return node.doubleValue();
   }
 
-  private static long thousandths(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static long thousandths(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || node.isNull()) {
       return 0;
     }
-    if (!node.isNumber() || !(node.doubleValue() >= 0) || node.doubleValue() > MAX_AMOUNT) {
+    if (!node.isNumber()
+        || !(node.doubleValue() >= 0)
+        || node.doubleValue() > MAX_RESOURCE_AMOUNT) {
       throw new SettingsException(path + field + ": a number from 0 on is needed");
     }
-    return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING);
+    return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING_TOLERANCE);
   }
 }
--- a/src/main/java/org/ternhinge/config/Tuning.java
+++ b/src/main/java/org/ternhinge/config/Tuning.java
@@ -44,16 +44,16 @@
    * For how many seconds a leader may rely on its lease, counted from the sending of the last
    * renewal that succeeded: the lease's duration less clock drift and margin.
    */
-  public double validityS() {
-    return leadershipS * (1 - Settings.DRIFT) - marginS;
+  public double leaseValidityS() {
+    return leadershipS * (1 - Settings.MAX_CLOCK_DRIFT) - marginS;
   }
 
   /**
    * Seconds after which a worker's lease has certainly expired, by the clock of a controller:
    * longer than the worker counts, by the drift of clocks and the margin.
    */
-  public double workerLeaseS(Settings.Workers workers) {
-    return workers.leaseS() * (1 + Settings.DRIFT) + marginS;
+  public double workerLeaseS(Settings.WorkerTimings workers) {
+    return workers.leaseS() * (1 + Settings.MAX_CLOCK_DRIFT) + marginS;
   }
 
   /** Seconds after which an unanswered renewal is followed by the next one ahead of its time. */
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -35,11 +35,11 @@
     ZoneFailoverSettings settings =
         new ZoneFailoverSettings(
             detection(defaults.detection()),
-            flaps(defaults.flaps()),
+            flaps(defaults.flapDamping()),
             release(defaults.release()),
             pace(defaults.pace()),
             tiers());
-    checkOrder(settings.detection(), settings.flaps());
+    checkOrder(settings.detection(), settings.flapDamping());
     return settings;
   }
 
@@ -56,9 +56,9 @@
         values.positiveNumber("correlation_s", defaults.correlationS(), MAX_SECONDS));
   }
 
-  private ZoneFailoverSettings.Flaps flaps(ZoneFailoverSettings.Flaps defaults)
+  private ZoneFailoverSettings.FlapDamping flaps(ZoneFailoverSettings.FlapDamping defaults)
       throws SettingsException {
-    return new ZoneFailoverSettings.Flaps(
+    return new ZoneFailoverSettings.FlapDamping(
         values.positiveNumber("flap_half_life_s", defaults.halfLifeS(), MAX_SECONDS),
         values.positiveNumber("suppress_at", defaults.suppressAt(), MAX_COUNT),
         values.positiveNumber("reuse_at", defaults.reuseAt(), MAX_COUNT),
@@ -142,13 +142,13 @@
         }
       }
     }
-    if (tiers.isEmpty() || !tiers.get(tiers.size() - 1).takesAll()) {
+    if (tiers.isEmpty() || !tiers.get(tiers.size() - 1).matchesAll()) {
       throw values.error(TIERS, "the last tier has to take the rest: name it and nothing else");
     }
   }
 
   private void checkOrder(
-      ZoneFailoverSettings.Detection detection, ZoneFailoverSettings.Flaps flaps)
+      ZoneFailoverSettings.Detection detection, ZoneFailoverSettings.FlapDamping flaps)
       throws SettingsException {
     if (detection.clearShare() >= detection.suspectShare()) {
       throw values.error("clear_share", "has to be below suspect_share");
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -11,20 +11,20 @@
  * times are in seconds.
  *
  * @param detection when a zone counts as lost and as well again
- * @param flaps how repeated losses keep a zone out of use
+ * @param flapDamping how repeated losses keep a zone out of use
  * @param release how fast the work of a lost zone moves
  * @param pace how fast new work comes to a zone that has returned
  * @param tiers the order in which work moves, the most important first; the last tier takes the
  *     rest
  */
 public record ZoneFailoverSettings(
-    Detection detection, Flaps flaps, Release release, Pace pace, List<Tier> tiers) {
+    Detection detection, FlapDamping flapDamping, Release release, Pace pace, List<Tier> tiers) {
 
   /** The settings that hold where the operators name none. */
   public static final ZoneFailoverSettings DEFAULT =
       new ZoneFailoverSettings(
           new Detection(0.3, 0.8, 0.1, 2, 4, 10, 10, 5),
-          new Flaps(30, 1.25, 0.75, 2.5),
+          new FlapDamping(30, 1.25, 0.75, 2.5),
           new Release(15, 10),
           new Pace(0.1, 5, 4),
           List.of(new Tier("all", Set.of(), Set.of(), Set.of(), Set.of())));
@@ -40,7 +40,8 @@
    */
   public ZoneFailoverSettings forHeartbeats(double overdueS) {
     double settleS = Math.max(detection.settleS(), SETTLE_FACTOR * overdueS);
-    return new ZoneFailoverSettings(detection.withSettleS(settleS), flaps, release, pace, tiers);
+    return new ZoneFailoverSettings(
+        detection.withSettleS(settleS), flapDamping, release, pace, tiers);
   }
 
   /**
@@ -85,7 +86,7 @@
    * @param reuseAt penalty below which it is used again
    * @param max the highest penalty
    */
-  public record Flaps(double halfLifeS, double suppressAt, double reuseAt, double max) {}
+  public record FlapDamping(double halfLifeS, double suppressAt, double reuseAt, double max) {}
 
   /**
    * The speed of moves out of a lost zone.
@@ -125,7 +126,7 @@
     }
 
     /** Whether it takes every job. */
-    public boolean takesAll() {
+    public boolean matchesAll() {
       return teams.isEmpty() && classes.isEmpty() && kinds.isEmpty() && priorities.isEmpty();
     }
 
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -112,7 +112,7 @@
   }
 
   private void logMetrics() {
-    services.metrics().log();
+    services.metrics().logSummary();
     scheduleMetricsLog();
   }
 
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -32,7 +32,7 @@
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-  private static final double DRIFT = Settings.DRIFT;
+  private static final double DRIFT = Settings.MAX_CLOCK_DRIFT;
 
   /** Seconds until the next try after a call that failed. */
   private static final double RETRY_S = 0.5;
@@ -151,7 +151,7 @@
    * <p>A later leadership adds its own grace to its own validity, never to work that it knows to be
    * cancelled, so several in a row don't add up.
    */
-  public static double grace(Tuning tuning, Settings.Workers workers) {
+  public static double grace(Tuning tuning, Settings.WorkerTimings workers) {
     double most = workers.cancelS() - workers.leaseS() * (1 + 2 * DRIFT) - 4 * tuning.marginS();
     return Math.max(0, Math.min(tuning.graceS(), most));
   }
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -91,7 +91,7 @@
   }
 
   private SteadyTime validUntil(SteadyTime requestSent) {
-    return requestSent.plusSeconds(tuning.validityS());
+    return requestSent.plusSeconds(tuning.leaseValidityS());
   }
 
   private void planNextRenewal() {
@@ -113,7 +113,7 @@
     lastSent = now;
     renewAfter(tuning.renewalOverdueS());
     locked.whenAnswered(
-        store.renewLease(id, tuning.validityS()), outcome -> renewed(number, now, outcome));
+        store.renewLease(id, tuning.leaseValidityS()), outcome -> renewed(number, now, outcome));
   }
 
   private void renewed(long number, SteadyTime requestSent, Outcome<Long> outcome) {
--- a/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
+++ b/src/main/java/org/ternhinge/heartbeat/LeaseMonitor.java
@@ -30,7 +30,7 @@
 public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
 
-  private final Settings.Workers workerSettings;
+  private final Settings.WorkerTimings workerSettings;
   private final Ledger ledger;
   private final MachineRegistry machines;
   private final AttemptLifecycle attempts;
--- a/src/main/java/org/ternhinge/leadership/Leadership.java
+++ b/src/main/java/org/ternhinge/leadership/Leadership.java
@@ -108,7 +108,7 @@
     admission.recovered(revision);
     planning.rounds.enable();
     Clock clock = context.services().clock();
-    context.services().metrics().failover(clock.now().secondsSince(context.electedAt()));
+    context.services().metrics().recordFailover(clock.now().secondsSince(context.electedAt()));
     LOG.info(
         "term {}: {} jobs, {} machines in use",
         context.authority().term(),
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -58,7 +58,7 @@
    */
   private static SteadyTime initialLeaseEnd(
       Settings settings, Tuning tuning, SteadyTime electedAt) {
-    double graceS = Election.grace(tuning, settings.workers()) * (1 + Settings.DRIFT);
+    double graceS = Election.grace(tuning, settings.workers()) * (1 + Settings.MAX_CLOCK_DRIFT);
     return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
 }
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -97,7 +97,7 @@
   }
 
   /** Whether the agent has missed heartbeats, or was never heard. */
-  public boolean isOverdue(Settings.Workers workers, SteadyTime now) {
+  public boolean isOverdue(Settings.WorkerTimings workers, SteadyTime now) {
     return silentForS(now) >= workers.overdueS();
   }
 
--- a/src/main/java/org/ternhinge/metrics/Metrics.java
+++ b/src/main/java/org/ternhinge/metrics/Metrics.java
@@ -30,7 +30,7 @@
    * @param seconds from the decision to open its attempt to the first heartbeat that shows it
    *     running
    */
-  public synchronized void started(double seconds) {
+  public synchronized void recordStart(double seconds) {
     record(startTimes, seconds);
   }
 
@@ -40,23 +40,23 @@
    * @param seconds from its snapshot to the end of its planning
    * @param roundEvaluations candidates that the planner evaluated
    */
-  public synchronized void round(double seconds, long roundEvaluations) {
+  public synchronized void recordRound(double seconds, long roundEvaluations) {
     record(roundTimes, seconds);
     evaluations.recordValue(Math.min(MAX_EVALUATIONS, roundEvaluations));
   }
 
   /** The most candidates that a round evaluated, to the precision of the histogram. */
-  public synchronized long mostEvaluations() {
+  public synchronized long maxEvaluations() {
     return evaluations.getMaxValue();
   }
 
   /** Records the round trip of a direct command, in seconds. */
-  public synchronized void commandAnswered(double seconds) {
+  public synchronized void recordCommand(double seconds) {
     record(commandTimes, seconds);
   }
 
   /** Records a failover, in seconds from the election to the readiness of the new leader. */
-  public synchronized void failover(double seconds) {
+  public synchronized void recordFailover(double seconds) {
     record(failoverTimes, seconds);
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Writes a summary of all histograms to the log, unless nothing has happened yet. */
-  public synchronized void log() {
+  public synchronized void logSummary() {
     if (LOG.isInfoEnabled() && startTimes.getTotalCount() + failoverTimes.getTotalCount() > 0) {
       LOG.info("open to running ms: {}", summary(startTimes));
       LOG.info("direct command ms: {}", summary(commandTimes));
--- a/src/main/java/org/ternhinge/request/SubmissionHandler.java
+++ b/src/main/java/org/ternhinge/request/SubmissionHandler.java
@@ -101,7 +101,7 @@
       return Optional.empty();
     }
     Optional<SubmissionRejection> rejection =
-        SubmissionValidator.reject(spec, settings, machineTypes.byName());
+        SubmissionValidator.validate(spec, settings, machineTypes.byName());
     if (rejection.isPresent()) {
       Response rejected = Responses.error(Responses.UNPROCESSABLE, rejection.get().message());
       writer.answerKnownOr(rejected, id, answer);
--- a/src/main/java/org/ternhinge/round/SchedulingRounds.java
+++ b/src/main/java/org/ternhinge/round/SchedulingRounds.java
@@ -135,7 +135,7 @@
         planExecutor.execute(zones.limit(plan.get()));
       }
       lastDurationS = clock.now().secondsSince(lastStart);
-      metrics.round(lastDurationS, plan.map(Plan::evaluations).orElse(0L));
+      metrics.recordRound(lastDurationS, plan.map(Plan::evaluations).orElse(0L));
     } finally {
       lock.unlock();
     }
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -41,7 +41,7 @@
   /** Creates an announcer that has made no announcement. */
   public ListedTermAnnouncer(
       LeadershipContext context, CommandDispatcher dispatcher, TermAnnouncer termAnnouncer) {
-    Settings.Workers workers = context.services().settings().workers();
+    Settings.WorkerTimings workers = context.services().settings().workers();
     this.awaitedS = HEARTBEATS_AWAITED * workers.heartbeatIntervalS();
     this.electedAt = context.electedAt();
     this.dispatcher = dispatcher;
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -119,7 +119,7 @@
    */
   private void removeMissing(Set<MachineId> listedIds, SteadyTime startedAt) {
     double maxListingAgeS =
-        2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
+        2 * settings.cloudLimits().listLagS() * (1 + Settings.MAX_CLOCK_DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
       double unlistedS = startedAt.secondsSince(machine.cloud().lastKnownAt());
       if (!listedIds.contains(machine.id()) && unlistedS > maxListingAgeS) {
--- a/src/main/java/org/ternhinge/scaling/MachineRemoval.java
+++ b/src/main/java/org/ternhinge/scaling/MachineRemoval.java
@@ -8,7 +8,7 @@
 import org.ternhinge.machine.Machine;
 import org.ternhinge.machine.MachineRegistry;
 import org.ternhinge.machine.ReportedTasks;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * Closes the attempts on machines that are gone, and removes these machines. The cloud's listing is
@@ -20,7 +20,7 @@
   private final Ledger ledger;
   private final ReportedTasks reportedTasks;
   private final AttemptLifecycle attempts;
-  private final Workers workers;
+  private final WorkerClient workers;
 
   /** Creates an instance; it has no state of its own. */
   public MachineRemoval(
@@ -28,7 +28,7 @@
       Ledger ledger,
       ReportedTasks reportedTasks,
       AttemptLifecycle attempts,
-      Workers workers) {
+      WorkerClient workers) {
     this.machines = machines;
     this.ledger = ledger;
     this.reportedTasks = reportedTasks;
@@ -53,6 +53,6 @@
   void remove(Machine machine) {
     lost(machine, ClosingEvidence.MACHINE_GONE);
     machines.remove(machine.id());
-    machine.agent().endpoint().ifPresent(workers::forget);
+    machine.agent().endpoint().ifPresent(workers::closeConnections);
   }
 }
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -105,7 +105,7 @@
    */
   public static ResponseTimeouts of(Clock clock, Tuning tuning) {
     return new ResponseTimeouts(
-        clock, Math.max(Kind.READ.floorS, tuning.validityS() - tuning.renewalOverdueS()));
+        clock, Math.max(Kind.READ.floorS, tuning.leaseValidityS() - tuning.renewalOverdueS()));
   }
 
   /** The longest time-out, in seconds. */
--- a/src/main/java/org/ternhinge/term/ControllerServices.java
+++ b/src/main/java/org/ternhinge/term/ControllerServices.java
@@ -8,7 +8,7 @@
 import org.ternhinge.metrics.Metrics;
 import org.ternhinge.model.Clock;
 import org.ternhinge.store.KeyValueStore;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * The services that one controller process is built on. They are created once, live as long as the
@@ -29,7 +29,7 @@
     Tuning tuning,
     KeyValueStore store,
     Cloud cloud,
-    Workers workers,
+    WorkerClient workers,
     Clock clock,
     Lock lock,
     Executor scheduler,
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkerClient.java
@@ -18,13 +18,13 @@
 import org.ternhinge.wire.WireException;
 
 /** Sends direct commands to workers over HTTP. Its futures never complete exceptionally. */
-public final class HttpWorkers implements Workers {
+public final class HttpWorkerClient implements WorkerClient {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(3);
 
   private final HttpCaller http;
 
   /** Creates a client for all workers. */
-  public HttpWorkers(HttpCaller http) {
+  public HttpWorkerClient(HttpCaller http) {
     this.http = http;
   }
 
@@ -37,7 +37,7 @@
       BooleanSupplier maySend) {
     Request request = Request.post("/commands", Command.body(term, epoch, commands));
     return http.callIf(maySend, worker, request, TIMEOUTS)
-        .thenApply(outcome -> outcome.flatMap(HttpWorkers::decode));
+        .thenApply(outcome -> outcome.flatMap(HttpWorkerClient::decode));
   }
 
   private static Outcome<Answer> decode(Reply reply) {
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public void forget(Endpoint worker) {
+  public void closeConnections(Endpoint worker) {
     http.forget(worker);
   }
 }
--- a/src/main/java/org/ternhinge/worker/Workers.java
+++ b/src/main/java/org/ternhinge/worker/WorkerClient.java
@@ -11,7 +11,7 @@
 import org.ternhinge.wire.Heartbeat;
 
 /** Sends direct commands to workers, from any thread. */
-public interface Workers {
+public interface WorkerClient {
 
   /** The answer of a worker to commands. */
   sealed interface Answer {
@@ -52,5 +52,5 @@
       BooleanSupplier maySend);
 
   /** Releases the connections to a worker that is not called any more. */
-  void forget(Endpoint worker);
+  void closeConnections(Endpoint worker);
 }
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -17,13 +17,13 @@
   }
 
   /** The decayed value. */
-  double valueAt(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
+  double valueAt(SteadyTime now, ZoneFailoverSettings.FlapDamping flaps) {
     double halfLives = Math.max(0, now.secondsSince(at)) / flaps.halfLifeS();
     return value * Math.pow(0.5, halfLives);
   }
 
   /** The penalty after another loss. */
-  FlapPenalty increased(SteadyTime now, ZoneFailoverSettings.Flaps flaps) {
+  FlapPenalty increased(SteadyTime now, ZoneFailoverSettings.FlapDamping flaps) {
     return new FlapPenalty(Math.min(flaps.max(), valueAt(now, flaps) + 1), now);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -56,7 +56,7 @@
       case UNAVAILABLE -> {
         // A zone that fails again while it is out of use stays out of use for longer.
         boolean again = impairedSince == null && measured.impairedSince != null;
-        ZoneHealth current = again ? measured.penalized(settings.flaps(), now) : measured;
+        ZoneHealth current = again ? measured.penalized(settings.flapDamping(), now) : measured;
         yield current.afterLoss(observation, settings, now);
       }
       case RECOVERING -> measured.afterReturn(settings, now);
@@ -99,7 +99,7 @@
       SteadyTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
     if (confirmable && lasts(lostSince, detection.confirmS(), now)) {
-      return lost(settings.flaps(), now);
+      return lost(settings.flapDamping(), now);
     }
     if (wellSince != null) {
       return to(ZoneState.AVAILABLE, tolerated, now);
@@ -110,11 +110,11 @@
     return partlyImpaired ? to(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
-  private ZoneHealth lost(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth lost(ZoneFailoverSettings.FlapDamping flaps, SteadyTime now) {
     return to(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
   }
 
-  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, SteadyTime now) {
+  private ZoneHealth penalized(ZoneFailoverSettings.FlapDamping flaps, SteadyTime now) {
     FlapPenalty more = penalty.increased(now, flaps);
     boolean suppress = suppressed || more.value() > flaps.suppressAt();
     return new ZoneHealth(
@@ -123,7 +123,7 @@
 
   private ZoneHealth afterLoss(
       ZoneObservation observation, ZoneFailoverSettings settings, SteadyTime now) {
-    ZoneFailoverSettings.Flaps flaps = settings.flaps();
+    ZoneFailoverSettings.FlapDamping flaps = settings.flapDamping();
     boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
     ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
     if (stillSuppressed || !lasts(wellSince, settings.detection().settleS(), now)) {
--- a/src/main/java/org/ternhinge/zone/ZoneTable.java
+++ b/src/main/java/org/ternhinge/zone/ZoneTable.java
@@ -73,7 +73,7 @@
         health.state(),
         observations.get(zone).impaired(),
         observations.get(zone).expected(),
-        health.penalty().valueAt(now, settings.flaps()),
+        health.penalty().valueAt(now, settings.flapDamping()),
         health.suppressed());
   }
 
@@ -104,7 +104,7 @@
         health.state(),
         observations.get(zone).expected(),
         observations.get(zone).impaired(),
-        health.penalty().valueAt(now, settings.flaps()),
+        health.penalty().valueAt(now, settings.flapDamping()),
         health.step(),
         pacer.allows(names.get(zone)));
   }
--- a/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -15,7 +15,7 @@
 
 /** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
 class SubmissionValidatorTest {
-  private final SimCluster world = new SimCluster(1, 0);
+  private final SimCluster cluster = new SimCluster(1, 0);
 
   private static Map<String, MachineType> machineTypes() {
     Map<String, MachineType> out = new LinkedHashMap<>();
@@ -40,7 +40,7 @@
     "batch,  9,    1,  red,  east,  true,  true,      , ",
     "group,  1,    1,  red,  east,  true,  true,      , ",
   })
-  void jobsThatCanNeverRunAreRejected(
+  void jobThatCanNeverRunIsRejected(
       String kind,
       int tasks,
       double cpus,
@@ -57,6 +57,6 @@
     }
     assertEquals(
         Optional.ofNullable(expected),
-        SubmissionValidator.reject(Specs.of(body), world.settings("node-0"), machineTypes()));
+        SubmissionValidator.validate(Specs.of(body), cluster.settings("node-0"), machineTypes()));
   }
 }
--- a/src/test/java/org/ternhinge/cli/LinkRelay.java
+++ b/src/test/java/org/ternhinge/cli/LinkRelay.java
@@ -18,13 +18,13 @@
 final class LinkRelay implements AutoCloseable {
   private static final int BUFFER_BYTES = 8192;
 
-  private final ExecutorService threads = Executors.newCachedThreadPool(LinkRelay::daemon);
-  private final Set<AutoCloseable> open = ConcurrentHashMap.newKeySet();
-  private final Object gate = new Object();
+  private final ExecutorService threads = Executors.newCachedThreadPool(LinkRelay::daemonThread);
+  private final Set<AutoCloseable> openResources = ConcurrentHashMap.newKeySet();
+  private final Object lock = new Object();
   private boolean cut;
   private volatile boolean closed;
 
-  private static Thread daemon(Runnable action) {
+  private static Thread daemonThread(Runnable action) {
     Thread thread = new Thread(action);
     thread.setDaemon(true);
     return thread;
@@ -33,31 +33,31 @@
   /** Opens a port whose connections go to another one; says which. */
   int forwardTo(int port) throws IOException {
     ServerSocket server = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-    open.add(server);
+    openResources.add(server);
     threads.execute(() -> accept(server, port));
     return server.getLocalPort();
   }
 
   /** From now on nothing passes. */
-  void cut() {
-    synchronized (gate) {
+  void partition() {
+    synchronized (lock) {
       cut = true;
     }
   }
 
   /** Ends the cut: delayed bytes are delivered, and all later ones. */
   void heal() {
-    synchronized (gate) {
+    synchronized (lock) {
       cut = false;
-      gate.notifyAll();
+      lock.notifyAll();
     }
   }
 
-  private void awaitOpen() throws IOException {
-    synchronized (gate) {
+  private void awaitHealed() throws IOException {
+    synchronized (lock) {
       while (cut && !closed) {
         try {
-          gate.wait();
+          lock.wait();
         } catch (InterruptedException e) {
           throw new IOException(e);
         }
@@ -69,7 +69,7 @@
     try {
       while (!closed) {
         Socket from = server.accept();
-        open.add(from);
+        openResources.add(from);
         threads.execute(() -> connect(from, port));
       }
     } catch (IOException e) {
@@ -80,24 +80,24 @@
 
   private void connect(Socket from, int port) {
     try {
-      awaitOpen();
+      awaitHealed();
       Socket to = new Socket(InetAddress.getLoopbackAddress(), port);
-      open.add(to);
-      threads.execute(() -> pass(from, to));
-      pass(to, from);
+      openResources.add(to);
+      threads.execute(() -> copy(from, to));
+      copy(to, from);
     } catch (IOException e) {
       close(from);
     }
   }
 
   /** Passes bytes on in one direction until one side is closed. */
-  private void pass(Socket from, Socket to) {
+  private void copy(Socket from, Socket to) {
     byte[] buffer = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
-        awaitOpen();
+        awaitHealed();
         out.write(buffer, 0, read);
         out.flush();
       }
@@ -109,10 +109,10 @@
     }
   }
 
-  private void close(AutoCloseable end) {
-    open.remove(end);
+  private void close(AutoCloseable resource) {
+    openResources.remove(resource);
     try {
-      end.close();
+      resource.close();
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
@@ -122,7 +122,7 @@
   public void close() {
     closed = true;
     heal();
-    Set.copyOf(open).forEach(this::close);
+    Set.copyOf(openResources).forEach(this::close);
     threads.shutdownNow();
   }
 }
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -31,23 +31,23 @@
    *
    * @param teamCpus the limit of the only team
    */
-  record Site(
+  record Options(
       List<String> zones,
       double heartbeatIntervalS,
       double leaseS,
       double cancelS,
       double teamCpus) {
     /** Two zones and times as users have them. */
-    static final Site USUAL = new Site(List.of("east", "west"), 3, 24, 44, 8);
+    static final Options DEFAULT = new Options(List.of("east", "west"), 3, 24, 44, 8);
   }
 
   /** How many controllers there are. */
   static final int NODES = 3;
 
-  private static final long PATIENCE_S = 60;
+  private static final long WAIT_TIMEOUT_S = 60;
 
   private final Path dir;
-  private final Site site;
+  private final Options options;
   private final List<String> arguments;
   private final LoopbackServices services;
   private final List<Process> processes = new ArrayList<>();
@@ -62,9 +62,9 @@
    * @param dir where settings and logs go
    * @param arguments of each process, beside its settings file
    */
-  LoopbackCluster(Path dir, Site site, List<String> arguments) throws IOException {
+  LoopbackCluster(Path dir, Options site, List<String> arguments) throws IOException {
     this.dir = dir;
-    this.site = site;
+    this.options = site;
     this.arguments = arguments;
     this.services = new LoopbackServices(site.zones());
     for (int i = 0; i < ports.length; i++) {
@@ -95,12 +95,12 @@
   void startAll() throws IOException, InterruptedException {
     for (int i = 0; i < NODES; i++) {
       settings.add(dir.resolve("node-" + i + ".json"));
-      Files.write(settings.get(i), Json.bytes(settingsOf(i)));
+      Files.write(settings.get(i), Json.bytes(settingsJson(i)));
       processes.add(start(i));
     }
     for (int i = 0; i < NODES; i++) {
       int node = i;
-      until("node " + i + " is healthy", () -> status(node, "GET", "/healthz", null) == 200);
+      waitUntil("node " + i + " is healthy", () -> status(node, "GET", "/healthz", null) == 200);
     }
   }
 
@@ -159,8 +159,8 @@
     return logs.toString();
   }
 
-  private ObjectNode settingsOf(int node) {
-    ObjectNode root = Json.object().put("node", "node-" + node).put("site", site.zones().get(0));
+  private ObjectNode settingsJson(int node) {
+    ObjectNode root = Json.object().put("node", "node-" + node).put("site", options.zones().get(0));
     root.put("client_listen", "127.0.0.1:" + ports[node]);
     root.put("peer_listen", "127.0.0.1:" + ports[NODES + node]);
     ArrayNode peers = root.putArray("peers");
@@ -173,16 +173,16 @@
     root.putObject("external").put("cloud", outside).put("state", outside);
     ObjectNode deployment = root.putObject("deployment");
     ArrayNode zones = deployment.putArray("zones");
-    site.zones().forEach(zones::add);
+    options.zones().forEach(zones::add);
     deployment
         .putArray("teams")
         .addObject()
         .put("name", "red")
         .put("cpus", 4)
-        .put("cpus_max", site.teamCpus());
+        .put("cpus_max", options.teamCpus());
     ObjectNode workers = deployment.putObject("workers");
-    workers.put("report_s", site.heartbeatIntervalS()).put("lease_s", site.leaseS());
-    workers.put("gang_wait_s", 30).put("gang_peer_s", 5).put("cancel_s", site.cancelS());
+    workers.put("report_s", options.heartbeatIntervalS()).put("lease_s", options.leaseS());
+    workers.put("gang_wait_s", 30).put("gang_peer_s", 5).put("cancel_s", options.cancelS());
     deployment
         .putObject("state")
         .put("rps", 200)
@@ -196,15 +196,15 @@
   // ---- requests ---------------------------------------------------------------------------------
 
   /** Waits until something holds, for a minute at the most. */
-  static void until(String what, BooleanSupplier holds) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+  static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
     while (!holds.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, "in vain: " + what);
       Thread.sleep(100);
     }
   }
 
-  private HttpResponse<String> ask(int node, String method, String path, byte[] body) {
+  private HttpResponse<String> send(int node, String method, String path, byte[] body) {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports[node] + path))
             .timeout(Duration.ofSeconds(6))
@@ -225,13 +225,13 @@
 
   /** The status of an answer; 0 where none came. */
   int status(int node, String method, String path, byte[] body) {
-    HttpResponse<String> response = ask(node, method, path, body);
+    HttpResponse<String> response = send(node, method, path, body);
     return response == null ? 0 : response.statusCode();
   }
 
   /** The body of an answer; empty where none came. */
   String body(int node, String path) {
-    HttpResponse<String> response = ask(node, "GET", path, null);
+    HttpResponse<String> response = send(node, "GET", path, null);
     return response == null ? "" : response.body();
   }
 
--- a/src/test/java/org/ternhinge/cli/LoopbackFleet.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackFleet.java
@@ -26,9 +26,9 @@
    * @param controllers ports of the controllers
    */
   LoopbackFleet(
-      List<String> zones, int machinesEach, List<Integer> controllers, LoopbackWorker.Site site)
+      List<String> zones, int machinesEach, List<Integer> controllers, LoopbackWorker.Context site)
       throws IOException {
-    Map<String, LoopbackWorker.Site> sites = new LinkedHashMap<>();
+    Map<String, LoopbackWorker.Context> sites = new LinkedHashMap<>();
     for (String zone : zones) {
       LinkRelay relay = new LinkRelay();
       relays.put(zone, relay);
@@ -38,7 +38,7 @@
       }
       sites.put(
           zone,
-          new LoopbackWorker.Site(
+          new LoopbackWorker.Context(
               site.client(),
               site.timers(),
               site.history(),
@@ -54,8 +54,8 @@
     }
   }
 
-  void cut(String zone) {
-    relays.get(zone).cut();
+  void partition(String zone) {
+    relays.get(zone).partition();
   }
 
   void heal(String zone) {
--- a/src/test/java/org/ternhinge/cli/LoopbackIT.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackIT.java
@@ -25,38 +25,38 @@
   private LoopbackCluster cluster;
 
   @AfterEach
-  void end() {
+  void tearDown() {
     if (cluster != null) {
       cluster.close();
     }
   }
 
   @Test
-  void threeProcessesKeepAJobThroughKills() throws Exception {
-    cluster = new LoopbackCluster(dir, LoopbackCluster.Site.USUAL, List.of());
+  void jobsSurviveKillOfAllControllers() throws Exception {
+    cluster = new LoopbackCluster(dir, LoopbackCluster.Options.DEFAULT, List.of());
     cluster.startAll();
-    badTuningIsNamedWithItsFile();
-    invalidRequestsAreRefused();
+    assertTuningErrorNamesFile();
+    assertInvalidRequestsAreRejected();
     byte[] job = SubmissionBuilder.job("wk-000001", "batch", 3).bytes();
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "the job is accepted", () -> cluster.status(0, "POST", "/submissions", job) == 201);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "a repeat is known", () -> cluster.status(1, "POST", "/submissions", job) == 200);
-    aStalledClientStopsNobody();
-    dependentJobsAreAccepted();
-    int leader = killTheLeader();
-    cancelAt((leader + 1) % 3, leader);
+    assertStalledClientDoesNotBlockOthers();
+    submitDependentJobs();
+    int leader = killLeader();
+    cancelAndAwaitDependents((leader + 1) % 3, leader);
     for (int node = 0; node < LoopbackCluster.NODES; node++) {
       cluster.kill(node);
     }
     cluster.restart(leader);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "one restarted process remembers",
         () -> isCancelled(leader, "wk-000001") && isCancelled(leader, "wk-000004"));
     assertTrue(cluster.isAlive(leader));
   }
 
-  private void badTuningIsNamedWithItsFile() throws Exception {
+  private void assertTuningErrorNamesFile() throws Exception {
     Path tuning = dir.resolve("bad.hcl");
     Files.writeString(
         tuning,
@@ -66,26 +66,28 @@
       List<String> args = new ArrayList<>(start);
       args.addAll(List.of("--config", settings, "--tuning", tuning.toString()));
       Process process = LoopbackCluster.run(args);
-      String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+      String stderr = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
       assertEquals(2, process.waitFor());
-      assertTrue(said.contains("bad.hcl: tuning: zone_failover.tiers.a.teams: unknown: x"), said);
+      assertTrue(
+          stderr.contains("bad.hcl: tuning: zone_failover.tiers.a.teams: unknown: x"), stderr);
     }
   }
 
-  private void invalidRequestsAreRefused() throws Exception {
-    byte[] stranger = SubmissionBuilder.job("wk-000002", "batch", 3).team("nobody").bytes();
+  private void assertInvalidRequestsAreRejected() throws Exception {
+    byte[] unknownTeam = SubmissionBuilder.job("wk-000002", "batch", 3).team("nobody").bytes();
     assertEquals(
         400, cluster.status(0, "POST", "/submissions", "{".getBytes(StandardCharsets.UTF_8)));
     assertEquals(400, cluster.status(1, "POST", "/submissions", new byte[80_000]));
     // Both ask the key-value store first, whose tokens a start uses up for a moment.
-    LoopbackCluster.until("422", () -> cluster.status(1, "POST", "/submissions", stranger) == 422);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
+        "422", () -> cluster.status(1, "POST", "/submissions", unknownTeam) == 422);
+    LoopbackCluster.waitUntil(
         "404", () -> cluster.status(2, "GET", "/submissions/wk-000009", null) == 404);
     assertEquals(404, cluster.status(2, "GET", "/else", null));
     assertEquals(405, cluster.status(2, "GET", "/submissions", null));
   }
 
-  private void aStalledClientStopsNobody() throws IOException {
+  private void assertStalledClientDoesNotBlockOthers() throws IOException {
     try (Socket stalled = new Socket(InetAddress.getLoopbackAddress(), cluster.port(0))) {
       stalled
           .getOutputStream()
@@ -100,7 +102,7 @@
     return SubmissionBuilder.job(id, kind, tasks).dependsOn(ids).bytes();
   }
 
-  private void dependentJobsAreAccepted() throws Exception {
+  private void submitDependentJobs() throws Exception {
     byte[] second = dependent("wk-000003", "batch", 3, "wk-000001");
     byte[] third = dependent("wk-000004", "group", 2, "wk-000001", "wk-000003");
     byte[] unknown = dependent("wk-000005", "batch", 3, "wk-000099");
@@ -108,39 +110,40 @@
         SubmissionBuilder.job("wk-000006", "batch", 3)
             .rawDependencies(TextNode.valueOf("wk-000001"))
             .bytes();
-    LoopbackCluster.until("422", () -> cluster.status(1, "POST", "/submissions", unknown) == 422);
+    LoopbackCluster.waitUntil(
+        "422", () -> cluster.status(1, "POST", "/submissions", unknown) == 422);
     assertEquals(400, cluster.status(1, "POST", "/submissions", noList));
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "the next one", () -> cluster.status(1, "POST", "/submissions", second) == 201);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "the last one", () -> cluster.status(2, "POST", "/submissions", third) == 201);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "it waits", () -> cluster.body(0, "/submissions/wk-000004").contains("queued"));
   }
 
   /** Kills the process that leads and waits for another leader; says which one was killed. */
-  private int killTheLeader() throws Exception {
-    LoopbackCluster.until("somebody leads", () -> cluster.services().leader() >= 0);
+  private int killLeader() throws Exception {
+    LoopbackCluster.waitUntil("somebody leads", () -> cluster.services().leader() >= 0);
     int leader = cluster.services().leader();
     cluster.kill(leader);
     int other = (leader + 1) % 3;
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "the job is known",
         () -> cluster.status(other, "GET", "/submissions/wk-000001", null) == 200);
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "another leads",
         () -> cluster.services().leader() >= 0 && cluster.services().leader() != leader);
     return leader;
   }
 
   /** Cancels the first job at a node; all that depend on it are cancelled on every live node. */
-  private void cancelAt(int node, int killed) throws Exception {
-    LoopbackCluster.until(
+  private void cancelAndAwaitDependents(int node, int killed) throws Exception {
+    LoopbackCluster.waitUntil(
         "the job is cancelled",
         () -> cluster.status(node, "POST", "/submissions/wk-000001/cancel", null) == 200);
     int next = (node + 1) % 3;
     int third = next == killed ? node : next;
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "with it all that depend on it",
         () -> isCancelled(node, "wk-000003") && isCancelled(third, "wk-000004"));
   }
@@ -150,13 +153,13 @@
   }
 
   @Test
-  void badSettingsEndTheProgramWithOneClearLine() throws Exception {
+  void invalidSettingsExitWithErrorMessage() throws Exception {
     Path bad = dir.resolve("bad.json");
     Files.writeString(bad, "{\"node\":\"a\"}");
     Process process = LoopbackCluster.run(List.of("--config", bad.toString()));
-    String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+    String stderr = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(2, process.waitFor());
-    assertTrue(said.contains("external: an object is needed"), said);
+    assertTrue(stderr.contains("external: an object is needed"), stderr);
     Process version = LoopbackCluster.run(List.of("--version"));
     String line = new String(version.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(0, version.waitFor());
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -56,7 +56,7 @@
   }
 
   /** From now on the cloud lists these machines. */
-  void show(LoopbackFleet machines) {
+  void setFleet(LoopbackFleet machines) {
     fleet = machines;
   }
 
@@ -97,11 +97,11 @@
     @Override
     public void after(double seconds, Runnable action) {
       var unused =
-          timers.schedule(() -> locked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
+          timers.schedule(() -> runLocked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void locked(Runnable action) {
+  private synchronized void runLocked(Runnable action) {
     action.run();
   }
 
@@ -156,7 +156,7 @@
       watch(exchange, query);
     } else {
       synchronized (this) {
-        state(exchange, path, query, body);
+        serveStore(exchange, path, query, body);
       }
     }
   }
@@ -171,7 +171,8 @@
     }
   }
 
-  private void state(HttpExchange exchange, String path, Map<String, String> query, byte[] body)
+  private void serveStore(
+      HttpExchange exchange, String path, Map<String, String> query, byte[] body)
       throws IOException, WireException {
     if (path.equals("/keys")) {
       KeyValueStore.Page page =
@@ -187,7 +188,7 @@
           found.isPresent() ? 200 : 404,
           found.map(LoopbackServices::entry).orElse(Json.object()));
     } else if (path.equals("/txn")) {
-      outcome(
+      replyWithOutcome(
           exchange,
           store.compareAndSwap(readCompareAndSwap(Json.parse(body))).map(Revision::value),
           "breytingatal");
@@ -196,14 +197,14 @@
       reply(exchange, 200, Json.object().put("leiga", store.grant(life)));
     } else if (path.endsWith("/extend")) {
       long id = Long.parseLong(path.split("/", -1)[2]);
-      outcome(exchange, store.renew(id), "leiga");
+      replyWithOutcome(exchange, store.renew(id), "leiga");
     } else {
       store.revoke(Long.parseLong(path.split("/", -1)[2]));
       reply(exchange, 200, Json.object());
     }
   }
 
-  private static void outcome(HttpExchange exchange, Outcome<Long> outcome, String field)
+  private static void replyWithOutcome(HttpExchange exchange, Outcome<Long> outcome, String field)
       throws IOException {
     if (outcome instanceof Outcome.Applied<Long> a) {
       reply(exchange, 200, Json.object().put(field, a.value()));
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -37,7 +37,7 @@
    * @param controllers ports, by which the group reaches them
    * @param runS how long each task runs, in seconds
    */
-  record Site(
+  record Context(
       HttpClient client,
       ScheduledExecutorService timers,
       TaskHistory history,
@@ -58,7 +58,7 @@
   private static final double LEASE_CHECK_S = 0.1;
   private static final double ANSWER_TIMEOUT_S = 4;
 
-  private final Site site;
+  private final Context context;
   private final MachineId id;
   private final String zone;
   private final HttpServer server;
@@ -67,21 +67,21 @@
   private int epoch = 1;
   private long sequence;
   private long fencingToken;
-  private double leaseFrom;
+  private double leaseRenewedAt;
   private int controller;
   private boolean closed;
 
-  LoopbackWorker(Site site, MachineId id, String zone, LinkRelay relay) throws IOException {
-    this.site = site;
+  LoopbackWorker(Context site, MachineId id, String zone, LinkRelay relay) throws IOException {
+    this.context = site;
     this.id = id;
     this.zone = zone;
     this.controller = (int) (Long.parseLong(id.value().substring(2)) % site.controllers.size());
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     server.setExecutor(site.timers);
-    server.createContext("/commands", this::commanded);
+    server.createContext("/commands", this::handleCommands);
     server.start();
     this.port = relay.forwardTo(server.getAddress().getPort());
-    this.leaseFrom = site.now();
+    this.leaseRenewedAt = site.now();
     site.after(0, this::heartbeat);
     site.after(LEASE_CHECK_S, this::checkLease);
   }
@@ -101,7 +101,7 @@
   @Override
   public synchronized void close() {
     closed = true;
-    killAll();
+    endAllTasks();
     server.stop(0);
   }
 
@@ -111,18 +111,18 @@
     if (closed) {
       return;
     }
-    if (site.now() - leaseFrom > site.leaseS) {
-      killAll();
+    if (context.now() - leaseRenewedAt > context.leaseS) {
+      endAllTasks();
       epoch++;
-      leaseFrom = site.now();
+      leaseRenewedAt = context.now();
     }
-    site.after(LEASE_CHECK_S, this::checkLease);
+    context.after(LEASE_CHECK_S, this::checkLease);
   }
 
-  private void killAll() {
+  private void endAllTasks() {
     for (TaskStatus task : List.copyOf(tasks.values())) {
       if (task.state() == TaskState.RUNNING) {
-        site.history.left(task.task(), id.value(), false);
+        context.history.recordRemoval(task.task(), id.value(), false);
       }
     }
     tasks.clear();
@@ -145,34 +145,36 @@
   }
 
   private void heartbeat() {
-    int inEpoch;
+    int startEpoch;
     byte[] body;
     synchronized (this) {
       if (closed) {
         return;
       }
-      inEpoch = epoch;
+      startEpoch = epoch;
       body = Json.bytes(nextHeartbeat().write());
     }
-    double sent = site.now();
-    URI uri = URI.create("http://127.0.0.1:" + site.controllers.get(controller) + "/agent/beat");
+    double sent = context.now();
+    URI uri = URI.create("http://127.0.0.1:" + context.controllers.get(controller) + "/agent/beat");
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .timeout(Duration.ofMillis((long) (ANSWER_TIMEOUT_S * 1000)))
             .POST(HttpRequest.BodyPublishers.ofByteArray(body))
             .build();
     var unused =
-        site.client
+        context
+            .client
             .sendAsync(request, HttpResponse.BodyHandlers.ofByteArray())
-            .whenComplete((response, failure) -> answered(response, inEpoch, sent));
+            .whenComplete((response, failure) -> handleResponse(response, startEpoch, sent));
   }
 
-  private synchronized void answered(HttpResponse<byte[]> response, int inEpoch, double sent) {
-    double next = site.heartbeatIntervalS;
+  private synchronized void handleResponse(
+      HttpResponse<byte[]> response, int startEpoch, double sent) {
+    double next = context.heartbeatIntervalS;
     try {
       if (response != null && response.statusCode() == 200) {
-        if (inEpoch == epoch) {
-          accept(Json.parse(response.body()), sent);
+        if (startEpoch == epoch) {
+          applyAnswer(Json.parse(response.body()), sent);
         }
       } else {
         next = nextControllerDelayS(response);
@@ -180,7 +182,7 @@
     } catch (WireException e) {
       throw new IllegalStateException(e);
     }
-    site.after(next, this::heartbeat);
+    context.after(next, this::heartbeat);
   }
 
   /** Turns to the controller that an answer names, else to the next one. */
@@ -189,28 +191,28 @@
     if (response != null && response.statusCode() == 421) {
       named = Json.parse(response.body()).path("tilkynna_til").asText("");
     }
-    int next = (controller + 1) % site.controllers.size();
+    int next = (controller + 1) % context.controllers.size();
     controller = named.isEmpty() ? next : Integer.parseInt(named.substring(5));
-    return site.heartbeatIntervalS / 4;
+    return context.heartbeatIntervalS / 4;
   }
 
-  private void accept(JsonNode answer, double sent) throws WireException {
+  private void applyAnswer(JsonNode answer, double sent) throws WireException {
     long term = Json.count(answer, "valdmerki");
     if (term >= fencingToken) {
       fencingToken = term;
-      leaseFrom = sent;
-      Command.read(answer).forEach(this::run);
+      leaseRenewedAt = sent;
+      Command.read(answer).forEach(this::execute);
     }
   }
 
   // ---- commands ---------------------------------------------------------------------------------
 
-  private void commanded(HttpExchange exchange) throws IOException {
+  private void handleCommands(HttpExchange exchange) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
     int status;
     byte[] answer;
     try {
-      status = command(Json.parse(body)) ? 200 : 409;
+      status = executeIfCurrent(Json.parse(body)) ? 200 : 409;
       answer = Json.bytes(nextHeartbeat().write());
     } catch (WireException e) {
       throw new IOException(e);
@@ -221,25 +223,25 @@
     }
   }
 
-  private synchronized boolean command(JsonNode message) throws WireException {
+  private synchronized boolean executeIfCurrent(JsonNode message) throws WireException {
     long term = Json.count(message, "valdmerki");
     if (closed || term < fencingToken || Json.count(message, "vakt") != epoch) {
       return false;
     }
     fencingToken = term;
-    Command.read(message).forEach(this::run);
+    Command.read(message).forEach(this::execute);
     return true;
   }
 
-  private void run(Command command) {
+  private void execute(Command command) {
     String key = command.task() + "#" + command.attempt();
     TaskStatus task = tasks.get(key);
     switch (command.op()) {
       case START -> {
         if (task == null) {
-          set(key, command, TaskState.FETCHING, null);
-          int inEpoch = epoch;
-          site.after(FETCH_S, () -> begin(key, command, inEpoch));
+          setStatus(key, command, TaskState.FETCHING, null);
+          int startEpoch = epoch;
+          context.after(FETCH_S, () -> startRunning(key, command, startEpoch));
         }
       }
       case STOP -> {
@@ -255,33 +257,33 @@
     }
   }
 
-  private void set(String key, Command command, TaskState state, EndReason endReason) {
+  private void setStatus(String key, Command command, TaskState state, EndReason endReason) {
     tasks.put(key, new TaskStatus(command.task(), command.attempt(), state, endReason, false));
   }
 
-  private boolean isIn(String key, TaskState state, int inEpoch) {
+  private boolean hasState(String key, TaskState state, int startEpoch) {
     TaskStatus task = tasks.get(key);
-    return !closed && epoch == inEpoch && task != null && task.state() == state;
+    return !closed && epoch == startEpoch && task != null && task.state() == state;
   }
 
-  private synchronized void begin(String key, Command command, int inEpoch) {
-    if (isIn(key, TaskState.FETCHING, inEpoch)) {
-      set(key, command, TaskState.RUNNING, null);
-      site.history.started(site.now(), command.task(), id.value(), zone);
-      site.after(site.runS, () -> complete(key, command, inEpoch));
+  private synchronized void startRunning(String key, Command command, int startEpoch) {
+    if (hasState(key, TaskState.FETCHING, startEpoch)) {
+      setStatus(key, command, TaskState.RUNNING, null);
+      context.history.recordStart(context.now(), command.task(), id.value(), zone);
+      context.after(context.runS, () -> complete(key, command, startEpoch));
     }
   }
 
-  private synchronized void complete(String key, Command command, int inEpoch) {
-    if (isIn(key, TaskState.RUNNING, inEpoch)) {
+  private synchronized void complete(String key, Command command, int startEpoch) {
+    if (hasState(key, TaskState.RUNNING, startEpoch)) {
       end(key, command, EndReason.DONE);
     }
   }
 
   private void end(String key, Command command, EndReason reason) {
     if (tasks.get(key).state() == TaskState.RUNNING) {
-      site.history.left(command.task(), id.value(), reason == EndReason.DONE);
+      context.history.recordRemoval(command.task(), id.value(), reason == EndReason.DONE);
     }
-    set(key, command, TaskState.ENDED, reason);
+    setStatus(key, command, TaskState.ENDED, reason);
   }
 }
--- a/src/test/java/org/ternhinge/cli/TaskHistory.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistory.java
@@ -18,13 +18,13 @@
   record Start(double at, TaskId task, String machine, String zone) {}
 
   private final List<Start> starts = new ArrayList<>();
-  private final Map<TaskId, Set<String>> live = new HashMap<>();
+  private final Map<TaskId, Set<String>> machinesByTask = new HashMap<>();
   private final Set<TaskId> completed = new HashSet<>();
-  private final Map<JobId, String> finalAnswers = new HashMap<>();
+  private final Map<JobId, String> finalStates = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
 
-  synchronized void started(double at, TaskId task, String machine, String zone) {
-    Set<String> machines = live.computeIfAbsent(task, key -> new HashSet<>());
+  synchronized void recordStart(double at, TaskId task, String machine, String zone) {
+    Set<String> machines = machinesByTask.computeIfAbsent(task, key -> new HashSet<>());
     if (!machines.isEmpty()) {
       violations.add(task + " starts on " + machine + " while it is on " + machines);
     }
@@ -33,21 +33,21 @@
   }
 
   /** A task has left its machine, completed or not. */
-  synchronized void left(TaskId task, String machine, boolean done) {
-    live.computeIfAbsent(task, key -> new HashSet<>()).remove(machine);
+  synchronized void recordRemoval(TaskId task, String machine, boolean done) {
+    machinesByTask.computeIfAbsent(task, key -> new HashSet<>()).remove(machine);
     if (done) {
       completed.add(task);
     }
   }
 
   /** An answer has given a job's state to a user. */
-  synchronized void answered(JobId job, String state, int tasks) {
-    String before = finalAnswers.get(job);
+  synchronized void recordAnswer(JobId job, String state, int tasks) {
+    String before = finalStates.get(job);
     if (before != null && !before.equals(state)) {
       violations.add(job + " was answered " + before + " and then " + state);
     }
     if (state.equals("done") || state.equals("cancelled")) {
-      finalAnswers.put(job, state);
+      finalStates.put(job, state);
     }
     for (int i = 0; state.equals("done") && i < tasks; i++) {
       if (!completed.contains(new TaskId(job, i))) {
@@ -56,8 +56,8 @@
     }
   }
 
-  synchronized String finalAnswer(JobId job) {
-    return finalAnswers.get(job);
+  synchronized String finalState(JobId job) {
+    return finalStates.get(job);
   }
 
   synchronized List<String> violations() {
@@ -72,7 +72,7 @@
   synchronized Set<TaskId> liveIn(String zone) {
     Set<TaskId> tasks = new HashSet<>();
     for (Start start : starts) {
-      boolean there = live.getOrDefault(start.task(), Set.of()).contains(start.machine());
+      boolean there = machinesByTask.getOrDefault(start.task(), Set.of()).contains(start.machine());
       if (there && start.zone().equals(zone)) {
         tasks.add(start.task());
       }
@@ -81,6 +81,6 @@
   }
 
   synchronized int liveTasks() {
-    return live.values().stream().mapToInt(Set::size).sum();
+    return machinesByTask.values().stream().mapToInt(Set::size).sum();
   }
 }
--- a/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
@@ -16,32 +16,32 @@
   private final TaskHistory history = new TaskHistory();
 
   @Test
-  void aCleanHistory() {
-    history.started(1, TASK, "n-1", "west");
+  void validHistoryHasNoViolations() {
+    history.recordStart(1, TASK, "n-1", "west");
     assertEquals(Set.of(TASK), history.liveIn("west"));
-    history.left(TASK, "n-1", false);
-    history.started(2, TASK, "n-2", "east");
-    history.answered(JOB, "running", 1);
-    history.left(TASK, "n-2", true);
-    history.answered(JOB, "done", 1);
-    history.answered(JOB, "done", 1);
+    history.recordRemoval(TASK, "n-1", false);
+    history.recordStart(2, TASK, "n-2", "east");
+    history.recordAnswer(JOB, "running", 1);
+    history.recordRemoval(TASK, "n-2", true);
+    history.recordAnswer(JOB, "done", 1);
+    history.recordAnswer(JOB, "done", 1);
     assertEquals(List.of(), history.violations());
     assertEquals(Set.of(), history.liveIn("west"));
   }
 
   @Test
-  void twoLiveAttempts() {
-    history.started(1, TASK, "n-1", "west");
-    history.started(2, TASK, "n-2", "east");
+  void concurrentAttemptsAreReported() {
+    history.recordStart(1, TASK, "n-1", "west");
+    history.recordStart(2, TASK, "n-2", "east");
     assertEquals(1, history.violations().size());
   }
 
   @Test
-  void doneTooEarlyAndTakenBack() {
-    history.answered(JOB, "done", 1);
-    history.left(TASK, "n-1", true);
-    history.answered(JOB, "running", 1);
-    history.answered(JOB, "cancelled", 1);
+  void prematureAndRevokedDoneAreReported() {
+    history.recordAnswer(JOB, "done", 1);
+    history.recordRemoval(TASK, "n-1", true);
+    history.recordAnswer(JOB, "running", 1);
+    history.recordAnswer(JOB, "cancelled", 1);
     assertEquals(3, history.violations().size());
   }
 }
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -35,7 +35,7 @@
   private static final List<String> ZONES = List.of("north", "east", "west");
   private static final String LOST = "north";
   private static final List<String> TIERS = List.of("warning", "chart", "climate");
-  private static final int MACHINES_EACH = 12;
+  private static final int MACHINES_PER_ZONE = 12;
   private static final int TASKS = 9;
   private static final double HEARTBEAT_S = 1;
   private static final double LEASE_S = 8;
@@ -45,7 +45,7 @@
   private static final double STEP_S = 2;
 
   /** Commands and images take so long that restarts may be seen in another order. */
-  private static final double SPREAD_S = 1.0;
+  private static final double ORDER_TOLERANCE_S = 1.0;
 
   private static final String TUNING =
       """
@@ -78,7 +78,7 @@
   private int jobCount;
 
   @AfterEach
-  void end() {
+  void tearDown() {
     if (fleet != null) {
       fleet.close();
     }
@@ -88,14 +88,14 @@
     timers.shutdownNow();
   }
 
-  private void begin() throws Exception {
+  private void startCluster() throws Exception {
     Path tuning = dir.resolve("tuning.hcl");
     Files.writeString(tuning, TUNING);
-    LoopbackCluster.Site site =
-        new LoopbackCluster.Site(ZONES, HEARTBEAT_S, LEASE_S, CANCEL_S, 400);
+    LoopbackCluster.Options site =
+        new LoopbackCluster.Options(ZONES, HEARTBEAT_S, LEASE_S, CANCEL_S, 400);
     cluster = new LoopbackCluster(dir, site, List.of("--tuning", tuning.toString()));
-    LoopbackWorker.Site workers =
-        new LoopbackWorker.Site(
+    LoopbackWorker.Context workers =
+        new LoopbackWorker.Context(
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build(),
             timers,
             history,
@@ -104,8 +104,8 @@
             LEASE_S,
             RUN_S);
     cluster.startAll();
-    fleet = new LoopbackFleet(ZONES, MACHINES_EACH, cluster.clientPorts(), workers);
-    cluster.services().show(fleet);
+    fleet = new LoopbackFleet(ZONES, MACHINES_PER_ZONE, cluster.clientPorts(), workers);
+    cluster.services().setFleet(fleet);
   }
 
   private static double now() {
@@ -127,7 +127,7 @@
     byte[] bytes =
         SubmissionBuilder.job(id, "batch", TASKS).jobClass(TIERS.get(tier)).runsFor(RUN_S).bytes();
     int node = jobCount % LoopbackCluster.NODES;
-    LoopbackCluster.until(
+    LoopbackCluster.waitUntil(
         "accepted",
         () -> {
           int status = cluster.status(node, "POST", "/submissions", bytes);
@@ -138,12 +138,12 @@
   }
 
   /** Asks every controller about every job. */
-  private void poll() {
+  private void pollJobStates() {
     for (Map.Entry<JobId, Integer> job : jobs.entrySet()) {
       for (int node = 0; node < LoopbackCluster.NODES; node++) {
         String state = state(cluster.body(node, "/submissions/" + job.getKey()));
         if (!state.isEmpty()) {
-          history.answered(job.getKey(), state, job.getValue());
+          history.recordAnswer(job.getKey(), state, job.getValue());
         }
       }
     }
@@ -158,7 +158,7 @@
     }
   }
 
-  private void run(double seconds) throws InterruptedException {
+  private void sleep(double seconds) throws InterruptedException {
     double end = now() + seconds;
     while (now() < end) {
       Thread.sleep(500);
@@ -170,13 +170,13 @@
   }
 
   private void awaitRunning(int tasks) throws InterruptedException {
-    LoopbackCluster.until(tasks + " tasks run", () -> history.liveTasks() >= tasks);
+    LoopbackCluster.waitUntil(tasks + " tasks run", () -> history.liveTasks() >= tasks);
   }
 
   private void awaitAllDone() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
       try {
-        awaitDoneForAMinute();
+        awaitAllDoneOnce();
         return;
       } catch (AssertionError e) {
         // Lost tasks run anew from their start: up to three times in these tests.
@@ -185,12 +185,12 @@
     }
   }
 
-  private void awaitDoneForAMinute() throws InterruptedException {
-    LoopbackCluster.until(
+  private void awaitAllDoneOnce() throws InterruptedException {
+    LoopbackCluster.waitUntil(
         "all jobs are done",
         () -> {
-          poll();
-          return jobs.keySet().stream().allMatch(id -> "done".equals(history.finalAnswer(id)));
+          pollJobStates();
+          return jobs.keySet().stream().allMatch(id -> "done".equals(history.finalState(id)));
         });
   }
 
@@ -221,13 +221,15 @@
           first[tier] = Math.min(first[tier], start.at() - cutAt);
           last[tier] = Math.max(last[tier], start.at() - cutAt);
         });
-    assertTrue(last[0] <= first[1] + SPREAD_S, "warnings by " + last[0] + ", charts " + first[1]);
-    assertTrue(last[1] <= first[2] + SPREAD_S, "charts by " + last[1] + ", climate " + first[2]);
+    assertTrue(
+        last[0] <= first[1] + ORDER_TOLERANCE_S, "warnings by " + last[0] + ", charts " + first[1]);
+    assertTrue(
+        last[1] <= first[2] + ORDER_TOLERANCE_S, "charts by " + last[1] + ", climate " + first[2]);
   }
 
   /** Starts in the zone that has returned keep to the pacer's bound, counted from its return. */
   private void assertPaced(double backAt, double untilAt) {
-    double rate = 0.1 * MACHINES_EACH;
+    double rate = 0.1 * MACHINES_PER_ZONE;
     int started = 0;
     for (TaskHistory.Start start : history.startsSince(backAt)) {
       if (start.zone().equals(LOST) && start.at() < untilAt) {
@@ -243,9 +245,9 @@
     }
   }
 
-  private void assertRulesHold() throws Exception {
+  private void assertInvariantsHold() throws Exception {
     awaitAllDone();
-    poll();
+    pollJobStates();
     assertEquals(List.of(), history.violations());
     Path log = dir.resolve("all.log");
     Files.writeString(log, cluster.logs());
@@ -261,14 +263,14 @@
   // ---- the tests --------------------------------------------------------------------------------
 
   @Test
-  void aGroupIsCutReturnsAndFlaps() throws Exception {
-    begin();
+  void partitionedZoneIsFailedOverAndRampsUpAfterItsReturn() throws Exception {
+    startCluster();
     submitAllTiers(3);
     awaitRunning(3 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
     assertTrue(lost.size() >= 9, lost.size() + " tasks are lost");
     double cutAt = now();
-    fleet.cut(LOST);
+    fleet.partition(LOST);
     assertRestartedInOrder(lost, cutAt, 25);
     Set<TaskId> moved = new HashSet<>(restarts(lost, cutAt).keySet());
     double backAt = now();
@@ -277,35 +279,35 @@
     for (int i = 0; i < 5; i++) {
       next.add(submit(1));
     }
-    run(SETTLE_S + 4);
+    sleep(SETTLE_S + 4);
     assertPaced(backAt, now());
     for (TaskHistory.Start start : history.startsSince(backAt)) {
       assertTrue(!moved.contains(start.task()), start.task() + " is moved back");
     }
     for (int i = 0; i < 2; i++) {
-      fleet.cut(LOST);
-      run(5);
+      fleet.partition(LOST);
+      sleep(5);
       fleet.heal(LOST);
-      run(4);
+      sleep(4);
     }
-    assertRulesHold();
+    assertInvariantsHold();
     assertTrue(history.startsSince(0).stream().anyMatch(s -> next.contains(s.task().job())));
   }
 
   @Test
-  void theLeaderEndsWhileAGroupIsCut() throws Exception {
-    begin();
+  void leaderRestartDuringPartitionStillFailsOver() throws Exception {
+    startCluster();
     submitAllTiers(2);
     awaitRunning(2 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
     double cutAt = now();
-    fleet.cut(LOST);
-    run(6);
+    fleet.partition(LOST);
+    sleep(6);
     int leader = cluster.services().leader();
     cluster.kill(leader);
     cluster.restart(leader);
     assertRestartedInOrder(lost, cutAt, 60);
     fleet.heal(LOST);
-    assertRulesHold();
+    assertInvariantsHold();
   }
 }
--- a/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
+++ b/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
@@ -38,7 +38,7 @@
         "503 | {\"error\":\"no capacity\"} | CONFLICT | no capacity",
         "503 | {\"error\":\"trouble\"} | REFUSED | trouble"
       })
-  void aDefinedErrorIsNotApplied(int status, String body, Reason reason, String detail)
+  void knownErrorIsNotApplied(int status, String body, Reason reason, String detail)
       throws Exception {
     assertEquals(Outcome.notApplied(reason, detail), provision(status, body));
   }
@@ -47,12 +47,12 @@
   @CsvSource(
       delimiter = '|',
       value = {"200 | {} | velar: a list is needed", "503 | x | not JSON", "404 | {} | status 404"})
-  void anUnusableAnswerIsUnknown(int status, String body, String detail) throws Exception {
+  void unusableAnswerIsUnknown(int status, String body, String detail) throws Exception {
     assertEquals(Outcome.unknown(detail), provision(status, body));
   }
 
   @Test
-  void theProvisionedMachinesAreNamed() throws Exception {
+  void provisionReturnsMachineIds() throws Exception {
     assertEquals(
         Outcome.applied(List.of(new MachineId("n-7"), new MachineId("n-8"))),
         provision(200, "{\"velar\":[\"n-7\",\"n-8\"]}"));
@@ -60,7 +60,7 @@
 
   @ParameterizedTest(name = "{0}: pauses {1}")
   @CsvSource({"429, true", "503, false"})
-  void onlyARefusalForItsRatePausesCalls(int status, boolean pauses) throws Exception {
+  void onlyRateLimitResponsePausesCalls(int status, boolean pauses) throws Exception {
     Outcome<List<MachineId>> unused = provision(status, "{}");
     assertEquals(pauses, tokens.secondsUntil(RequestPriority.RENEWAL, 1) > 0.2);
   }
--- a/src/test/java/org/ternhinge/config/ConfigTest.java
+++ b/src/test/java/org/ternhinge/config/ConfigTest.java
@@ -16,7 +16,7 @@
 
 /** Settings files and tuning: what is read, and what errors name. */
 class ConfigTest {
-  public static final String GOOD =
+  public static final String VALID_SETTINGS =
       """
       {"node":"a","site":"z","client_listen":"127.0.0.1:1","peer_listen":"127.0.0.1:2",
        "peers":[{"node":"b","site":"y","endpoint":"127.0.0.1:3"}],
@@ -29,13 +29,13 @@
         "cloud":{"rps":4,"list_lag_s":10}}}
       """;
 
-  private static ObjectNode good() throws WireException {
-    return (ObjectNode) Json.parse(GOOD.getBytes(StandardCharsets.UTF_8));
+  private static ObjectNode validSettings() throws WireException {
+    return (ObjectNode) Json.parse(VALID_SETTINGS.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void readsTheSettingsOfThePlatform() throws Exception {
-    Settings settings = Settings.read(good());
+  void platformSettingsAreRead() throws Exception {
+    Settings settings = Settings.read(validSettings());
     assertEquals("a", settings.node());
     assertEquals(new Team("t", 1500, 4000, 0, 0), settings.teams().get("t"));
     assertEquals(2.0, settings.objectives().get(0).withinS());
@@ -57,9 +57,9 @@
         "/deployment/state | txn_ops | \"16\" | deployment.state.txn_ops:",
         "/deployment/cloud | rps | -1 | deployment.cloud.rps:"
       })
-  void eachErrorNamesItsField(String at, String field, String value, String message)
+  void settingsErrorNamesField(String at, String field, String value, String message)
       throws WireException {
-    ObjectNode root = good();
+    ObjectNode root = validSettings();
     JsonNode parent = at.equals("/") ? root : root.at(at);
     ((ObjectNode) parent).set(field, Json.parse(value.getBytes(StandardCharsets.UTF_8)));
     SettingsException error = assertThrows(SettingsException.class, () -> Settings.read(root));
@@ -77,13 +77,13 @@
         "log_times = 1 | log_times",
         "leadership_s = { | leadership_s"
       })
-  void tuningErrorsNameTheValue(String hcl, String message) {
+  void tuningErrorNamesKey(String hcl, String message) {
     SettingsException error = assertThrows(SettingsException.class, () -> Tuning.read(hcl));
     assertTrue(error.getMessage().contains(message), error.getMessage());
   }
 
   @Test
-  void tuningHasDefaultsForAbsentValues() throws SettingsException {
+  void absentTuningValuesHaveDefaults() throws SettingsException {
     Tuning tuning = Tuning.read("# slower rounds\nround_s = 2.5\nidle_s = 90\n");
     assertEquals(2.5, tuning.roundS());
     assertEquals(90, tuning.idleS());
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void aNamedTuningFileHasToExist() {
+  void missingTuningFileIsRejected() {
     assertThrows(SettingsException.class, () -> Tuning.load(Path.of("no", "such.hcl")));
   }
 }
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -45,14 +45,14 @@
             + " | b can never match: a comes first",
         "tiers = [{ name = \"a\", classes = [\"x\"] }, { name = \"a\" }] | a appears twice"
       })
-  void errorsNameKeyAndReason(String line, String message) {
+  void errorNamesKeyAndReason(String line, String message) {
     String hcl = "zone_failover {\n" + line.replace("REST", REST) + "\n}\n";
     SettingsException error = assertThrows(SettingsException.class, () -> Tuning.read(hcl));
     assertTrue(error.getMessage().contains(message), error.getMessage());
   }
 
   @Test
-  void aBlockThatAppearsTwiceIsAnError() {
+  void duplicateBlockIsRejected() {
     String block = "zone_failover {\n steps = 3\n}\n";
     SettingsException error =
         assertThrows(SettingsException.class, () -> Tuning.read(block + block));
@@ -84,17 +84,17 @@
   /** Otherwise a zone would count as well before its silent workers are detected. */
   @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
-  void theTimeToSettleIsLongerThanTheDetectionOfSilentWorkers(
+  void settleTimeExceedsWorkerFailureDetectionTime(
       double settleS, double heartbeatIntervalS, double expected) throws SettingsException {
     ZoneFailoverSettings read =
         Tuning.read("zone_failover {\n settle_s = " + settleS + "\n}").zoneFailover().orElseThrow();
-    Settings.Workers workers = new Settings.Workers(heartbeatIntervalS, 24, 30, 5, 44);
+    Settings.WorkerTimings workers = new Settings.WorkerTimings(heartbeatIntervalS, 24, 30, 5, 44);
     double used = read.forHeartbeats(workers.overdueS()).detection().settleS();
     assertEquals(expected, used, 1e-9);
   }
 
   @Test
-  void theFilesUnderDeployAreValid() throws SettingsException {
+  void deployedTuningFilesAreValid() throws SettingsException {
     assertSame(Tuning.DEFAULT, Tuning.load(Path.of("deploy", "features.hcl")), "nothing is on");
     ZoneFailoverSettings failover =
         Tuning.load(Path.of("deploy", "zone-failover.hcl")).zoneFailover().orElseThrow();
--- a/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
+++ b/src/test/java/org/ternhinge/controller/EndOfDayChecksTest.java
@@ -261,8 +261,8 @@
           "idle, yet changes: " + (world.counts.storeChanges() - changes));
       assertTrue(world.counts.heartbeats() - heartbeats > 2000, "machines send heartbeats");
       assertTrue(
-          world.metrics.mostEvaluations() < 200_000,
-          "evaluations of a round: " + world.metrics.mostEvaluations());
+          world.metrics.maxEvaluations() < 200_000,
+          "evaluations of a round: " + world.metrics.maxEvaluations());
       int starts = world.tasks.starts();
       world.controllers.crash(world.leader(), 5);
       run(60);
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -74,7 +74,7 @@
     assertTrue(
         world.counts.mostCommandCallsAtOnce() <= sockets,
         world.counts.mostCommandCallsAtOnce() + " direct commands at once");
-    long steps = world.metrics.mostEvaluations();
+    long steps = world.metrics.maxEvaluations();
     assertTrue(steps < 600L * FLEET, "a round of " + steps + " evaluations");
   }
 
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -54,7 +54,7 @@
   static ZoneFailoverSettings settings(ZoneFailoverSettings.Release release) {
     return new ZoneFailoverSettings(
         ZoneFailoverSettings.DEFAULT.detection(),
-        ZoneFailoverSettings.DEFAULT.flaps(),
+        ZoneFailoverSettings.DEFAULT.flapDamping(),
         release,
         ZoneFailoverSettings.DEFAULT.pace(),
         List.of(tier("warning"), tier("chart"), tier("")));
--- a/src/test/java/org/ternhinge/election/GraceTest.java
+++ b/src/test/java/org/ternhinge/election/GraceTest.java
@@ -26,7 +26,7 @@
   void theOldLeadersLastAnswerIsOverInTime(
       double lease, double cancel, double graceS, double margin, double expected)
       throws SettingsException {
-    Settings.Workers workers = new Settings.Workers(3, lease, 30, 5, cancel);
+    Settings.WorkerTimings workers = new Settings.WorkerTimings(3, lease, 30, 5, cancel);
     Tuning tuning = Tuning.read("grace_s = " + graceS + "\nmargin_s = " + margin);
     double grace = Election.grace(tuning, workers);
     assertEquals(expected, grace, 0.001);
@@ -36,7 +36,7 @@
     // tasks.
     // The leader's clock is the slowest and the worker's too.
     double confirmed = tuning.leadershipS();
-    double validity = tuning.leadershipS() * (1 - Settings.DRIFT) - margin;
+    double validity = tuning.leadershipS() * (1 - Settings.MAX_CLOCK_DRIFT) - margin;
     double gone = (validity + grace) * (1 + DRIFT) + lease * (1 + DRIFT);
     assertTrue(gone <= confirmed + cancel, gone + " after " + (confirmed + cancel));
   }
--- a/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
+++ b/src/test/java/org/ternhinge/heartbeat/HeartbeatProcessorTest.java
@@ -42,7 +42,8 @@
 /** The steps of a heartbeat, from the fence check to the commands of its answer. */
 class HeartbeatProcessorTest {
   private static final double LEASE_S =
-      LeadershipFixture.WORKER_SETTINGS.leaseS() * (1 + Settings.DRIFT) + Tuning.DEFAULT.marginS();
+      LeadershipFixture.WORKER_SETTINGS.leaseS() * (1 + Settings.MAX_CLOCK_DRIFT)
+          + Tuning.DEFAULT.marginS();
 
   private final LeadershipFixture fixture = new LeadershipFixture();
   private final HeartbeatProcessor processor = processor();
--- a/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
+++ b/src/test/java/org/ternhinge/leadership/LeadershipFixture.java
@@ -53,7 +53,8 @@
  * {@link PausableStore}, {@link RecordingWorkers}, and a count of the rounds requested.
  */
 public final class LeadershipFixture {
-  public static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(2, 10, 30, 5, 20);
+  public static final Settings.WorkerTimings WORKER_SETTINGS =
+      new Settings.WorkerTimings(2, 10, 30, 5, 20);
   static final String WORKER_ENDPOINT = "10.0.1.1:9000";
   private static final int VALUE_BYTES = 8 * 1024;
 
--- a/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
+++ b/src/test/java/org/ternhinge/leadership/RecordingWorkers.java
@@ -10,10 +10,10 @@
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /** Workers that record the messages sent to them, and respond when the test says so. */
-public final class RecordingWorkers implements Workers {
+public final class RecordingWorkers implements WorkerClient {
   /** A message to a worker, which waits for its outcome. */
   public record Message(
       Endpoint worker,
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void forget(Endpoint worker) {}
+  public void closeConnections(Endpoint worker) {}
 
   /** All messages so far, the earliest first. */
   public List<Message> messages() {
--- a/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
+++ b/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
@@ -34,7 +34,7 @@
   /** Every controller sends all that it may; the leadership changes every few seconds. */
   @ParameterizedTest(name = "{0} controllers, another leads every {1} s, {2} s without any")
   @CsvSource({"1, 60, 0", "3, 60, 0", "5, 60, 0", "3, 7, 0.2", "5, 7, 0.2", "5, 7, 6"})
-  void allControllersTogetherStayWithinTheLimits(int controllers, double termS, double gapS) {
+  void combinedRequestsStayWithinLimits(int controllers, double termS, double gapS) {
     List<KeyValueStoreBudget> budgets = new ArrayList<>();
     for (int i = 0; i < controllers; i++) {
       budgets.add(new KeyValueStoreBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1));
@@ -72,7 +72,7 @@
     "5, false, 6, 2.25",
     "1, true, 56, 21"
   })
-  void theSharesAreThoseOfProduction(
+  void sharesMatchPreviousRelease(
       int controllers, boolean leading, double requestsPerS, double changesPerS) {
     KeyValueStoreBudget budget =
         new KeyValueStoreBudget(clock, REQUESTS_PER_S, CHANGES_PER_S, controllers - 1);
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -13,7 +13,7 @@
   private final TokenBucket bucket = new TokenBucket(clock, 10);
 
   @Test
-  void aLowerPriorityLeavesAReserveToHigherOnes() {
+  void lowerPriorityLeavesReserveForHigherOnes() {
     int queries = 0;
     while (bucket.tryTake(RequestPriority.QUERY, 1)) {
       queries++;
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void itRefillsAtItsRateUpToItsCapacity() {
+  void bucketRefillsAtItsRateUpToCapacity() {
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
       clock.runFor(0);
     }
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aRefusalByTheOtherSystemPausesAllPriorities() {
+  void remoteRateLimitPausesAllPriorities() {
     bucket.drain();
     assertFalse(bucket.tryTake(RequestPriority.RENEWAL, 1));
     clock.runFor(0.31);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void moreThanTheCapacityMayBeTakenFromAFullBucket() {
+  void requestAboveCapacityIsGrantedFromFullBucket() {
     assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would wait for ever");
     assertTrue(bucket.secondsUntil(RequestPriority.RENEWAL, 1) > 0.5);
   }
--- a/src/test/java/org/ternhinge/machine/AgentStateTest.java
+++ b/src/test/java/org/ternhinge/machine/AgentStateTest.java
@@ -103,7 +103,8 @@
   /** The time since the newest message. */
   @Nested
   class Silence {
-    private static final Settings.Workers WORKERS = new Settings.Workers(2, 10, 30, 5, 20);
+    private static final Settings.WorkerTimings WORKERS =
+        new Settings.WorkerTimings(2, 10, 30, 5, 20);
 
     @Test
     void isInfiniteBeforeTheFirstMessage() {
--- a/src/test/java/org/ternhinge/sim/ClusterSettings.java
+++ b/src/test/java/org/ternhinge/sim/ClusterSettings.java
@@ -118,7 +118,7 @@
         site.zones(),
         teams(),
         List.of(),
-        new Settings.Workers(HEARTBEAT_S, LEASE_S, 30, 5, CANCEL_S),
+        new Settings.WorkerTimings(HEARTBEAT_S, LEASE_S, 30, 5, CANCEL_S),
         new Settings.StoreLimits(80, named.writeRps(), named.valueKb(), named.maxChangesPerSwap()),
         new Settings.CloudLimits(4, 10),
         1000,
--- a/src/test/java/org/ternhinge/sim/SimCommandClient.java
+++ b/src/test/java/org/ternhinge/sim/SimCommandClient.java
@@ -11,10 +11,10 @@
 import org.ternhinge.model.Outcome.Reason;
 import org.ternhinge.model.Term;
 import org.ternhinge.wire.Command;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /** The way of one controller process's direct commands to the workers. */
-final class SimCommandClient implements Workers {
+final class SimCommandClient implements WorkerClient {
   private static final double TIMEOUT_S = 3;
 
   private final SimCluster cluster;
@@ -90,5 +90,5 @@
   }
 
   @Override
-  public void forget(Endpoint endpoint) {}
+  public void closeConnections(Endpoint endpoint) {}
 }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * A machine with its worker as the protocol describes it: agent epochs, fencing tokens, the worker
@@ -247,7 +247,10 @@
 
   /** A direct command arrives, perhaps long after it was sent. */
   void command(
-      Term term, AgentEpoch to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
+      Term term,
+      AgentEpoch to,
+      List<Command> commands,
+      Consumer<Outcome<WorkerClient.Answer>> answer) {
     if (dead) {
       return;
     }
@@ -256,11 +259,11 @@
       return;
     }
     if (term.compareTo(fencingToken) < 0 || to.value() != epoch) {
-      answer.accept(Outcome.applied(new Workers.Answer.Refused(nextHeartbeat())));
+      answer.accept(Outcome.applied(new WorkerClient.Answer.Refused(nextHeartbeat())));
       return;
     }
     fencingToken = term;
     commands.forEach(tasks::execute);
-    answer.accept(Outcome.applied(new Workers.Answer.Executed(nextHeartbeat())));
+    answer.accept(Outcome.applied(new WorkerClient.Answer.Executed(nextHeartbeat())));
   }
 }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -144,7 +144,7 @@
       run(15, 20);
       run(2);
     }
-    assertTrue(zones.get(0).penalty().value() <= SETTINGS.flaps().max());
+    assertTrue(zones.get(0).penalty().value() <= SETTINGS.flapDamping().max());
     // Half-life 30 s, from 2.5 to 0.75: less than two, after which it has been well for long.
     double waited = 0;
     while (state(0) == ZoneState.UNAVAILABLE) {
