--- a/src/main/java/org/ternhinge/api/SubmissionRejection.java
+++ b/src/main/java/org/ternhinge/api/SubmissionRejection.java
@@ -1,6 +1,6 @@
 package org.ternhinge.api;
 
-/** Why a submitted job is rejected: it could never run. */
+/** Reason for which a submitted job is rejected because it could never run. */
 public enum SubmissionRejection {
   UNKNOWN_TEAM("unknown team"),
   NO_MACHINE_TYPE("a task fits no machine type that the job allows"),
@@ -16,7 +16,7 @@
     this.message = message;
   }
 
-  /** The message for the user. */
+  /** Returns the error message for the user. */
   public String message() {
     return message;
   }
--- a/src/main/java/org/ternhinge/api/SubmissionValidator.java
+++ b/src/main/java/org/ternhinge/api/SubmissionValidator.java
@@ -11,15 +11,17 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.MachineType;
 
-/** Rejects jobs that can never run, by their description and the site's configuration alone. */
+/**
+ * Rejects jobs that can never run, based only on their specification and the deployment's settings.
+ */
 public final class SubmissionValidator {
   private SubmissionValidator() {}
 
   /**
-   * Validates a job.
+   * Validates a job specification.
    *
-   * @param machineTypes all machine types by their name
-   * @return the first reason for a rejection, or nothing if the job is valid
+   * @param machineTypes all machine types by name
+   * @return the first reason for rejection, or empty if the job is valid
    */
   public static Optional<SubmissionRejection> validate(
       JobSpec spec, Settings settings, Map<String, MachineType> machineTypes) {
@@ -43,7 +45,7 @@
     return validateZones(spec, tasksAtOnce);
   }
 
-  /** The fewest tasks that have to run at the same time for the job to run at all. */
+  /** Returns the minimum number of tasks that must run simultaneously for the job to run at all. */
   private static int tasksAtOnce(JobSpec spec) {
     return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
--- a/src/main/java/org/ternhinge/api/package-info.java
+++ b/src/main/java/org/ternhinge/api/package-info.java
@@ -1,2 +1,2 @@
-/** Checks of what users submit. */
+/** Validation of submitted jobs. */
 package org.ternhinge.api;
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -20,8 +20,9 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * A short run of the service on loopback, without a cloud or a key-value store. The build archives
- * the classes that it loads: on a sixth of a core a start from the archive is several times faster.
+ * Training run for class data sharing: runs the service on loopback for a short time, without a
+ * cloud or a key-value store. The build archives the classes that it loads; on a sixth of a core,
+ * startup from the archive is several times faster.
  */
 final class ClassDataTraining {
   /** A heartbeat as a worker sends it. */
@@ -30,15 +31,15 @@
           + "\"lanvelar\":false,\"vakt\":1,\"raodnumer\":1,\"valdmerki\":0,\"verkbitar\":["
           + "{\"verkbiti\":\"wk-1/0\",\"tilraun\":1,\"astand\":\"running\"}]}";
 
-  /** How many requests of each kind are sent. */
+  /** Number of requests of each kind. */
   private static final int REQUESTS = 20;
 
-  /** Pause before each of them, in milliseconds. */
+  /** Pause before each pair of requests, in milliseconds. */
   private static final int PAUSE_MS = 100;
 
   private ClassDataTraining() {}
 
-  /** Runs the service for two seconds and sends it requests meanwhile. */
+  /** Runs the service for two seconds and sends requests to it. */
   static void run() throws IOException, InterruptedException, WireException {
     int clientPort = freePort();
     int peerPort = freePort();
@@ -104,7 +105,7 @@
       out.flush();
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      // The service is not listening yet; the next request follows soon.
+      // The service may not be listening yet; the next request follows after the pause.
       Thread.onSpinWait();
     }
   }
--- a/src/main/java/org/ternhinge/cli/Logging.java
+++ b/src/main/java/org/ternhinge/cli/Logging.java
@@ -3,19 +3,19 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Sets up the log, which goes to standard error; must precede the creation of any logger. */
+/** Configures logging to standard error; must be called before any logger is created. */
 final class Logging {
   private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug");
 
   private Logging() {}
 
-  /** Makes each line begin with the time of day. */
+  /** Prefixes each line with a timestamp. */
   static void showTimestamps() {
     System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "yyyy-MM-dd'T'HH:mm:ss.SSSXXX");
   }
 
-  /** Sets the level; {@code info} where the given one is null or unknown. */
+  /** Sets the log level; {@code info} if the given level is null or unknown. */
   static void setLevel(String level) {
     String wanted = level == null ? "" : level.toLowerCase(Locale.ROOT);
     String chosen = LEVELS.contains(wanted) ? wanted : "info";
--- a/src/main/java/org/ternhinge/cli/Main.java
+++ b/src/main/java/org/ternhinge/cli/Main.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line: runs a controller, or only checks its settings. */
+/** Command line of the program: runs a controller, validates its settings, or writes a report. */
 @Command(
     name = "ternhinge",
     mixinStandardHelpOptions = true,
@@ -38,18 +38,18 @@
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "Settings file (JSON) that the platform hands over.")
+      description = "Settings file (JSON) provided by the platform.")
   private Path config;
 
   @Option(
       names = "--tuning",
       paramLabel = "FILE",
-      description = "Operators' own settings (HCL); without it, defaults hold.")
+      description = "Tuning file (HCL) of the operators; defaults apply without it.")
   private Path tuning;
 
   private Main() {}
 
-  /** Runs the command line and ends the process with its exit code where that is not 0. */
+  /** Runs the command line and exits with its exit code if that is not 0. */
   public static void main(String[] args) {
     Logging.setLevel(System.getenv("LOG_LEVEL"));
     int code = new CommandLine(new Main()).execute(args);
@@ -71,22 +71,24 @@
     return EXIT_OK;
   }
 
-  @Command(name = "check", description = "Checks the settings and says what is wrong with them.")
+  @Command(name = "check", description = "Checks the settings and reports the first error.")
   int check(
       @Option(names = "--config", paramLabel = "FILE", required = true) Path settingsFile,
       @Option(names = "--tuning", paramLabel = "FILE") Path tuningFile) {
     if (load(settingsFile, tuningFile).isEmpty()) {
       return EXIT_BAD_SETTINGS;
     }
-    System.out.println("settings are fine");
+    System.out.println("settings are valid");
     return EXIT_OK;
   }
 
   @Command(
       name = "zone-report",
-      description = "Writes a report on the loss and return of zones from the service's log.")
+      description = "Writes a report on zone failures and recoveries from the service's log.")
   int zoneReport(
-      @Parameters(paramLabel = "LOG", description = "A log, or several one after the other.")
+      @Parameters(
+              paramLabel = "LOG",
+              description = "Log file of one or more controllers, concatenated.")
           Path log,
       @Option(names = "--out", paramLabel = "FILE.html", required = true) Path out) {
     try {
@@ -96,7 +98,7 @@
         System.err.println("ternhinge: " + read.malformed() + " lines could not be read");
       }
       if (result == ZoneReport.Result.NOTHING_USABLE) {
-        System.err.println("ternhinge: no event of zones in " + log);
+        System.err.println("ternhinge: no zone events in " + log);
         return EXIT_FAILURE;
       }
       return EXIT_OK;
@@ -109,10 +111,10 @@
   @Command(
       name = "train-class-data",
       hidden = true,
-      description = "Runs for two seconds on loopback; the build archives the classes it loads.")
+      description = "Runs for two seconds on loopback; the build archives the loaded classes.")
   int trainClassData() throws IOException, InterruptedException, WireException {
     ClassDataTraining.run();
-    // The service's threads would keep the process alive.
+    // The service's non-daemon threads would keep the process alive.
     System.exit(EXIT_OK);
     return EXIT_OK;
   }
@@ -129,7 +131,7 @@
     return loaded;
   }
 
-  /** Reads and checks both files; prints the error and returns empty where one is invalid. */
+  /** Loads and validates both files; prints the error and returns empty if one is invalid. */
   private static Optional<Configuration> load(Path config, Path tuning) {
     try {
       if (config == null) {
--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -34,11 +34,14 @@
 import org.ternhinge.term.ControllerServices;
 import org.ternhinge.worker.HttpWorkerClient;
 
-/** Assembles a controller and runs it until the process ends. */
+/** Wires up a controller and runs it until the process ends. */
 final class Service {
   private static final Logger LOG = LoggerFactory.getLogger(Service.class);
 
-  /** Share of the cloud's request limit that is used, as its clock may differ a little. */
+  /**
+   * Fraction of the cloud's request limit that is used, since the cloud's clock may differ
+   * slightly.
+   */
   private static final double CLOUD_SHARE = 0.8;
 
   private final Settings settings;
@@ -74,12 +77,15 @@
     Thread.currentThread().join();
   }
 
-  /** Sets Netty up for a small heap and few sockets; must precede the first use of Netty. */
+  /**
+   * Configures Netty for a small heap and few sockets; must be called before the first use of
+   * Netty.
+   */
   private static void configureNetty() {
     System.setProperty("io.netty.allocator.type", "unpooled");
     System.setProperty("io.netty.noPreferDirect", "true");
     System.setProperty("io.netty.leakDetection.level", "disabled");
-    // Otherwise Netty searches the network interfaces for an identifier of this machine.
+    // Otherwise Netty scans the network interfaces to derive a machine ID.
     System.setProperty("io.netty.machineId", "02:00:00:00:00:01");
   }
 
@@ -124,7 +130,10 @@
         new SplittableRandom(seed()));
   }
 
-  /** A seed that differs between nodes that start at once, and between starts of one node. */
+  /**
+   * Returns a seed that differs between nodes that start simultaneously and between restarts of a
+   * node.
+   */
   private long seed() {
     long time = System.nanoTime() ^ (System.currentTimeMillis() << 20);
     return time * 31 + settings.node().hashCode();
--- a/src/main/java/org/ternhinge/cli/package-info.java
+++ b/src/main/java/org/ternhinge/cli/package-info.java
@@ -1,2 +1,2 @@
-/** Command line, logging and the assembly of a running controller. */
+/** Command line, logging setup and the wiring of a controller. */
 package org.ternhinge.cli;
--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -19,7 +19,10 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** The cloud over HTTP, within its published limit. Safe for use by several threads. */
+/**
+ * HTTP client of the cloud that stays within its published rate limit. Safe for use by several
+ * threads.
+ */
 public final class HttpCloud implements Cloud {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(5);
   private static final String NO_CAPACITY = "no capacity";
--- a/src/main/java/org/ternhinge/cloud/package-info.java
+++ b/src/main/java/org/ternhinge/cloud/package-info.java
@@ -1,2 +1,4 @@
-/** Client of the cloud: machine types, provision and release of machines, and the machine list. */
+/**
+ * Client of the cloud: machine types, provisioning and release of machines, and the machine list.
+ */
 package org.ternhinge.cloud;
--- a/src/main/java/org/ternhinge/config/HclValues.java
+++ b/src/main/java/org/ternhinge/config/HclValues.java
@@ -10,11 +10,11 @@
 import java.util.function.DoublePredicate;
 
 /**
- * Typed access to the values of an HCL file or of one block in it. Reading a value removes it, so
- * that the values left at the end are those with unknown names.
+ * Typed access to the values of an HCL file or of one of its blocks. Reading a value removes it, so
+ * that any values left after parsing have unknown names.
  */
 final class HclValues {
-  /** Begins every message. */
+  /** Prefix of all error messages. */
   private static final String MESSAGE_PREFIX = "tuning: ";
 
   /** Path of the block followed by a dot; empty for the file itself. */
@@ -27,12 +27,12 @@
     parsed.forEach((key, value) -> values.put(String.valueOf(key), value));
   }
 
-  /** The values of a whole file. */
+  /** Wraps the values of a whole file. */
   static HclValues file(Map<String, Object> parsed) {
     return new HclValues("", parsed);
   }
 
-  /** The values of a block, which may appear only once. */
+  /** Wraps the values of a block, which may appear only once. */
   static HclValues block(String path, Object block) throws SettingsException {
     if (block instanceof List<?>) {
       throw new SettingsException(MESSAGE_PREFIX + path + ": appears twice");
@@ -43,12 +43,12 @@
     return new HclValues(path + ".", map);
   }
 
-  /** The full path of a name, for messages. */
+  /** Returns the full path of a name, for error messages. */
   String key(String name) {
     return path + name;
   }
 
-  /** An error that names its key and reason. */
+  /** Creates an error that names the key and the reason. */
   SettingsException error(String name, String reason) {
     return new SettingsException(MESSAGE_PREFIX + key(name) + ": " + reason);
   }
@@ -142,7 +142,7 @@
     return names;
   }
 
-  /** Fails if a value is left, since its name is unknown. */
+  /** Fails if any value has not been read, since its name is unknown. */
   void rejectUnknownNames() throws SettingsException {
     if (!values.isEmpty()) {
       throw new SettingsException(
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -14,16 +14,16 @@
  * The settings file of the platform; unknown fields are ignored.
  *
  * @param node name of this node
- * @param zone zone that this node runs in
- * @param clientListen address for users and workers
- * @param peerListen address for the other nodes
+ * @param zone zone in which this node runs
+ * @param clientListen listen address for users and workers
+ * @param peerListen listen address for the other nodes
  * @param peers peer addresses of the other nodes by name
- * @param cloud address of the cloud's interface
+ * @param cloud address of the cloud's API
  * @param state address of the key-value store
  * @param zones names of the zones of the deployment
  * @param teams teams by name
- * @param maxSockets limit of this process's sockets
- * @param clockErrorS largest error of the time of day, in seconds
+ * @param maxSockets maximum number of sockets of this process
+ * @param clockErrorS maximum error of the wall clock, in seconds
  */
 public record Settings(
     String node,
@@ -42,36 +42,39 @@
     int maxSockets,
     double clockErrorS) {
 
-  /** Upper bound of the relative drift between the steady clocks of two machines. */
+  /** Upper bound of the relative drift between the monotonic clocks of two machines. */
   public static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** The intervals of heartbeats, and how long workers run tasks without a leader. In seconds. */
+  /** Heartbeat interval, lease duration and timeouts of workers, in seconds. */
   public record WorkerTimings(
       double heartbeatIntervalS,
       double leaseS,
       double gangWaitS,
       double gangPeerS,
       double cancelS) {
-    /** Heartbeat intervals until two heartbeats are certainly missed, their jitter included. */
+    /**
+     * Number of heartbeat intervals after which two heartbeats have been missed, allowing for
+     * jitter.
+     */
     private static final double OVERDUE_INTERVALS = 2.2;
 
-    /** Seconds after its last heartbeat from which a worker counts as overdue. */
+    /** Time after its last heartbeat at which a worker counts as overdue, in seconds. */
     public double overdueS() {
       return heartbeatIntervalS * OVERDUE_INTERVALS;
     }
   }
 
-  /** Limits of the key-value store that hold now and after any announced change. */
+  /** Limits of the key-value store that are valid both now and after any announced change. */
   public record StoreLimits(double rps, double writeRps, double valueKb, int maxChangesPerSwap) {
     private static final int BYTES_PER_KB = 1024;
 
-    /** The largest value of a key, in bytes. */
+    /** Returns the maximum size of a value, in bytes. */
     public int valueBytes() {
       return (int) (valueKb * BYTES_PER_KB);
     }
   }
 
-  /** Limits of the cloud. */
+  /** Request rate limit of the cloud's API and the maximum lag of its machine list. */
   public record CloudLimits(double rps, double listLagS) {}
 
   /** Reads the settings file of the platform. */
@@ -91,7 +94,7 @@
     return read(root);
   }
 
-  /** Reads and checks the settings; an error names the field. */
+  /** Reads and validates the settings; the error message names the invalid field. */
   public static Settings read(JsonNode root) throws SettingsException {
     return SettingsReader.read(root);
   }
--- a/src/main/java/org/ternhinge/config/SettingsException.java
+++ b/src/main/java/org/ternhinge/config/SettingsException.java
@@ -1,10 +1,10 @@
 package org.ternhinge.config;
 
-/** A setting is missing or invalid; the message names it. */
+/** Thrown if a setting is missing or invalid; the message names the setting. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an error whose message names the field at fault. */
+  /** Creates an exception whose message names the invalid field. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -11,7 +11,9 @@
 import org.ternhinge.config.Settings.WorkerTimings;
 import org.ternhinge.model.Endpoint;
 
-/** Reads and checks the platform's settings; each error names its field by the whole path. */
+/**
+ * Reads and validates the platform's settings; each error message names the full path of the field.
+ */
 final class SettingsReader {
   private static final String DEPLOYMENT = "deployment.";
   private static final String TEAMS = DEPLOYMENT + "teams.";
@@ -19,20 +21,20 @@
   private static final String STATE = DEPLOYMENT + "state.";
   private static final String CLOUD = DEPLOYMENT + "cloud.";
 
-  /** Limit of sockets of a process where the settings name none. */
+  /** Maximum number of sockets if the settings define none. */
   private static final int DEFAULT_MAX_SOCKETS = 1000;
 
-  /** Error of the time of day where the settings name none, in milliseconds. */
+  /** Maximum wall-clock error if the settings define none, in milliseconds. */
   private static final double DEFAULT_CLOCK_ERROR_MS = 100;
 
   private static final double MILLIS_PER_S = 1000;
 
   private static final double THOUSANDTHS = 1000;
 
-  /** Largest amount, so that no sum of amounts in thousandths overflows. */
+  /** Upper bound of a resource amount, so that no sum of amounts in thousandths overflows. */
   private static final double MAX_RESOURCE_AMOUNT = 1e9;
 
-  /** Added before rounding down, so that no thousandth is lost to floating-point arithmetic. */
+  /** Added before rounding down, so that no thousandth is lost to floating-point error. */
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private SettingsReader() {}
@@ -92,7 +94,7 @@
               thousandths(node, "gpus", TEAMS),
               thousandths(node, "gpus_max", TEAMS));
       if (teams.put(team.name(), team) != null) {
-        throw new SettingsException(DEPLOYMENT + "teams: " + team.name() + " stands twice");
+        throw new SettingsException(DEPLOYMENT + "teams: " + team.name() + " appears twice");
       }
     }
     return teams;
@@ -117,17 +119,17 @@
             positive(node, "gang_peer_s", WORKERS),
             positive(node, "cancel_s", WORKERS));
     if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) {
-      // Otherwise a cancellation can't take effect in time: a worker that is not reached ends its
-      // tasks only when its lease expires, and that may have been renewed just before.
+      // Otherwise a cancellation could miss its deadline: an unreachable worker ends its tasks only
+      // when its lease expires, and the lease may have been renewed just before.
       throw new SettingsException(
-          WORKERS + "cancel_s: lease_s has to be over within it, clocks' drift included");
+          WORKERS + "cancel_s: must exceed lease_s by the maximum clock drift");
     }
     return workers;
   }
 
   /**
-   * The present limits, or the announced ones where these are lower: they take effect without
-   * notice, and records that were written before have to be rewritten under them.
+   * Returns the lower of the present and the announced limits: announced limits take effect without
+   * notice, and records that were written before must be rewritten under them.
    */
   private static StoreLimits storeLimits(JsonNode node) throws SettingsException {
     JsonNode next = node.get("next");
@@ -200,7 +202,7 @@
     if (!node.isNumber()
         || !(node.doubleValue() >= 0)
         || node.doubleValue() > MAX_RESOURCE_AMOUNT) {
-      throw new SettingsException(path + field + ": a number from 0 on is needed");
+      throw new SettingsException(path + field + ": a number of at least 0 is needed");
     }
     return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING_TOLERANCE);
   }
--- a/src/main/java/org/ternhinge/config/Team.java
+++ b/src/main/java/org/ternhinge/config/Team.java
@@ -1,7 +1,7 @@
 package org.ternhinge.config;
 
 /**
- * A team's quota, in thousandths of a CPU or an accelerator; 0 stands for none.
+ * A team's quota, in thousandths of a CPU or an accelerator; 0 means no quota.
  *
  * @param cpus guaranteed CPUs
  * @param cpusMax limit of CPUs
--- a/src/main/java/org/ternhinge/config/Tuning.java
+++ b/src/main/java/org/ternhinge/config/Tuning.java
@@ -11,16 +11,16 @@
 /**
  * The operators' settings, from an optional HCL file. All times are in seconds.
  *
- * @param roundS longest interval between two scheduling rounds; events trigger a round sooner
- * @param roundGapS shortest interval between two rounds
+ * @param roundS maximum interval between two scheduling rounds; events trigger a round sooner
+ * @param roundGapS minimum interval between two scheduling rounds
  * @param leadershipS duration of the leadership lease
- * @param renewS interval of its renewal
- * @param marginS safety margin, subtracted from every duration that safety depends on
+ * @param renewS interval between renewals of the leadership lease
+ * @param marginS safety margin, subtracted from every duration on which safety depends
  * @param graceS how long a leader that can't renew its lease still answers heartbeats; a new leader
- *     adds it to its wait for silent workers
- * @param idleS how long a machine is idle before it is released
- * @param logTimes whether lines of the log carry the time of day
- * @param zoneFailover settings of zone failover; empty where it is off
+ *     adds this time to its wait for silent workers
+ * @param idleS how long a machine may be idle before it is released
+ * @param logTimes whether log lines begin with a timestamp
+ * @param zoneFailover settings of zone failover; empty if it is disabled
  */
 public record Tuning(
     double roundS,
@@ -33,35 +33,37 @@
     boolean logTimes,
     Optional<ZoneFailoverSettings> zoneFailover) {
 
-  /** Share of the renewal interval after which an unanswered renewal is repeated. */
+  /** Fraction of the renewal interval after which an unanswered renewal is repeated. */
   private static final double OVERDUE_SHARE = 0.7;
 
-  /** The settings that hold where the operators name none. */
+  /** The settings that apply if the operators define none. */
   public static final Tuning DEFAULT =
       new Tuning(1.0, 0.1, 6.0, 2.0, 0.3, 30.0, 40.0, false, Optional.empty());
 
   /**
-   * For how many seconds a leader may rely on its lease, counted from the sending of the last
-   * renewal that succeeded: the lease's duration less clock drift and margin.
+   * Returns how many seconds a leader may rely on its lease after it has sent the last successful
+   * renewal: the lease duration minus clock drift and safety margin.
    */
   public double leaseValidityS() {
     return leadershipS * (1 - Settings.MAX_CLOCK_DRIFT) - marginS;
   }
 
   /**
-   * Seconds after which a worker's lease has certainly expired, by the clock of a controller:
-   * longer than the worker counts, by the drift of clocks and the margin.
+   * Returns the seconds after which a worker's lease is certain to have expired, by the clock of a
+   * controller: the lease duration plus clock drift and safety margin.
    */
   public double workerLeaseS(Settings.WorkerTimings workers) {
     return workers.leaseS() * (1 + Settings.MAX_CLOCK_DRIFT) + marginS;
   }
 
-  /** Seconds after which an unanswered renewal is followed by the next one ahead of its time. */
+  /**
+   * Returns the seconds after which an unanswered renewal is repeated before the next regular one.
+   */
   public double renewalOverdueS() {
     return renewS * OVERDUE_SHARE;
   }
 
-  /** Reads the file, which has to exist. */
+  /** Loads a tuning file, which must exist. */
   public static Tuning load(Path file) throws SettingsException {
     String text;
     try {
@@ -76,7 +78,7 @@
     }
   }
 
-  /** The same with zone failover. */
+  /** Returns a copy with the given settings of zone failover. */
   public Tuning withZoneFailover(ZoneFailoverSettings settings) {
     return new Tuning(
         roundS,
@@ -93,7 +95,7 @@
   /** Reads HCL such as {@code round_s = 1.0}; unknown names are errors. */
   public static Tuning read(String hcl) throws SettingsException {
     if (hasOnlyComments(hcl)) {
-      // Saves the time to load the parser's classes.
+      // Avoids loading the classes of the HCL parser.
       return DEFAULT;
     }
     HclValues values = parse(hcl);
@@ -136,7 +138,7 @@
     }
   }
 
-  /** Checks the names in these settings against the platform's settings. */
+  /** Validates the names in these settings against the platform's settings. */
   public void check(Settings settings) throws SettingsException {
     if (zoneFailover.isPresent()) {
       ZoneFailoverReader.check(zoneFailover.get(), settings);
--- a/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverReader.java
@@ -9,7 +9,10 @@
 import org.ternhinge.wire.Priority;
 import org.ternhinge.wire.WireException;
 
-/** Reads and checks the block {@code zone_failover}; each error names its key and reason. */
+/**
+ * Reads and validates the block {@code zone_failover}; each error message names the key and the
+ * reason.
+ */
 final class ZoneFailoverReader {
   static final String BLOCK = "zone_failover";
   private static final String TIERS = "tiers";
@@ -22,7 +25,7 @@
     this.values = values;
   }
 
-  /** Reads the value that the block was parsed to. */
+  /** Reads the settings from the parsed block. */
   static ZoneFailoverSettings read(Object block) throws SettingsException {
     HclValues values = HclValues.block(BLOCK, block);
     ZoneFailoverSettings settings = new ZoneFailoverReader(values).read();
@@ -107,7 +110,7 @@
         parsedWords(tier, "priorities", Priority::of));
   }
 
-  /** Parses a word as it is written in job submissions. */
+  /** Parses a value in the notation of job submissions. */
   private interface WordParser<T> {
     T parse(String text) throws WireException;
   }
@@ -125,7 +128,7 @@
     return parsed;
   }
 
-  /** Checks that each tier can match a job that no earlier one matches, and that no job is left. */
+  /** Checks that no tier is covered by an earlier one, and that every job matches some tier. */
   private void checkReachable(List<ZoneFailoverSettings.Tier> tiers) throws SettingsException {
     for (int i = 0; i < tiers.size(); i++) {
       for (int earlier = 0; earlier < i; earlier++) {
@@ -143,7 +146,7 @@
       }
     }
     if (tiers.isEmpty() || !tiers.get(tiers.size() - 1).matchesAll()) {
-      throw values.error(TIERS, "the last tier has to take the rest: name it and nothing else");
+      throw values.error(TIERS, "the last tier must match all other jobs: it may only have a name");
     }
   }
 
@@ -164,12 +167,13 @@
     }
   }
 
-  // ---- against the platform's settings ----------------------------------------------------------
+  // ---- validation against the platform's settings -----------------------------------------------
 
-  /** Checks the names in the tiers against the teams and classes of the platform's settings. */
+  /** Checks that the platform's settings define the teams and classes that the tiers name. */
   static void check(ZoneFailoverSettings failover, Settings settings) throws SettingsException {
     if (settings.zones().size() < 2) {
-      throw new SettingsException("tuning: " + BLOCK + ": a deployment of one zone has no other");
+      throw new SettingsException(
+          "tuning: " + BLOCK + ": needs a deployment of at least two zones");
     }
     Set<String> classes = new LinkedHashSet<>();
     settings
--- a/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
+++ b/src/main/java/org/ternhinge/config/ZoneFailoverSettings.java
@@ -7,20 +7,20 @@
 import org.ternhinge.wire.Priority;
 
 /**
- * The operators' settings of zone failover: the block {@code zone_failover} of the tuning file. All
- * times are in seconds.
+ * Settings of zone failover: the block {@code zone_failover} of the tuning file. All times are in
+ * seconds.
  *
- * @param detection when a zone counts as lost and as well again
- * @param flapDamping how repeated losses keep a zone out of use
- * @param release how fast the work of a lost zone moves
- * @param pace how fast new work comes to a zone that has returned
- * @param tiers the order in which work moves, the most important first; the last tier takes the
- *     rest
+ * @param detection when a zone counts as lost and when as healthy again
+ * @param flapDamping how long a zone that is lost repeatedly is kept out of use
+ * @param release how fast the tasks of a lost zone are moved to other zones
+ * @param pace how fast new tasks are started in a recovered zone
+ * @param tiers the order in which jobs are moved, the most important first; the last tier matches
+ *     all remaining jobs
  */
 public record ZoneFailoverSettings(
     Detection detection, FlapDamping flapDamping, Release release, Pace pace, List<Tier> tiers) {
 
-  /** The settings that hold where the operators name none. */
+  /** The settings that apply if the operators define none. */
   public static final ZoneFailoverSettings DEFAULT =
       new ZoneFailoverSettings(
           new Detection(0.3, 0.8, 0.1, 2, 4, 10, 10, 5),
@@ -29,12 +29,14 @@
           new Pace(0.1, 5, 4),
           List.of(new Tier("all", Set.of(), Set.of(), Set.of(), Set.of())));
 
-  /** Shortest time for which a zone has to be well, relative to the detection of silent workers. */
+  /**
+   * Minimum time for which a zone must be healthy, relative to the time to detect silent workers.
+   */
   private static final double SETTLE_FACTOR = 1.5;
 
   /**
-   * The same for workers whose silence is detected after some time: a zone that settles sooner
-   * would count as well before the next loss could be detected.
+   * Returns a copy whose settling time allows for the time to detect silent workers: a zone that
+   * settles sooner would count as healthy before the next loss could be detected.
    *
    * @param overdueS seconds until a silent worker is detected
    */
@@ -45,16 +47,17 @@
   }
 
   /**
-   * When a zone counts as lost and as well again.
+   * When a zone counts as lost and when as healthy again.
    *
-   * @param suspectShare share of impaired machines from which nothing new is placed
-   * @param lostShare share from which the zone is lost
-   * @param clearShare share below which it is well
+   * @param suspectShare fraction of impaired machines from which no new tasks are placed in the
+   *     zone
+   * @param lostShare fraction from which the zone is lost
+   * @param clearShare fraction below which the zone is healthy
    * @param minMachines number of machines below which a zone never counts as lost
-   * @param confirmS how long the share has to last before the zone is lost
-   * @param settleS how long a zone has to be well before it returns
-   * @param suspectMaxS how long a zone is suspected that is not lost as a whole
-   * @param correlationS longest time between the onsets of impairments with a common cause
+   * @param confirmS how long that fraction must persist before the zone is lost
+   * @param settleS how long a zone must be healthy before it is used again
+   * @param suspectMaxS how long a zone that is only partly impaired remains suspect
+   * @param correlationS maximum time between the onsets of impairments that have a common cause
    */
   public record Detection(
       double suspectShare,
@@ -79,36 +82,36 @@
   }
 
   /**
-   * Penalties of zones that are lost repeatedly; each loss adds one.
+   * Flap damping: penalties of zones that are lost repeatedly. Each loss adds 1 to the penalty.
    *
-   * @param halfLifeS time in which a penalty halves
-   * @param suppressAt penalty above which a zone that is well stays out of use
-   * @param reuseAt penalty below which it is used again
-   * @param max the highest penalty
+   * @param halfLifeS half-life of a penalty
+   * @param suppressAt penalty above which a healthy zone is kept out of use
+   * @param reuseAt penalty below which the zone is used again
+   * @param max upper bound of the penalty
    */
   public record FlapDamping(double halfLifeS, double suppressAt, double reuseAt, double max) {}
 
   /**
-   * The speed of moves out of a lost zone.
+   * The rate at which tasks are moved out of a lost zone.
    *
-   * @param tierHoldS how long a tier may delay the next one
-   * @param drainS time in which all displaced tasks are to be released
+   * @param tierHoldS how long a tier may delay the next one at most
+   * @param drainS time within which all displaced tasks are to be released
    */
   public record Release(double tierHoldS, double drainS) {}
 
   /**
-   * The speed of starts in a zone that has returned.
+   * The ramp-up of task starts in a recovered zone.
    *
-   * @param startsPerMachine starts a second at first, for each machine of the zone
-   * @param stepS time between two doublings of that rate
-   * @param steps doublings until the zone is available without a limit
+   * @param startsPerMachine initial rate, in starts per second for each machine of the zone
+   * @param stepS interval at which the rate doubles
+   * @param steps number of doublings before the limit is lifted
    */
   public record Pace(double startsPerMachine, double stepS, int steps) {}
 
   /**
-   * Work that moves together. An empty set permits everything.
+   * A class of jobs that are moved together. An empty set matches every value.
    *
-   * @param name the name that the operators gave it
+   * @param name name in the operators' settings
    */
   public record Tier(
       String name,
@@ -117,7 +120,7 @@
       Set<JobKind> kinds,
       Set<Priority> priorities) {
 
-    /** Whether a job belongs to this tier, unless an earlier one takes it. */
+    /** Whether a job belongs to this tier, provided that no earlier tier matches it. */
     public boolean matches(JobSpec job) {
       return permits(teams, job.team())
           && permits(classes, job.jobClass())
@@ -125,12 +128,12 @@
           && permits(priorities, job.priority());
     }
 
-    /** Whether it takes every job. */
+    /** Whether this tier matches every job. */
     public boolean matchesAll() {
       return teams.isEmpty() && classes.isEmpty() && kinds.isEmpty() && priorities.isEmpty();
     }
 
-    /** Whether every job that another tier matches is matched by this one too. */
+    /** Whether this tier matches every job that another one matches. */
     boolean covers(Tier other) {
       return covers(teams, other.teams)
           && covers(classes, other.classes)
--- a/src/main/java/org/ternhinge/config/package-info.java
+++ b/src/main/java/org/ternhinge/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The platform's settings file and the operators' tuning file, both read once at the start and
- * immutable from then on.
+ * The platform's settings file and the operators' tuning file. Both are read once at startup and
+ * immutable afterwards.
  */
 package org.ternhinge.config;
--- a/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
+++ b/src/main/java/org/ternhinge/limit/KeyValueStoreBudget.java
@@ -4,14 +4,15 @@
 
 /**
  * This controller's share of the key-value store's rate limits, for requests and for changes. The
- * leader uses a fixed share and the other controllers divide the rest evenly, so that all
- * controllers together never exceed the limits, in rate or in bursts, whoever leads. Shares are
- * fixed rather than negotiated: a controller that can't reach the others still knows its own.
+ * leader has a fixed share and the other controllers divide the rest evenly, so that all
+ * controllers together never exceed the limits, in rate or in bursts, whichever node leads. Shares
+ * are fixed rather than negotiated, so that a controller that can't reach the others still knows
+ * its own share.
  *
  * <p>Safe for use by several threads.
  */
 public final class KeyValueStoreBudget {
-  /** The leader writes all attempts and ends, the other controllers only accepted submissions. */
+  /** The leader writes all attempts and completions, the other controllers only submissions. */
   private static final double LEADER_SHARE = 0.7;
 
   private final TokenBucket requests;
@@ -46,7 +47,7 @@
     return changes;
   }
 
-  /** Switches to the leader's share or back to that of another controller. */
+  /** Switches to the leader's share or back to a follower's. */
   public void setLeading(boolean leading) {
     double share = leading ? LEADER_SHARE : followerShare;
     requests.setRate(requestsPerS * share);
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -4,17 +4,17 @@
 import org.ternhinge.model.SteadyTime;
 
 /**
- * A token bucket for calls to a system that limits their rate: a steady rate, and bursts of one
- * second's worth. Safe for use by several threads.
+ * Token bucket for calls to a rate-limited remote system. It allows a steady rate and bursts of one
+ * second's worth of tokens. Safe for use by several threads.
  */
 public final class TokenBucket {
-  /** Debt after a refusal by the other system, in seconds of the rate. */
+  /** Debt after the remote system has rejected a call for its rate, in seconds of refill. */
   private static final double REFUSAL_DEBT_S = 0.2;
 
-  /** Capacity that lets single calls pass at a rate below one per second. */
+  /** Minimum capacity, so that single calls are possible at rates below one per second. */
   private static final double MIN_CAPACITY = 1;
 
-  /** Error of a sum of fractions, for which a whole token must not be missed. */
+  /** Tolerance for floating-point error, so that a whole token is not missed. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Clock clock;
@@ -36,7 +36,7 @@
     this.refilledAt = clock.now();
   }
 
-  /** Changes the rate from now on. An increase adds no tokens, only the capacity for them. */
+  /** Changes the rate. An increase raises the capacity but adds no tokens. */
   public synchronized void setRate(double newRatePerS) {
     refill();
     ratePerS = newRatePerS;
@@ -44,7 +44,7 @@
     tokens = Math.min(tokens, capacity);
   }
 
-  /** Takes a number of tokens, or none and returns false. */
+  /** Takes a number of tokens, or takes none and returns false. */
   public synchronized boolean tryTake(RequestPriority priority, int count) {
     if (secondsUntil(priority, count) > 0) {
       return false;
@@ -53,7 +53,7 @@
     return true;
   }
 
-  /** How many tokens a request of a priority may take now. */
+  /** Returns how many tokens a request of the given priority may take now. */
   public synchronized int available(RequestPriority priority) {
     refill();
     double free = tokens - capacity * priority.reserve();
@@ -61,8 +61,9 @@
   }
 
   /**
-   * Seconds until a number of tokens may be taken. More than the capacity may be taken once the
-   * bucket is full, which leaves it in debt; otherwise they could never be taken.
+   * Returns the seconds until a number of tokens may be taken. A request for more than the capacity
+   * is granted once the bucket is full, which leaves the bucket in debt; otherwise it could never
+   * be granted.
    */
   public synchronized double secondsUntil(RequestPriority priority, int count) {
     refill();
@@ -72,8 +73,8 @@
   }
 
   /**
-   * Pauses all calls for a moment, after the other system has refused one for its rate: other
-   * processes use up the same limit.
+   * Pauses all calls briefly after the remote system has rejected one for its rate, since other
+   * processes draw on the same limit.
    */
   public synchronized void drain() {
     refill();
--- a/src/main/java/org/ternhinge/limit/package-info.java
+++ b/src/main/java/org/ternhinge/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Token buckets for calls to systems that limit their rate. */
+/** Client-side rate limiting of calls to remote systems, by token buckets. */
 package org.ternhinge.limit;
--- a/src/main/java/org/ternhinge/metrics/Metrics.java
+++ b/src/main/java/org/ternhinge/metrics/Metrics.java
@@ -5,14 +5,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Histograms of the latencies of this process, which are written to the log from time to time. Safe
- * for use by several threads.
+ * Latency histograms of this process, which are logged periodically. Safe for use by several
+ * threads.
  */
 public final class Metrics {
   private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
   private static final long MAX_EVALUATIONS = 100_000_000;
 
-  /** Longer times are recorded as an hour. */
+  /** Upper bound of the histograms: longer times are recorded as one hour. */
   private static final long MAX_MS = 3_600_000;
 
   private static final int SIGNIFICANT_DIGITS = 2;
@@ -27,8 +27,8 @@
   /**
    * Records the start of a task.
    *
-   * @param seconds from the decision to open its attempt to the first heartbeat that shows it
-   *     running
+   * @param seconds time from the decision to open its attempt to the first heartbeat that reports
+   *     it running
    */
   public synchronized void recordStart(double seconds) {
     record(startTimes, seconds);
@@ -37,15 +37,18 @@
   /**
    * Records a scheduling round.
    *
-   * @param seconds from its snapshot to the end of its planning
-   * @param roundEvaluations candidates that the planner evaluated
+   * @param seconds time from its snapshot to the end of planning
+   * @param roundEvaluations number of candidates that the planner evaluated
    */
   public synchronized void recordRound(double seconds, long roundEvaluations) {
     record(roundTimes, seconds);
     evaluations.recordValue(Math.min(MAX_EVALUATIONS, roundEvaluations));
   }
 
-  /** The most candidates that a round evaluated, to the precision of the histogram. */
+  /**
+   * Returns the maximum number of candidates evaluated in a round, to the precision of the
+   * histogram.
+   */
   public synchronized long maxEvaluations() {
     return evaluations.getMaxValue();
   }
@@ -55,7 +58,7 @@
     record(commandTimes, seconds);
   }
 
-  /** Records a failover, in seconds from the election to the readiness of the new leader. */
+  /** Records a failover, as the seconds from the election until the new leader is ready. */
   public synchronized void recordFailover(double seconds) {
     record(failoverTimes, seconds);
   }
@@ -64,7 +67,7 @@
     histogram.recordValue(Math.max(0, Math.min(MAX_MS, (long) (seconds * MILLIS_PER_S))));
   }
 
-  /** Writes a summary of all histograms to the log, unless nothing has happened yet. */
+  /** Logs a summary of all histograms, unless no start or failover has been recorded yet. */
   public synchronized void logSummary() {
     if (LOG.isInfoEnabled() && startTimes.getTotalCount() + failoverTimes.getTotalCount() > 0) {
       LOG.info("open to running ms: {}", summary(startTimes));
--- a/src/main/java/org/ternhinge/metrics/package-info.java
+++ b/src/main/java/org/ternhinge/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Latency histograms for the log. */
+/** Latency histograms, which are reported in the log. */
 package org.ternhinge.metrics;
--- a/src/main/java/org/ternhinge/worker/HttpWorkerClient.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkerClient.java
@@ -23,7 +23,7 @@
 
   private final HttpCaller http;
 
-  /** Creates a client for all workers. */
+  /** Creates a client that can call all workers. */
   public HttpWorkerClient(HttpCaller http) {
     this.http = http;
   }
--- a/src/main/java/org/ternhinge/worker/WorkerClient.java
+++ b/src/main/java/org/ternhinge/worker/WorkerClient.java
@@ -13,29 +13,29 @@
 /** Sends direct commands to workers, from any thread. */
 public interface WorkerClient {
 
-  /** The answer of a worker to commands. */
+  /** A worker's response to commands. */
   sealed interface Answer {
     /** The worker's heartbeat after the commands. */
     Heartbeat heartbeat();
 
     /**
-     * The commands were carried out.
+     * The commands were executed.
      *
-     * @param heartbeat the state after them
+     * @param heartbeat the worker's state afterwards
      */
     record Executed(Heartbeat heartbeat) implements Answer {}
 
     /**
-     * Nothing was carried out: the worker has seen a higher fencing token or has another epoch.
+     * Nothing was executed: the worker has seen a higher fencing token or has another epoch.
      *
-     * @param heartbeat the present state
+     * @param heartbeat the worker's present state
      */
     record Refused(Heartbeat heartbeat) implements Answer {}
   }
 
   /**
-   * Sends commands to a worker. {@link Outcome.Unknown} means that they may have been carried out,
-   * or may still be; {@link Outcome.Reason#WITHDRAWN} that {@code maySend} no longer held.
+   * Sends commands to a worker. {@link Outcome.Unknown} means that they may have been executed, or
+   * may still be; {@link Outcome.Reason#WITHDRAWN} that {@code maySend} no longer held.
    *
    * @param worker address of the worker
    * @param term fencing token of the sender
@@ -51,6 +51,6 @@
       List<Command> commands,
       BooleanSupplier maySend);
 
-  /** Releases the connections to a worker that is not called any more. */
+  /** Closes the connections to a worker that will not be called again. */
   void closeConnections(Endpoint worker);
 }
--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * {@code docs/architecture.md} names, in backticks, only types and packages of this program; on the
- * other pages, the members that are named with a type of the program exist.
+ * Checks that the types and packages named in code spans of {@code docs/architecture.md} exist in
+ * the program, and that the members named together with a type on the other pages exist.
  */
 class ArchitecturePageTest {
   private static final String ROOT = "org.ternhinge";
@@ -30,10 +30,10 @@
   private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
   private static final Pattern NAME = Pattern.compile("[\\w.-]*\\w");
 
-  /** A type, with a nested type or a member behind it where there is one. */
+  /** A type, optionally followed by a nested type or a member. */
   private static final Pattern TYPE = Pattern.compile("[A-Z]\\w*[a-z]\\w*(\\.\\w+)*");
 
-  /** A row of the table of packages: the package, what it holds, and what it may use. */
+  /** A row of the package table: the package, its contents and its permitted dependencies. */
   private static final Pattern PACKAGE_ROW =
       Pattern.compile("\\| `org\\.ternhinge\\.([a-z.]+)` \\|[^|\n]*\\|([^|\n]*)\\|");
 
@@ -111,7 +111,7 @@
     assertEquals(List.of(), unknownNames(text));
   }
 
-  /** Names in the page's code spans that no class or package of the program has. */
+  /** Returns the names in the page's code spans that match no class or package of the program. */
   private static List<String> unknownNames(String page) {
     return CODE_SPAN
         .matcher(page)
@@ -136,7 +136,7 @@
         .anyMatch(type -> path.length == 1 || hasPart(type, path[1]));
   }
 
-  /** Whether a type has a member, or a type nested in it, by this path of names. */
+  /** Whether a type has a member or nested type with this path of names. */
   private static boolean hasPart(JavaClass type, String name) {
     String[] path = name.split("\\.", 2);
     String nested = type.getName() + "$" + path[0];
--- a/src/test/java/org/ternhinge/PackageRulesTest.java
+++ b/src/test/java/org/ternhinge/PackageRulesTest.java
@@ -22,11 +22,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Which package may depend on which; {@code docs/architecture.md} says why. */
+/**
+ * Enforces the permitted dependencies between packages; {@code docs/architecture.md} explains them.
+ */
 class PackageRulesTest {
   private static final String ROOT = "org.ternhinge.";
 
-  /** Each package with all project packages that it may depend on, the lowest layer first. */
+  /** Each package with all project packages on which it may depend, the lowest layer first. */
   private static final String RULES =
       """
       model:
@@ -65,7 +67,7 @@
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.ternhinge");
 
-  /** The packages that each package may depend on. */
+  /** Returns the packages on which each package may depend. */
   static Map<String, List<String>> rules() {
     Map<String, List<String>> rules = new TreeMap<>();
     RULES
@@ -114,7 +116,7 @@
     slices().matching("org.ternhinge.(**)").should().beFreeOfCycles().check(CLASSES);
   }
 
-  /** The planner is pure: it reads no clock, writes no log and waits for nothing. */
+  /** The planner is free of side effects: it does no I/O, logging or synchronization. */
   @Test
   void planningHasNoSideEffects() {
     DescribedPredicate<JavaClass> sideEffects =
--- a/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -13,7 +13,9 @@
 import org.ternhinge.sim.Specs;
 import org.ternhinge.wire.MachineType;
 
-/** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
+/**
+ * Rejection of jobs that can never run, with a team limit of 24 CPUs and machines of up to 16 CPUs.
+ */
 class SubmissionValidatorTest {
   private final SimCluster cluster = new SimCluster(1, 0);
 
--- a/src/test/java/org/ternhinge/cli/LinkRelay.java
+++ b/src/test/java/org/ternhinge/cli/LinkRelay.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * Passes connections of one group on to where they are meant for, on loopback, and can be cut. What
- * is sent while it is cut is delayed and delivered once the cut is over, as by a real network.
+ * TCP relay on loopback that can simulate a network partition. Bytes that are sent during the
+ * partition are delayed and delivered once it heals, as TCP retransmission does on a real network.
  */
 final class LinkRelay implements AutoCloseable {
   private static final int BUFFER_BYTES = 8192;
@@ -21,7 +21,7 @@
   private final ExecutorService threads = Executors.newCachedThreadPool(LinkRelay::daemonThread);
   private final Set<AutoCloseable> openResources = ConcurrentHashMap.newKeySet();
   private final Object lock = new Object();
-  private boolean cut;
+  private boolean partitioned;
   private volatile boolean closed;
 
   private static Thread daemonThread(Runnable action) {
@@ -30,7 +30,7 @@
     return thread;
   }
 
-  /** Opens a port whose connections go to another one; says which. */
+  /** Opens a port whose connections are forwarded to another port; returns the opened one. */
   int forwardTo(int port) throws IOException {
     ServerSocket server = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
     openResources.add(server);
@@ -38,24 +38,24 @@
     return server.getLocalPort();
   }
 
-  /** From now on nothing passes. */
+  /** Stops forwarding until {@link #heal}. */
   void partition() {
     synchronized (lock) {
-      cut = true;
+      partitioned = true;
     }
   }
 
-  /** Ends the cut: delayed bytes are delivered, and all later ones. */
+  /** Ends the partition: delivers delayed bytes and resumes forwarding. */
   void heal() {
     synchronized (lock) {
-      cut = false;
+      partitioned = false;
       lock.notifyAll();
     }
   }
 
   private void awaitHealed() throws IOException {
     synchronized (lock) {
-      while (cut && !closed) {
+      while (partitioned && !closed) {
         try {
           lock.wait();
         } catch (InterruptedException e) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Passes bytes on in one direction until one side is closed. */
+  /** Copies bytes in one direction until either side is closed. */
   private void copy(Socket from, Socket to) {
     byte[] buffer = new byte[BUFFER_BYTES];
     try {
@@ -102,7 +102,7 @@
         out.flush();
       }
     } catch (IOException e) {
-      // One side has closed its socket; the other one is closed below.
+      // Either side has closed its socket; both are closed below.
     } finally {
       close(from);
       close(to);
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -24,12 +24,15 @@
 import java.util.function.BooleanSupplier;
 import org.ternhinge.wire.Json;
 
-/** Three processes of the packaged program on loopback, with stand-ins for what is around them. */
+/**
+ * Three controllers, as processes of the packaged program on loopback, with fakes of the external
+ * services.
+ */
 final class LoopbackCluster implements AutoCloseable {
   /**
-   * What the deployment's settings say.
+   * Settings of the deployment that differ between tests.
    *
-   * @param teamCpus the limit of the only team
+   * @param teamCpus CPU limit of the only team
    */
   record Options(
       List<String> zones,
@@ -37,11 +40,11 @@
       double leaseS,
       double cancelS,
       double teamCpus) {
-    /** Two zones and times as users have them. */
+    /** Two zones, with the intervals and leases of production deployments. */
     static final Options DEFAULT = new Options(List.of("east", "west"), 3, 24, 44, 8);
   }
 
-  /** How many controllers there are. */
+  /** Number of controllers. */
   static final int NODES = 3;
 
   private static final long WAIT_TIMEOUT_S = 60;
@@ -57,16 +60,16 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
   /**
-   * Starts nothing yet.
+   * Prepares a cluster; {@link #startAll} starts its processes.
    *
-   * @param dir where settings and logs go
-   * @param arguments of each process, beside its settings file
+   * @param dir directory for settings and logs
+   * @param arguments additional command-line arguments of each process
    */
-  LoopbackCluster(Path dir, Options site, List<String> arguments) throws IOException {
+  LoopbackCluster(Path dir, Options options, List<String> arguments) throws IOException {
     this.dir = dir;
-    this.options = site;
+    this.options = options;
     this.arguments = arguments;
-    this.services = new LoopbackServices(site.zones());
+    this.services = new LoopbackServices(options.zones());
     for (int i = 0; i < ports.length; i++) {
       try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         ports[i] = free.getLocalPort();
@@ -84,7 +87,7 @@
     return services;
   }
 
-  /** The ports at which the controllers serve users and workers. */
+  /** The ports on which the controllers serve users and workers. */
   List<Integer> clientPorts() {
     return List.of(ports[0], ports[1], ports[2]);
   }
@@ -125,7 +128,7 @@
     return process;
   }
 
-  /** Runs the packaged program. */
+  /** Starts a process of the packaged program. */
   static Process run(List<String> args) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -150,7 +153,7 @@
     return dir.resolve("node-" + node + ".log");
   }
 
-  /** All that the controllers have logged, one after the other. */
+  /** Returns the concatenated logs of all controllers. */
   String logs() throws IOException {
     StringBuilder logs = new StringBuilder();
     for (int i = 0; i < NODES; i++) {
@@ -195,11 +198,11 @@
 
   // ---- requests ---------------------------------------------------------------------------------
 
-  /** Waits until something holds, for a minute at the most. */
-  static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
+  /** Waits until a condition holds, for at most a minute. */
+  static void waitUntil(String description, BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
-    while (!holds.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "in vain: " + what);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < end, "timed out waiting until " + description);
       Thread.sleep(100);
     }
   }
@@ -223,19 +226,19 @@
     }
   }
 
-  /** The status of an answer; 0 where none came. */
+  /** Returns the status of the response; 0 if there was none. */
   int status(int node, String method, String path, byte[] body) {
     HttpResponse<String> response = send(node, method, path, body);
     return response == null ? 0 : response.statusCode();
   }
 
-  /** The body of an answer; empty where none came. */
+  /** Returns the body of the response; empty if there was none. */
   String body(int node, String path) {
     HttpResponse<String> response = send(node, "GET", path, null);
     return response == null ? "" : response.body();
   }
 
-  /** The port at which a controller serves users. */
+  /** The port on which a controller serves users. */
   int port(int node) {
     return ports[node];
   }
--- a/src/test/java/org/ternhinge/cli/LoopbackFleet.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackFleet.java
@@ -12,8 +12,8 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Machines on loopback in groups, one a zone, each behind a relay of its own. They are up from the
- * start, and the cloud has no others.
+ * Worker machines on loopback. The machines of each zone are behind a relay of their own. All
+ * machines run from the start, and the cloud provisions no others.
  */
 final class LoopbackFleet implements AutoCloseable {
   private final Map<String, LinkRelay> relays = new LinkedHashMap<>();
@@ -21,14 +21,18 @@
   private final long startedAt = System.nanoTime();
 
   /**
-   * Starts all machines; their names go round the zones.
+   * Starts all machines, whose IDs are assigned to the zones in turn.
    *
    * @param controllers ports of the controllers
+   * @param template settings of all workers; each zone replaces the ports of the controllers
    */
   LoopbackFleet(
-      List<String> zones, int machinesEach, List<Integer> controllers, LoopbackWorker.Context site)
+      List<String> zones,
+      int machinesPerZone,
+      List<Integer> controllers,
+      LoopbackWorker.Context template)
       throws IOException {
-    Map<String, LoopbackWorker.Context> sites = new LinkedHashMap<>();
+    Map<String, LoopbackWorker.Context> contexts = new LinkedHashMap<>();
     for (String zone : zones) {
       LinkRelay relay = new LinkRelay();
       relays.put(zone, relay);
@@ -36,21 +40,21 @@
       for (int port : controllers) {
         ports.add(relay.forwardTo(port));
       }
-      sites.put(
+      contexts.put(
           zone,
           new LoopbackWorker.Context(
-              site.client(),
-              site.timers(),
-              site.history(),
+              template.client(),
+              template.timers(),
+              template.history(),
               ports,
-              site.heartbeatIntervalS(),
-              site.leaseS(),
-              site.runS()));
+              template.heartbeatIntervalS(),
+              template.leaseS(),
+              template.runS()));
     }
-    for (int i = 0; i < machinesEach * zones.size(); i++) {
+    for (int i = 0; i < machinesPerZone * zones.size(); i++) {
       String zone = zones.get(i % zones.size());
       MachineId id = new MachineId(String.format("n-%06d", i));
-      workers.put(id, new LoopbackWorker(sites.get(zone), id, zone, relays.get(zone)));
+      workers.put(id, new LoopbackWorker(contexts.get(zone), id, zone, relays.get(zone)));
     }
   }
 
@@ -62,7 +66,7 @@
     relays.get(zone).heal();
   }
 
-  /** The cloud's list of machines after a name. */
+  /** Returns the cloud's list of machines after a given ID. */
   ObjectNode list(String from) {
     ObjectNode out = Json.object().put("more", false);
     ArrayNode hosts = out.putArray("velar");
@@ -77,7 +81,7 @@
     return out;
   }
 
-  /** The cloud takes machines back. */
+  /** Releases machines: stops their workers. */
   void release(List<MachineId> ids) {
     for (MachineId id : ids) {
       LoopbackWorker worker = workers.remove(id);
--- a/src/test/java/org/ternhinge/cli/LoopbackIT.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackIT.java
@@ -19,7 +19,9 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/** The packaged program as three processes on loopback, with stand-ins for what is around them. */
+/**
+ * Runs three processes of the packaged program on loopback, with fakes of the external services.
+ */
 class LoopbackIT {
   @TempDir Path dir;
   private LoopbackCluster cluster;
@@ -41,7 +43,8 @@
     LoopbackCluster.waitUntil(
         "the job is accepted", () -> cluster.status(0, "POST", "/submissions", job) == 201);
     LoopbackCluster.waitUntil(
-        "a repeat is known", () -> cluster.status(1, "POST", "/submissions", job) == 200);
+        "a repeated submission is recognized",
+        () -> cluster.status(1, "POST", "/submissions", job) == 200);
     assertStalledClientDoesNotBlockOthers();
     submitDependentJobs();
     int leader = killLeader();
@@ -51,7 +54,7 @@
     }
     cluster.restart(leader);
     LoopbackCluster.waitUntil(
-        "one restarted process remembers",
+        "a restarted process has recovered the jobs",
         () -> isCancelled(leader, "wk-000001") && isCancelled(leader, "wk-000004"));
     assertTrue(cluster.isAlive(leader));
   }
@@ -78,11 +81,13 @@
     assertEquals(
         400, cluster.status(0, "POST", "/submissions", "{".getBytes(StandardCharsets.UTF_8)));
     assertEquals(400, cluster.status(1, "POST", "/submissions", new byte[80_000]));
-    // Both ask the key-value store first, whose tokens a start uses up for a moment.
+    // Both read the key-value store first, and startup briefly exhausts its rate limit.
     LoopbackCluster.waitUntil(
-        "422", () -> cluster.status(1, "POST", "/submissions", unknownTeam) == 422);
+        "422 for an unknown team",
+        () -> cluster.status(1, "POST", "/submissions", unknownTeam) == 422);
     LoopbackCluster.waitUntil(
-        "404", () -> cluster.status(2, "GET", "/submissions/wk-000009", null) == 404);
+        "404 for an unknown job",
+        () -> cluster.status(2, "GET", "/submissions/wk-000009", null) == 404);
     assertEquals(404, cluster.status(2, "GET", "/else", null));
     assertEquals(405, cluster.status(2, "GET", "/submissions", null));
   }
@@ -93,7 +98,9 @@
           .getOutputStream()
           .write("POST /submissions HTTP/1.1\r\nCont".getBytes(StandardCharsets.US_ASCII));
       assertEquals(
-          200, cluster.status(0, "GET", "/healthz", null), "a stalled client stops nobody");
+          200,
+          cluster.status(0, "GET", "/healthz", null),
+          "a stalled client does not block other clients");
     }
   }
 
@@ -111,19 +118,22 @@
             .rawDependencies(TextNode.valueOf("wk-000001"))
             .bytes();
     LoopbackCluster.waitUntil(
-        "422", () -> cluster.status(1, "POST", "/submissions", unknown) == 422);
+        "422 for an unknown dependency",
+        () -> cluster.status(1, "POST", "/submissions", unknown) == 422);
     assertEquals(400, cluster.status(1, "POST", "/submissions", noList));
     LoopbackCluster.waitUntil(
-        "the next one", () -> cluster.status(1, "POST", "/submissions", second) == 201);
+        "the second job is accepted",
+        () -> cluster.status(1, "POST", "/submissions", second) == 201);
     LoopbackCluster.waitUntil(
-        "the last one", () -> cluster.status(2, "POST", "/submissions", third) == 201);
+        "the third job is accepted", () -> cluster.status(2, "POST", "/submissions", third) == 201);
     LoopbackCluster.waitUntil(
-        "it waits", () -> cluster.body(0, "/submissions/wk-000004").contains("queued"));
+        "the third job is queued",
+        () -> cluster.body(0, "/submissions/wk-000004").contains("queued"));
   }
 
-  /** Kills the process that leads and waits for another leader; says which one was killed. */
+  /** Kills the leader, waits for another one, and returns the number of the killed node. */
   private int killLeader() throws Exception {
-    LoopbackCluster.waitUntil("somebody leads", () -> cluster.services().leader() >= 0);
+    LoopbackCluster.waitUntil("a leader is elected", () -> cluster.services().leader() >= 0);
     int leader = cluster.services().leader();
     cluster.kill(leader);
     int other = (leader + 1) % 3;
@@ -131,12 +141,14 @@
         "the job is known",
         () -> cluster.status(other, "GET", "/submissions/wk-000001", null) == 200);
     LoopbackCluster.waitUntil(
-        "another leads",
+        "another node leads",
         () -> cluster.services().leader() >= 0 && cluster.services().leader() != leader);
     return leader;
   }
 
-  /** Cancels the first job at a node; all that depend on it are cancelled on every live node. */
+  /**
+   * Cancels the first job at a node and waits until its dependents are cancelled on all live nodes.
+   */
   private void cancelAndAwaitDependents(int node, int killed) throws Exception {
     LoopbackCluster.waitUntil(
         "the job is cancelled",
@@ -144,7 +156,7 @@
     int next = (node + 1) % 3;
     int third = next == killed ? node : next;
     LoopbackCluster.waitUntil(
-        "with it all that depend on it",
+        "its dependents are cancelled",
         () -> isCancelled(node, "wk-000003") && isCancelled(third, "wk-000004"));
   }
 
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -34,7 +34,10 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
-/** A key-value store and a cloud over HTTP on loopback; the cloud provisions nothing out. */
+/**
+ * Fakes of the key-value store and the cloud over HTTP on loopback; the cloud provisions no
+ * machines.
+ */
 final class LoopbackServices implements AutoCloseable {
   private static final String NODE_PREFIX = "node-";
 
@@ -44,7 +47,7 @@
   private final HttpServer server;
   private final List<String> zones;
 
-  /** The machines that are there, or null. */
+  /** The machines that the cloud lists, or null if it has none. */
   private volatile LoopbackFleet fleet;
 
   LoopbackServices(List<String> zones) throws IOException {
@@ -55,17 +58,17 @@
     server.start();
   }
 
-  /** From now on the cloud lists these machines. */
+  /** Sets the machines that the cloud lists. */
   void setFleet(LoopbackFleet machines) {
     fleet = machines;
   }
 
-  /** Where both services are reached. */
+  /** Address of both services. */
   String endpoint() {
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** The number of the node that leads, or -1. */
+  /** Returns the number of the leading node, or -1 if there is none. */
   synchronized int leader() {
     return store
         .get("leader")
@@ -82,7 +85,7 @@
     timers.shutdownNow();
   }
 
-  /** The real clock, for leases. */
+  /** The clock of this machine; its timers run with the lock held. */
   private final class RealClock implements Clock {
     @Override
     public SteadyTime now() {
@@ -234,32 +237,32 @@
   }
 
   private void watch(HttpExchange exchange, Map<String, String> query) throws IOException {
-    List<KeyValueStore.WatchResult> seen = new ArrayList<>();
-    Object arrived = new Object();
+    List<KeyValueStore.WatchResult> results = new ArrayList<>();
+    Object resultLock = new Object();
     synchronized (this) {
       store.watch(
           query.get("prefix"),
           Long.parseLong(query.get("from")),
           Integer.parseInt(query.get("wait_ms")) / 1000.0,
           c -> {
-            synchronized (arrived) {
-              seen.add(c);
-              arrived.notifyAll();
+            synchronized (resultLock) {
+              results.add(c);
+              resultLock.notifyAll();
             }
           });
     }
-    synchronized (arrived) {
-      while (seen.isEmpty()) {
+    synchronized (resultLock) {
+      while (results.isEmpty()) {
         try {
-          arrived.wait();
+          resultLock.wait();
         } catch (InterruptedException e) {
           return;
         }
       }
     }
-    ObjectNode out = Json.object().put("breytingatal", seen.get(0).revision().value());
+    ObjectNode out = Json.object().put("breytingatal", results.get(0).revision().value());
     ArrayNode log = out.putArray("log");
-    for (Change.Observed c : seen.get(0).changes()) {
+    for (Change.Observed c : results.get(0).changes()) {
       ObjectNode item = log.addObject().put("utgafunumer", c.revision().value());
       if (c.value() == null) {
         item.put("remove", c.key());
--- a/src/test/java/org/ternhinge/cli/LoopbackWorker.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackWorker.java
@@ -29,12 +29,15 @@
 import org.ternhinge.wire.TaskStatus;
 import org.ternhinge.wire.WireException;
 
-/** A machine with its worker on loopback sockets: epochs, tokens, leases and tasks. */
+/**
+ * Simulates a machine with its worker over loopback sockets: epochs, fencing tokens, leases and
+ * tasks.
+ */
 final class LoopbackWorker implements AutoCloseable {
   /**
-   * What all workers share.
+   * Settings and services that the workers of a zone share.
    *
-   * @param controllers ports, by which the group reaches them
+   * @param controllers ports of the zone's relay that lead to the controllers
    * @param runS how long each task runs, in seconds
    */
   record Context(
@@ -71,19 +74,19 @@
   private int controller;
   private boolean closed;
 
-  LoopbackWorker(Context site, MachineId id, String zone, LinkRelay relay) throws IOException {
-    this.context = site;
+  LoopbackWorker(Context context, MachineId id, String zone, LinkRelay relay) throws IOException {
+    this.context = context;
     this.id = id;
     this.zone = zone;
-    this.controller = (int) (Long.parseLong(id.value().substring(2)) % site.controllers.size());
+    this.controller = (int) (Long.parseLong(id.value().substring(2)) % context.controllers.size());
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-    server.setExecutor(site.timers);
+    server.setExecutor(context.timers);
     server.createContext("/commands", this::handleCommands);
     server.start();
     this.port = relay.forwardTo(server.getAddress().getPort());
-    this.leaseRenewedAt = site.now();
-    site.after(0, this::heartbeat);
-    site.after(LEASE_CHECK_S, this::checkLease);
+    this.leaseRenewedAt = context.now();
+    context.after(0, this::heartbeat);
+    context.after(LEASE_CHECK_S, this::checkLease);
   }
 
   MachineId id() {
@@ -185,7 +188,9 @@
     context.after(next, this::heartbeat);
   }
 
-  /** Turns to the controller that an answer names, else to the next one. */
+  /**
+   * Switches to the controller that the response names, or else to the next one; returns the delay.
+   */
   private double nextControllerDelayS(HttpResponse<byte[]> response) throws WireException {
     String named = "";
     if (response != null && response.statusCode() == 421) {
--- a/src/test/java/org/ternhinge/cli/TaskHistory.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistory.java
@@ -10,11 +10,15 @@
 import org.ternhinge.model.TaskId;
 
 /**
- * The tasks that workers ran and the answers to users, with the rules that they break. Any thread
- * may add to it.
+ * Records task runs and the job states answered to users, and checks them for violations of
+ * invariants. Safe for use by several threads.
  */
 final class TaskHistory {
-  /** A task came to its machine at a time in seconds. */
+  /**
+   * Start of a task on a machine.
+   *
+   * @param at time of the start, in seconds
+   */
   record Start(double at, TaskId task, String machine, String zone) {}
 
   private final List<Start> starts = new ArrayList<>();
@@ -32,7 +36,7 @@
     starts.add(new Start(at, task, machine, zone));
   }
 
-  /** A task has left its machine, completed or not. */
+  /** Records that a task is no longer on its machine, completed or not. */
   synchronized void recordRemoval(TaskId task, String machine, boolean done) {
     machinesByTask.computeIfAbsent(task, key -> new HashSet<>()).remove(machine);
     if (done) {
@@ -40,7 +44,7 @@
     }
   }
 
-  /** An answer has given a job's state to a user. */
+  /** Records a job's state that was answered to a user. */
   synchronized void recordAnswer(JobId job, String state, int tasks) {
     String before = finalStates.get(job);
     if (before != null && !before.equals(state)) {
@@ -68,7 +72,7 @@
     return starts.stream().filter(start -> start.at() >= seconds).toList();
   }
 
-  /** Tasks that are on machines of a zone now. */
+  /** Returns the tasks that are on machines of a zone now. */
   synchronized Set<TaskId> liveIn(String zone) {
     Set<TaskId> tasks = new HashSet<>();
     for (Start start : starts) {
--- a/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistoryTest.java
@@ -8,7 +8,7 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.model.TaskId;
 
-/** The checker finds planted faults, and no others. */
+/** The history reports seeded violations and no others. */
 class TaskHistoryTest {
   private static final JobId JOB = new JobId("wk-1");
   private static final TaskId TASK = new TaskId(JOB, 0);
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -27,9 +27,9 @@
 import org.ternhinge.zone.report.ZoneReport;
 
 /**
- * Three controllers as processes and three groups of workers, each behind a relay, over real
- * sockets. One group is cut off, returns, and is cut twice within a minute; then the same while the
- * leader is ended.
+ * Failover of a zone over real sockets: three controller processes, and three zones of workers,
+ * each behind a relay. One test partitions a zone, heals it and lets it flap twice within a minute;
+ * the other restarts the leader during a partition.
  */
 class ZoneFailoverIT {
   private static final List<String> ZONES = List.of("north", "east", "west");
@@ -44,7 +44,7 @@
   private static final double SETTLE_S = 4;
   private static final double STEP_S = 2;
 
-  /** Commands and images take so long that restarts may be seen in another order. */
+  /** Tolerance for the order of restarts, which commands and image fetches may change. */
   private static final double ORDER_TOLERANCE_S = 1.0;
 
   private static final String TUNING =
@@ -91,9 +91,9 @@
   private void startCluster() throws Exception {
     Path tuning = dir.resolve("tuning.hcl");
     Files.writeString(tuning, TUNING);
-    LoopbackCluster.Options site =
+    LoopbackCluster.Options options =
         new LoopbackCluster.Options(ZONES, HEARTBEAT_S, LEASE_S, CANCEL_S, 400);
-    cluster = new LoopbackCluster(dir, site, List.of("--tuning", tuning.toString()));
+    cluster = new LoopbackCluster(dir, options, List.of("--tuning", tuning.toString()));
     LoopbackWorker.Context workers =
         new LoopbackWorker.Context(
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build(),
@@ -114,8 +114,8 @@
 
   // ---- jobs -------------------------------------------------------------------------------------
 
-  private void submitAllTiers(int each) throws InterruptedException {
-    for (int i = 0; i < each; i++) {
+  private void submitAllTiers(int jobsPerTier) throws InterruptedException {
+    for (int i = 0; i < jobsPerTier; i++) {
       for (int tier = TIERS.size() - 1; tier >= 0; tier--) {
         submit(tier);
       }
@@ -128,7 +128,7 @@
         SubmissionBuilder.job(id, "batch", TASKS).jobClass(TIERS.get(tier)).runsFor(RUN_S).bytes();
     int node = jobCount % LoopbackCluster.NODES;
     LoopbackCluster.waitUntil(
-        "accepted",
+        "job " + id + " is accepted",
         () -> {
           int status = cluster.status(node, "POST", "/submissions", bytes);
           return status == 201 || status == 200;
@@ -137,7 +137,7 @@
     return new JobId(id);
   }
 
-  /** Asks every controller about every job. */
+  /** Queries the state of every job at every controller. */
   private void pollJobStates() {
     for (Map.Entry<JobId, Integer> job : jobs.entrySet()) {
       for (int node = 0; node < LoopbackCluster.NODES; node++) {
@@ -149,7 +149,7 @@
     }
   }
 
-  /** The state that an answer tells; empty where it tells none. */
+  /** Returns the job state in a response; empty if it has none. */
   private static String state(String answer) {
     try {
       return Json.parse(answer.getBytes(StandardCharsets.UTF_8)).path("astand").asText("");
@@ -179,7 +179,7 @@
         awaitAllDoneOnce();
         return;
       } catch (AssertionError e) {
-        // Lost tasks run anew from their start: up to three times in these tests.
+        // Lost tasks restart from the beginning, up to three times in these tests.
         assertTrue(i < 2, e.getMessage());
       }
     }
@@ -206,20 +206,20 @@
     return restarts;
   }
 
-  private void assertRestartedInOrder(Set<TaskId> lost, double cutAt, double withinS)
+  private void assertRestartedInOrder(Set<TaskId> lost, double partitionedAt, double withinS)
       throws InterruptedException {
-    while (restarts(lost, cutAt).size() < lost.size() && now() < cutAt + withinS) {
+    while (restarts(lost, partitionedAt).size() < lost.size() && now() < partitionedAt + withinS) {
       Thread.sleep(200);
     }
-    Map<TaskId, TaskHistory.Start> restarts = restarts(lost, cutAt);
-    assertEquals(lost, restarts.keySet(), "all that was lost runs elsewhere within " + withinS);
+    Map<TaskId, TaskHistory.Start> restarts = restarts(lost, partitionedAt);
+    assertEquals(lost, restarts.keySet(), "all lost tasks run in other zones within " + withinS);
     double[] first = {1e9, 1e9, 1e9};
     double[] last = new double[TIERS.size()];
     restarts.forEach(
         (task, start) -> {
           int tier = tierOf(task);
-          first[tier] = Math.min(first[tier], start.at() - cutAt);
-          last[tier] = Math.max(last[tier], start.at() - cutAt);
+          first[tier] = Math.min(first[tier], start.at() - partitionedAt);
+          last[tier] = Math.max(last[tier], start.at() - partitionedAt);
         });
     assertTrue(
         last[0] <= first[1] + ORDER_TOLERANCE_S, "warnings by " + last[0] + ", charts " + first[1]);
@@ -227,19 +227,22 @@
         last[1] <= first[2] + ORDER_TOLERANCE_S, "charts by " + last[1] + ", climate " + first[2]);
   }
 
-  /** Starts in the zone that has returned keep to the pacer's bound, counted from its return. */
-  private void assertPaced(double backAt, double untilAt) {
+  /**
+   * Asserts that starts in the recovered zone stay within the ramp-up limit, counted from its
+   * return.
+   */
+  private void assertPaced(double healedAt, double endAt) {
     double rate = 0.1 * MACHINES_PER_ZONE;
     int started = 0;
-    for (TaskHistory.Start start : history.startsSince(backAt)) {
-      if (start.zone().equals(LOST) && start.at() < untilAt) {
+    for (TaskHistory.Start start : history.startsSince(healedAt)) {
+      if (start.zone().equals(LOST) && start.at() < endAt) {
         started++;
-        double since = Math.max(0, start.at() - backAt - SETTLE_S);
+        double since = Math.max(0, start.at() - healedAt - SETTLE_S);
         double allowed = 1;
         for (int step = 0; step * STEP_S <= since; step++) {
           allowed += rate * Math.pow(2, step) * Math.min(STEP_S, since - step * STEP_S) + 1;
         }
-        // Attempts that were open before the cut may get their starts now.
+        // Attempts that were opened before the partition may be started now.
         assertTrue(started <= allowed + 2, started + " starts, allowed " + allowed);
       }
     }
@@ -252,15 +255,15 @@
     Path log = dir.resolve("all.log");
     Files.writeString(log, cluster.logs());
     ZoneLog events = ZoneLog.read(log);
-    assertTrue(events.events().size() > 5, "the log tells what happened");
+    assertTrue(events.events().size() > 5, "the log contains the zone events");
     assertEquals(0, events.malformed());
     Path page = dir.resolve("zones.html");
     assertEquals(ZoneReport.Result.WHOLE, ZoneReport.write(events, page));
     String text = Files.readString(page);
-    assertTrue(text.contains("<h2>Doubled attempts</h2><p>None.</p>"), "no doubled attempt");
+    assertTrue(text.contains("<h2>Doubled attempts</h2><p>None.</p>"), "no duplicate attempts");
   }
 
-  // ---- the tests --------------------------------------------------------------------------------
+  // ---- tests ------------------------------------------------------------------------------------
 
   @Test
   void partitionedZoneIsFailedOverAndRampsUpAfterItsReturn() throws Exception {
@@ -269,20 +272,20 @@
     awaitRunning(3 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
     assertTrue(lost.size() >= 9, lost.size() + " tasks are lost");
-    double cutAt = now();
+    double partitionedAt = now();
     fleet.partition(LOST);
-    assertRestartedInOrder(lost, cutAt, 25);
-    Set<TaskId> moved = new HashSet<>(restarts(lost, cutAt).keySet());
-    double backAt = now();
+    assertRestartedInOrder(lost, partitionedAt, 25);
+    Set<TaskId> moved = new HashSet<>(restarts(lost, partitionedAt).keySet());
+    double healedAt = now();
     fleet.heal(LOST);
     List<JobId> next = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       next.add(submit(1));
     }
     sleep(SETTLE_S + 4);
-    assertPaced(backAt, now());
-    for (TaskHistory.Start start : history.startsSince(backAt)) {
-      assertTrue(!moved.contains(start.task()), start.task() + " is moved back");
+    assertPaced(healedAt, now());
+    for (TaskHistory.Start start : history.startsSince(healedAt)) {
+      assertTrue(!moved.contains(start.task()), start.task() + " was moved back");
     }
     for (int i = 0; i < 2; i++) {
       fleet.partition(LOST);
@@ -300,13 +303,13 @@
     submitAllTiers(2);
     awaitRunning(2 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
-    double cutAt = now();
+    double partitionedAt = now();
     fleet.partition(LOST);
     sleep(6);
     int leader = cluster.services().leader();
     cluster.kill(leader);
     cluster.restart(leader);
-    assertRestartedInOrder(lost, cutAt, 60);
+    assertRestartedInOrder(lost, partitionedAt, 60);
     fleet.heal(LOST);
     assertInvariantsHold();
   }
--- a/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
+++ b/src/test/java/org/ternhinge/cloud/HttpCloudTest.java
@@ -16,7 +16,7 @@
 import org.ternhinge.sim.SimClock;
 import org.ternhinge.wire.ProvisionRequest;
 
-/** How answers of the cloud become outcomes. */
+/** Mapping of the cloud's HTTP responses to outcomes. */
 class HttpCloudTest {
   private static final ProvisionRequest REQUEST = new ProvisionRequest("r-1", "g8", "a", true, 2);
 
--- a/src/test/java/org/ternhinge/config/ConfigTest.java
+++ b/src/test/java/org/ternhinge/config/ConfigTest.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.WireException;
 
-/** Settings files and tuning: what is read, and what errors name. */
+/** Parsing and validation of settings and tuning files. */
 class ConfigTest {
   public static final String VALID_SETTINGS =
       """
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.wire.Priority;
 
-/** The block {@code zone_failover} of the tuning file: what is read, and what errors name. */
+/** Parsing and validation of the block {@code zone_failover} of the tuning file. */
 class ZoneFailoverReaderTest {
   private static final String REST = "{ name = \"rest\" }";
 
@@ -33,8 +33,8 @@
         "steps = 1.5 | zone_failover.steps: a whole number",
         "min_machines = 0 | zone_failover.min_machines",
         "supect_share = 0.2 | unknown name zone_failover.supect_share",
-        "tiers = [] | zone_failover.tiers: the last tier has to take the rest",
-        "tiers = [{ name = \"a\", classes = [\"x\"] }] | the last tier has to take the rest",
+        "tiers = [] | zone_failover.tiers: the last tier must match all other jobs",
+        "tiers = [{ name = \"a\", classes = [\"x\"] }] | the last tier must match all other jobs",
         "tiers = [{ classes = [\"x\"] }, REST] | zone_failover.tiers[0].name: a name",
         "tiers = [{ name = \"a\", priorities = [\"urgent\"] }, REST] | priorities: unknown: urgent",
         "tiers = [{ name = \"a\", types = [\"cron\"] }, REST] | tiers[0].types: unknown: cron",
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Otherwise a zone would count as well before its silent workers are detected. */
+  /** Guards against a zone that counts as healthy before its silent workers are detected. */
   @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
   void settleTimeExceedsWorkerFailureDetectionTime(
@@ -95,7 +95,10 @@
 
   @Test
   void deployedTuningFilesAreValid() throws SettingsException {
-    assertSame(Tuning.DEFAULT, Tuning.load(Path.of("deploy", "features.hcl")), "nothing is on");
+    assertSame(
+        Tuning.DEFAULT,
+        Tuning.load(Path.of("deploy", "features.hcl")),
+        "no optional feature is enabled");
     ZoneFailoverSettings failover =
         Tuning.load(Path.of("deploy", "zone-failover.hcl")).zoneFailover().orElseThrow();
     assertEquals("warnings", failover.tiers().get(0).name());
--- a/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
+++ b/src/test/java/org/ternhinge/limit/KeyValueStoreBudgetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.ternhinge.sim.SimClock;
 
-/** All controllers together keep to the key-value store's limits, whoever leads. */
+/** All controllers together stay within the key-value store's limits, whichever node leads. */
 class KeyValueStoreBudgetTest {
   private static final double REQUESTS_PER_S = 80;
   private static final double CHANGES_PER_S = 30;
@@ -17,7 +17,7 @@
 
   private final SimClock clock = new SimClock();
 
-  /** The limits of the key-value store: its rate, and bursts of one second's worth. */
+  /** The request limit of the key-value store: its rate, and bursts of one second's worth. */
   private final TokenBucket requestLimit = new TokenBucket(clock, REQUESTS_PER_S);
 
   private final TokenBucket changeLimit = new TokenBucket(clock, CHANGES_PER_S);
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Every controller sends all that it may; the leadership changes every few seconds. */
+  /** Every controller exhausts its budget while the leadership changes. */
   @ParameterizedTest(name = "{0} controllers, another leads every {1} s, {2} s without any")
   @CsvSource({"1, 60, 0", "3, 60, 0", "5, 60, 0", "3, 7, 0.2", "5, 7, 0.2", "5, 7, 6"})
   void combinedRequestsStayWithinLimits(int controllers, double termS, double gapS) {
@@ -57,12 +57,12 @@
       clock.runFor(STEP_S);
     }
     assertEquals(0, refused);
-    assertTrue(sent > 60 * 0.3 * CHANGES_PER_S, "the shares are used: " + sent);
+    assertTrue(sent > 60 * 0.3 * CHANGES_PER_S, "the budgets are used: " + sent);
   }
 
   /**
-   * The shares are those of the version in production: 0.7 for the leader, and for each of the
-   * others its part of the rest. So any mix of both versions keeps to the limits as well.
+   * The shares equal those of the version in production: 0.7 for the leader, and an equal part of
+   * the rest for each follower. Hence a mix of both versions also stays within the limits.
    */
   @ParameterizedTest(name = "{0} controllers, leading {1}: {2} requests and {3} changes a second")
   @CsvSource({
@@ -81,7 +81,7 @@
     assertEquals(changesPerS, ratePerS(budget.changes()), 1e-6);
   }
 
-  /** The rate of an empty bucket: the inverse of the time between two tokens. */
+  /** Measures the rate of a bucket: the inverse of the time between two tokens once it is empty. */
   private static double ratePerS(TokenBucket bucket) {
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
       // Empties the bucket.
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.sim.SimClock;
 
-/** Rates, bursts and reserves of a token bucket. */
+/** Rate, burst capacity and priority reserves of a token bucket. */
 class TokenBucketTest {
   private final SimClock clock = new SimClock();
   private final TokenBucket bucket = new TokenBucket(clock, 10);
@@ -47,7 +47,7 @@
 
   @Test
   void requestAboveCapacityIsGrantedFromFullBucket() {
-    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would wait for ever");
+    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would never be granted");
     assertTrue(bucket.secondsUntil(RequestPriority.RENEWAL, 1) > 0.5);
   }
 }
