--- a/src/main/java/org/ternhinge/cloud/HttpCloud.java
+++ b/src/main/java/org/ternhinge/cloud/HttpCloud.java
@@ -46,7 +46,7 @@
     return switch (reply.status()) {
       case 400 -> Outcome.notApplied(Reason.INVALID, "400");
       case 429 -> {
-        tokens.drain();
+        tokens.pauseAfterRejection();
         yield Outcome.notApplied(Reason.RATE_LIMITED, "429");
       }
       case 503 -> unavailable(reply.body());
--- a/src/main/java/org/ternhinge/config/Settings.java
+++ b/src/main/java/org/ternhinge/config/Settings.java
@@ -45,7 +45,7 @@
   /** Upper bound of the relative drift between the monotonic clocks of two machines. */
   public static final double MAX_CLOCK_DRIFT = 0.001;
 
-  /** Heartbeat interval, lease duration and timeouts of workers, in seconds. */
+  /** Heartbeat interval, timeouts, and how long workers run tasks without a leader, in seconds. */
   public record WorkerTimings(
       double heartbeatIntervalS,
       double leaseS,
@@ -53,7 +53,7 @@
       double gangPeerS,
       double cancelS) {
     /**
-     * Number of heartbeat intervals after which two heartbeats have been missed, allowing for
+     * Heartbeat intervals after which two heartbeats are certain to have been missed, despite
      * jitter.
      */
     private static final double OVERDUE_INTERVALS = 2.2;
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -122,7 +122,7 @@
       // Otherwise a cancellation could miss its deadline: an unreachable worker ends its tasks only
       // when its lease expires, and the lease may have been renewed just before.
       throw new SettingsException(
-          WORKERS + "cancel_s: must exceed lease_s by the maximum clock drift");
+          WORKERS + "cancel_s: must be at least lease_s plus the clock drift");
     }
     return workers;
   }
@@ -137,13 +137,14 @@
       throw new SettingsException(STATE + "next: an object is needed");
     }
     return new StoreLimits(
-        lower(node, next, "rps"),
-        lower(node, next, "write_rps"),
-        lower(node, next, "value_kb"),
-        (int) lower(node, next, "txn_ops"));
+        lowerOfPresentAndNext(node, next, "rps"),
+        lowerOfPresentAndNext(node, next, "write_rps"),
+        lowerOfPresentAndNext(node, next, "value_kb"),
+        (int) lowerOfPresentAndNext(node, next, "txn_ops"));
   }
 
-  private static double lower(JsonNode now, JsonNode next, String field) throws SettingsException {
+  private static double lowerOfPresentAndNext(JsonNode now, JsonNode next, String field)
+      throws SettingsException {
     double value = positive(now, field, STATE);
     if (next == null || next.path(field).isMissingNode() || next.path(field).isNull()) {
       return value;
--- a/src/main/java/org/ternhinge/limit/TokenBucket.java
+++ b/src/main/java/org/ternhinge/limit/TokenBucket.java
@@ -9,7 +9,7 @@
  */
 public final class TokenBucket {
   /** Debt after the remote system has rejected a call for its rate, in seconds of refill. */
-  private static final double REFUSAL_DEBT_S = 0.2;
+  private static final double REJECTION_DEBT_S = 0.2;
 
   /** Minimum capacity, so that single calls are possible at rates below one per second. */
   private static final double MIN_CAPACITY = 1;
@@ -76,9 +76,9 @@
    * Pauses all calls briefly after the remote system has rejected one for its rate, since other
    * processes draw on the same limit.
    */
-  public synchronized void drain() {
+  public synchronized void pauseAfterRejection() {
     refill();
-    tokens = Math.min(tokens, -REFUSAL_DEBT_S * ratePerS);
+    tokens = Math.min(tokens, -REJECTION_DEBT_S * ratePerS);
   }
 
   private void refill() {
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -73,7 +73,7 @@
       case 400 ->
           Outcome.notApplied(Reason.INVALID, new String(reply.body(), StandardCharsets.UTF_8));
       case 429 -> {
-        requests.drain();
+        requests.pauseAfterRejection();
         yield Outcome.notApplied(Reason.TOO_MANY_REQUESTS, "429");
       }
       case 503 -> Outcome.notApplied(Reason.REFUSED, "503");
@@ -159,7 +159,7 @@
 
   private Outcome<Revision> pauseWritesIfTooMany(Outcome<Revision> outcome) {
     if (outcome.isBecause(Reason.TOO_MANY_REQUESTS)) {
-      writes.drain();
+      writes.pauseAfterRejection();
     }
     return outcome;
   }
--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -43,13 +43,13 @@
           .importPackages(ROOT);
 
   @Test
-  void everyNameOnThePageExists() throws IOException {
+  void namesOnArchitecturePageExist() throws IOException {
     assertEquals(List.of(), unknownNames(Files.readString(PAGE)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"design.md", "design-zone-failover.md", "findings.md", "operations.md"})
-  void everyMemberOnTheOtherPagesExists(String page) throws IOException {
+  void membersOnOtherPagesExist(String page) throws IOException {
     List<String> unknownMembers =
         unknownNames(Files.readString(Path.of("docs", page))).stream()
             .filter(name -> name.contains("."))
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void everyPackageIsOnThePage() throws IOException {
+  void everyPackageIsOnArchitecturePage() throws IOException {
     String page = Files.readString(PAGE);
     List<String> missing =
         CLASSES.stream()
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theRulesOnThePageAreThoseThatAreEnforced() throws IOException {
+  void rulesOnArchitecturePageMatchEnforcedRules() throws IOException {
     Map<String, List<String>> rules = new TreeMap<>();
     PACKAGE_ROW
         .matcher(Files.readString(PAGE))
@@ -90,7 +90,7 @@
     "one of several names, `Ledger LedgerKeeper`, LedgerKeeper",
     "a package, `org.ternhinge.nowhere`, org.ternhinge.nowhere",
   })
-  void anUnknownNameIsFound(String kind, String text, String unknown) {
+  void unknownNameIsReported(String kind, String text, String unknown) {
     assertEquals(List.of(unknown), unknownNames("The " + text + " does it."), kind);
   }
 
@@ -107,7 +107,7 @@
     "`GET /healthz`",
     "`docs/design.md`",
   })
-  void aKnownNameAndOtherTextAreNotFound(String text) {
+  void knownNameAndOtherTextAreNotReported(String text) {
     assertEquals(List.of(), unknownNames(text));
   }
 
--- a/src/test/java/org/ternhinge/PackageRulesTest.java
+++ b/src/test/java/org/ternhinge/PackageRulesTest.java
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void everyPackageHasARule() {
+  void everyPackageHasRule() {
     Set<String> present =
         CLASSES.stream()
             .map(JavaClass::getPackageName)
@@ -96,7 +96,7 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("packages")
-  void aPackageDependsOnThoseOfItsRuleOnly(String name) {
+  void packageDependsOnlyOnPermittedPackages(String name) {
     DescribedPredicate<JavaClass> allowed = resideOutsideOfPackage("org.ternhinge..");
     allowed = allowed.or(resideInAPackage(ROOT + name));
     for (String other : rules().get(name)) {
@@ -112,11 +112,11 @@
   }
 
   @Test
-  void packagesFormNoCycle() {
+  void packagesAreFreeOfCycles() {
     slices().matching("org.ternhinge.(**)").should().beFreeOfCycles().check(CLASSES);
   }
 
-  /** The planner is free of side effects: it does no I/O, logging or synchronization. */
+  /** The planner is free of side effects: it reads no clock and does no I/O, logging or waiting. */
   @Test
   void planningHasNoSideEffects() {
     DescribedPredicate<JavaClass> sideEffects =
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -128,7 +128,7 @@
         SubmissionBuilder.job(id, "batch", TASKS).jobClass(TIERS.get(tier)).runsFor(RUN_S).bytes();
     int node = jobCount % LoopbackCluster.NODES;
     LoopbackCluster.waitUntil(
-        "job " + id + " is accepted",
+        "the job is accepted",
         () -> {
           int status = cluster.status(node, "POST", "/submissions", bytes);
           return status == 201 || status == 200;
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -39,7 +39,7 @@
 
   @Test
   void remoteRateLimitPausesAllPriorities() {
-    bucket.drain();
+    bucket.pauseAfterRejection();
     assertFalse(bucket.tryTake(RequestPriority.RENEWAL, 1));
     clock.runFor(0.31);
     assertTrue(bucket.tryTake(RequestPriority.RENEWAL, 1));
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -145,7 +145,7 @@
 
   private Outcome<Revision> slowDownIfTooFast(Outcome<Revision> outcome) {
     if (outcome instanceof Outcome.NotApplied<Revision> refused && refused.detail().equals("429")) {
-      changes.drain();
+      changes.pauseAfterRejection();
     }
     return outcome;
   }
--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -102,7 +102,7 @@
 
     @Test
     void aCallWithoutATokenIsNotSent() throws Exception {
-      requests.drain();
+      requests.pauseAfterRejection();
       try (LoopbackServer server = new LoopbackServer(200, "{}")) {
         assertEquals(
             Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"),
@@ -113,7 +113,7 @@
 
     @Test
     void aTransactionNeedsAWriteTokenForEachChange() throws Exception {
-      writes.drain();
+      writes.pauseAfterRejection();
       assertEquals(
           Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"), write(200, "{\"breytingatal\":1}"));
     }
