--- a/src/main/java/org/ternhinge/attempt/AttemptStatusUpdater.java
+++ b/src/main/java/org/ternhinge/attempt/AttemptStatusUpdater.java
@@ -86,7 +86,7 @@
       machine.health().reachability().recordCommandEffect();
     }
     if (before != state && attempt.state() == AttemptState.RUNNING) {
-      metrics.started(now.secondsSince(attempt.openedAt()));
+      metrics.recordStart(now.secondsSince(attempt.openedAt()));
     }
   }
 
--- a/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
+++ b/src/main/java/org/ternhinge/attempt/CommandDispatcher.java
@@ -18,7 +18,7 @@
 import org.ternhinge.term.LeadershipContext;
 import org.ternhinge.wire.Command;
 import org.ternhinge.wire.Heartbeat;
-import org.ternhinge.worker.Workers.Answer;
+import org.ternhinge.worker.WorkerClient.Answer;
 
 /**
  * Sends commands directly to workers. At most one message per machine is in flight, so that
@@ -34,7 +34,7 @@
   private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
   private final AgentStatusSink statusSink;
-  private final Settings.Workers workerSettings;
+  private final Settings.WorkerTimings workerSettings;
   private final Clock clock;
   private final Metrics metrics;
   private final Authority authority;
@@ -173,7 +173,7 @@
     MonotonicTime now = clock.now();
     message.settleStarts();
     message.machine().health().reachability().recordProbeAnswer();
-    metrics.commandAnswered(now.secondsSince(message.sentAt()));
+    metrics.recordCommand(now.secondsSince(message.sentAt()));
     statusSink.apply(message.machine(), status, MessageOrigin.COMMAND_RESPONSE, now);
   }
 
--- a/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
+++ b/src/main/java/org/ternhinge/attempt/TermAnnouncer.java
@@ -11,7 +11,7 @@
 import org.ternhinge.model.Outcome;
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.ListedMachine;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * Announces the current term to workers that have not sent a heartbeat to this leader. Such a
@@ -77,8 +77,8 @@
   }
 
   private void handleResponse(
-      Machine machine, Endpoint endpoint, Outcome<Workers.Answer> outcome, int attemptsLeft) {
-    if (!(outcome instanceof Outcome.Applied<Workers.Answer> applied)) {
+      Machine machine, Endpoint endpoint, Outcome<WorkerClient.Answer> outcome, int attemptsLeft) {
+    if (!(outcome instanceof Outcome.Applied<WorkerClient.Answer> applied)) {
       return;
     }
     Heartbeat status = applied.value().heartbeat();
@@ -88,8 +88,8 @@
     }
   }
 
-  private boolean isRefusedForEpoch(Workers.Answer answer) {
-    return answer instanceof Workers.Answer.Refused
+  private boolean isRefusedForEpoch(WorkerClient.Answer answer) {
+    return answer instanceof WorkerClient.Answer.Refused
         && answer.heartbeat().fencingToken().compareTo(authority.term()) <= 0;
   }
 }
--- a/src/main/java/org/ternhinge/cli/ClassDataTraining.java
+++ b/src/main/java/org/ternhinge/cli/ClassDataTraining.java
@@ -20,8 +20,9 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * A short run of the service on loopback, without a cloud or a key-value store. The build archives
- * the classes that it loads: on a sixth of a core a start from the archive is several times faster.
+ * Training run for class data sharing: runs the service on loopback for a short time, without a
+ * cloud or a key-value store. The build archives the classes that it loads; on a sixth of a core,
+ * startup from the archive is several times faster.
  */
 final class ClassDataTraining {
   /** A heartbeat as a worker sends it. */
@@ -30,15 +31,15 @@
           + "\"lanvelar\":false,\"vakt\":1,\"raodnumer\":1,\"valdmerki\":0,\"verkbitar\":["
           + "{\"verkbiti\":\"wk-1/0\",\"tilraun\":1,\"astand\":\"running\"}]}";
 
-  /** How many requests of each kind are sent. */
+  /** Number of requests of each kind. */
   private static final int REQUESTS = 20;
 
-  /** Pause before each of them, in milliseconds. */
+  /** Pause before each pair of requests, in milliseconds. */
   private static final int PAUSE_MS = 100;
 
   private ClassDataTraining() {}
 
-  /** Runs the service for two seconds and sends it requests meanwhile. */
+  /** Runs the service for two seconds and sends requests to it. */
   static void run() throws IOException, InterruptedException, WireException {
     int clientPort = freePort();
     int peerPort = freePort();
@@ -55,7 +56,7 @@
             List.of("z"),
             Map.of(),
             List.of(),
-            new Settings.Workers(3, 24, 30, 5, 44),
+            new Settings.WorkerTimings(3, 24, 30, 5, 44),
             new Settings.StoreLimits(80, 30, 8, 16),
             new Settings.CloudLimits(4, 10),
             100,
@@ -69,8 +70,8 @@
         new Term(1), List.of(new Command(Command.Op.START, task, new AttemptNumber(1), 0)));
     for (int i = 0; i < REQUESTS; i++) {
       Thread.sleep(PAUSE_MS);
-      ask(clientPort, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-      ask(
+      sendRequest(clientPort, "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+      sendRequest(
           clientPort,
           "POST /agent/beat HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: "
               + HEARTBEAT.length()
@@ -97,14 +98,14 @@
     }
   }
 
-  private static void ask(int port, String request) {
+  private static void sendRequest(int port, String request) {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       OutputStream out = socket.getOutputStream();
       out.write(request.getBytes(StandardCharsets.UTF_8));
       out.flush();
       socket.getInputStream().readAllBytes();
     } catch (IOException e) {
-      // The service is not listening yet; the next request follows soon.
+      // The service may not be listening yet; the next request follows after the pause.
       Thread.onSpinWait();
     }
   }
--- a/src/main/java/org/ternhinge/config/SettingsReader.java
+++ b/src/main/java/org/ternhinge/config/SettingsReader.java
@@ -8,10 +8,12 @@
 import java.util.Optional;
 import org.ternhinge.config.Settings.CloudLimits;
 import org.ternhinge.config.Settings.StoreLimits;
-import org.ternhinge.config.Settings.Workers;
+import org.ternhinge.config.Settings.WorkerTimings;
 import org.ternhinge.model.Endpoint;
 
-/** Reads and checks the platform's settings; each error names its field by the whole path. */
+/**
+ * Reads and validates the platform's settings; each error message names the full path of the field.
+ */
 final class SettingsReader {
   private static final String DEPLOYMENT = "deployment.";
   private static final String TEAMS = DEPLOYMENT + "teams.";
@@ -19,21 +21,21 @@
   private static final String STATE = DEPLOYMENT + "state.";
   private static final String CLOUD = DEPLOYMENT + "cloud.";
 
-  /** Limit of sockets of a process where the settings name none. */
+  /** Maximum number of sockets if the settings define none. */
   private static final int DEFAULT_MAX_SOCKETS = 1000;
 
-  /** Error of the time of day where the settings name none, in milliseconds. */
+  /** Maximum wall-clock error if the settings define none, in milliseconds. */
   private static final double DEFAULT_CLOCK_ERROR_MS = 100;
 
   private static final double MILLIS_PER_S = 1000;
 
   private static final double THOUSANDTHS = 1000;
 
-  /** Largest amount, so that no sum of amounts in thousandths overflows. */
-  private static final double MAX_AMOUNT = 1e9;
+  /** Upper bound of a resource amount, so that no sum of amounts in thousandths overflows. */
+  private static final double MAX_RESOURCE_AMOUNT = 1e9;
 
-  /** Added before rounding down, so that no thousandth is lost to floating-point arithmetic. */
-  private static final double ROUNDING = 1e-6;
+  /** Added before rounding down, so that no thousandth is lost to floating-point error. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private SettingsReader() {}
 
@@ -92,7 +94,7 @@
               thousandths(node, "gpus", TEAMS),
               thousandths(node, "gpus_max", TEAMS));
       if (teams.put(team.name(), team) != null) {
-        throw new SettingsException(DEPLOYMENT + "teams: " + team.name() + " stands twice");
+        throw new SettingsException(DEPLOYMENT + "teams: " + team.name() + " appears twice");
       }
     }
     return teams;
@@ -108,26 +110,26 @@
     return List.copyOf(objectives);
   }
 
-  private static Workers workers(JsonNode node) throws SettingsException {
-    Workers workers =
-        new Workers(
+  private static WorkerTimings workers(JsonNode node) throws SettingsException {
+    WorkerTimings workers =
+        new WorkerTimings(
             positive(node, "report_s", WORKERS),
             positive(node, "lease_s", WORKERS),
             positive(node, "gang_wait_s", WORKERS),
             positive(node, "gang_peer_s", WORKERS),
             positive(node, "cancel_s", WORKERS));
-    if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.DRIFT)) {
-      // Otherwise a cancellation can't take effect in time: a worker that is not reached ends its
-      // tasks only when its lease expires, and that may have been renewed just before.
+    if (workers.cancelS() < workers.leaseS() * (1 + 2 * Settings.MAX_CLOCK_DRIFT)) {
+      // Otherwise a cancellation could miss its deadline: an unreachable worker ends its tasks only
+      // when its lease expires, and the lease may have been renewed just before.
       throw new SettingsException(
-          WORKERS + "cancel_s: lease_s has to be over within it, clocks' drift included");
+          WORKERS + "cancel_s: must be at least lease_s plus the clock drift");
     }
     return workers;
   }
 
   /**
-   * The present limits, or the announced ones where these are lower: they take effect without
-   * notice, and records that were written before have to be rewritten under them.
+   * Returns the lower of the present and the announced limits: announced limits take effect without
+   * notice, and records that were written before must be rewritten under them.
    */
   private static StoreLimits storeLimits(JsonNode node) throws SettingsException {
     JsonNode next = node.get("next");
@@ -135,13 +137,14 @@
       throw new SettingsException(STATE + "next: an object is needed");
     }
     return new StoreLimits(
-        lower(node, next, "rps"),
-        lower(node, next, "write_rps"),
-        lower(node, next, "value_kb"),
-        (int) lower(node, next, "txn_ops"));
+        lowerOfPresentAndNext(node, next, "rps"),
+        lowerOfPresentAndNext(node, next, "write_rps"),
+        lowerOfPresentAndNext(node, next, "value_kb"),
+        (int) lowerOfPresentAndNext(node, next, "txn_ops"));
   }
 
-  private static double lower(JsonNode now, JsonNode next, String field) throws SettingsException {
+  private static double lowerOfPresentAndNext(JsonNode now, JsonNode next, String field)
+      throws SettingsException {
     double value = positive(now, field, STATE);
     if (next == null || next.path(field).isMissingNode() || next.path(field).isNull()) {
       return value;
@@ -155,25 +158,26 @@
 
   // ---- single fields --------------------------------------------------------------------------
 
-  private static JsonNode object(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static JsonNode object(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isObject()) {
       throw new SettingsException(path + field + ": an object is needed");
     }
     return node;
   }
 
-  private static String text(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static String text(JsonNode parent, String field, String path) throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isTextual() || node.textValue().isEmpty()) {
       throw new SettingsException(path + field + ": a name is needed");
     }
     return node.textValue();
   }
 
-  private static Endpoint endpoint(JsonNode at, String field, String path)
+  private static Endpoint endpoint(JsonNode parent, String field, String path)
       throws SettingsException {
-    String text = text(at, field, path);
+    String text = text(parent, field, path);
     try {
       return Endpoint.parse(text);
     } catch (IllegalArgumentException e) {
@@ -181,22 +185,26 @@
     }
   }
 
-  private static double positive(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static double positive(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || !node.isNumber() || !(node.doubleValue() > 0)) {
       throw new SettingsException(path + field + ": a number above 0 is needed");
     }
     return node.doubleValue();
   }
 
-  private static long thousandths(JsonNode at, String field, String path) throws SettingsException {
-    JsonNode node = at.get(field);
+  private static long thousandths(JsonNode parent, String field, String path)
+      throws SettingsException {
+    JsonNode node = parent.get(field);
     if (node == null || node.isNull()) {
       return 0;
     }
-    if (!node.isNumber() || !(node.doubleValue() >= 0) || node.doubleValue() > MAX_AMOUNT) {
-      throw new SettingsException(path + field + ": a number from 0 on is needed");
+    if (!node.isNumber()
+        || !(node.doubleValue() >= 0)
+        || node.doubleValue() > MAX_RESOURCE_AMOUNT) {
+      throw new SettingsException(path + field + ": a number of at least 0 is needed");
     }
-    return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING);
+    return (long) Math.floor(node.doubleValue() * THOUSANDTHS + ROUNDING_TOLERANCE);
   }
 }
--- a/src/main/java/org/ternhinge/election/Election.java
+++ b/src/main/java/org/ternhinge/election/Election.java
@@ -33,7 +33,7 @@
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-  private static final double DRIFT = Settings.DRIFT;
+  private static final double DRIFT = Settings.MAX_CLOCK_DRIFT;
 
   /** Delay in seconds before the next attempt after a failed call. */
   private static final double RETRY_S = 0.5;
@@ -156,7 +156,7 @@
    * <p>The periods of successive leaderships do not accumulate: a later leadership adds its grace
    * period to its own validity, and never applies it to work that it knows to be cancelled.
    */
-  public static double gracePeriodS(Tuning tuning, Settings.Workers workers) {
+  public static double gracePeriodS(Tuning tuning, Settings.WorkerTimings workers) {
     double upperBoundS =
         workers.cancelS() - workers.leaseS() * (1 + 2 * DRIFT) - 4 * tuning.marginS();
     return Math.max(0, Math.min(tuning.graceS(), upperBoundS));
--- a/src/main/java/org/ternhinge/election/LeadershipLease.java
+++ b/src/main/java/org/ternhinge/election/LeadershipLease.java
@@ -92,7 +92,7 @@
   }
 
   private MonotonicTime validityEnd(MonotonicTime requestSent) {
-    return requestSent.plusSeconds(tuning.validityS());
+    return requestSent.plusSeconds(tuning.leaseValidityS());
   }
 
   private void scheduleNextRenewal() {
@@ -114,7 +114,7 @@
     lastRenewalSentAt = now;
     renewAfter(tuning.renewalOverdueS());
     lockedExecutor.whenComplete(
-        store.renewLease(id, tuning.validityS()),
+        store.renewLease(id, tuning.leaseValidityS()),
         outcome -> handleRenewalResponse(renewalNumber, now, outcome));
   }
 
--- a/src/main/java/org/ternhinge/leadership/MachineComponents.java
+++ b/src/main/java/org/ternhinge/leadership/MachineComponents.java
@@ -58,7 +58,8 @@
    */
   private static MonotonicTime initialLeaseEnd(
       Settings settings, Tuning tuning, MonotonicTime electedAt) {
-    double graceS = Election.gracePeriodS(tuning, settings.workers()) * (1 + Settings.DRIFT);
+    double graceS =
+        Election.gracePeriodS(tuning, settings.workers()) * (1 + Settings.MAX_CLOCK_DRIFT);
     return electedAt.plusSeconds(graceS + tuning.workerLeaseS(settings.workers()));
   }
 }
--- a/src/main/java/org/ternhinge/machine/AgentState.java
+++ b/src/main/java/org/ternhinge/machine/AgentState.java
@@ -106,7 +106,7 @@
   }
 
   /** Returns whether the agent has missed heartbeats or has never reported. */
-  public boolean isOverdue(Settings.Workers workers, MonotonicTime now) {
+  public boolean isOverdue(Settings.WorkerTimings workers, MonotonicTime now) {
     return silenceS(now) >= workers.overdueS();
   }
 
--- a/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
+++ b/src/main/java/org/ternhinge/scaling/ListedTermAnnouncer.java
@@ -42,7 +42,7 @@
   /** Creates an announcer without any announcements made. */
   public ListedTermAnnouncer(
       LeadershipContext context, CommandDispatcher dispatcher, TermAnnouncer termAnnouncer) {
-    Settings.Workers workers = context.services().settings().workers();
+    Settings.WorkerTimings workers = context.services().settings().workers();
     this.discoveryPeriodS = DISCOVERY_HEARTBEATS * workers.heartbeatIntervalS();
     this.electedAt = context.electedAt();
     this.dispatcher = dispatcher;
--- a/src/main/java/org/ternhinge/scaling/MachineInventory.java
+++ b/src/main/java/org/ternhinge/scaling/MachineInventory.java
@@ -120,7 +120,7 @@
    */
   private void removeMissing(Set<MachineId> listedIds, MonotonicTime startedAt) {
     double maxListingAgeS =
-        2 * settings.cloudLimits().listLagS() * (1 + Settings.DRIFT) + tuning.marginS();
+        2 * settings.cloudLimits().listLagS() * (1 + Settings.MAX_CLOCK_DRIFT) + tuning.marginS();
     for (Machine machine : List.copyOf(machines.all())) {
       double unconfirmedS = startedAt.secondsSince(machine.cloud().lastConfirmedAt());
       if (!listedIds.contains(machine.id()) && unconfirmedS > maxListingAgeS) {
--- a/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
+++ b/src/main/java/org/ternhinge/store/HttpKeyValueStore.java
@@ -75,7 +75,7 @@
       case 400 ->
           Outcome.notApplied(Reason.INVALID, new String(reply.body(), StandardCharsets.UTF_8));
       case 429 -> {
-        requestTokens.drain();
+        requestTokens.pauseAfterRejection();
         yield Outcome.notApplied(Reason.TOO_MANY_REQUESTS, "429");
       }
       case 503 -> Outcome.notApplied(Reason.REFUSED, "503");
@@ -161,7 +161,7 @@
 
   private Outcome<Revision> pauseWritesIfTooMany(Outcome<Revision> outcome) {
     if (outcome.isNotApplied(Reason.TOO_MANY_REQUESTS)) {
-      writeTokens.drain();
+      writeTokens.pauseAfterRejection();
     }
     return outcome;
   }
--- a/src/main/java/org/ternhinge/store/ResponseTimeouts.java
+++ b/src/main/java/org/ternhinge/store/ResponseTimeouts.java
@@ -107,7 +107,7 @@
    */
   public static ResponseTimeouts of(Clock clock, Tuning tuning) {
     return new ResponseTimeouts(
-        clock, Math.max(Kind.READ.minTimeoutS, tuning.validityS() - tuning.renewalOverdueS()));
+        clock, Math.max(Kind.READ.minTimeoutS, tuning.leaseValidityS() - tuning.renewalOverdueS()));
   }
 
   /** The maximum time-out in seconds. */
--- a/src/main/java/org/ternhinge/worker/HttpWorkers.java
+++ b/src/main/java/org/ternhinge/worker/HttpWorkerClient.java
@@ -18,13 +18,13 @@
 import org.ternhinge.wire.WireException;
 
 /** Sends direct commands to workers over HTTP. Its futures never complete exceptionally. */
-public final class HttpWorkers implements Workers {
+public final class HttpWorkerClient implements WorkerClient {
   private static final CallTimeouts TIMEOUTS = CallTimeouts.of(3);
 
   private final PooledHttpClient http;
 
-  /** Creates a client for all workers. */
-  public HttpWorkers(PooledHttpClient http) {
+  /** Creates a client that can call all workers. */
+  public HttpWorkerClient(PooledHttpClient http) {
     this.http = http;
   }
 
@@ -37,7 +37,7 @@
       BooleanSupplier maySend) {
     Request request = Request.post("/commands", Command.directCommandsBody(term, epoch, commands));
     return http.callIf(maySend, worker, request, TIMEOUTS)
-        .thenApply(outcome -> outcome.flatMap(HttpWorkers::decode));
+        .thenApply(outcome -> outcome.flatMap(HttpWorkerClient::decode));
   }
 
   private static Outcome<Answer> decode(ClientResponse reply) {
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public void forget(Endpoint worker) {
+  public void closeConnections(Endpoint worker) {
     http.closeIdleConnections(worker);
   }
 }
--- a/src/main/java/org/ternhinge/zone/FlapPenalty.java
+++ b/src/main/java/org/ternhinge/zone/FlapPenalty.java
@@ -17,13 +17,13 @@
   }
 
   /** Returns the value after decay up to the given time. */
-  double valueAt(MonotonicTime now, ZoneFailoverSettings.Flaps flaps) {
+  double valueAt(MonotonicTime now, ZoneFailoverSettings.FlapDamping flaps) {
     double halfLives = Math.max(0, now.secondsSince(at)) / flaps.halfLifeS();
     return value * Math.pow(0.5, halfLives);
   }
 
   /** Returns the penalty after another loss, up to the configured maximum. */
-  FlapPenalty increased(MonotonicTime now, ZoneFailoverSettings.Flaps flaps) {
+  FlapPenalty increased(MonotonicTime now, ZoneFailoverSettings.FlapDamping flaps) {
     return new FlapPenalty(Math.min(flaps.max(), valueAt(now, flaps) + 1), now);
   }
 }
--- a/src/main/java/org/ternhinge/zone/ZoneHealth.java
+++ b/src/main/java/org/ternhinge/zone/ZoneHealth.java
@@ -58,7 +58,8 @@
       case UNAVAILABLE -> {
         // A zone that fails again while unavailable is penalized again and recovers later.
         boolean impairedAgain = impairedSince == null && measured.impairedSince != null;
-        ZoneHealth current = impairedAgain ? measured.penalized(settings.flaps(), now) : measured;
+        ZoneHealth current =
+            impairedAgain ? measured.penalized(settings.flapDamping(), now) : measured;
         yield current.nextFromUnavailable(observation, settings, now);
       }
       case RECOVERING -> measured.nextFromRecovering(settings, now);
@@ -101,7 +102,7 @@
       MonotonicTime now) {
     ZoneFailoverSettings.Detection detection = settings.detection();
     if (confirmable && hasLasted(lostSince, detection.confirmS(), now)) {
-      return toUnavailable(settings.flaps(), now);
+      return toUnavailable(settings.flapDamping(), now);
     }
     if (healthySince != null) {
       return transitionTo(ZoneState.AVAILABLE, tolerated, now);
@@ -112,11 +113,11 @@
     return partlyImpaired ? transitionTo(ZoneState.AVAILABLE, observation.impaired(), now) : this;
   }
 
-  private ZoneHealth toUnavailable(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
+  private ZoneHealth toUnavailable(ZoneFailoverSettings.FlapDamping flaps, MonotonicTime now) {
     return transitionTo(ZoneState.UNAVAILABLE, 0, now).penalized(flaps, now);
   }
 
-  private ZoneHealth penalized(ZoneFailoverSettings.Flaps flaps, MonotonicTime now) {
+  private ZoneHealth penalized(ZoneFailoverSettings.FlapDamping flaps, MonotonicTime now) {
     FlapPenalty more = penalty.increased(now, flaps);
     boolean suppress = suppressed || more.value() > flaps.suppressAt();
     return new ZoneHealth(
@@ -125,7 +126,7 @@
 
   private ZoneHealth nextFromUnavailable(
       ZoneObservation observation, ZoneFailoverSettings settings, MonotonicTime now) {
-    ZoneFailoverSettings.Flaps flaps = settings.flaps();
+    ZoneFailoverSettings.FlapDamping flaps = settings.flapDamping();
     boolean stillSuppressed = suppressed && penalty.valueAt(now, flaps) >= flaps.reuseAt();
     ZoneHealth current = stillSuppressed == suppressed ? this : withSuppressed(stillSuppressed);
     if (stillSuppressed || !hasLasted(healthySince, settings.detection().settleS(), now)) {
--- a/src/test/java/org/ternhinge/ArchitecturePageTest.java
+++ b/src/test/java/org/ternhinge/ArchitecturePageTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * {@code docs/architecture.md} names, in backticks, only types and packages of this program; on the
- * other pages, the members that are named with a type of the program exist.
+ * Checks that the types and packages named in code spans of {@code docs/architecture.md} exist in
+ * the program, and that the members named together with a type on the other pages exist.
  */
 class ArchitecturePageTest {
   private static final String ROOT = "org.ternhinge";
@@ -30,10 +30,10 @@
   private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
   private static final Pattern NAME = Pattern.compile("[\\w.-]*\\w");
 
-  /** A type, with a nested type or a member behind it where there is one. */
+  /** A type, optionally followed by a nested type or a member. */
   private static final Pattern TYPE = Pattern.compile("[A-Z]\\w*[a-z]\\w*(\\.\\w+)*");
 
-  /** A row of the table of packages: the package, what it holds, and what it may use. */
+  /** A row of the package table: the package, its contents and its permitted dependencies. */
   private static final Pattern PACKAGE_ROW =
       Pattern.compile("\\| `org\\.ternhinge\\.([a-z.]+)` \\|[^|\n]*\\|([^|\n]*)\\|");
 
@@ -43,13 +43,13 @@
           .importPackages(ROOT);
 
   @Test
-  void everyNameOnThePageExists() throws IOException {
+  void namesOnArchitecturePageExist() throws IOException {
     assertEquals(List.of(), unknownNames(Files.readString(PAGE)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"design.md", "design-zone-failover.md", "findings.md", "operations.md"})
-  void everyMemberOnTheOtherPagesExists(String page) throws IOException {
+  void membersOnOtherPagesExist(String page) throws IOException {
     List<String> unknownMembers =
         unknownNames(Files.readString(Path.of("docs", page))).stream()
             .filter(name -> name.contains("."))
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void everyPackageIsOnThePage() throws IOException {
+  void everyPackageIsOnArchitecturePage() throws IOException {
     String page = Files.readString(PAGE);
     List<String> missing =
         CLASSES.stream()
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void theRulesOnThePageAreThoseThatAreEnforced() throws IOException {
+  void rulesOnArchitecturePageMatchEnforcedRules() throws IOException {
     Map<String, List<String>> rules = new TreeMap<>();
     PACKAGE_ROW
         .matcher(Files.readString(PAGE))
@@ -90,7 +90,7 @@
     "one of several names, `Ledger LedgerKeeper`, LedgerKeeper",
     "a package, `org.ternhinge.nowhere`, org.ternhinge.nowhere",
   })
-  void anUnknownNameIsFound(String kind, String text, String unknown) {
+  void unknownNameIsReported(String kind, String text, String unknown) {
     assertEquals(List.of(unknown), unknownNames("The " + text + " does it."), kind);
   }
 
@@ -107,11 +107,11 @@
     "`GET /healthz`",
     "`docs/design.md`",
   })
-  void aKnownNameAndOtherTextAreNotFound(String text) {
+  void knownNameAndOtherTextAreNotReported(String text) {
     assertEquals(List.of(), unknownNames(text));
   }
 
-  /** Names in the page's code spans that no class or package of the program has. */
+  /** Returns the names in the page's code spans that match no class or package of the program. */
   private static List<String> unknownNames(String page) {
     return CODE_SPAN
         .matcher(page)
@@ -136,7 +136,7 @@
         .anyMatch(type -> path.length == 1 || hasPart(type, path[1]));
   }
 
-  /** Whether a type has a member, or a type nested in it, by this path of names. */
+  /** Whether a type has a member or nested type with this path of names. */
   private static boolean hasPart(JavaClass type, String name) {
     String[] path = name.split("\\.", 2);
     String nested = type.getName() + "$" + path[0];
--- a/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
+++ b/src/test/java/org/ternhinge/api/SubmissionValidatorTest.java
@@ -13,9 +13,11 @@
 import org.ternhinge.sim.SubmissionJson;
 import org.ternhinge.wire.MachineType;
 
-/** Which jobs can never run, with a team limit of 24 CPUs and machines of up to 16. */
+/**
+ * Rejection of jobs that can never run, with a team limit of 24 CPUs and machines of up to 16 CPUs.
+ */
 class SubmissionValidatorTest {
-  private final SimCluster world = new SimCluster(1, 0);
+  private final SimCluster cluster = new SimCluster(1, 0);
 
   private static Map<String, MachineType> machineTypes() {
     Map<String, MachineType> out = new LinkedHashMap<>();
@@ -40,7 +42,7 @@
     "batch,  9,    1,  red,  east,  true,  true,      , ",
     "group,  1,    1,  red,  east,  true,  true,      , ",
   })
-  void jobsThatCanNeverRunAreRejected(
+  void jobThatCanNeverRunIsRejected(
       String kind,
       int tasks,
       double cpus,
@@ -58,7 +60,7 @@
     }
     assertEquals(
         Optional.ofNullable(expected),
-        SubmissionValidator.reject(
-            SubmissionJson.parse(body), world.settings("node-0"), machineTypes()));
+        SubmissionValidator.validate(
+            SubmissionJson.parse(body), cluster.settings("node-0"), machineTypes()));
   }
 }
--- a/src/test/java/org/ternhinge/cli/LinkRelay.java
+++ b/src/test/java/org/ternhinge/cli/LinkRelay.java
@@ -12,52 +12,52 @@
 import java.util.concurrent.Executors;
 
 /**
- * Passes connections of one group on to where they are meant for, on loopback, and can be cut. What
- * is sent while it is cut is delayed and delivered once the cut is over, as by a real network.
+ * TCP relay on loopback that can simulate a network partition. Bytes that are sent during the
+ * partition are delayed and delivered once it heals, as TCP retransmission does on a real network.
  */
 final class LinkRelay implements AutoCloseable {
   private static final int BUFFER_BYTES = 8192;
 
-  private final ExecutorService threads = Executors.newCachedThreadPool(LinkRelay::daemon);
-  private final Set<AutoCloseable> open = ConcurrentHashMap.newKeySet();
-  private final Object gate = new Object();
-  private boolean cut;
+  private final ExecutorService threads = Executors.newCachedThreadPool(LinkRelay::daemonThread);
+  private final Set<AutoCloseable> openResources = ConcurrentHashMap.newKeySet();
+  private final Object lock = new Object();
+  private boolean partitioned;
   private volatile boolean closed;
 
-  private static Thread daemon(Runnable action) {
+  private static Thread daemonThread(Runnable action) {
     Thread thread = new Thread(action);
     thread.setDaemon(true);
     return thread;
   }
 
-  /** Opens a port whose connections go to another one; says which. */
+  /** Opens a port whose connections are forwarded to another port; returns the opened one. */
   int forwardTo(int port) throws IOException {
     ServerSocket server = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-    open.add(server);
+    openResources.add(server);
     threads.execute(() -> accept(server, port));
     return server.getLocalPort();
   }
 
-  /** From now on nothing passes. */
-  void cut() {
-    synchronized (gate) {
-      cut = true;
+  /** Stops forwarding until {@link #heal}. */
+  void partition() {
+    synchronized (lock) {
+      partitioned = true;
     }
   }
 
-  /** Ends the cut: delayed bytes are delivered, and all later ones. */
+  /** Ends the partition: delivers delayed bytes and resumes forwarding. */
   void heal() {
-    synchronized (gate) {
-      cut = false;
-      gate.notifyAll();
+    synchronized (lock) {
+      partitioned = false;
+      lock.notifyAll();
     }
   }
 
-  private void awaitOpen() throws IOException {
-    synchronized (gate) {
-      while (cut && !closed) {
+  private void awaitHealed() throws IOException {
+    synchronized (lock) {
+      while (partitioned && !closed) {
         try {
-          gate.wait();
+          lock.wait();
         } catch (InterruptedException e) {
           throw new IOException(e);
         }
@@ -69,7 +69,7 @@
     try {
       while (!closed) {
         Socket from = server.accept();
-        open.add(from);
+        openResources.add(from);
         threads.execute(() -> connect(from, port));
       }
     } catch (IOException e) {
@@ -80,39 +80,39 @@
 
   private void connect(Socket from, int port) {
     try {
-      awaitOpen();
+      awaitHealed();
       Socket to = new Socket(InetAddress.getLoopbackAddress(), port);
-      open.add(to);
-      threads.execute(() -> pass(from, to));
-      pass(to, from);
+      openResources.add(to);
+      threads.execute(() -> copy(from, to));
+      copy(to, from);
     } catch (IOException e) {
       close(from);
     }
   }
 
-  /** Passes bytes on in one direction until one side is closed. */
-  private void pass(Socket from, Socket to) {
+  /** Copies bytes in one direction until either side is closed. */
+  private void copy(Socket from, Socket to) {
     byte[] buffer = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
-        awaitOpen();
+        awaitHealed();
         out.write(buffer, 0, read);
         out.flush();
       }
     } catch (IOException e) {
-      // One side has closed its socket; the other one is closed below.
+      // Either side has closed its socket; both are closed below.
     } finally {
       close(from);
       close(to);
     }
   }
 
-  private void close(AutoCloseable end) {
-    open.remove(end);
+  private void close(AutoCloseable resource) {
+    openResources.remove(resource);
     try {
-      end.close();
+      resource.close();
     } catch (Exception e) {
       throw new IllegalStateException(e);
     }
@@ -122,7 +122,7 @@
   public void close() {
     closed = true;
     heal();
-    Set.copyOf(open).forEach(this::close);
+    Set.copyOf(openResources).forEach(this::close);
     threads.shutdownNow();
   }
 }
--- a/src/test/java/org/ternhinge/cli/LoopbackCluster.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackCluster.java
@@ -24,30 +24,33 @@
 import java.util.function.BooleanSupplier;
 import org.ternhinge.wire.Json;
 
-/** Three processes of the packaged program on loopback, with stand-ins for what is around them. */
+/**
+ * Three controllers, as processes of the packaged program on loopback, with fakes of the external
+ * services.
+ */
 final class LoopbackCluster implements AutoCloseable {
   /**
-   * What the deployment's settings say.
+   * Settings of the deployment that differ between tests.
    *
-   * @param teamCpus the limit of the only team
+   * @param teamCpus CPU limit of the only team
    */
-  record Site(
+  record Options(
       List<String> zones,
       double heartbeatIntervalS,
       double leaseS,
       double cancelS,
       double teamCpus) {
-    /** Two zones and times as users have them. */
-    static final Site USUAL = new Site(List.of("east", "west"), 3, 24, 44, 8);
+    /** Two zones, with the intervals and leases of production deployments. */
+    static final Options DEFAULT = new Options(List.of("east", "west"), 3, 24, 44, 8);
   }
 
-  /** How many controllers there are. */
+  /** Number of controllers. */
   static final int NODES = 3;
 
-  private static final long PATIENCE_S = 60;
+  private static final long WAIT_TIMEOUT_S = 60;
 
   private final Path dir;
-  private final Site site;
+  private final Options options;
   private final List<String> arguments;
   private final LoopbackServices services;
   private final List<Process> processes = new ArrayList<>();
@@ -57,16 +60,16 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
   /**
-   * Starts nothing yet.
+   * Prepares a cluster; {@link #startAll} starts its processes.
    *
-   * @param dir where settings and logs go
-   * @param arguments of each process, beside its settings file
+   * @param dir directory for settings and logs
+   * @param arguments additional command-line arguments of each process
    */
-  LoopbackCluster(Path dir, Site site, List<String> arguments) throws IOException {
+  LoopbackCluster(Path dir, Options options, List<String> arguments) throws IOException {
     this.dir = dir;
-    this.site = site;
+    this.options = options;
     this.arguments = arguments;
-    this.services = new LoopbackServices(site.zones());
+    this.services = new LoopbackServices(options.zones());
     for (int i = 0; i < ports.length; i++) {
       try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         ports[i] = free.getLocalPort();
@@ -84,7 +87,7 @@
     return services;
   }
 
-  /** The ports at which the controllers serve users and workers. */
+  /** The ports on which the controllers serve users and workers. */
   List<Integer> clientPorts() {
     return List.of(ports[0], ports[1], ports[2]);
   }
@@ -95,12 +98,12 @@
   void startAll() throws IOException, InterruptedException {
     for (int i = 0; i < NODES; i++) {
       settings.add(dir.resolve("node-" + i + ".json"));
-      Files.write(settings.get(i), Json.bytes(settingsOf(i)));
+      Files.write(settings.get(i), Json.bytes(settingsJson(i)));
       processes.add(start(i));
     }
     for (int i = 0; i < NODES; i++) {
       int node = i;
-      until("node " + i + " is healthy", () -> status(node, "GET", "/healthz", null) == 200);
+      waitUntil("node " + i + " is healthy", () -> status(node, "GET", "/healthz", null) == 200);
     }
   }
 
@@ -125,7 +128,7 @@
     return process;
   }
 
-  /** Runs the packaged program. */
+  /** Starts a process of the packaged program. */
   static Process run(List<String> args) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -150,7 +153,7 @@
     return dir.resolve("node-" + node + ".log");
   }
 
-  /** All that the controllers have logged, one after the other. */
+  /** Returns the concatenated logs of all controllers. */
   String logs() throws IOException {
     StringBuilder logs = new StringBuilder();
     for (int i = 0; i < NODES; i++) {
@@ -159,8 +162,8 @@
     return logs.toString();
   }
 
-  private ObjectNode settingsOf(int node) {
-    ObjectNode root = Json.object().put("node", "node-" + node).put("site", site.zones().get(0));
+  private ObjectNode settingsJson(int node) {
+    ObjectNode root = Json.object().put("node", "node-" + node).put("site", options.zones().get(0));
     root.put("client_listen", "127.0.0.1:" + ports[node]);
     root.put("peer_listen", "127.0.0.1:" + ports[NODES + node]);
     ArrayNode peers = root.putArray("peers");
@@ -173,16 +176,16 @@
     root.putObject("external").put("cloud", outside).put("state", outside);
     ObjectNode deployment = root.putObject("deployment");
     ArrayNode zones = deployment.putArray("zones");
-    site.zones().forEach(zones::add);
+    options.zones().forEach(zones::add);
     deployment
         .putArray("teams")
         .addObject()
         .put("name", "red")
         .put("cpus", 4)
-        .put("cpus_max", site.teamCpus());
+        .put("cpus_max", options.teamCpus());
     ObjectNode workers = deployment.putObject("workers");
-    workers.put("report_s", site.heartbeatIntervalS()).put("lease_s", site.leaseS());
-    workers.put("gang_wait_s", 30).put("gang_peer_s", 5).put("cancel_s", site.cancelS());
+    workers.put("report_s", options.heartbeatIntervalS()).put("lease_s", options.leaseS());
+    workers.put("gang_wait_s", 30).put("gang_peer_s", 5).put("cancel_s", options.cancelS());
     deployment
         .putObject("state")
         .put("rps", 200)
@@ -195,16 +198,16 @@
 
   // ---- requests ---------------------------------------------------------------------------------
 
-  /** Waits until something holds, for a minute at the most. */
-  static void until(String what, BooleanSupplier holds) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-    while (!holds.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "in vain: " + what);
+  /** Waits until a condition holds, for at most a minute. */
+  static void waitUntil(String description, BooleanSupplier condition) throws InterruptedException {
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_TIMEOUT_S);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < end, "timed out waiting until " + description);
       Thread.sleep(100);
     }
   }
 
-  private HttpResponse<String> ask(int node, String method, String path, byte[] body) {
+  private HttpResponse<String> send(int node, String method, String path, byte[] body) {
     HttpRequest request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports[node] + path))
             .timeout(Duration.ofSeconds(6))
@@ -223,19 +226,19 @@
     }
   }
 
-  /** The status of an answer; 0 where none came. */
+  /** Returns the status of the response; 0 if there was none. */
   int status(int node, String method, String path, byte[] body) {
-    HttpResponse<String> response = ask(node, method, path, body);
+    HttpResponse<String> response = send(node, method, path, body);
     return response == null ? 0 : response.statusCode();
   }
 
-  /** The body of an answer; empty where none came. */
+  /** Returns the body of the response; empty if there was none. */
   String body(int node, String path) {
-    HttpResponse<String> response = ask(node, "GET", path, null);
+    HttpResponse<String> response = send(node, "GET", path, null);
     return response == null ? "" : response.body();
   }
 
-  /** The port at which a controller serves users. */
+  /** The port on which a controller serves users. */
   int port(int node) {
     return ports[node];
   }
--- a/src/test/java/org/ternhinge/cli/LoopbackServices.java
+++ b/src/test/java/org/ternhinge/cli/LoopbackServices.java
@@ -34,7 +34,10 @@
 import org.ternhinge.wire.MachineType;
 import org.ternhinge.wire.WireException;
 
-/** A key-value store and a cloud over HTTP on loopback; the cloud provisions nothing out. */
+/**
+ * Fakes of the key-value store and the cloud over HTTP on loopback; the cloud provisions no
+ * machines.
+ */
 final class LoopbackServices implements AutoCloseable {
   private static final String NODE_PREFIX = "node-";
 
@@ -44,7 +47,7 @@
   private final HttpServer server;
   private final List<String> zones;
 
-  /** The machines that are there, or null. */
+  /** The machines that the cloud lists, or null if it has none. */
   private volatile LoopbackFleet fleet;
 
   LoopbackServices(List<String> zones) throws IOException {
@@ -55,17 +58,17 @@
     server.start();
   }
 
-  /** From now on the cloud lists these machines. */
-  void show(LoopbackFleet machines) {
+  /** Sets the machines that the cloud lists. */
+  void setFleet(LoopbackFleet machines) {
     fleet = machines;
   }
 
-  /** Where both services are reached. */
+  /** Address of both services. */
   String endpoint() {
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** The number of the node that leads, or -1. */
+  /** Returns the number of the leading node, or -1 if there is none. */
   synchronized int leader() {
     return store
         .get("leader")
@@ -82,7 +85,7 @@
     timers.shutdownNow();
   }
 
-  /** The real clock, for leases. */
+  /** The clock of this machine; its timers run with the lock held. */
   private final class RealClock implements Clock {
     @Override
     public MonotonicTime now() {
@@ -97,11 +100,11 @@
     @Override
     public void schedule(double seconds, Runnable action) {
       var unused =
-          timers.schedule(() -> locked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
+          timers.schedule(() -> runLocked(action), (long) (seconds * 1000), TimeUnit.MILLISECONDS);
     }
   }
 
-  private synchronized void locked(Runnable action) {
+  private synchronized void runLocked(Runnable action) {
     action.run();
   }
 
@@ -156,7 +159,7 @@
       watch(exchange, query);
     } else {
       synchronized (this) {
-        state(exchange, path, query, body);
+        serveStore(exchange, path, query, body);
       }
     }
   }
@@ -171,7 +174,8 @@
     }
   }
 
-  private void state(HttpExchange exchange, String path, Map<String, String> query, byte[] body)
+  private void serveStore(
+      HttpExchange exchange, String path, Map<String, String> query, byte[] body)
       throws IOException, WireException {
     if (path.equals("/keys")) {
       KeyValueStore.Page page =
@@ -187,7 +191,7 @@
           found.isPresent() ? 200 : 404,
           found.map(LoopbackServices::entry).orElse(Json.object()));
     } else if (path.equals("/txn")) {
-      outcome(
+      replyWithOutcome(
           exchange,
           store.compareAndSwap(readCompareAndSwap(Json.parse(body))).map(Revision::value),
           "breytingatal");
@@ -196,14 +200,14 @@
       reply(exchange, 200, Json.object().put("leiga", store.grantLease(life)));
     } else if (path.endsWith("/extend")) {
       long id = Long.parseLong(path.split("/", -1)[2]);
-      outcome(exchange, store.renewLease(id), "leiga");
+      replyWithOutcome(exchange, store.renewLease(id), "leiga");
     } else {
       store.revokeLease(Long.parseLong(path.split("/", -1)[2]));
       reply(exchange, 200, Json.object());
     }
   }
 
-  private static void outcome(HttpExchange exchange, Outcome<Long> outcome, String field)
+  private static void replyWithOutcome(HttpExchange exchange, Outcome<Long> outcome, String field)
       throws IOException {
     if (outcome instanceof Outcome.Applied<Long> a) {
       reply(exchange, 200, Json.object().put(field, a.value()));
@@ -233,32 +237,32 @@
   }
 
   private void watch(HttpExchange exchange, Map<String, String> query) throws IOException {
-    List<KeyValueStore.WatchResult> seen = new ArrayList<>();
-    Object arrived = new Object();
+    List<KeyValueStore.WatchResult> results = new ArrayList<>();
+    Object resultLock = new Object();
     synchronized (this) {
       store.watch(
           query.get("prefix"),
           Long.parseLong(query.get("from")),
           Integer.parseInt(query.get("wait_ms")) / 1000.0,
           c -> {
-            synchronized (arrived) {
-              seen.add(c);
-              arrived.notifyAll();
+            synchronized (resultLock) {
+              results.add(c);
+              resultLock.notifyAll();
             }
           });
     }
-    synchronized (arrived) {
-      while (seen.isEmpty()) {
+    synchronized (resultLock) {
+      while (results.isEmpty()) {
         try {
-          arrived.wait();
+          resultLock.wait();
         } catch (InterruptedException e) {
           return;
         }
       }
     }
-    ObjectNode out = Json.object().put("breytingatal", seen.get(0).revision().value());
+    ObjectNode out = Json.object().put("breytingatal", results.get(0).revision().value());
     ArrayNode log = out.putArray("log");
-    for (Change.Observed c : seen.get(0).changes()) {
+    for (Change.Observed c : results.get(0).changes()) {
       ObjectNode item = log.addObject().put("utgafunumer", c.revision().value());
       if (c.value() == null) {
         item.put("remove", c.key());
--- a/src/test/java/org/ternhinge/cli/TaskHistory.java
+++ b/src/test/java/org/ternhinge/cli/TaskHistory.java
@@ -10,21 +10,25 @@
 import org.ternhinge.model.TaskId;
 
 /**
- * The tasks that workers ran and the answers to users, with the rules that they break. Any thread
- * may add to it.
+ * Records task runs and the job states answered to users, and checks them for violations of
+ * invariants. Safe for use by several threads.
  */
 final class TaskHistory {
-  /** A task came to its machine at a time in seconds. */
+  /**
+   * Start of a task on a machine.
+   *
+   * @param at time of the start, in seconds
+   */
   record Start(double at, TaskId task, String machine, String zone) {}
 
   private final List<Start> starts = new ArrayList<>();
-  private final Map<TaskId, Set<String>> live = new HashMap<>();
+  private final Map<TaskId, Set<String>> machinesByTask = new HashMap<>();
   private final Set<TaskId> completed = new HashSet<>();
-  private final Map<JobId, String> finalAnswers = new HashMap<>();
+  private final Map<JobId, String> finalStates = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
 
-  synchronized void started(double at, TaskId task, String machine, String zone) {
-    Set<String> machines = live.computeIfAbsent(task, key -> new HashSet<>());
+  synchronized void recordStart(double at, TaskId task, String machine, String zone) {
+    Set<String> machines = machinesByTask.computeIfAbsent(task, key -> new HashSet<>());
     if (!machines.isEmpty()) {
       violations.add(task + " starts on " + machine + " while it is on " + machines);
     }
@@ -32,22 +36,22 @@
     starts.add(new Start(at, task, machine, zone));
   }
 
-  /** A task has left its machine, completed or not. */
-  synchronized void left(TaskId task, String machine, boolean done) {
-    live.computeIfAbsent(task, key -> new HashSet<>()).remove(machine);
+  /** Records that a task is no longer on its machine, completed or not. */
+  synchronized void recordRemoval(TaskId task, String machine, boolean done) {
+    machinesByTask.computeIfAbsent(task, key -> new HashSet<>()).remove(machine);
     if (done) {
       completed.add(task);
     }
   }
 
-  /** An answer has given a job's state to a user. */
-  synchronized void answered(JobId job, String state, int tasks) {
-    String before = finalAnswers.get(job);
+  /** Records a job's state that was answered to a user. */
+  synchronized void recordAnswer(JobId job, String state, int tasks) {
+    String before = finalStates.get(job);
     if (before != null && !before.equals(state)) {
       violations.add(job + " was answered " + before + " and then " + state);
     }
     if (state.equals("done") || state.equals("cancelled")) {
-      finalAnswers.put(job, state);
+      finalStates.put(job, state);
     }
     for (int i = 0; state.equals("done") && i < tasks; i++) {
       if (!completed.contains(new TaskId(job, i))) {
@@ -56,8 +60,8 @@
     }
   }
 
-  synchronized String finalAnswer(JobId job) {
-    return finalAnswers.get(job);
+  synchronized String finalState(JobId job) {
+    return finalStates.get(job);
   }
 
   synchronized List<String> violations() {
@@ -68,11 +72,11 @@
     return starts.stream().filter(start -> start.at() >= seconds).toList();
   }
 
-  /** Tasks that are on machines of a zone now. */
+  /** Returns the tasks that are on machines of a zone now. */
   synchronized Set<TaskId> liveIn(String zone) {
     Set<TaskId> tasks = new HashSet<>();
     for (Start start : starts) {
-      boolean there = live.getOrDefault(start.task(), Set.of()).contains(start.machine());
+      boolean there = machinesByTask.getOrDefault(start.task(), Set.of()).contains(start.machine());
       if (there && start.zone().equals(zone)) {
         tasks.add(start.task());
       }
@@ -81,6 +85,6 @@
   }
 
   synchronized int liveTasks() {
-    return live.values().stream().mapToInt(Set::size).sum();
+    return machinesByTask.values().stream().mapToInt(Set::size).sum();
   }
 }
--- a/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
+++ b/src/test/java/org/ternhinge/cli/ZoneFailoverIT.java
@@ -27,15 +27,15 @@
 import org.ternhinge.zone.report.ZoneReport;
 
 /**
- * Three controllers as processes and three groups of workers, each behind a relay, over real
- * sockets. One group is cut off, returns, and is cut twice within a minute; then the same while the
- * leader is ended.
+ * Failover of a zone over real sockets: three controller processes, and three zones of workers,
+ * each behind a relay. One test partitions a zone, heals it and lets it flap twice within a minute;
+ * the other restarts the leader during a partition.
  */
 class ZoneFailoverIT {
   private static final List<String> ZONES = List.of("north", "east", "west");
   private static final String LOST = "north";
   private static final List<String> TIERS = List.of("warning", "chart", "climate");
-  private static final int MACHINES_EACH = 12;
+  private static final int MACHINES_PER_ZONE = 12;
   private static final int TASKS = 9;
   private static final double HEARTBEAT_S = 1;
   private static final double LEASE_S = 8;
@@ -44,8 +44,8 @@
   private static final double SETTLE_S = 4;
   private static final double STEP_S = 2;
 
-  /** Commands and images take so long that restarts may be seen in another order. */
-  private static final double SPREAD_S = 1.0;
+  /** Tolerance for the order of restarts, which commands and image fetches may change. */
+  private static final double ORDER_TOLERANCE_S = 1.0;
 
   private static final String TUNING =
       """
@@ -78,7 +78,7 @@
   private int jobCount;
 
   @AfterEach
-  void end() {
+  void tearDown() {
     if (fleet != null) {
       fleet.close();
     }
@@ -88,14 +88,14 @@
     timers.shutdownNow();
   }
 
-  private void begin() throws Exception {
+  private void startCluster() throws Exception {
     Path tuning = dir.resolve("tuning.hcl");
     Files.writeString(tuning, TUNING);
-    LoopbackCluster.Site site =
-        new LoopbackCluster.Site(ZONES, HEARTBEAT_S, LEASE_S, CANCEL_S, 400);
-    cluster = new LoopbackCluster(dir, site, List.of("--tuning", tuning.toString()));
-    LoopbackWorker.Site workers =
-        new LoopbackWorker.Site(
+    LoopbackCluster.Options options =
+        new LoopbackCluster.Options(ZONES, HEARTBEAT_S, LEASE_S, CANCEL_S, 400);
+    cluster = new LoopbackCluster(dir, options, List.of("--tuning", tuning.toString()));
+    LoopbackWorker.Context workers =
+        new LoopbackWorker.Context(
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build(),
             timers,
             history,
@@ -104,8 +104,8 @@
             LEASE_S,
             RUN_S);
     cluster.startAll();
-    fleet = new LoopbackFleet(ZONES, MACHINES_EACH, cluster.clientPorts(), workers);
-    cluster.services().show(fleet);
+    fleet = new LoopbackFleet(ZONES, MACHINES_PER_ZONE, cluster.clientPorts(), workers);
+    cluster.services().setFleet(fleet);
   }
 
   private static double now() {
@@ -114,8 +114,8 @@
 
   // ---- jobs -------------------------------------------------------------------------------------
 
-  private void submitAllTiers(int each) throws InterruptedException {
-    for (int i = 0; i < each; i++) {
+  private void submitAllTiers(int jobsPerTier) throws InterruptedException {
+    for (int i = 0; i < jobsPerTier; i++) {
       for (int tier = TIERS.size() - 1; tier >= 0; tier--) {
         submit(tier);
       }
@@ -127,8 +127,8 @@
     byte[] bytes =
         SubmissionBuilder.job(id, "batch", TASKS).jobClass(TIERS.get(tier)).runsFor(RUN_S).bytes();
     int node = jobCount % LoopbackCluster.NODES;
-    LoopbackCluster.until(
-        "accepted",
+    LoopbackCluster.waitUntil(
+        "the job is accepted",
         () -> {
           int status = cluster.status(node, "POST", "/submissions", bytes);
           return status == 201 || status == 200;
@@ -137,19 +137,19 @@
     return new JobId(id);
   }
 
-  /** Asks every controller about every job. */
-  private void poll() {
+  /** Queries the state of every job at every controller. */
+  private void pollJobStates() {
     for (Map.Entry<JobId, Integer> job : jobs.entrySet()) {
       for (int node = 0; node < LoopbackCluster.NODES; node++) {
         String state = state(cluster.body(node, "/submissions/" + job.getKey()));
         if (!state.isEmpty()) {
-          history.answered(job.getKey(), state, job.getValue());
+          history.recordAnswer(job.getKey(), state, job.getValue());
         }
       }
     }
   }
 
-  /** The state that an answer tells; empty where it tells none. */
+  /** Returns the job state in a response; empty if it has none. */
   private static String state(String answer) {
     try {
       return Json.parse(answer.getBytes(StandardCharsets.UTF_8)).path("astand").asText("");
@@ -158,7 +158,7 @@
     }
   }
 
-  private void run(double seconds) throws InterruptedException {
+  private void sleep(double seconds) throws InterruptedException {
     double end = now() + seconds;
     while (now() < end) {
       Thread.sleep(500);
@@ -170,27 +170,27 @@
   }
 
   private void awaitRunning(int tasks) throws InterruptedException {
-    LoopbackCluster.until(tasks + " tasks run", () -> history.liveTasks() >= tasks);
+    LoopbackCluster.waitUntil(tasks + " tasks run", () -> history.liveTasks() >= tasks);
   }
 
   private void awaitAllDone() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
       try {
-        awaitDoneForAMinute();
+        awaitAllDoneOnce();
         return;
       } catch (AssertionError e) {
-        // Lost tasks run anew from their start: up to three times in these tests.
+        // Lost tasks restart from the beginning, up to three times in these tests.
         assertTrue(i < 2, e.getMessage());
       }
     }
   }
 
-  private void awaitDoneForAMinute() throws InterruptedException {
-    LoopbackCluster.until(
+  private void awaitAllDoneOnce() throws InterruptedException {
+    LoopbackCluster.waitUntil(
         "all jobs are done",
         () -> {
-          poll();
-          return jobs.keySet().stream().allMatch(id -> "done".equals(history.finalAnswer(id)));
+          pollJobStates();
+          return jobs.keySet().stream().allMatch(id -> "done".equals(history.finalState(id)));
         });
   }
 
@@ -206,106 +206,111 @@
     return restarts;
   }
 
-  private void assertRestartedInOrder(Set<TaskId> lost, double cutAt, double withinS)
+  private void assertRestartedInOrder(Set<TaskId> lost, double partitionedAt, double withinS)
       throws InterruptedException {
-    while (restarts(lost, cutAt).size() < lost.size() && now() < cutAt + withinS) {
+    while (restarts(lost, partitionedAt).size() < lost.size() && now() < partitionedAt + withinS) {
       Thread.sleep(200);
     }
-    Map<TaskId, TaskHistory.Start> restarts = restarts(lost, cutAt);
-    assertEquals(lost, restarts.keySet(), "all that was lost runs elsewhere within " + withinS);
+    Map<TaskId, TaskHistory.Start> restarts = restarts(lost, partitionedAt);
+    assertEquals(lost, restarts.keySet(), "all lost tasks run in other zones within " + withinS);
     double[] first = {1e9, 1e9, 1e9};
     double[] last = new double[TIERS.size()];
     restarts.forEach(
         (task, start) -> {
           int tier = tierOf(task);
-          first[tier] = Math.min(first[tier], start.at() - cutAt);
-          last[tier] = Math.max(last[tier], start.at() - cutAt);
+          first[tier] = Math.min(first[tier], start.at() - partitionedAt);
+          last[tier] = Math.max(last[tier], start.at() - partitionedAt);
         });
-    assertTrue(last[0] <= first[1] + SPREAD_S, "warnings by " + last[0] + ", charts " + first[1]);
-    assertTrue(last[1] <= first[2] + SPREAD_S, "charts by " + last[1] + ", climate " + first[2]);
+    assertTrue(
+        last[0] <= first[1] + ORDER_TOLERANCE_S, "warnings by " + last[0] + ", charts " + first[1]);
+    assertTrue(
+        last[1] <= first[2] + ORDER_TOLERANCE_S, "charts by " + last[1] + ", climate " + first[2]);
   }
 
-  /** Starts in the zone that has returned keep to the pacer's bound, counted from its return. */
-  private void assertPaced(double backAt, double untilAt) {
-    double rate = 0.1 * MACHINES_EACH;
+  /**
+   * Asserts that starts in the recovered zone stay within the ramp-up limit, counted from its
+   * return.
+   */
+  private void assertPaced(double healedAt, double endAt) {
+    double rate = 0.1 * MACHINES_PER_ZONE;
     int started = 0;
-    for (TaskHistory.Start start : history.startsSince(backAt)) {
-      if (start.zone().equals(LOST) && start.at() < untilAt) {
+    for (TaskHistory.Start start : history.startsSince(healedAt)) {
+      if (start.zone().equals(LOST) && start.at() < endAt) {
         started++;
-        double since = Math.max(0, start.at() - backAt - SETTLE_S);
+        double since = Math.max(0, start.at() - healedAt - SETTLE_S);
         double allowed = 1;
         for (int step = 0; step * STEP_S <= since; step++) {
           allowed += rate * Math.pow(2, step) * Math.min(STEP_S, since - step * STEP_S) + 1;
         }
-        // Attempts that were open before the cut may get their starts now.
+        // Attempts that were opened before the partition may be started now.
         assertTrue(started <= allowed + 2, started + " starts, allowed " + allowed);
       }
     }
   }
 
-  private void assertRulesHold() throws Exception {
+  private void assertInvariantsHold() throws Exception {
     awaitAllDone();
-    poll();
+    pollJobStates();
     assertEquals(List.of(), history.violations());
     Path log = dir.resolve("all.log");
     Files.writeString(log, cluster.logs());
     ZoneLog events = ZoneLog.read(log);
-    assertTrue(events.events().size() > 5, "the log tells what happened");
+    assertTrue(events.events().size() > 5, "the log contains the zone events");
     assertEquals(0, events.malformed());
     Path page = dir.resolve("zones.html");
     assertEquals(ZoneReport.Result.COMPLETE, ZoneReport.write(events, page));
     String text = Files.readString(page);
-    assertTrue(text.contains("<h2>Doubled attempts</h2><p>None.</p>"), "no doubled attempt");
+    assertTrue(text.contains("<h2>Doubled attempts</h2><p>None.</p>"), "no duplicate attempts");
   }
 
-  // ---- the tests --------------------------------------------------------------------------------
+  // ---- tests ------------------------------------------------------------------------------------
 
   @Test
-  void aGroupIsCutReturnsAndFlaps() throws Exception {
-    begin();
+  void partitionedZoneIsFailedOverAndRampsUpAfterItsReturn() throws Exception {
+    startCluster();
     submitAllTiers(3);
     awaitRunning(3 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
     assertTrue(lost.size() >= 9, lost.size() + " tasks are lost");
-    double cutAt = now();
-    fleet.cut(LOST);
-    assertRestartedInOrder(lost, cutAt, 25);
-    Set<TaskId> moved = new HashSet<>(restarts(lost, cutAt).keySet());
-    double backAt = now();
+    double partitionedAt = now();
+    fleet.partition(LOST);
+    assertRestartedInOrder(lost, partitionedAt, 25);
+    Set<TaskId> moved = new HashSet<>(restarts(lost, partitionedAt).keySet());
+    double healedAt = now();
     fleet.heal(LOST);
     List<JobId> next = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       next.add(submit(1));
     }
-    run(SETTLE_S + 4);
-    assertPaced(backAt, now());
-    for (TaskHistory.Start start : history.startsSince(backAt)) {
-      assertTrue(!moved.contains(start.task()), start.task() + " is moved back");
+    sleep(SETTLE_S + 4);
+    assertPaced(healedAt, now());
+    for (TaskHistory.Start start : history.startsSince(healedAt)) {
+      assertTrue(!moved.contains(start.task()), start.task() + " was moved back");
     }
     for (int i = 0; i < 2; i++) {
-      fleet.cut(LOST);
-      run(5);
+      fleet.partition(LOST);
+      sleep(5);
       fleet.heal(LOST);
-      run(4);
+      sleep(4);
     }
-    assertRulesHold();
+    assertInvariantsHold();
     assertTrue(history.startsSince(0).stream().anyMatch(s -> next.contains(s.task().job())));
   }
 
   @Test
-  void theLeaderEndsWhileAGroupIsCut() throws Exception {
-    begin();
+  void leaderRestartDuringPartitionStillFailsOver() throws Exception {
+    startCluster();
     submitAllTiers(2);
     awaitRunning(2 * TIERS.size() * TASKS);
     Set<TaskId> lost = history.liveIn(LOST);
-    double cutAt = now();
-    fleet.cut(LOST);
-    run(6);
+    double partitionedAt = now();
+    fleet.partition(LOST);
+    sleep(6);
     int leader = cluster.services().leader();
     cluster.kill(leader);
     cluster.restart(leader);
-    assertRestartedInOrder(lost, cutAt, 60);
+    assertRestartedInOrder(lost, partitionedAt, 60);
     fleet.heal(LOST);
-    assertRulesHold();
+    assertInvariantsHold();
   }
 }
--- a/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
+++ b/src/test/java/org/ternhinge/config/ZoneFailoverReaderTest.java
@@ -13,7 +13,7 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.wire.Priority;
 
-/** The block {@code zone_failover} of the tuning file: what is read, and what errors name. */
+/** Parsing and validation of the block {@code zone_failover} of the tuning file. */
 class ZoneFailoverReaderTest {
   private static final String REST = "{ name = \"rest\" }";
 
@@ -33,8 +33,8 @@
         "steps = 1.5 | zone_failover.steps: a whole number",
         "min_machines = 0 | zone_failover.min_machines",
         "supect_share = 0.2 | unknown name zone_failover.supect_share",
-        "tiers = [] | zone_failover.tiers: the last tier has to take the rest",
-        "tiers = [{ name = \"a\", classes = [\"x\"] }] | the last tier has to take the rest",
+        "tiers = [] | zone_failover.tiers: the last tier must match all other jobs",
+        "tiers = [{ name = \"a\", classes = [\"x\"] }] | the last tier must match all other jobs",
         "tiers = [{ classes = [\"x\"] }, REST] | zone_failover.tiers[0].name: a name",
         "tiers = [{ name = \"a\", priorities = [\"urgent\"] }, REST] | priorities: unknown: urgent",
         "tiers = [{ name = \"a\", types = [\"cron\"] }, REST] | tiers[0].types: unknown: cron",
@@ -45,14 +45,14 @@
             + " | b can never match: a comes first",
         "tiers = [{ name = \"a\", classes = [\"x\"] }, { name = \"a\" }] | a appears twice"
       })
-  void errorsNameKeyAndReason(String line, String message) {
+  void errorNamesKeyAndReason(String line, String message) {
     String hcl = "zone_failover {\n" + line.replace("REST", REST) + "\n}\n";
     SettingsException error = assertThrows(SettingsException.class, () -> Tuning.read(hcl));
     assertTrue(error.getMessage().contains(message), error.getMessage());
   }
 
   @Test
-  void aBlockThatAppearsTwiceIsAnError() {
+  void duplicateBlockIsRejected() {
     String block = "zone_failover {\n steps = 3\n}\n";
     SettingsException error =
         assertThrows(SettingsException.class, () -> Tuning.read(block + block));
@@ -81,21 +81,24 @@
     }
   }
 
-  /** Otherwise a zone would count as well before its silent workers are detected. */
+  /** Guards against a zone that counts as healthy before its silent workers are detected. */
   @ParameterizedTest(name = "{0} s where heartbeats come every {1} s")
   @CsvSource({"10, 3, 10", "10, 5, 16.5", "20, 5, 20", "2, 3, 9.9"})
-  void theTimeToSettleIsLongerThanTheDetectionOfSilentWorkers(
+  void settleTimeExceedsWorkerFailureDetectionTime(
       double settleS, double heartbeatIntervalS, double expected) throws SettingsException {
     ZoneFailoverSettings read =
         Tuning.read("zone_failover {\n settle_s = " + settleS + "\n}").zoneFailover().orElseThrow();
-    Settings.Workers workers = new Settings.Workers(heartbeatIntervalS, 24, 30, 5, 44);
+    Settings.WorkerTimings workers = new Settings.WorkerTimings(heartbeatIntervalS, 24, 30, 5, 44);
     double used = read.forHeartbeats(workers.overdueS()).detection().settleS();
     assertEquals(expected, used, 1e-9);
   }
 
   @Test
-  void theFilesUnderDeployAreValid() throws SettingsException {
-    assertSame(Tuning.DEFAULT, Tuning.load(Path.of("deploy", "features.hcl")), "nothing is on");
+  void deployedTuningFilesAreValid() throws SettingsException {
+    assertSame(
+        Tuning.DEFAULT,
+        Tuning.load(Path.of("deploy", "features.hcl")),
+        "no optional feature is enabled");
     ZoneFailoverSettings failover =
         Tuning.load(Path.of("deploy", "zone-failover.hcl")).zoneFailover().orElseThrow();
     assertEquals("warnings", failover.tiers().get(0).name());
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -74,7 +74,7 @@
     assertTrue(
         world.counts.maxConcurrentCommandCalls() <= sockets,
         world.counts.maxConcurrentCommandCalls() + " direct commands at once");
-    long steps = world.metrics.mostEvaluations();
+    long steps = world.metrics.maxEvaluations();
     assertTrue(steps < 600L * FLEET, "a round of " + steps + " evaluations");
   }
 
--- a/src/test/java/org/ternhinge/election/GracePeriodTest.java
+++ b/src/test/java/org/ternhinge/election/GracePeriodTest.java
@@ -26,7 +26,7 @@
   void tasksEndBeforeCancellationIsConfirmed(
       double lease, double cancel, double graceS, double margin, double expected)
       throws SettingsException {
-    Settings.Workers workers = new Settings.Workers(3, lease, 30, 5, cancel);
+    Settings.WorkerTimings workers = new Settings.WorkerTimings(3, lease, 30, 5, cancel);
     Tuning tuning = Tuning.read("grace_s = " + graceS + "\nmargin_s = " + margin);
     double grace = Election.gracePeriodS(tuning, workers);
     assertEquals(expected, grace, 0.001);
@@ -34,7 +34,7 @@
     // earliest at which another node may lead, and the latest at which a worker of the old leader
     // runs tasks. The clocks of the leader and the worker are as slow as the drift allows.
     double earliestTakeoverAt = tuning.leadershipS();
-    double validity = tuning.leadershipS() * (1 - Settings.DRIFT) - margin;
+    double validity = tuning.leadershipS() * (1 - Settings.MAX_CLOCK_DRIFT) - margin;
     double tasksEndAt = (validity + grace) * (1 + DRIFT) + lease * (1 + DRIFT);
     assertTrue(
         tasksEndAt <= earliestTakeoverAt + cancel,
--- a/src/test/java/org/ternhinge/limit/TokenBucketTest.java
+++ b/src/test/java/org/ternhinge/limit/TokenBucketTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.ternhinge.sim.SimClock;
 
-/** Rates, bursts and reserves of a token bucket. */
+/** Rate, burst capacity and priority reserves of a token bucket. */
 class TokenBucketTest {
   private final SimClock clock = new SimClock();
   private final TokenBucket bucket = new TokenBucket(clock, 10);
 
   @Test
-  void aLowerPriorityLeavesAReserveToHigherOnes() {
+  void lowerPriorityLeavesReserveForHigherOnes() {
     int queries = 0;
     while (bucket.tryTake(RequestPriority.QUERY, 1)) {
       queries++;
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void itRefillsAtItsRateUpToItsCapacity() {
+  void bucketRefillsAtItsRateUpToCapacity() {
     while (bucket.tryTake(RequestPriority.RENEWAL, 1)) {
       clock.runFor(0);
     }
@@ -38,16 +38,16 @@
   }
 
   @Test
-  void aRefusalByTheOtherSystemPausesAllPriorities() {
-    bucket.drain();
+  void remoteRateLimitPausesAllPriorities() {
+    bucket.pauseAfterRejection();
     assertFalse(bucket.tryTake(RequestPriority.RENEWAL, 1));
     clock.runFor(0.31);
     assertTrue(bucket.tryTake(RequestPriority.RENEWAL, 1));
   }
 
   @Test
-  void moreThanTheCapacityMayBeTakenFromAFullBucket() {
-    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would wait for ever");
+  void requestAboveCapacityIsGrantedFromFullBucket() {
+    assertTrue(bucket.tryTake(RequestPriority.ATTEMPT, 15), "otherwise it would never be granted");
     assertTrue(bucket.secondsUntil(RequestPriority.RENEWAL, 1) > 0.5);
   }
 }
--- a/src/test/java/org/ternhinge/sim/SimStoreClient.java
+++ b/src/test/java/org/ternhinge/sim/SimStoreClient.java
@@ -146,7 +146,7 @@
 
   private Outcome<Revision> drainTokensIfRateLimited(Outcome<Revision> outcome) {
     if (outcome instanceof Outcome.NotApplied<Revision> refused && refused.detail().equals("429")) {
-      changes.drain();
+      changes.pauseAfterRejection();
     }
     return outcome;
   }
--- a/src/test/java/org/ternhinge/sim/SimWorker.java
+++ b/src/test/java/org/ternhinge/sim/SimWorker.java
@@ -14,7 +14,7 @@
 import org.ternhinge.wire.Heartbeat;
 import org.ternhinge.wire.Json;
 import org.ternhinge.wire.MachineType;
-import org.ternhinge.worker.Workers;
+import org.ternhinge.worker.WorkerClient;
 
 /**
  * A simulated machine with a worker that follows the protocol: agent epochs, fencing tokens, the
@@ -250,7 +250,10 @@
 
   /** Executes a direct command, which may arrive long after it was sent. */
   void command(
-      Term term, AgentEpoch to, List<Command> commands, Consumer<Outcome<Workers.Answer>> answer) {
+      Term term,
+      AgentEpoch to,
+      List<Command> commands,
+      Consumer<Outcome<WorkerClient.Answer>> answer) {
     if (terminated) {
       return;
     }
@@ -259,11 +262,11 @@
       return;
     }
     if (term.compareTo(fencingToken) < 0 || to.value() != epoch) {
-      answer.accept(Outcome.applied(new Workers.Answer.Refused(nextHeartbeat())));
+      answer.accept(Outcome.applied(new WorkerClient.Answer.Refused(nextHeartbeat())));
       return;
     }
     fencingToken = term;
     commands.forEach(tasks::execute);
-    answer.accept(Outcome.applied(new Workers.Answer.Executed(nextHeartbeat())));
+    answer.accept(Outcome.applied(new WorkerClient.Answer.Executed(nextHeartbeat())));
   }
 }
--- a/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/org/ternhinge/store/HttpKeyValueStoreTest.java
@@ -101,7 +101,7 @@
 
     @Test
     void callWithoutTokenIsNotSent() throws Exception {
-      requests.drain();
+      requests.pauseAfterRejection();
       try (LoopbackServer server = new LoopbackServer(200, "{}")) {
         assertEquals(
             Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"),
@@ -112,7 +112,7 @@
 
     @Test
     void transactionNeedsWriteTokenPerChange() throws Exception {
-      writes.drain();
+      writes.pauseAfterRejection();
       assertEquals(
           Outcome.notApplied(Reason.RATE_LIMITED, "no tokens"), write(200, "{\"breytingatal\":1}"));
     }
--- a/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
+++ b/src/test/java/org/ternhinge/zone/ZoneHealthTest.java
@@ -148,7 +148,7 @@
       advance(15, 20);
       advance(2);
     }
-    assertTrue(zones.get(0).penalty().value() <= SETTINGS.flaps().max());
+    assertTrue(zones.get(0).penalty().value() <= SETTINGS.flapDamping().max());
     // The penalty decays from 2.5 to 0.75 with a half-life of 30 s, which takes less than two
     // half-lives; by then the settling time has passed.
     double waited = 0;
