--- a/src/main/java/org/ternhinge/cli/Service.java
+++ b/src/main/java/org/ternhinge/cli/Service.java
@@ -106,7 +106,7 @@
     PeerLink link = new PeerLink(loop, settings.peers());
     ControllerNode node =
         new ControllerNode(services, election(), new LinkTransport(link), budget::setLeading);
-    new HttpServer(group, node::handle, sockets, ControllerNode.WORKERS_PATH, http)
+    new HttpServer(group, node::handle, sockets, ControllerNode.HEARTBEAT_PATH, http)
         .listen(settings.clientListen());
     link.listen(settings.peerListen(), node::handlePeer);
     node.start();
--- a/src/main/java/org/ternhinge/controller/ControllerNode.java
+++ b/src/main/java/org/ternhinge/controller/ControllerNode.java
@@ -24,20 +24,21 @@
 
 /**
  * One controller: answers users' requests and workers' heartbeats, and leads while it holds the
- * lease. Any node accepts jobs by itself, straight into the key-value store; cancellations and
- * progress are the leader's, and what the leader can't be asked is read from the key-value store.
+ * lease. Any node accepts jobs by writing them directly to the key-value store. Cancellations and
+ * queries go to the leader; where it can't be reached, they are answered from the key-value store
+ * as far as possible.
  *
- * <p>This class creates and starts the components of the node, and has each request routed to its
+ * <p>This class creates and starts the components of the node and routes each request to its
  * handler. All components run under one lock, which is acquired here for each request.
  */
 public final class ControllerNode {
-  /** Where workers send their heartbeats. */
-  public static final String WORKERS_PATH = "/agent/beat";
+  /** The path to which workers post their heartbeats. */
+  public static final String HEARTBEAT_PATH = "/agent/beat";
 
   private static final double METRICS_INTERVAL_S = 60;
 
   private final ControllerServices services;
-  private final LockedExecutor locked;
+  private final LockedExecutor lockedExecutor;
   private final Election election;
   private final LeadershipListener leadershipListener;
   private final LeadershipRole role;
@@ -50,7 +51,7 @@
    * Creates a controller that is not started.
    *
    * @param transport carries requests to the other nodes
-   * @param leadershipListener learns when this node begins or ceases to lead
+   * @param leadershipListener notified when this node gains or loses leadership
    */
   public ControllerNode(
       ControllerServices services,
@@ -65,7 +66,7 @@
     Clock clock = services.clock();
     Lock lock = services.lock();
     List<String> otherNodes = List.copyOf(settings.peers().keySet());
-    locked = new LockedExecutor(lock);
+    lockedExecutor = new LockedExecutor(lock);
     role = new LeadershipRole(settings.node(), election);
     NodeConnectivity connectivity = new NodeConnectivity(clock, !otherNodes.isEmpty());
     PeerClient peers = new PeerClient(transport, lock, connectivity);
@@ -83,7 +84,7 @@
     peerRouter = new RequestRouter(routes.forPeers());
   }
 
-  /** Begins to load the machine types, to check the connectivity and to stand for election. */
+  /** Starts loading the machine types, probing connectivity and taking part in elections. */
   public void start() {
     machineTypes.load();
     connectivityProbe.start();
@@ -118,7 +119,7 @@
 
   /** Answers users, workers and health checks; may be called on any thread, without the lock. */
   public void handle(Request request, Consumer<Response> answer) {
-    locked.execute(() -> clientRouter.route(request, RequestOrigin.CLIENT, answer));
+    lockedExecutor.execute(() -> clientRouter.route(request, RequestOrigin.CLIENT, answer));
   }
 
   /**
@@ -126,6 +127,6 @@
    * thread, without the lock.
    */
   public void handlePeer(Request request, Consumer<Response> answer) {
-    locked.execute(() -> peerRouter.route(request, RequestOrigin.PEER, answer));
+    lockedExecutor.execute(() -> peerRouter.route(request, RequestOrigin.PEER, answer));
   }
 }
--- a/src/main/java/org/ternhinge/controller/JobPath.java
+++ b/src/main/java/org/ternhinge/controller/JobPath.java
@@ -12,17 +12,17 @@
 
   private JobPath() {}
 
-  /** The job whose state is queried by this path; nothing for any other path. */
-  static Optional<JobId> queried(String path) {
+  /** The job whose state this path queries; empty for any other path. */
+  static Optional<JobId> queriedJob(String path) {
     return path.startsWith(JOB_PREFIX)
         ? parse(path.substring(JOB_PREFIX.length()))
         : Optional.empty();
   }
 
-  /** The job that is cancelled by this path; nothing for any other path. */
-  static Optional<JobId> cancelled(String path) {
+  /** The job that this path cancels; empty for any other path. */
+  static Optional<JobId> cancelledJob(String path) {
     return path.endsWith(CANCEL_SUFFIX)
-        ? queried(path.substring(0, path.length() - CANCEL_SUFFIX.length()))
+        ? queriedJob(path.substring(0, path.length() - CANCEL_SUFFIX.length()))
         : Optional.empty();
   }
 
--- a/src/main/java/org/ternhinge/controller/LeadershipListener.java
+++ b/src/main/java/org/ternhinge/controller/LeadershipListener.java
@@ -4,7 +4,7 @@
 @FunctionalInterface
 public interface LeadershipListener {
   /**
-   * This node has begun to lead, or has ceased to. Called under the controller's lock, before the
+   * Called when this node has gained or lost leadership, under the controller's lock, before the
    * leadership starts or is stopped.
    */
   void leadershipChanged(boolean leading);
--- a/src/main/java/org/ternhinge/controller/RequestRouter.java
+++ b/src/main/java/org/ternhinge/controller/RequestRouter.java
@@ -15,7 +15,7 @@
     this.routes = List.copyOf(routes);
   }
 
-  /** Answers 404 where no route serves the path, and 405 where its method is another one. */
+  /** Answers 404 if no route serves the path, and 405 if its route has another method. */
   void route(Request request, RequestOrigin origin, Consumer<Response> answer) {
     for (Route route : routes) {
       if (route.path().test(request.path())) {
--- a/src/main/java/org/ternhinge/controller/Route.java
+++ b/src/main/java/org/ternhinge/controller/Route.java
@@ -7,7 +7,7 @@
 import org.ternhinge.request.RequestOrigin;
 
 /**
- * One entry of the table of routes.
+ * One entry of the route table.
  *
  * @param method the only HTTP method that is allowed
  * @param path which paths the route serves
--- a/src/main/java/org/ternhinge/controller/RouteTable.java
+++ b/src/main/java/org/ternhinge/controller/RouteTable.java
@@ -85,13 +85,13 @@
   /** The routes for users, workers and health checks. */
   List<Route> forClients() {
     return List.of(
-        new Route("POST", ControllerNode.WORKERS_PATH::equals, heartbeats::handle),
+        new Route("POST", ControllerNode.HEARTBEAT_PATH::equals, heartbeats::handle),
         new Route(
             "POST",
             JobPath.SUBMISSIONS::equals,
             withDeadline(AnswerDeadline.WRITE_S, submissions::handle)),
-        jobRoute("POST", JobPath::cancelled, AnswerDeadline.WRITE_S, cancellations),
-        jobRoute("GET", JobPath::queried, AnswerDeadline.POLL_S, queries),
+        jobRoute("POST", JobPath::cancelledJob, AnswerDeadline.WRITE_S, cancellations),
+        jobRoute("GET", JobPath::queriedJob, AnswerDeadline.POLL_S, queries),
         new Route(
             "GET", HEALTH_PATH::equals, (request, origin, answer) -> answer.accept(health())));
   }
@@ -105,16 +105,17 @@
 
   private Route jobRoute(
       String method,
-      Function<String, Optional<JobId>> jobIn,
+      Function<String, Optional<JobId>> parseJob,
       double deadlineS,
       JobRequestRouter router) {
     return new Route(
         method,
-        path -> jobIn.apply(path).isPresent(),
+        path -> parseJob.apply(path).isPresent(),
         withDeadline(
             deadlineS,
             (request, origin, answer) ->
-                router.handle(jobIn.apply(request.path()).orElseThrow(), request, origin, answer)));
+                router.handle(
+                    parseJob.apply(request.path()).orElseThrow(), request, origin, answer)));
   }
 
   private Route.Handler withDeadline(double deadlineS, Route.Handler handler) {
--- a/src/test/java/org/ternhinge/controller/LateStartTest.java
+++ b/src/test/java/org/ternhinge/controller/AgedJobProtectionTest.java
@@ -10,25 +10,21 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/**
- * A job of low priority in a full fleet, after it has waited for so long that it is served first.
- */
-class LateStartTest {
+/** A low-priority job in a full fleet that has waited for so long that it is scheduled first. */
+class AgedJobProtectionTest {
   private static final int LOW_TASKS = 4;
 
-  /**
-   * Four machines of each type, zone and kind are no more than the work of normal priority fills.
-   */
-  private final DependentJobs cluster =
-      new DependentJobs(71, 0, new SimCluster.Size(3, 1, 200, 30));
+  /** One machine of each type, zone and kind: a fleet that the jobs of normal priority fill. */
+  private final ClusterFixture cluster =
+      new ClusterFixture(71, 0, new SimCluster.Size(3, 1, 200, 30));
 
   /**
-   * Its first tasks run to their end. Without protection they would be preempted at once by jobs of
-   * a higher priority, and the job would take the next free places, again and again.
+   * Its first tasks run to completion. Without protection, jobs of higher priority would preempt
+   * them at once, and the job would be scheduled first again, in an endless cycle.
    */
   @ParameterizedTest(name = "tasks of {0} s")
   @CsvSource({"8", "15"})
-  void itsFirstTasksAreNotPreempted(double runS) {
+  void firstTasksOfAgedJobAreNotPreempted(double runS) {
     for (int i = 0; i < 6; i++) {
       cluster.users.submit(job("wk-1" + i, 200, 12, "normal"));
     }
@@ -37,14 +33,14 @@
     cluster.users.submit(low);
     JobId id = low.id();
     cluster.run(200);
-    int starts = cluster.world.tasks.startsOf(id);
-    assertTrue(starts > 0, "it is late, and was not started");
+    int starts = cluster.simulation.tasks.startsOf(id);
+    assertTrue(starts > 0, "the aged job was not started");
     assertTrue(starts <= 2 * LOW_TASKS, starts + " starts of " + LOW_TASKS + " tasks");
-    assertEquals(List.of(), cluster.world.violations());
+    assertEquals(List.of(), cluster.simulation.violations());
   }
 
   private static SubmissionBuilder job(String id, int tasks, double runS, String priority) {
-    return DependentJobs.job(id, tasks, runS, List.of())
+    return ClusterFixture.job(id, tasks, runS, List.of())
         .priority(priority)
         .cpus(4.0)
         .spotAllowed(true);
--- a/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
+++ b/src/test/java/org/ternhinge/controller/CancellationAndOutageTest.java
@@ -8,17 +8,19 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
-/** Cancellations just before an outage of the key-value store or of all controllers. */
+/**
+ * Confirmed cancellations persist through an outage of the key-value store or of all controllers.
+ */
 class CancellationAndOutageTest extends CombinedFaultsFixture {
   /**
-   * A refusal of the leader alone that lasts longer than this has elected another one, in seconds.
+   * Upper bound of the time from the store's refusal of the leader to the election of another one.
    */
-  private static final double LONGEST_ELECTION_S = 7;
+  private static final double MAX_ELECTION_S = 7;
 
   /**
-   * The key-value store refuses the leader alone; another takes over and confirms cancellations;
-   * then the store refuses all nodes for longer than a cancelled task may last, while the workers
-   * reach one node only.
+   * The key-value store refuses only the leader; another node takes over and confirms
+   * cancellations; then the store refuses all nodes for longer than a cancelled task may run, while
+   * workers can reach only one node.
    */
   @ParameterizedTest(name = "{0} s refused, cancelled {1} s on, {2} s out, heartbeats to {3}")
   @CsvSource({
@@ -69,18 +71,18 @@
     "20, 10, 70, follower",
     "20, 10, 70, new"
   })
-  void cancellationsHoldWhenTheLeaderIsRefusedAndThenAllNodes(
+  void cancellationsPersistAfterLeaderRefusalThenStoreOutage(
       double refusedS, double cancelledS, double outageS, String heartbeatsTo) {
     for (long seed = 101; seed < 104; seed++) {
-      begin(seed, MEDIUM);
+      startCluster(seed, MEDIUM);
       List<JobId> cancelled = submitJobsToCancel();
-      JobId stays = submit(job("wk-5", "daemon", 3, 0));
+      JobId service = submit(job("wk-5", "daemon", 3, 0));
       run(60);
       for (JobId id : cancelled) {
         assertTrue(cluster.tasks.runningTasks(id) > 0, id + " does not run");
       }
       double from = cluster.clock.seconds();
-      refuseTheLeader(refusedS, outageS, heartbeatsTo);
+      refuseLeader(refusedS, outageS, heartbeatsTo);
       cluster.clock.after(cancelledS, () -> cancelled.forEach(users::cancel));
       double refusedFor = cluster.clock.seconds() - from;
       cluster.clock.after(
@@ -89,12 +91,12 @@
       for (int i = 0; i < cluster.nodeCount(); i++) {
         cluster.networkFaults.cutWorkers(i, 0);
       }
-      assertRulesHoldToTheEnd();
+      assertNoViolationsAtEnd();
       for (JobId id : cancelled) {
         assertCancelled(id);
         assertRunning(0, id);
       }
-      assertRunning(3, stays);
+      assertRunning(3, service);
     }
   }
 
@@ -106,28 +108,31 @@
         submit(job("wk-4", "batch", 2, 400)));
   }
 
-  /** Refuses the leader until another one leads, while the workers reach one controller only. */
-  private void refuseTheLeader(double refusedS, double outageS, String heartbeatsTo) {
-    int old = cluster.leader();
+  /**
+   * Has the store refuse the leader until another node leads, while workers reach one controller
+   * only.
+   */
+  private void refuseLeader(double refusedS, double outageS, String heartbeatsTo) {
+    int oldLeader = cluster.leader();
     double from = cluster.clock.seconds();
-    cluster.storeFaults.refuse(old, refusedS);
-    // The next leader is not known before its election; until then the workers reach the old one.
-    int follower = (old + 1) % cluster.nodeCount();
-    letWorkersReachOnly(heartbeatsTo.equals("follower") ? follower : old, refusedS + outageS);
-    while (!anotherLeads(old) && cluster.clock.seconds() - from < refusedS) {
+    cluster.storeFaults.refuse(oldLeader, refusedS);
+    // The next leader is unknown before its election; until then workers reach the old leader.
+    int follower = (oldLeader + 1) % cluster.nodeCount();
+    limitWorkersToNode(heartbeatsTo.equals("follower") ? follower : oldLeader, refusedS + outageS);
+    while (!otherNodeLeads(oldLeader) && cluster.clock.seconds() - from < refusedS) {
       cluster.clock.runFor(0.05);
     }
-    assertTrue(refusedS < LONGEST_ELECTION_S || anotherLeads(old), "nobody else took over");
-    if (heartbeatsTo.equals("new") && anotherLeads(old)) {
-      letWorkersReachOnly(cluster.leader(), refusedS + outageS);
+    assertTrue(refusedS < MAX_ELECTION_S || otherNodeLeads(oldLeader), "no other node took over");
+    if (heartbeatsTo.equals("new") && otherNodeLeads(oldLeader)) {
+      limitWorkersToNode(cluster.leader(), refusedS + outageS);
     }
   }
 
-  private boolean anotherLeads(int old) {
-    return cluster.leader() >= 0 && cluster.leader() != old;
+  private boolean otherNodeLeads(int oldLeader) {
+    return cluster.leader() >= 0 && cluster.leader() != oldLeader;
   }
 
-  private void letWorkersReachOnly(int node, double seconds) {
+  private void limitWorkersToNode(int node, double seconds) {
     for (int i = 0; i < cluster.nodeCount(); i++) {
       cluster.networkFaults.cutWorkers(i, i == node ? 0 : seconds);
     }
@@ -136,10 +141,10 @@
   /** The key-value store answers slowly, then refuses the leader, then all nodes. */
   @ParameterizedTest(name = "seed {0}, latency {1} s")
   @CsvSource({"201, 0.4", "202, 0.8", "203, 1.2"})
-  void cancellationsHoldOverSlownessRefusalAndOutage(long seed, double latencyS) {
-    begin(seed, SimCluster.SMALL);
+  void cancellationPersistsOverSlowStoreRefusalAndOutage(long seed, double latencyS) {
+    startCluster(seed, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
-    JobId stays = submit(job("wk-2", "daemon", 3, 0));
+    JobId service = submit(job("wk-2", "daemon", 3, 0));
     run(60);
     cluster.storeFaults.slowDown(120, latencyS);
     run(6);
@@ -147,50 +152,51 @@
     cluster.clock.after(7.5, () -> users.cancel(cancelled));
     cluster.clock.after(9, () -> cluster.storeFaults.outage(55));
     run(120);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertCancelled(cancelled);
-    assertRunning(3, stays);
+    assertRunning(3, service);
   }
 
-  /** All controllers are down for longer than a lease. */
+  /** All controllers are down, in most cases for longer than a lease. */
   @ParameterizedTest(name = "down for {0} s, cancelled {1} s before")
   @CsvSource({"20, 0.5", "30, 0.02", "30, 0.5", "40, 0.1", "60, 3"})
-  void cancellationsHoldWhileAllControllersAreDown(double awayS, double beforeS) {
-    begin(221, SimCluster.SMALL);
+  void cancellationPersistsWhileAllControllersAreDown(double downS, double beforeS) {
+    startCluster(221, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
-    JobId stays = submit(job("wk-2", "daemon", 3, 0));
+    JobId service = submit(job("wk-2", "daemon", 3, 0));
     run(60);
     cluster.machineFaults.hangWorkersOf(cancelled, 1, 10);
     users.cancel(cancelled);
     cluster.clock.runFor(beforeS);
     for (int i = 0; i < 3; i++) {
-      cluster.controllers.crash(i, awayS + i * 0.3);
+      cluster.controllers.crash(i, downS + i * 0.3);
     }
-    run(awayS + 60);
-    assertRulesHoldToTheEnd();
+    run(downS + 60);
+    assertNoViolationsAtEnd();
     assertCancelled(cancelled);
-    assertRunning(3, stays);
+    assertRunning(3, service);
   }
 
-  /** Ten leaders in two minutes, with and without an outage among them. */
+  /** Leadership changes ten times in two minutes, with and without a store outage in between. */
   @ParameterizedTest(name = "seed {0}, outage {1} s, late writes {2}")
   @CsvSource({"171, 0, 0", "172, 30, 0", "173, 50, 0.2", "174, 0, 0.4"})
-  void cancellationsHoldOverTenLeadersInTwoMinutes(long seed, double outageS, double lateShare) {
-    begin(seed, SimCluster.SMALL);
-    JobId stays = submit(job("wk-1", "daemon", 3, 0));
+  void cancellationPersistsOverTenLeadersInTwoMinutes(
+      long seed, double outageS, double lateWriteShare) {
+    startCluster(seed, SimCluster.SMALL);
+    JobId service = submit(job("wk-1", "daemon", 3, 0));
     JobId array = submit(job("wk-2", "batch", 12, 25));
     JobId cancelled = submit(job("wk-3", "batch", 3, 400));
     run(15);
     cluster.storeFaults.refuseLeaders(10, 12, 8);
-    cluster.storeFaults.lateWrites(lateShare, 120);
+    cluster.storeFaults.lateWrites(lateWriteShare, 120);
     cluster.clock.after(50, () -> users.cancel(cancelled));
     if (outageS > 0) {
       cluster.clock.after(40, () -> cluster.storeFaults.outage(outageS));
     }
     run(120);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertDone(array);
     assertCancelled(cancelled);
-    assertRunning(3, stays);
+    assertRunning(3, service);
   }
 }
--- a/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
+++ b/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
@@ -9,32 +9,33 @@
 import org.ternhinge.sim.SimUsers;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/** A simulated cluster with users, for the tests of two faults at a time, on virtual time. */
+/** A simulated cluster with users on virtual time, for tests that combine two faults. */
 abstract class CombinedFaultsFixture {
-  /** More machines than {@link SimCluster#SMALL} has, and more that a team may use. */
+  /** More machines and a higher team limit than {@link SimCluster#SMALL}. */
   static final SimCluster.Size MEDIUM = new SimCluster.Size(3, 4, 60, 30);
 
-  /** Until the first controller has been elected. */
+  /** Time for the first election. */
   private static final double ELECTION_S = 5;
 
-  /** Longer than any fault of these tests lasts on. */
-  private static final double FAULTS_END_S = 60;
+  /** Longer than any fault of these tests still lasts at the end of a test. */
+  private static final double FAULT_SETTLING_S = 60;
 
-  /** Longer than any job of these tests may still take. */
-  private static final double JOBS_END_S = 190;
+  /** Longer than any job of these tests still runs once the faults have ended. */
+  private static final double JOB_COMPLETION_S = 190;
 
   SimCluster cluster;
   SimUsers users;
 
-  /** Begins with a new cluster without losses. */
-  final void begin(long seed, SimCluster.Size size) {
+  /** Creates a cluster without message loss and waits for the first election. */
+  final void startCluster(long seed, SimCluster.Size size) {
     cluster = new SimCluster(seed, 0, size);
     users = new SimUsers(cluster);
     cluster.clock.runFor(ELECTION_S);
   }
 
   /**
-   * A job whose tasks take two CPUs each and run so long; services may not run on spot machines.
+   * A job whose tasks take two CPUs each; services run at production priority, not on spot
+   * machines.
    */
   static SubmissionBuilder job(String id, String kind, int tasks, double runS) {
     SubmissionBuilder body = SubmissionBuilder.job(id, kind, tasks).cpus(2.0).runsFor(runS);
@@ -51,11 +52,11 @@
     users.runPolling(seconds);
   }
 
-  /** Lets the faults end, then asserts that every job was answered for and no rule was broken. */
-  final void assertRulesHoldToTheEnd() {
-    run(FAULTS_END_S);
+  /** Runs until all faults and then all jobs have ended, and asserts that every job was answered in time and no invariant was violated. */
+  final void assertNoViolationsAtEnd() {
+    run(FAULT_SETTLING_S);
     users.quiet();
-    run(JOBS_END_S);
+    run(JOB_COMPLETION_S);
     assertEquals(List.of(), cluster.violations());
   }
 
@@ -67,7 +68,7 @@
     assertEquals("cancelled", users.lastState(id));
   }
 
-  final void assertOver(JobId id) {
+  final void assertEnded(JobId id) {
     String state = users.lastState(id);
     assertTrue("done".equals(state) || "cancelled".equals(state), id + " is " + state);
   }
--- a/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyAcceptanceTest.java
@@ -14,109 +14,116 @@
 import org.ternhinge.wire.Json;
 
 /**
- * Any node accepts a job that names accepted jobs, whatever their state, team and the version that
- * accepted them, and whether or not a leader is known; the job's end follows from theirs.
+ * Any node accepts a job whose dependencies were accepted, whatever their state, their team and the
+ * version that accepted them, with or without a known leader. How the job ends follows from how
+ * they end.
  */
 class DependencyAcceptanceTest {
-  private static final JobId NAMED = new JobId("wk-1");
+  private static final JobId DEPENDENCY = new JobId("wk-1");
 
-  /** The node that gets the submission. */
-  enum Asked {
+  /** Where the job is submitted. */
+  enum SubmissionTarget {
     LEADER,
     FOLLOWER,
-    NOBODY_LEADS
+    NO_LEADER
   }
 
-  private DependentJobs cluster;
+  private ClusterFixture cluster;
 
-  /** A dependency in each state, with submissions at each kind of node. */
+  /** Covers a dependency in each state with submissions at each kind of node. */
   @ParameterizedTest(name = "a job that is {0}, at {1}")
   @CsvSource({
     "queued, LEADER, done",
     "queued, FOLLOWER, done",
-    "queued, NOBODY_LEADS, done",
+    "queued, NO_LEADER, done",
     "waiting, LEADER, done",
     "waiting, FOLLOWER, done",
-    "waiting, NOBODY_LEADS, done",
+    "waiting, NO_LEADER, done",
     "running, LEADER, done",
     "running, FOLLOWER, done",
-    "running, NOBODY_LEADS, done",
+    "running, NO_LEADER, done",
     "other team, LEADER, done",
     "other team, FOLLOWER, done",
-    "other team, NOBODY_LEADS, done",
+    "other team, NO_LEADER, done",
     "done, LEADER, done",
     "done, FOLLOWER, done",
-    "done, NOBODY_LEADS, done",
+    "done, NO_LEADER, done",
     "cancelled, LEADER, cancelled",
     "cancelled, FOLLOWER, cancelled",
-    "cancelled, NOBODY_LEADS, cancelled",
+    "cancelled, NO_LEADER, cancelled",
     "cancelled by dependency, LEADER, cancelled",
     "cancelled by dependency, FOLLOWER, cancelled",
-    "cancelled by dependency, NOBODY_LEADS, cancelled",
+    "cancelled by dependency, NO_LEADER, cancelled",
     "done long ago, LEADER, done",
     "done long ago, FOLLOWER, done",
-    "done long ago, NOBODY_LEADS, done",
+    "done long ago, NO_LEADER, done",
     "old version's, LEADER, done",
     "old version's, FOLLOWER, done",
-    "old version's, NOBODY_LEADS, done"
+    "old version's, NO_LEADER, done"
   })
-  void aJobInAnyStateMayBeNamed(String named, Asked asked, String end) throws Exception {
-    cluster = new DependentJobs(501);
-    prepare(named);
-    SubmissionBuilder body = DependentJobs.job("wk-9", 2, 5, List.of(NAMED));
+  void dependencyInAnyStateIsAccepted(
+      String dependencyState, SubmissionTarget target, String expectedState) throws Exception {
+    cluster = new ClusterFixture(501);
+    prepareDependency(dependencyState);
+    SubmissionBuilder body = ClusterFixture.job("wk-9", 2, 5, List.of(DEPENDENCY));
     JobId id = body.id();
-    cluster.world.jobs.add(body.spec(), List.of(NAMED));
-    DependentJobs.Timed answer = cluster.submitTo(node(asked), body.bytes());
-    int tries = 1;
-    while (answer.response().status() == 503 && asked == Asked.NOBODY_LEADS && tries++ < 60) {
-      cluster.world.clock.runFor(1);
-      answer = cluster.submitTo(node(Asked.FOLLOWER), body.bytes());
+    cluster.simulation.jobs.add(body.spec(), List.of(DEPENDENCY));
+    ClusterFixture.TimedResponse answer = cluster.submitTo(targetNode(target), body.bytes());
+    int attempts = 1;
+    while (answer.response().status() == 503
+        && target == SubmissionTarget.NO_LEADER
+        && attempts++ < 60) {
+      cluster.simulation.clock.runFor(1);
+      answer = cluster.submitTo(targetNode(SubmissionTarget.FOLLOWER), body.bytes());
     }
-    DependentJobs.assertAnswer(201, end.equals("done") ? "queued" : end, answer.response());
+    ClusterFixture.assertAnswer(
+        201, expectedState.equals("done") ? "queued" : expectedState, answer.response());
     cluster.users.assumeAccepted(body.spec());
     cluster.run(150);
     cluster.users.quiet();
     cluster.run(60);
-    cluster.assertNoRuleBroken();
-    assertEquals(end, cluster.users.lastState(id));
+    cluster.assertNoViolations();
+    assertEquals(expectedState, cluster.users.lastState(id));
     assertEquals(
-        end.equals("done"), cluster.world.tasks.began(id).isPresent(), "whether it ever ran");
+        expectedState.equals("done"),
+        cluster.simulation.tasks.began(id).isPresent(),
+        "whether any task started");
   }
 
-  /** Submits the job to depend on and brings it into a state. */
-  private void prepare(String named) throws Exception {
-    switch (named) {
+  /** Submits the dependency and brings it into the given state. */
+  private void prepareDependency(String dependencyState) throws Exception {
+    switch (dependencyState) {
       case "queued" -> {
         cluster.submit("wk-1", 2, 10);
-        cluster.world.clock.runFor(0.3);
-        assertEquals("queued", cluster.stateAt(cluster.world.leader(), NAMED));
+        cluster.simulation.clock.runFor(0.3);
+        assertEquals("queued", cluster.stateAt(cluster.simulation.leader(), DEPENDENCY));
       }
       case "waiting" -> {
         JobId first = cluster.submit("wk-0", 2, 30);
         cluster.submit("wk-1", 2, 10, first);
         cluster.run(15);
-        assertEquals("queued", cluster.users.lastState(NAMED));
+        assertEquals("queued", cluster.users.lastState(DEPENDENCY));
       }
       case "running" -> {
         cluster.submit("wk-1", 2, 60);
         cluster.run(25);
-        assertEquals("running", cluster.users.lastState(NAMED));
+        assertEquals("running", cluster.users.lastState(DEPENDENCY));
       }
       case "other team" -> {
-        cluster.users.submit(DependentJobs.job("wk-1", 2, 30, List.of()).team("blue"));
+        cluster.users.submit(ClusterFixture.job("wk-1", 2, 30, List.of()).team("blue"));
         cluster.run(15);
       }
       case "done" -> {
         cluster.submit("wk-1", 2, 5);
         cluster.run(40);
-        assertEquals("done", cluster.users.lastState(NAMED));
+        assertEquals("done", cluster.users.lastState(DEPENDENCY));
       }
       case "cancelled" -> {
         cluster.submit("wk-1", 2, 300);
         cluster.run(20);
-        cluster.users.cancel(NAMED);
+        cluster.users.cancel(DEPENDENCY);
         cluster.run(10);
-        assertEquals("cancelled", cluster.users.lastState(NAMED));
+        assertEquals("cancelled", cluster.users.lastState(DEPENDENCY));
       }
       case "cancelled by dependency" -> {
         JobId first = cluster.submit("wk-0", 2, 300);
@@ -124,43 +131,44 @@
         cluster.run(20);
         cluster.users.cancel(first);
         cluster.run(10);
-        assertEquals("cancelled", cluster.users.lastState(NAMED));
+        assertEquals("cancelled", cluster.users.lastState(DEPENDENCY));
       }
       case "done long ago" ->
-          cluster.world.storeEnds(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
-      case "old version's" -> acceptedByTheOldVersion();
-      default -> throw new IllegalArgumentException(named);
+          cluster.simulation.storeEnds(List.of(SubmissionBuilder.job("wk-1", "batch", 2).spec()));
+      case "old version's" -> storeOldVersionRecord();
+      default -> throw new IllegalArgumentException(dependencyState);
     }
   }
 
-  /** A record as the version before dependent jobs writes it at the acceptance. */
-  private void acceptedByTheOldVersion() {
-    JobSpec spec = DependentJobs.job("wk-1", 2, 10, List.of()).spec();
-    cluster.world.jobs.add(spec);
+  /** Stores a record as written at acceptance by the version that has no dependent jobs. */
+  private void storeOldVersionRecord() {
+    JobSpec spec = ClusterFixture.job("wk-1", 2, 10, List.of()).spec();
+    cluster.simulation.jobs.add(spec);
     ObjectNode record = Json.object();
     record.set("s", spec.write());
-    record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 0).put("d", "");
+    record.put("t", cluster.simulation.clock.wallMillis()).put("p", 127).put("h", 0).put("d", "");
     record.putArray("o");
-    cluster.world.store.put(List.of(new Change.Put("j/wk-1", record, 0)));
+    cluster.simulation.store.put(List.of(new Change.Put("j/wk-1", record, 0)));
     cluster.users.assumeAccepted(spec);
   }
 
   /**
-   * The node for the submission; for NOBODY_LEADS the leader is refused until its lease has ended.
+   * Returns the node to submit to; for {@code NO_LEADER}, has the store refuse the leader until its
+   * lease has expired.
    */
-  private int node(Asked asked) {
-    int leader = cluster.world.leader();
-    if (asked == Asked.LEADER) {
+  private int targetNode(SubmissionTarget target) {
+    int leader = cluster.simulation.leader();
+    if (target == SubmissionTarget.LEADER) {
       return leader;
     }
-    if (asked == Asked.NOBODY_LEADS) {
-      cluster.world.storeFaults.refuse(leader, 30);
-      double from = cluster.world.clock.seconds();
-      while (cluster.world.leader() == leader) {
-        cluster.world.clock.runFor(0.005);
-        assertTrue(cluster.world.clock.seconds() < from + 25, "the lease ends");
+    if (target == SubmissionTarget.NO_LEADER) {
+      cluster.simulation.storeFaults.refuse(leader, 30);
+      double from = cluster.simulation.clock.seconds();
+      while (cluster.simulation.leader() == leader) {
+        cluster.simulation.clock.runFor(0.005);
+        assertTrue(cluster.simulation.clock.seconds() < from + 25, "the lease did not expire");
       }
-      assertEquals(-1, cluster.world.leader(), "nobody leads at this moment");
+      assertEquals(-1, cluster.simulation.leader(), "a node leads");
     }
     return (Math.max(0, leader) + 1) % 3;
   }
--- a/src/test/java/org/ternhinge/controller/DependencyNamesTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyListTest.java
@@ -17,11 +17,11 @@
 import org.ternhinge.wire.JobSpec;
 import org.ternhinge.wire.Json;
 
-/** Which dependencies a submission may name, and how any others are refused. */
-class DependencyNamesTest {
-  private DependentJobs cluster;
+/** Which dependency lists a submission may have, and how all others are refused. */
+class DependencyListTest {
+  private ClusterFixture cluster;
 
-  /** Each list gets the same status at every node; accepted jobs are done in the end. */
+  /** Each list gets the same status at every node; accepted jobs end as done. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "null, 201",
@@ -43,11 +43,11 @@
     "['wk-1 '], 400",
     "[['wk-1']], 400"
   })
-  void listsOfNames(String list, int status) throws Exception {
-    cluster = new DependentJobs(331);
+  void dependencyListIsAcceptedOrRefused(String list, int status) throws Exception {
+    cluster = new ClusterFixture(331);
     cluster.submit("wk-1", 1, 5);
     cluster.users.submit(
-        DependentJobs.job("wk-5", 1, 0, List.of()).kind("daemon").spotAllowed(false));
+        ClusterFixture.job("wk-5", 1, 0, List.of()).kind("daemon").spotAllowed(false));
     cluster.run(3);
     String text = list.replace('\'', '"').replace(';', ',');
     if (list.startsWith("wk")) {
@@ -55,14 +55,14 @@
     }
     for (int node = 0; node < 3; node++) {
       SubmissionBuilder body =
-          DependentJobs.job(node == 0 ? "wk-2" : "wk-2" + node, 1, 5, List.of());
+          ClusterFixture.job(node == 0 ? "wk-2" : "wk-2" + node, 1, 5, List.of());
       if (text.contains("wk-2")) {
         text = "[\"" + body.id().value() + "\"]";
       }
       body.rawDependencies(
           Json.parse(("{\"x\":" + text + "}").getBytes(StandardCharsets.UTF_8)).get("x"));
       Response response =
-          cluster.world.controllers.answerTo(node, "POST", "/submissions", body.bytes());
+          cluster.simulation.controllers.answerTo(node, "POST", "/submissions", body.bytes());
       assertNotNull(response, "node " + node);
       assertEquals(status, response.status(), "node " + node);
       if (status == 201) {
@@ -72,76 +72,79 @@
     cluster.run(40);
     cluster.users.quiet();
     cluster.run(60);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
     cluster.users.accepted().stream()
         .filter(id -> !cluster.users.spec(id).isService())
         .forEach(id -> assertEquals("done", cluster.users.lastState(id)));
   }
 
-  /** A list that no record could hold gets a definite answer at once. */
+  /** A list that exceeds the size of a record gets a definite answer within a second. */
   @ParameterizedTest
   @ValueSource(ints = {300, 1000, 4500})
-  void absurdlyLongLists(int names) {
-    cluster = new DependentJobs(332);
-    List<JobId> named = new ArrayList<>();
+  void oversizedListIsRefusedAtOnce(int names) {
+    cluster = new ClusterFixture(332);
+    List<JobId> dependencies = new ArrayList<>();
     for (int i = 0; i < names; i++) {
-      named.add(new JobId(String.format("wk-%07d", i)));
+      dependencies.add(new JobId(String.format("wk-%07d", i)));
     }
     for (int node = 0; node < 3; node++) {
-      byte[] body = DependentJobs.job("wk-9000000" + node, 1, 5, named).bytes();
+      byte[] body = ClusterFixture.job("wk-9000000" + node, 1, 5, dependencies).bytes();
       assertTrue(body.length < 64 * 1024);
-      Response response = cluster.world.controllers.answerTo(node, "POST", "/submissions", body);
-      assertNotNull(response, "an answer within a second");
+      Response response =
+          cluster.simulation.controllers.answerTo(node, "POST", "/submissions", body);
+      assertNotNull(response, "no answer within a second");
       assertTrue(
           Set.of(400, 413, 422).contains(response.status()), "answered " + response.status());
     }
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 
-  /** Jobs that ended long ago, more than any node caches, still count as done. */
+  /**
+   * Dependencies that ended long ago count as done, even with more ended jobs than any node caches.
+   */
   @ParameterizedTest(name = "ends before {0}, after {1}, all crash: {2}")
   @CsvSource({"0, 0, false", "0, 0, true", "4500, 0, true", "0, 4500, true", "4500, 4500, false"})
-  void namesOfJobsThatEndedLongAgo(int before, int after, boolean crash) {
-    cluster = new DependentJobs(341);
-    cluster.world.storeEnds(ends(2_000_000, before));
+  void dependenciesOnUncachedEndedJobsCountAsDone(int endsBefore, int endsAfter, boolean crash) {
+    cluster = new ClusterFixture(341);
+    cluster.simulation.storeEnds(endedJobs(2_000_000, endsBefore));
     JobId first = cluster.submit("wk-1", 2, 5);
     cluster.run(30);
     assertEquals("done", cluster.users.lastState(first));
-    cluster.world.storeEnds(ends(3_000_000, after));
+    cluster.simulation.storeEnds(endedJobs(3_000_000, endsAfter));
     if (crash) {
       for (int i = 0; i < 3; i++) {
-        cluster.world.controllers.crash(i, 1);
+        cluster.simulation.controllers.crash(i, 1);
       }
       cluster.run(10);
     }
-    List<JobSpec> old = ends(4_000_000, 3);
-    cluster.world.storeEnds(old);
+    List<JobSpec> uncached = endedJobs(4_000_000, 3);
+    cluster.simulation.storeEnds(uncached);
     JobId second = cluster.submit("wk-2", 2, 5, first);
     SubmissionBuilder body =
-        DependentJobs.job("wk-3", 2, 5, old.stream().map(JobSpec::id).toList());
+        ClusterFixture.job("wk-3", 2, 5, uncached.stream().map(JobSpec::id).toList());
     cluster.users.submit(body);
     JobId third = body.id();
     cluster.run(60);
-    if (before > 0) {
-      cluster.users.submit(DependentJobs.job("wk-4", 2, 5, List.of(new JobId("wk-2000000"))));
+    if (endsBefore > 0) {
+      cluster.users.submit(ClusterFixture.job("wk-4", 2, 5, List.of(new JobId("wk-2000000"))));
     }
     cluster.run(60);
     cluster.users.quiet();
     cluster.run(30);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
     for (JobId id : cluster.users.accepted()) {
       assertEquals("done", cluster.users.lastState(id), id.value());
     }
     assertTrue(
-        cluster.world.tasks.began(second).isPresent()
-            && cluster.world.tasks.began(third).isPresent());
+        cluster.simulation.tasks.began(second).isPresent()
+            && cluster.simulation.tasks.began(third).isPresent());
   }
 
-  private static List<JobSpec> ends(int from, int count) {
-    List<JobSpec> out = new ArrayList<>();
+  private static List<JobSpec> endedJobs(int from, int count) {
+    List<JobSpec> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      out.add(SubmissionBuilder.job("wk-" + (from + i), "batch", 2).spec());
+      jobs.add(SubmissionBuilder.job("wk-" + (from + i), "batch", 2).spec());
     }
-    return out;
+    return jobs;
   }
 }
--- a/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
+++ b/src/test/java/org/ternhinge/controller/DependencyRefusalTest.java
@@ -15,33 +15,33 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * A submission that can't be accepted gets its final answer at once: 400 for a malformed list, 422
- * for jobs that may not be named, 503 with a retry time where the node can't decide. A known job is
- * answered with its state before anything is validated.
+ * A submission that can't be accepted is answered without delay: 400 for a malformed list, 422 for
+ * jobs that may not be dependencies, 503 with a retry time where the node can't decide. A known job
+ * is answered with its state before anything is validated.
  */
 class DependencyRefusalTest {
-  /** Time of a few calls that take milliseconds each, and rarely some hundred. */
-  private static final double AT_ONCE_S = 1.5;
+  /** Allows for a few calls that take milliseconds each, in rare cases some hundred. */
+  private static final double MAX_ANSWER_S = 1.5;
 
-  private DependentJobs cluster;
+  private ClusterFixture cluster;
 
-  private void begin(long seed) {
-    cluster = new DependentJobs(seed);
+  private void startCluster(long seed) {
+    cluster = new ClusterFixture(seed);
     cluster.submit("wk-1", 1, 300);
-    SubmissionBuilder service = DependentJobs.job("wk-5", 1, 0, List.of()).kind("daemon");
+    SubmissionBuilder service = ClusterFixture.job("wk-5", 1, 0, List.of()).kind("daemon");
     cluster.users.submit(service.spotAllowed(false));
     cluster.run(15);
     assertEquals("running", cluster.users.lastState(new JobId("wk-1")));
   }
 
   /**
-   * A submission of a new job with a list.
+   * Encodes a submission with the given dependency list.
    *
-   * @param list its JSON with single quotes and semicolons; {@code LONG} for one that no record
-   *     holds
+   * @param list JSON with single quotes for double ones and semicolons for commas; {@code LONG} for
+   *     a list that exceeds the size of a record
    */
   private static byte[] body(String id, String list) throws WireException {
-    SubmissionBuilder body = DependentJobs.job(id, 1, 5, List.of());
+    SubmissionBuilder body = ClusterFixture.job(id, 1, 5, List.of());
     if (list.equals("LONG")) {
       body.dependsOn(
           IntStream.range(0, 1000).mapToObj(i -> new JobId(String.format("wk-%07d", i))).toList());
@@ -52,13 +52,13 @@
     return body.bytes();
   }
 
-  private void assertAtOnce(int status, int node, byte[] body) {
-    DependentJobs.Timed answer = cluster.submitTo(node, body);
+  private void assertImmediateAnswer(int status, int node, byte[] body) {
+    ClusterFixture.TimedResponse answer = cluster.submitTo(node, body);
     assertEquals(status, answer.response().status(), "node " + node);
-    assertTrue(answer.seconds() <= AT_ONCE_S, "answered after " + answer.seconds() + " s");
+    assertTrue(answer.seconds() <= MAX_ANSWER_S, "answered after " + answer.seconds() + " s");
   }
 
-  /** At every node, the leader and the followers. */
+  /** Every node refuses the list without delay and stores nothing. */
   @ParameterizedTest(name = "{0}")
   @CsvSource({
     "{}, 400",
@@ -77,18 +77,18 @@
     "['wk-404'], 422",
     "LONG, 422"
   })
-  void aListThatCanNotBeTaken(String list, int status) throws WireException {
-    begin(541);
+  void invalidListIsRefusedAtEveryNode(String list, int status) throws WireException {
+    startCluster(541);
     String json = list.startsWith("wk-") ? "'" + list + "'" : list;
     for (int node = 0; node < 3; node++) {
-      assertAtOnce(status, node, body("wk-9", json));
+      assertImmediateAnswer(status, node, body("wk-9", json));
     }
     assertEquals(2, cluster.users.accepted().size());
-    assertEquals(null, cluster.world.store.value("j/wk-9"), "nothing is stored of it");
-    cluster.assertNoRuleBroken();
+    assertEquals(null, cluster.simulation.store.value("j/wk-9"), "a record was stored");
+    cluster.assertNoViolations();
   }
 
-  /** The same lists in a repeat of a known job, whatever its state: 200 with that state. */
+  /** A repeated submission of a known job is answered 200 with its state, whatever the list. */
   @ParameterizedTest(name = "{0} of a job that is {1}")
   @CsvSource({
     "7, running",
@@ -107,8 +107,8 @@
     "['wk-404'], cancelled",
     "LONG, cancelled"
   })
-  void aRepeatOfAKnownJob(String list, String state) throws WireException {
-    begin(542);
+  void repeatOfKnownJobReturnsItsState(String list, String state) throws WireException {
+    startCluster(542);
     JobId known = new JobId("wk-1");
     if (state.equals("queued")) {
       known = cluster.submit("wk-2", 2, 5, known);
@@ -123,19 +123,19 @@
     }
     assertEquals(state, cluster.users.lastState(known));
     for (int node = 0; node < 3; node++) {
-      DependentJobs.Timed answer = cluster.submitTo(node, body(known.value(), list));
-      DependentJobs.assertAnswer(200, state, answer.response());
-      assertTrue(answer.seconds() <= AT_ONCE_S, "answered after " + answer.seconds() + " s");
+      ClusterFixture.TimedResponse answer = cluster.submitTo(node, body(known.value(), list));
+      ClusterFixture.assertAnswer(200, state, answer.response());
+      assertTrue(answer.seconds() <= MAX_ANSWER_S, "answered after " + answer.seconds() + " s");
     }
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 
   /**
-   * A node that can't decide answers 503 with a retry time, whatever the submission, and before a
-   * user would give up; afterwards it decides.
+   * A node that can't decide answers any submission with 503 and a retry time, within a user's
+   * timeout; after the fault it decides.
    *
-   * @param fault {@code outage} refuses every node; {@code alone} refuses one, which reaches no
-   *     other either
+   * @param fault {@code outage}: the store refuses every node; {@code alone}: one node reaches
+   *     neither the store nor other nodes
    */
   @ParameterizedTest(name = "{0}, {1}")
   @CsvSource({
@@ -149,44 +149,44 @@
     "alone, LONG, 503, 422",
     "alone, 7, 503, 400"
   })
-  void aNodeThatCanNotDecide(String fault, String list, int during, int after)
-      throws WireException {
-    begin(543);
+  void undecidableSubmissionIsAnsweredWithRetryTime(
+      String fault, String list, int during, int after) throws WireException {
+    startCluster(543);
     List<Integer> nodes = new ArrayList<>(List.of(0, 1, 2));
     if (fault.equals("outage")) {
-      cluster.world.storeFaults.outage(40);
-      // From here on no leadership is certain.
-      cluster.world.clock.runFor(15);
+      cluster.simulation.storeFaults.outage(40);
+      // After this time no node can be certain of its leadership.
+      cluster.simulation.clock.runFor(15);
     } else {
-      int follower = (cluster.world.leader() + 1) % 3;
+      int follower = (cluster.simulation.leader() + 1) % 3;
       nodes.retainAll(List.of(follower));
       // A delayed request would reach the leader later and be accepted there.
-      cluster.world.networkFaults.cutsLose();
-      cluster.world.networkFaults.cutOff(follower, 40);
-      cluster.world.clock.runFor(5);
+      cluster.simulation.networkFaults.cutsLose();
+      cluster.simulation.networkFaults.cutOff(follower, 40);
+      cluster.simulation.clock.runFor(5);
     }
     for (int node : nodes) {
-      DependentJobs.Timed answer = cluster.submitTo(node, body("wk-9", list));
+      ClusterFixture.TimedResponse answer = cluster.submitTo(node, body("wk-9", list));
       assertEquals(during, answer.response().status(), "node " + node);
-      assertTrue(answer.response().retryAfterS() >= 1, "says when to come back");
-      assertTrue(answer.seconds() <= AT_ONCE_S, "answered after " + answer.seconds() + " s");
+      assertTrue(answer.response().retryAfterS() >= 1, "no retry time");
+      assertTrue(answer.seconds() <= MAX_ANSWER_S, "answered after " + answer.seconds() + " s");
     }
     cluster.run(60);
-    assertAtOnce(after, nodes.get(0), body("wk-9", list));
-    cluster.assertNoRuleBroken();
+    assertImmediateAnswer(after, nodes.get(0), body("wk-9", list));
+    cluster.assertNoViolations();
   }
 
   /**
-   * A name is refused only after a fresh read: a job that another node accepted a moment ago counts
-   * at every node, also at a leader that has not watched its record yet.
+   * A dependency is refused only after a fresh read: a job that another node has just accepted is
+   * known at every node, even at a leader whose watch has not yet delivered its record.
    */
   @ParameterizedTest(name = "accepted at {0}, named at {1}")
   @CsvSource({"0, 1", "0, 2", "1, 0", "1, 2", "2, 0", "2, 1", "0, 0"})
-  void aNameAcceptedAMomentAgo(int acceptedAt, int namedAt) {
+  void justAcceptedDependencyIsKnownAtEveryNode(int acceptedAt, int namedAt) {
     for (long seed = 551; seed < 561; seed++) {
-      cluster = new DependentJobs(seed);
-      byte[] first = DependentJobs.job("wk-1", 1, 5, List.of()).bytes();
-      byte[] second = DependentJobs.job("wk-2", 1, 5, List.of(new JobId("wk-1"))).bytes();
+      cluster = new ClusterFixture(seed);
+      byte[] first = ClusterFixture.job("wk-1", 1, 5, List.of()).bytes();
+      byte[] second = ClusterFixture.job("wk-2", 1, 5, List.of(new JobId("wk-1"))).bytes();
       assertEquals(201, cluster.submitTo(acceptedAt, first).response().status());
       assertEquals(201, cluster.submitTo(namedAt, second).response().status(), "seed " + seed);
     }
--- a/src/test/java/org/ternhinge/controller/FaultKind.java
+++ b/src/test/java/org/ternhinge/controller/FaultKind.java
@@ -1,50 +1,53 @@
 package org.ternhinge.controller;
 
-/** The kinds of seeded faults that a test's day may have. */
+/** The kinds of faults that a seeded simulation run may inject. */
 enum FaultKind {
-  /** No fault but the losses of the network. */
+  /** No fault other than message loss. */
   NONE,
-  /** Controller processes end and come back. */
+  /** Controller processes crash and restart. */
   CONTROLLER_CRASHES,
-  /** Controllers lose workers or the key-value store, machines are cut off or end. */
+  /**
+   * Controllers lose contact with workers or the key-value store; machines are cut off or
+   * terminate.
+   */
   CONNECTION_CUTS,
-  /** The key-value store refuses everybody for a while. */
+  /** The key-value store refuses all clients for a while. */
   STORE_OUTAGES,
-  /** Machines' heartbeats arrive, while neither answers nor commands reach them. */
+  /** Heartbeats of some machines arrive, but neither answers nor commands reach those machines. */
   LOST_COMMANDS,
-  /** Heartbeats arrive once more, late. */
-  HEARTBEAT_COPIES,
-  /** Controllers reach their workers only, neither the key-value store nor each other. */
+  /** Heartbeats are duplicated, and the duplicate arrives late. */
+  DUPLICATE_HEARTBEATS,
+  /** Controllers reach only their workers, neither the key-value store nor each other. */
   ISOLATED_CONTROLLERS,
   /** All kinds before this one. */
   BASIC,
-  /** Transactions without an answer are carried out seconds later. */
+  /** Transactions that were not answered are applied seconds later. */
   LATE_WRITES,
-  /** Machines' heartbeats are lost, while commands reach them. */
+  /** Heartbeats of some machines are lost, while commands reach those machines. */
   LOST_HEARTBEATS,
-  /** Machines execute nothing for a while. */
+  /** Machines hang: they process nothing for a while. */
   MACHINE_HANGS,
   /** The key-value store answers slowly. */
   SLOW_STORE,
-  /** Heartbeats are delayed and reach the leader of a later time. */
+  /** Heartbeats are delayed and may reach a later leader. */
   DELAYED_HEARTBEATS,
-  /** A zone with its controllers is cut off. */
+  /** A zone is cut off together with its controllers. */
   ZONE_CUTS,
-  /** The key-value store refuses one leader after another. */
+  /** The key-value store refuses each of several successive leaders. */
   REFUSED_LEADERS,
-  /** Users send invalid requests, and cancel jobs at the very end of their last task. */
+  /** Users send invalid requests, and cancel jobs just as their last task ends. */
   INVALID_REQUESTS,
-  /** All kinds before this one, several at a time. */
+  /** All kinds before this one, several of them at the same time. */
   COMBINED,
-  /** The zones can't reach each other, while both reach the key-value store and users. */
+  /** The zones can't reach each other, while both can reach the key-value store and users. */
   PARTITIONED_ZONES;
 
-  /** Whether a day of this kind has basic faults of another kind. */
+  /** Whether a run of this kind includes another kind of basic fault. */
   boolean includesBasic(FaultKind other) {
     return this == other || this == BASIC;
   }
 
-  /** Whether a day of this kind has faults of another kind, other than basic ones. */
+  /** Whether a run of this kind includes another kind of fault that is not basic. */
   boolean includes(FaultKind other) {
     return this == other || this == COMBINED;
   }
--- a/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
+++ b/src/test/java/org/ternhinge/controller/JobEndAndLateMessagesTest.java
@@ -11,12 +11,14 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/** Ends and cancellations of jobs while writes or messages are late, on virtual time. */
+/** Jobs end or are cancelled while writes or messages are delayed, on virtual time. */
 class JobEndAndLateMessagesTest extends CombinedFaultsFixture {
-  /** Cancellations, polls and repeats at the very end of a job, without other faults. */
+  /**
+   * Cancellations, polls and repeated submissions race with the end of a job, without other faults.
+   */
   @Test
-  void aCancellationAtTheEndOfTheLastTask() {
-    begin(191, SimCluster.SMALL);
+  void cancellationRacingWithLastTaskEndsJob() {
+    startCluster(191, SimCluster.SMALL);
     users.cancelAtEnd(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
@@ -24,17 +26,17 @@
       run(3);
     }
     run(60);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     for (JobId id : jobs) {
-      assertOver(id);
+      assertEnded(id);
     }
   }
 
-  /** A transaction without an answer is applied after newer ones of the same controller. */
+  /** An unanswered transaction is applied after newer transactions of the same controller. */
   @ParameterizedTest(name = "seed {0}, share {1}")
   @CsvSource({"241, 0.2", "242, 0.4", "243, 0.6", "244, 0.4"})
-  void lateWritesWhileJobsEndAndAreCancelled(long seed, double share) {
-    begin(seed, SimCluster.SMALL);
+  void jobsEndDespiteLateWrites(long seed, double share) {
+    startCluster(seed, SimCluster.SMALL);
     users.cancelAtEnd(0.3);
     cluster.storeFaults.lateWrites(share, 90);
     List<JobId> jobs = new ArrayList<>();
@@ -49,48 +51,48 @@
       }
     }
     run(60);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     for (JobId id : jobs) {
-      assertOver(id);
+      assertEnded(id);
     }
   }
 
   /**
-   * More tasks than room, urgent and not, while each message takes long: late stops free room for
-   * late starts, and some jobs are cancelled meanwhile. With even slower links, calls of the
-   * key-value store time out and nobody leads.
+   * Urgent and low-priority tasks exceed the capacity while every message is slow: delayed stops
+   * make room for delayed starts, and some jobs are cancelled meanwhile. With even slower links,
+   * calls to the key-value store time out and no node leads.
    */
   @ParameterizedTest(name = "seed {0}, {1} s each way")
   @CsvSource({"141, 0.1", "142, 0.3", "143, 0.5", "144, 0.8"})
-  void preemptionOverSlowLinks(long seed, double slowS) {
-    begin(seed, SimCluster.SMALL);
-    List<JobId> lesser = new ArrayList<>();
-    List<JobId> urgent = new ArrayList<>();
+  void urgentJobsStartOverSlowLinks(long seed, double latencyS) {
+    startCluster(seed, SimCluster.SMALL);
+    List<JobId> lowPriorityJobs = new ArrayList<>();
+    List<JobId> urgentJobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       SubmissionBuilder array = SubmissionBuilder.job("wk-1" + i, "batch", 20).cpus(2.0);
       users.submit(array.priority("low").runsFor(12.0));
-      lesser.add(new JobId("wk-1" + i));
+      lowPriorityJobs.add(new JobId("wk-1" + i));
     }
     run(30);
-    cluster.networkFaults.slowLinks(slowS);
+    cluster.networkFaults.slowLinks(latencyS);
     for (int i = 0; i < 4; i++) {
       SubmissionBuilder array =
           SubmissionBuilder.job("wk-2" + i, "batch", 8).cpus(2.0).runsFor(8.0);
       users.submit(array.priority("high").team("blue"));
-      urgent.add(new JobId("wk-2" + i));
+      urgentJobs.add(new JobId("wk-2" + i));
       SubmissionBuilder service =
           SubmissionBuilder.job("wk-3" + i, "daemon", 2).priority("production");
       users.submit(service.scatter(true).spotAllowed(false));
       run(6);
-      users.cancel(i % 2 == 0 ? lesser.get(i) : new JobId("wk-3" + (i - 1)));
+      users.cancel(i % 2 == 0 ? lowPriorityJobs.get(i) : new JobId("wk-3" + (i - 1)));
     }
     run(100);
-    for (JobId id : urgent) {
-      assertTrue(cluster.tasks.began(id).isPresent(), id + " has not begun beside lesser work");
+    for (JobId id : urgentJobs) {
+      assertTrue(cluster.tasks.began(id).isPresent(), id + " has not started despite its priority");
     }
     cluster.networkFaults.slowLinks(0);
     users.cancel(new JobId("wk-31"));
     users.cancel(new JobId("wk-33"));
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 }
--- a/src/test/java/org/ternhinge/controller/JobRequestsTest.java
+++ b/src/test/java/org/ternhinge/controller/JobRequestsTest.java
@@ -50,7 +50,7 @@
   private final Election election =
       new Election("node-0", store, clock, Tuning.DEFAULT, 1, lock, new SplittableRandom(1));
   private final LeadershipRole role = new LeadershipRole("node-0", election);
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> askedNodes = new ArrayList<>();
   private Integer leaderStatus;
   private Response answer;
 
@@ -59,7 +59,7 @@
         @Override
         public void ask(
             String node, Request request, double timeoutS, Consumer<Optional<Response>> to) {
-          asked.add(node);
+          askedNodes.add(node);
           to.accept(Optional.ofNullable(leaderStatus).map(Response::of));
         }
 
@@ -79,7 +79,7 @@
             new CompareAndSwap(List.of(), List.of(change)), RequestPriority.ACCEPT));
   }
 
-  /** Has the node observe that another one leads, unless the leader is to be unknown. */
+  /** Makes the node observe that another one leads, if the leader is to be known. */
   private void observeLeader(boolean leaderKnown) {
     if (!leaderKnown) {
       return;
@@ -100,9 +100,9 @@
   }
 
   /**
-   * Prepares the node.
+   * Sets up the node's view of the leader and the stored job.
    *
-   * @param status with which the leader answers, or null where no answer comes
+   * @param status the leader's answer, or null if it does not answer
    */
   private void arrange(boolean leaderKnown, Integer status, String stored) {
     observeLeader(leaderKnown);
@@ -141,7 +141,7 @@
     "false,    , absent,    false, 0, 404",
     "true,  200, queued,    true,  0, 503",
   })
-  void aFollowerAnswersAQuery(
+  void followerAnswersQuery(
       boolean leaderKnown,
       Integer status,
       String stored,
@@ -151,7 +151,7 @@
     arrange(leaderKnown, status, stored);
     handle(new JobQueries(lookup), "GET", fromPeer);
     assertEquals(expected, answer.status());
-    assertEquals(nodesAsked, asked.size());
+    assertEquals(nodesAsked, askedNodes.size());
   }
 
   @ParameterizedTest(name = "leader known {0}, answers {1}, stored {2}, from a peer {3}")
@@ -168,7 +168,7 @@
     "false,    , absent,    false, 0, 404",
     "true,  200, done,      true,  0, 503",
   })
-  void aFollowerAnswersACancellation(
+  void followerAnswersCancellation(
       boolean leaderKnown,
       Integer status,
       String stored,
@@ -178,6 +178,6 @@
     arrange(leaderKnown, status, stored);
     handle(new JobCancellations(lookup, clock), "POST", fromPeer);
     assertEquals(expected, answer.status());
-    assertEquals(nodesAsked, asked.size());
+    assertEquals(nodesAsked, askedNodes.size());
   }
 }
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -13,22 +13,22 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * The largest expected fleet, on virtual time: 1,700 machines and five controllers, with faults of
- * many machines at once. Work is bounded by counts, never by processor time.
+ * The largest expected fleet, 1,700 machines and five controllers, under faults of many machines at
+ * once, on virtual time. Work is bounded by counts, never by processor time.
  */
 class LargeFleetTest {
-  private static final int PER_OFFER = 215;
-  private static final int FLEET = 8 * PER_OFFER;
-  private static final double WRITES = 40;
+  private static final int MACHINES_PER_OFFER = 215;
+  private static final int FLEET_SIZE = 8 * MACHINES_PER_OFFER;
+  private static final double STORE_WRITES_PER_S = 40;
 
-  private SimCluster world;
+  private SimCluster cluster;
   private SimUsers users;
   private final List<JobId> services = new ArrayList<>();
-  private final List<JobId> others = new ArrayList<>();
+  private final List<JobId> otherJobs = new ArrayList<>();
 
-  /** Counts of calls at some time. */
+  /** Counts of calls up to a point in time. */
   private record Counts(
-      double at, long commands, long changes, long scaleOuts, long releases, long lists) {
+      double atS, long commands, long changes, long provisionings, long releases, long listings) {
     static Counts of(SimCluster cluster) {
       return new Counts(
           cluster.clock.seconds(),
@@ -40,8 +40,8 @@
     }
   }
 
-  private JobId submit(String id, String kind, int tasks, double cpus, double runs, int image) {
-    var body = SubmissionBuilder.job(id, kind, tasks).cpus(cpus).runsFor(runs);
+  private JobId submit(String id, String kind, int tasks, double cpus, double runS, int image) {
+    var body = SubmissionBuilder.job(id, kind, tasks).cpus(cpus).runsFor(runS);
     body.image("img-" + image);
     body.productionIfService().scatter(kind.equals("daemon"));
     if (kind.equals("group")) {
@@ -53,29 +53,36 @@
 
   private void run(double seconds) {
     for (double t = 0; t < seconds; t += 3) {
-      world.clock.runFor(3);
+      cluster.clock.runFor(3);
       users.pollAll();
     }
   }
 
   private int replicas() {
-    return services.stream().mapToInt(world.tasks::runningTasks).sum();
+    return services.stream().mapToInt(cluster.tasks::runningTasks).sum();
   }
 
-  /** Asserts the bounds on work since a moment. */
+  /** Asserts that the work since the given counts is within its bounds. */
   private void assertWorkIsBounded(Counts from, double cloudRps) {
-    Counts to = Counts.of(world);
-    double span = to.at - from.at;
-    assertTrue(to.changes - from.changes <= WRITES * (span + 1), "changes of the key-value store");
+    Counts to = Counts.of(cluster);
+    double spanS = to.atS - from.atS;
+    assertTrue(
+        to.changes - from.changes <= STORE_WRITES_PER_S * (spanS + 1),
+        "store changes exceed the rate limit");
     long calls =
-        to.scaleOuts - from.scaleOuts + to.releases - from.releases + to.lists - from.lists;
-    assertTrue(calls <= cloudRps * (span + 2), calls + " calls of the cloud in " + span + " s");
-    int sockets = SocketShares.of(world.settings("node-0").maxSockets()).calls();
+        to.provisionings
+            - from.provisionings
+            + to.releases
+            - from.releases
+            + to.listings
+            - from.listings;
+    assertTrue(calls <= cloudRps * (spanS + 2), calls + " cloud calls in " + spanS + " s");
+    int sockets = SocketShares.of(cluster.settings("node-0").maxSockets()).calls();
     assertTrue(
-        world.counts.mostCommandCallsAtOnce() <= sockets,
-        world.counts.mostCommandCallsAtOnce() + " direct commands at once");
-    long steps = world.metrics.mostEvaluations();
-    assertTrue(steps < 600L * FLEET, "a round of " + steps + " evaluations");
+        cluster.counts.mostCommandCallsAtOnce() <= sockets,
+        cluster.counts.mostCommandCallsAtOnce() + " concurrent direct commands");
+    long evaluations = cluster.metrics.mostEvaluations();
+    assertTrue(evaluations < 600L * FLEET_SIZE, evaluations + " evaluations in one round");
   }
 
   /** Submits services that fill most of the fleet, gangs and long arrays. */
@@ -84,57 +91,60 @@
       services.add(submit(String.format("wk-1%03d", i), "daemon", 6, 4, 0, i % 12));
     }
     for (int i = 0; i < 150; i++) {
-      others.add(submit(String.format("wk-2%03d", i), "group", 2, 14, 60, i % 16));
+      otherJobs.add(submit(String.format("wk-2%03d", i), "group", 2, 14, 60, i % 16));
     }
     for (int i = 0; i < 20; i++) {
-      others.add(submit(String.format("wk-3%03d", i), "batch", 300, 2, 25, i % 14));
+      otherJobs.add(submit(String.format("wk-3%03d", i), "batch", 300, 2, 25, i % 14));
     }
   }
 
   @Test
-  void seventeenHundredMachinesHoldWhenManyFailTogether() {
-    world = new SimCluster(91, 0, new SimCluster.Size(5, PER_OFFER, 12000, WRITES));
-    users = new SimUsers(world);
-    world.clock.runFor(5);
-    Counts start = Counts.of(world);
+  void fleetRecoversWhenManyMachinesFailTogether() {
+    cluster =
+        new SimCluster(
+            91, 0, new SimCluster.Size(5, MACHINES_PER_OFFER, 12000, STORE_WRITES_PER_S));
+    users = new SimUsers(cluster);
+    cluster.clock.runFor(5);
+    Counts start = Counts.of(cluster);
     submitMixedLoad();
     run(75);
     assertTrue(
-        world.machines.live().size() > 0.9 * FLEET, world.machines.live().size() + " machines");
+        cluster.machines.live().size() > 0.9 * FLEET_SIZE,
+        cluster.machines.live().size() + " machines");
     assertEquals(1200, replicas());
     assertWorkIsBounded(start, 4);
 
-    Counts restart = Counts.of(world);
-    world.machineFaults.restartMachines(0.4);
-    assertTrue(replicas() < 900, "many are lost");
+    Counts restart = Counts.of(cluster);
+    cluster.machineFaults.restartMachines(0.4);
+    assertTrue(replicas() < 900, "too few replicas were lost");
     run(24);
-    assertEquals(1200, replicas(), "production work is back first");
+    assertEquals(1200, replicas(), "production replicas restart first");
     assertWorkIsBounded(restart, 4);
 
-    Counts crash = Counts.of(world);
+    Counts crash = Counts.of(cluster);
     int running = replicas();
     for (int i = 0; i < 5; i++) {
-      world.controllers.crash(i, i * 0.1);
+      cluster.controllers.crash(i, i * 0.1);
     }
     run(15);
-    assertEquals(running, replicas(), "no running task is lost by it");
-    int starts = world.tasks.starts();
-    others.add(submit("wk-4000", "batch", 40, 1, 10, 1));
+    assertEquals(running, replicas(), "running replicas after the crash");
+    int starts = cluster.tasks.starts();
+    otherJobs.add(submit("wk-4000", "batch", 40, 1, 10, 1));
     run(9);
-    assertTrue(world.tasks.starts() > starts, "the next leader starts work");
+    assertTrue(cluster.tasks.starts() > starts, "the next leader started no task");
     assertWorkIsBounded(crash, 4);
 
-    Counts cut = Counts.of(world);
-    world.machineFaults.cutMachinesOfZone("west", 48);
+    Counts zoneCut = Counts.of(cluster);
+    cluster.machineFaults.cutMachinesOfZone("west", 48);
     run(66);
-    assertEquals(1200, replicas(), "replicas of the lost zone run again");
-    assertWorkIsBounded(cut, 4);
+    assertEquals(1200, replicas(), "replicas after the loss of a zone");
+    assertWorkIsBounded(zoneCut, 4);
     users.quiet();
     run(90);
-    assertEquals(List.of(), world.violations());
-    for (JobId id : others) {
-      double waited = world.tasks.began(id).orElse(1e9) - users.submittedAt(id);
-      assertTrue(waited < 240, id + " began after " + waited);
+    assertEquals(List.of(), cluster.violations());
+    for (JobId id : otherJobs) {
+      double waited = cluster.tasks.began(id).orElse(1e9) - users.submittedAt(id);
+      assertTrue(waited < 240, id + " started after " + waited);
       assertEquals("done", users.lastState(id));
     }
   }
--- a/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaderlessSubmissionTest.java
@@ -15,76 +15,81 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * Users expect an answer within a second also while nobody leads, or while the key-value store
- * refuses only the node that they have reached.
+ * Submissions are answered within a second even while no node leads, or while the key-value store
+ * refuses only the node that the user reached.
  */
 class LeaderlessSubmissionTest {
-  private static final double EXPECTED_S = 1;
+  private static final double MAX_ANSWER_S = 1;
 
-  private SimCluster world;
+  private SimCluster cluster;
   private SimUsers users;
   private final List<Integer> answers = new ArrayList<>();
   private int submitted;
 
   @BeforeEach
-  void aJobIsKnown() {
-    world = new SimCluster(17, 0, new SimCluster.Size(5, 2, 24, 21));
-    users = new SimUsers(world);
-    world.clock.runFor(5);
+  void submitKnownJob() {
+    cluster = new SimCluster(17, 0, new SimCluster.Size(5, 2, 24, 21));
+    users = new SimUsers(cluster);
+    cluster.clock.runFor(5);
     users.submit(SubmissionBuilder.job("wk-1", "batch", 1));
-    world.clock.runFor(5);
+    cluster.clock.runFor(5);
     assertEquals(List.of(new JobId("wk-1")), users.accepted());
   }
 
   private void submit(int node, boolean dependent) {
     SubmissionBuilder body = SubmissionBuilder.job("wk-" + (100 + ++submitted), "batch", 1);
-    List<JobId> named = new ArrayList<>();
+    List<JobId> dependencies = new ArrayList<>();
     if (dependent) {
       body.dependsOn(List.of(new JobId("wk-1")));
-      named.add(new JobId("wk-1"));
+      dependencies.add(new JobId("wk-1"));
     }
-    world.jobs.add(body.spec(), named);
-    double sent = world.clock.seconds();
-    world.controllers.user(
+    cluster.jobs.add(body.spec(), dependencies);
+    double sentAt = cluster.clock.seconds();
+    cluster.controllers.user(
         node,
         new Request("POST", "/submissions", body.bytes()),
         r -> {
-          if (world.clock.seconds() - sent <= EXPECTED_S) {
+          if (cluster.clock.seconds() - sentAt <= MAX_ANSWER_S) {
             answers.add(r == null ? 0 : r.status());
           }
         });
   }
 
-  /** A follower alone has a token now and then; its neighbours have some more. */
-  @ParameterizedTest(name = "{0} at once, dependent {1}")
+  /**
+   * A follower alone rarely has a write token for each submission; the other followers supply more.
+   */
+  @ParameterizedTest(name = "{0} concurrent, dependent {1}")
   @CsvSource({"3, false", "3, true", "4, false", "4, true"})
-  void severalAtOnceAtAFollowerAreAcceptedWhileTheLeaderIsDead(int atOnce, boolean dependent) {
-    int leader = world.leader();
+  void concurrentSubmissionsAreAcceptedAfterLeaderCrash(int concurrent, boolean dependent) {
+    int leader = cluster.leader();
     int follower = (leader + 1) % 5;
-    world.controllers.crash(leader, 60);
-    world.clock.runFor(0.5);
-    for (int i = 0; i < atOnce; i++) {
+    cluster.controllers.crash(leader, 60);
+    cluster.clock.runFor(0.5);
+    for (int i = 0; i < concurrent; i++) {
       submit(follower, dependent);
     }
-    world.clock.runFor(2);
-    assertEquals(leader, world.leader(), "the dead leader's key is still there");
+    cluster.clock.runFor(2);
+    assertEquals(leader, cluster.leader(), "the crashed leader's key has not expired");
     assertEquals(submitted, answers.stream().filter(s -> s == 201).count(), answers.toString());
   }
 
-  /** Pipelines send several jobs at the same moment; the leader may have tokens for a part. */
+  /**
+   * Pipelines submit several jobs at the same moment; the leader may have write tokens for only
+   * some.
+   */
   @ParameterizedTest(name = "dependent {0}")
   @CsvSource({"false", "true"})
-  void moreThanTheLeaderHasTokensForGoToAllNodes(boolean dependent) {
-    int follower = (world.leader() + 1) % 5;
+  void submissionsBeyondLeaderTokensGoToAllNodes(boolean dependent) {
+    int follower = (cluster.leader() + 1) % 5;
     for (int i = 0; i < 16; i++) {
       submit(follower, dependent);
     }
-    world.clock.runFor(2);
+    cluster.clock.runFor(2);
     assertEquals(submitted, answers.stream().filter(s -> s == 201).count(), answers.toString());
   }
 
-  /** The other nodes can write, so this one relays its submissions. */
-  @ParameterizedTest(name = "leader {0}, {1} s before, dependent {2}")
+  /** The other nodes can write to the store, so the refused node relays its submissions to them. */
+  @ParameterizedTest(name = "leader {0}, refused {1} s before, dependent {2}")
   @CsvSource({
     "true,  0.5, false",
     "true,  0.5, true",
@@ -93,25 +98,26 @@
     "false, 0.5, false",
     "false, 10,  true",
   })
-  void aNodeThatTheStoreRefusesRelaysItsSubmissions(
-      boolean leading, double before, boolean dependent) {
-    int node = leading ? world.leader() : (world.leader() + 1) % 5;
-    world.storeFaults.refuse(node, 30);
-    world.clock.runFor(before);
+  void nodeRefusedByStoreRelaysSubmissions(boolean leading, double refusedForS, boolean dependent) {
+    int node = leading ? cluster.leader() : (cluster.leader() + 1) % 5;
+    cluster.storeFaults.refuse(node, 30);
+    cluster.clock.runFor(refusedForS);
     submit(node, dependent);
-    world.clock.runFor(2);
+    cluster.clock.runFor(2);
     assertEquals(List.of(201), answers);
   }
 
-  /** In an outage of the key-value store nobody can accept: the answer comes at once. */
+  /**
+   * In an outage of the key-value store no node can accept jobs; the answer is an immediate 503.
+   */
   @ParameterizedTest(name = "dependent {0}")
   @CsvSource({"false", "true"})
-  void anOutageIsAnsweredAtOnce(boolean dependent) {
-    world.storeFaults.outage(10);
-    world.clock.runFor(0.5);
-    submit((world.leader() + 1) % 5, dependent);
-    world.clock.runFor(2);
+  void storeOutageIsAnsweredAtOnce(boolean dependent) {
+    cluster.storeFaults.outage(10);
+    cluster.clock.runFor(0.5);
+    submit((cluster.leader() + 1) % 5, dependent);
+    cluster.clock.runFor(2);
     assertEquals(List.of(503), answers);
-    assertNotEquals(-1, world.leader());
+    assertNotEquals(-1, cluster.leader());
   }
 }
--- a/src/test/java/org/ternhinge/controller/KeepAliveTest.java
+++ b/src/test/java/org/ternhinge/controller/LeaseRenewalTest.java
@@ -26,23 +26,23 @@
 import org.ternhinge.wire.WireException;
 
 /**
- * An answer to a heartbeat renews the worker's lease. No worker whose tasks have to end may get an
- * answer without the stop commands.
+ * An answer to a heartbeat renews the worker's lease. A worker with tasks that have to end must not
+ * get an answer without the stop commands for them.
  */
-class KeepAliveTest {
+class LeaseRenewalTest {
   private final JobId job = new JobId("wk-1");
-  private SimCluster world;
+  private SimCluster cluster;
   private SimUsers users;
   private MachineId machine;
 
   @BeforeEach
-  void aServiceRuns() {
-    world = new SimCluster(95, 0);
-    users = new SimUsers(world);
-    world.clock.runFor(5);
+  void startService() {
+    cluster = new SimCluster(95, 0);
+    users = new SimUsers(cluster);
+    cluster.clock.runFor(5);
     users.submit(SubmissionBuilder.job("wk-1", "daemon", 2).priority("production"));
-    world.clock.runFor(40);
-    machine = world.tasks.machinesOf(job).get(0);
+    cluster.clock.runFor(40);
+    machine = cluster.tasks.machinesOf(job).get(0);
   }
 
   private static List<Command> commands(Response answer) throws WireException {
@@ -50,57 +50,61 @@
     return Command.read(Json.parse(answer.body()));
   }
 
-  /** The answer to a direct command may overtake a heartbeat, whose answer arrives all the same. */
+  /** The answer to a direct command may overtake a heartbeat, which is answered nevertheless. */
   @Test
-  void anAnswerToAnOvertakenHeartbeatCarriesTheStops() throws WireException {
-    Heartbeat last = world.machines.lastHeartbeat(machine);
-    world.machineFaults.dropInbound(machine, 30);
+  void answerToOvertakenHeartbeatCarriesStops() throws WireException {
+    Heartbeat last = cluster.machines.lastHeartbeat(machine);
+    cluster.machineFaults.dropInbound(machine, 30);
     users.cancel(job);
-    world.clock.runFor(2);
+    cluster.clock.runFor(2);
     Heartbeat overtaken = HeartbeatBuilder.like(last).sequenceLater(-1).build();
-    List<Command> commands = commands(world.controllers.answerTo(world.leader(), overtaken));
+    List<Command> commands = commands(cluster.controllers.answerTo(cluster.leader(), overtaken));
     assertTrue(
         commands.stream().anyMatch(c -> c.op() == Command.Op.STOP && c.task().job().equals(job)),
         "commands: " + commands);
   }
 
-  /** An epoch that is followed by another one has ended; its heartbeats must not be answered. */
+  /** A newer epoch ends the previous one, whose heartbeats must not be answered any more. */
   @Test
-  void anEarlierEpochsLeaseIsNotRenewed() {
-    Heartbeat last = world.machines.lastHeartbeat(machine);
+  void earlierEpochIsNotRenewed() {
+    Heartbeat last = cluster.machines.lastHeartbeat(machine);
     Heartbeat next =
         HeartbeatBuilder.like(last).epochsLater(1).sequence(1000).tasks(List.of()).build();
-    assertEquals(200, world.controllers.answerTo(world.leader(), next).status());
-    assertEquals(503, world.controllers.answerTo(world.leader(), last).status());
+    assertEquals(200, cluster.controllers.answerTo(cluster.leader(), next).status());
+    assertEquals(503, cluster.controllers.answerTo(cluster.leader(), last).status());
   }
 
-  /** A leader in its grace sends no stops, so it renews leases only where all tasks may run. */
+  /**
+   * A leader in its grace sends no stops, so it renews a lease only if all the worker's tasks may
+   * run.
+   */
   @ParameterizedTest(name = "a task of an unknown job: {0}")
   @CsvSource({"false, 200", "true, 503"})
-  void inItsGraceALeaderRenewsLeasesOfKnownTasksOnly(boolean unknown, int status) {
-    int leader = world.leader();
-    // Nobody can take over: the first worker of a next leader would make this one step down.
-    world.storeFaults.outage(60);
-    world.clock.runFor(8);
-    Heartbeat last = world.machines.lastHeartbeat(machine);
+  void leaderInGraceRenewsOnlyKnownTasks(boolean unknown, int status) {
+    int leader = cluster.leader();
+    // In an outage no node can take over; a successor's first worker would make this leader step
+    // down.
+    cluster.storeFaults.outage(60);
+    cluster.clock.runFor(8);
+    Heartbeat last = cluster.machines.lastHeartbeat(machine);
     List<TaskStatus> tasks = new ArrayList<>(last.tasks());
     if (unknown) {
       TaskId task = new TaskId(new JobId("wk-999"), 0);
       tasks.add(new TaskStatus(task, new AttemptNumber(1), TaskState.RUNNING, null, false));
     }
     Heartbeat now = HeartbeatBuilder.like(last).sequenceLater(1).tasks(tasks).build();
-    assertEquals(status, world.controllers.answerTo(leader, now).status());
+    assertEquals(status, cluster.controllers.answerTo(leader, now).status());
   }
 
-  /** A leader that is cut off renews leases only until its successor has reached a worker. */
+  /** An isolated leader renews leases only until its successor has reached a worker. */
   @Test
-  void theNextLeaderEndsTheGraceOfTheLast() {
-    int leader = world.leader();
-    world.networkFaults.cutOff(leader, 60);
-    world.clock.runFor(10);
-    Heartbeat last = world.machines.lastHeartbeat(machine);
+  void nextLeaderEndsGraceOfPreviousLeader() {
+    int leader = cluster.leader();
+    cluster.networkFaults.cutOff(leader, 60);
+    cluster.clock.runFor(10);
+    Heartbeat last = cluster.machines.lastHeartbeat(machine);
     Heartbeat now = HeartbeatBuilder.like(last).sequenceLater(1).build();
-    assertEquals(503, world.controllers.answerTo(leader, now).status());
-    assertEquals(2, world.tasks.runningTasks(job), "tasks that go on");
+    assertEquals(503, cluster.controllers.answerTo(leader, now).status());
+    assertEquals(2, cluster.tasks.runningTasks(job), "running tasks");
   }
 }
--- a/src/test/java/org/ternhinge/controller/PausedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/PausedControllerTest.java
@@ -12,12 +12,12 @@
 import org.ternhinge.sim.SimCluster;
 
 /**
- * A controller whose process is paused for seconds while its clocks run on, or all controllers that
- * are down for a minute and more.
+ * A controller process is paused for seconds while its clocks keep running, or all controllers are
+ * down for up to 100 s.
  */
 class PausedControllerTest {
-  private final DependentJobs cluster =
-      DependentJobs.withoutAnnouncedLimits(61, new SimCluster.Size(3, 8, 400, 30));
+  private final ClusterFixture cluster =
+      ClusterFixture.withoutAnnouncedLimits(61, new SimCluster.Size(3, 8, 400, 30));
 
   private List<JobId> submit(String prefix, int jobs, int tasks, double runS) {
     List<JobId> ids = new ArrayList<>();
@@ -28,8 +28,9 @@
   }
 
   /**
-   * The commands of a round wait for their connections when the process is paused. When it resumes,
-   * another leader may have claimed a higher term; commands of the old term must not be sent.
+   * The process is paused while the commands of a round wait for their connections. When it
+   * resumes, another leader may have claimed a higher term; commands of the old term must not be
+   * sent.
    */
   @ParameterizedTest(name = "paused {0} s after a submission for {1} s")
   @CsvSource({
@@ -43,87 +44,89 @@
     "0.6, 8",
     "0.8, 30"
   })
-  void noCommandIsSentAfterTheLeaseExpired(double afterS, double seconds) {
+  void noCommandIsSentAfterLeaseExpiry(double afterS, double seconds) {
     submit("wk-1", 4, 6, 60);
-    // Leaves idle machines, so that the next jobs wait for no boot.
+    // Leaves idle machines, so that the next jobs need not wait for machines to boot.
     submit("wk-0", 4, 8, 5);
     cluster.run(35);
-    cluster.world.connectS = 0.25;
+    cluster.simulation.connectS = 0.25;
     submit("wk-2", 4, 8, 5);
-    cluster.world.clock.runFor(afterS);
-    cluster.world.controllers.pause(cluster.world.leader(), seconds);
+    cluster.simulation.clock.runFor(afterS);
+    cluster.simulation.controllers.pause(cluster.simulation.leader(), seconds);
     cluster.run(seconds + 20);
-    assertEquals(0, cluster.world.counts.commandsOfOldTerms(), "commands sent under an old term");
+    assertEquals(
+        0, cluster.simulation.counts.commandsOfOldTerms(), "commands sent under an old term");
     cluster.assertAllDoneAfter(90);
   }
 
-  /** At each moment between two renewals, which are 2 s apart. */
+  /** The pause begins at various times between two lease renewals, which are 2 s apart. */
   @ParameterizedTest(name = "{0} s after a renewal, for {1} s")
   @CsvSource({
     "0, 5", "0.5, 5", "1, 5", "1.5, 5", "1.9, 5", "0, 7", "0.7, 7", "1.4, 7", "1.99, 7", "0, 25",
     "1, 25", "2, 25"
   })
-  void aPauseDuringRenewal(double offsetS, double seconds) {
+  void pauseDuringRenewalViolatesNoInvariant(double offsetS, double seconds) {
     List<JobId> jobs = submit("wk-1", 4, 6, 90);
     cluster.run(30 + offsetS);
-    cluster.world.connectS = 0.05;
-    int paused = cluster.world.leader();
-    cluster.world.controllers.pause(paused, seconds);
-    cluster.world.clock.runFor(0.1);
+    cluster.simulation.connectS = 0.05;
+    int paused = cluster.simulation.leader();
+    cluster.simulation.controllers.pause(paused, seconds);
+    cluster.simulation.clock.runFor(0.1);
     submit("wk-2", 3, 4, 5);
     cluster.users.cancel(jobs.get(0));
     cluster.run(seconds + 15);
     assertEquals("cancelled", cluster.users.lastState(jobs.get(0)));
-    assertEquals(0, cluster.world.counts.commandsOfOldTerms(), "commands sent under an old term");
+    assertEquals(
+        0, cluster.simulation.counts.commandsOfOldTerms(), "commands sent under an old term");
     cluster.users.quiet();
     cluster.run(120);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 
   /**
-   * All controllers are down for longer than a lease, so all tasks have ended. Open attempts are
-   * closed in few writes, services run first, and confirmed cancellations hold.
+   * All controllers are down for longer than a lease, so all tasks have ended. The next leader
+   * closes open attempts in few writes, starts services first and keeps confirmed cancellations.
    */
   @ParameterizedTest(name = "all down for {0} s")
   @CsvSource({"30", "60", "100"})
-  void allControllersAreDown(double seconds) {
+  void tasksRestartAfterAllControllersWereDown(double seconds) {
     List<JobId> services = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      var body = DependentJobs.job("wk-3" + i, 4, 0, List.of());
+      var body = ClusterFixture.job("wk-3" + i, 4, 0, List.of());
       body.kind("daemon").priority("production").scatter(true);
       cluster.users.submit(body);
       services.add(body.id());
     }
-    List<JobId> others = submit("wk-1", 8, 10, 150);
+    List<JobId> arrays = submit("wk-1", 8, 10, 150);
     cluster.run(40);
-    cluster.users.cancel(others.get(0));
+    cluster.users.cancel(arrays.get(0));
     cluster.run(3);
-    assertEquals("cancelled", cluster.users.lastState(others.get(0)));
+    assertEquals("cancelled", cluster.users.lastState(arrays.get(0)));
     for (int i = 0; i < 3; i++) {
-      cluster.world.controllers.crash(i, seconds + i * 0.2);
+      cluster.simulation.controllers.crash(i, seconds + i * 0.2);
     }
     cluster.run(seconds + 2);
-    long changes = cluster.world.counts.storeChanges();
+    long changes = cluster.simulation.counts.storeChanges();
     cluster.run(14);
-    int running = services.stream().mapToInt(cluster.world.tasks::runningTasks).sum();
-    assertEquals(20, running, "replicas that run again");
-    assertEquals(0, cluster.world.tasks.runningTasks(others.get(0)), "cancelled tasks");
-    long settled = cluster.world.counts.storeChanges() - changes;
-    assertTrue(settled < 14 * 30, settled + " changes after the return");
+    int running = services.stream().mapToInt(cluster.simulation.tasks::runningTasks).sum();
+    assertEquals(20, running, "restarted replicas");
+    assertEquals(0, cluster.simulation.tasks.runningTasks(arrays.get(0)), "cancelled tasks");
+    long settlingChanges = cluster.simulation.counts.storeChanges() - changes;
+    assertTrue(settlingChanges < 14 * 30, settlingChanges + " store changes after the restart");
     cluster.run(60);
-    int again = others.stream().mapToInt(cluster.world.tasks::runningTasks).sum();
-    assertEquals(70, again, "tasks of others that run again");
-    cluster.assertNoRuleBroken();
+    int restarted = arrays.stream().mapToInt(cluster.simulation.tasks::runningTasks).sum();
+    assertEquals(70, restarted, "restarted tasks of the arrays");
+    cluster.assertNoViolations();
   }
 
-  /** A paused follower disturbs no user and no job. */
+  /** A paused follower affects neither leadership nor jobs. */
   @Test
-  void aFollowerIsPaused() {
+  void pausedFollowerDisturbsNoJob() {
     List<JobId> jobs = submit("wk-1", 4, 6, 10);
-    cluster.world.controllers.pause((cluster.world.leader() + 1) % 3, 40);
+    cluster.simulation.controllers.pause((cluster.simulation.leader() + 1) % 3, 40);
     cluster.run(60);
-    assertEquals(1, cluster.world.counts.leaderships());
+    assertEquals(1, cluster.simulation.counts.leaderships());
     jobs.forEach(job -> assertEquals("done", cluster.users.lastState(job)));
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 }
--- a/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineWaitingTest.java
@@ -10,39 +10,42 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SubmissionBuilder;
 
-/** A job that waits costs nothing, waits on under the next leader, and never starts too early. */
+/**
+ * A waiting job uses none of its team's limit, keeps waiting under the next leader and never starts
+ * too early.
+ */
 class PipelineWaitingTest {
-  private DependentJobs cluster;
+  private ClusterFixture cluster;
 
-  /** A job that waits leaves its team's limit to others, however much it will need. */
+  /** A waiting job leaves its team's whole limit to other jobs, whatever its size. */
   @Test
-  void whoWaitsHoldsNoPartOfTheLimit() {
-    cluster = new DependentJobs(361, 0, new SimCluster.Size(3, 4, 24, 30));
+  void waitingJobUsesNoneOfTheTeamLimit() {
+    cluster = new ClusterFixture(361, 0, new SimCluster.Size(3, 4, 24, 30));
     JobId first = cluster.submit("wk-1", 2, 60);
-    JobId waits = cluster.submit("wk-2", 12, 5, first);
+    JobId waitingJob = cluster.submit("wk-2", 12, 5, first);
     SubmissionBuilder gang =
-        DependentJobs.job("wk-3", 2, 5, List.of(first)).kind("group").cpus(4.0);
+        ClusterFixture.job("wk-3", 2, 5, List.of(first)).kind("group").cpus(4.0);
     cluster.users.submitAfterNamed(gang);
     cluster.run(20);
-    JobId fills = cluster.submit("wk-4", 10, 40);
+    JobId runnableJob = cluster.submit("wk-4", 10, 40);
     cluster.run(25);
-    assertEquals(2, cluster.world.tasks.runningTasks(first));
+    assertEquals(2, cluster.simulation.tasks.runningTasks(first));
     assertEquals(
         10,
-        cluster.world.tasks.runningTasks(fills),
-        "the team's whole limit is for those that can run");
-    assertEquals("queued", cluster.users.lastState(waits));
+        cluster.simulation.tasks.runningTasks(runnableJob),
+        "running tasks within the team's limit");
+    assertEquals("queued", cluster.users.lastState(waitingJob));
     cluster.run(120);
     cluster.users.quiet();
     cluster.run(60);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
     cluster
         .users
         .accepted()
         .forEach(id -> assertEquals("done", cluster.users.lastState(id), id.value()));
   }
 
-  /** The next leader knows who waits, and for whom. */
+  /** The next leader knows which jobs wait, and for which dependencies. */
   @ParameterizedTest(name = "{0}, {1} s after the first was submitted, {2}")
   @CsvSource({
     "chain, 10, leader",
@@ -58,42 +61,45 @@
     "diamond, 36, leader",
     "diamond, 40, all"
   })
-  void aChangeOfLeaderWhileJobsWait(String shape, double at, String crash) {
+  void waitingJobsSurviveFailover(String shape, double at, String crash) {
     for (long seed = 371; seed < 374; seed++) {
-      cluster = new DependentJobs(seed);
-      List<JobId> all = cluster.submitShape(shape, 15);
+      cluster = new ClusterFixture(seed);
+      List<JobId> all = cluster.submitPipeline(shape, 15);
       cluster.run(at);
       for (int i = 0; i < 3; i++) {
-        if (crash.equals("all") || i == cluster.world.leader()) {
-          cluster.world.controllers.crash(i, 2);
+        if (crash.equals("all") || i == cluster.simulation.leader()) {
+          cluster.simulation.controllers.crash(i, 2);
         }
       }
       cluster.run(120);
       cluster.users.quiet();
       cluster.run(60);
-      cluster.assertNoRuleBroken();
+      cluster.assertNoViolations();
       all.forEach(id -> assertEquals("done", cluster.users.lastState(id), id.value()));
     }
   }
 
-  /** Many ends and the urgent starts after them share few changes: no start goes before its end. */
+  /**
+   * Many job ends and the urgent starts that they allow share a few store changes; no start may
+   * precede the end that it depends on.
+   */
   @ParameterizedTest(name = "seed {0}, late writes {1}")
   @CsvSource({"411, 0", "412, 0", "413, 0.3", "414, 0.3"})
-  void manyEndsAndUrgentStartsAtOnce(long seed, double late) {
-    cluster = new DependentJobs(seed, 0, new SimCluster.Size(3, 10, 200, 30));
-    cluster.world.storeFaults.lowerLimits();
+  void concurrentStartsFollowDurableEnds(long seed, double late) {
+    cluster = new ClusterFixture(seed, 0, new SimCluster.Size(3, 10, 200, 30));
+    cluster.simulation.storeFaults.lowerLimits();
     for (int i = 0; i < 24; i++) {
       JobId first = cluster.submit("wk-1" + String.format("%02d", i), 1, 20);
       SubmissionBuilder body =
-          DependentJobs.job("wk-2" + String.format("%02d", i), 1, 5, List.of(first));
+          ClusterFixture.job("wk-2" + String.format("%02d", i), 1, 5, List.of(first));
       cluster.users.submitAfterNamed(body.priority("production"));
     }
     cluster.run(18);
-    cluster.world.storeFaults.lateWrites(late, 60);
+    cluster.simulation.storeFaults.lateWrites(late, 60);
     cluster.run(120);
     cluster.users.quiet();
     cluster.run(60);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
     assertEquals(48, cluster.users.accepted().size());
     cluster
         .users
--- a/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
+++ b/src/test/java/org/ternhinge/controller/RecordLimitsTest.java
@@ -20,15 +20,15 @@
 import org.ternhinge.wire.Json;
 
 /**
- * The key-value store's limits become smaller without notice: records that were written under the
- * larger ones stay in use, no transaction is too large, and no leadership is lost.
+ * The key-value store's limits are lowered without notice: records written under the larger limits
+ * stay usable, no transaction is too large, and no leadership is lost.
  */
 class RecordLimitsTest {
-  private DependentJobs cluster;
+  private ClusterFixture cluster;
 
   /**
-   * Records that the version in production wrote under the larger limit exist when the limits are
-   * lowered: no leadership is lost, and all jobs end well.
+   * The limits are lowered while records exist that the old version wrote under the larger limits.
+   * No leadership is lost, and all jobs end as expected.
    */
   @ParameterizedTest(name = "{0} jobs of {1}, kind {2}, lowered {3}")
   @CsvSource({
@@ -43,38 +43,39 @@
     "3, 300, cancelled, after",
     "2, 300, half, before"
   })
-  void largeRecordsOfTheOldVersion(int count, int tasks, String kind, String lowered)
+  void largeRecordsOfOldVersionStayUsable(int count, int tasks, String kind, String lowered)
       throws Exception {
-    cluster = new DependentJobs(381, 0, new SimCluster.Size(3, 20, 400, 30));
+    cluster = new ClusterFixture(381, 0, new SimCluster.Size(3, 20, 400, 30));
     cluster.run(10);
     for (int i = 0; i < 3; i++) {
-      cluster.world.controllers.crash(i, 3 + i * 0.2);
+      cluster.simulation.controllers.crash(i, 3 + i * 0.2);
     }
     List<JobId> all = new ArrayList<>();
     for (int number = 0; number < count; number++) {
-      all.add(oldJob("wk-" + (100 + number), tasks, kind, number));
+      all.add(storeOldVersionJob("wk-" + (100 + number), tasks, kind, number));
     }
     if (lowered.equals("before")) {
-      cluster.world.storeFaults.lowerLimits();
+      cluster.simulation.storeFaults.lowerLimits();
     }
-    int led = cluster.world.counts.leaderships();
+    int leaderships = cluster.simulation.counts.leaderships();
     cluster.run(12);
     if (!lowered.equals("before")) {
-      cluster.world.storeFaults.lowerLimits();
+      cluster.simulation.storeFaults.lowerLimits();
     }
     JobId next = cluster.submit("wk-5", 20, 5);
     JobId after = cluster.submit("wk-6", 2, 5, next);
     cluster.run(240);
     if (kind.equals("daemon")) {
       all.forEach(
-          id -> assertEquals(tasks, cluster.world.tasks.runningTasks(id), "replicas of " + id));
+          id ->
+              assertEquals(tasks, cluster.simulation.tasks.runningTasks(id), "replicas of " + id));
       all.forEach(cluster.users::cancel);
     }
     cluster.run(60);
     cluster.users.quiet();
     cluster.run(400);
-    cluster.assertNoRuleBroken();
-    assertEquals(led + 1, cluster.world.counts.leaderships(), "no leadership is lost");
+    cluster.assertNoViolations();
+    assertEquals(leaderships + 1, cluster.simulation.counts.leaderships(), "no leadership is lost");
     boolean cancelled = kind.equals("cancelled") || kind.equals("daemon");
     all.forEach(
         id ->
@@ -83,26 +84,26 @@
     assertEquals("done", cluster.users.lastState(next));
     assertEquals("done", cluster.users.lastState(after));
     for (JobId id : all) {
-      assertEquals(null, cluster.world.store.value("j/" + id), "its record is removed");
+      assertEquals(null, cluster.simulation.store.value("j/" + id), "the record was not removed");
     }
   }
 
   /**
-   * Stores a job as the old version does, in segments of 127 tasks, each task on a machine of its
-   * own that no longer exists; for the kind "half" every other task is done.
+   * Stores a job as the old version does, in segments of 127 tasks, with each task on its own
+   * machine that no longer exists; for the kind "half", every other task is done.
    */
-  private JobId oldJob(String id, int tasks, String kind, int number) throws Exception {
+  private JobId storeOldVersionJob(String id, int tasks, String kind, int number) throws Exception {
     boolean array = !kind.equals("group") && !kind.equals("daemon");
     SubmissionBuilder body = SubmissionBuilder.job(id, array ? "batch" : kind, tasks).runsFor(5.0);
     body.productionIfService();
     JobSpec spec = body.spec();
-    cluster.world.jobs.add(spec);
+    cluster.simulation.jobs.add(spec);
     List<Change> records = new ArrayList<>();
     for (int from = 0; from < tasks; from += 127) {
       ObjectNode record = Json.object();
       if (from == 0) {
         record.set("s", spec.write());
-        record.put("t", cluster.world.clock.wallMillis()).put("p", 127).put("h", 1);
+        record.put("t", cluster.simulation.clock.wallMillis()).put("p", 127).put("h", 1);
         if (kind.equals("cancelled")) {
           record.put("c", true);
         }
@@ -113,7 +114,7 @@
       for (int i = from; i < to; i++) {
         if (kind.equals("half") && i % 2 == 0) {
           done.add(Integer.toString(i));
-          cluster.world.jobs.complete(new TaskId(spec.id(), i));
+          cluster.simulation.jobs.complete(new TaskId(spec.id(), i));
         } else {
           open.add(String.format("1:n-%06d:1:0:%d", 900_000 + number * 1000 + i, i));
         }
@@ -122,7 +123,7 @@
       String key = from == 0 ? "j/" + id : "j/" + id + "/" + from / 127;
       records.add(new Change.Put(key, record, 0));
     }
-    cluster.world.store.put(records);
+    cluster.simulation.store.put(records);
     cluster.users.assumeAccepted(spec);
     if (kind.equals("cancelled")) {
       cluster.users.cancel(spec.id());
@@ -130,13 +131,13 @@
     return spec.id();
   }
 
-  /** Jobs go on at the lower rate of changes, and no transaction is too large. */
+  /** Jobs make progress at the lower write rate, and no transaction is too large. */
   @ParameterizedTest(name = "seed {0}, lowered at {1} s")
   @CsvSource({"391, 0", "392, 12", "393, 30"})
-  void workGoesOnUnderLowerLimits(long seed, double at) {
-    cluster = new DependentJobs(seed, 0, new SimCluster.Size(3, 10, 200, 30));
-    cluster.world.clock.after(at, cluster.world.storeFaults::lowerLimits);
-    int led = cluster.world.counts.leaderships();
+  void jobsCompleteUnderLowerLimits(long seed, double at) {
+    cluster = new ClusterFixture(seed, 0, new SimCluster.Size(3, 10, 200, 30));
+    cluster.simulation.clock.after(at, cluster.simulation.storeFaults::lowerLimits);
+    int leaderships = cluster.simulation.counts.leaderships();
     List<JobId> firsts = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       firsts.add(cluster.submit("wk-1" + String.format("%02d", i), 150, 6));
@@ -147,93 +148,95 @@
     cluster.run(500);
     cluster.users.quiet();
     cluster.run(100);
-    cluster.assertNoRuleBroken();
-    assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
+    cluster.assertNoViolations();
+    assertEquals(leaderships, cluster.simulation.counts.leaderships(), "no leadership is lost");
     assertEquals(36, cluster.users.accepted().size());
     cluster
         .users
         .accepted()
         .forEach(id -> assertEquals("done", cluster.users.lastState(id), id.value()));
-    assertFalse(cluster.world.counts.storeChanges() == 0);
-    assertNotEquals(0, cluster.world.tasks.starts());
+    assertFalse(cluster.simulation.counts.storeChanges() == 0);
+    assertNotEquals(0, cluster.simulation.tasks.starts());
   }
 
   /**
-   * Controllers without announced limits write large records of jobs that run on many machines;
-   * they are replaced one after the other, and then the limits are lowered while the jobs run.
+   * Controllers without announced limits write large records for jobs on many machines. They are
+   * replaced one after another, then the limits are lowered while the jobs run.
    */
   @ParameterizedTest(name = "{0}, lowered {1} s after the last is replaced")
   @CsvSource({"batch, 0", "batch, 10", "batch, 25", "group, 5", "daemon, 0", "daemon, 20"})
-  void largeRecordsOfWorkThatRuns(String kind, double lowered) {
-    cluster = DependentJobs.withoutAnnouncedLimits(401, new SimCluster.Size(3, 160, 1200, 30));
-    List<JobId> all = runOneTaskToAMachine(kind);
+  void largeRecordsOfRunningJobsStayUsable(String kind, double lowered) {
+    cluster = ClusterFixture.withoutAnnouncedLimits(401, new SimCluster.Size(3, 160, 1200, 30));
+    List<JobId> all = runOneTaskPerMachine(kind);
     int largest =
         all.stream()
-            .mapToInt(id -> Json.bytes(cluster.world.store.value("j/" + id)).length)
+            .mapToInt(id -> Json.bytes(cluster.simulation.store.value("j/" + id)).length)
             .max()
             .orElse(0);
-    assertTrue(largest > 2500, "records of " + largest + " bytes");
-    cluster.world.announce(SimCluster.ANNOUNCED);
+    assertTrue(largest > 2500, "largest record has " + largest + " bytes");
+    cluster.simulation.announce(SimCluster.ANNOUNCED);
     for (int i = 0; i < 3; i++) {
-      cluster.world.controllers.crash(i, 2);
+      cluster.simulation.controllers.crash(i, 2);
       cluster.run(6);
     }
-    int led = cluster.world.counts.leaderships();
+    int leaderships = cluster.simulation.counts.leaderships();
     all.forEach(
         id ->
             assertTrue(
-                cluster.world.tasks.runningTasks(id) > 100,
-                cluster.world.tasks.runningTasks(id) + " run"));
+                cluster.simulation.tasks.runningTasks(id) > 100,
+                cluster.simulation.tasks.runningTasks(id) + " running tasks"));
     cluster.run(lowered);
-    cluster.world.storeFaults.lowerLimits();
-    JobId next = cluster.submit("wk-2", 20, 5, kind.equals("daemon") ? new JobId[0] : listed(all));
+    cluster.simulation.storeFaults.lowerLimits();
+    JobId next = cluster.submit("wk-2", 20, 5, kind.equals("daemon") ? new JobId[0] : toArray(all));
     cluster.run(60);
     if (kind.equals("daemon")) {
-      replicasAreRestored(all);
+      assertReplicasRestored(all);
       all.forEach(cluster.users::cancel);
     }
     cluster.run(300);
     cluster.users.quiet();
     cluster.run(200);
-    cluster.assertNoRuleBroken();
-    assertEquals(led, cluster.world.counts.leaderships(), "no leadership is lost");
+    cluster.assertNoViolations();
+    assertEquals(leaderships, cluster.simulation.counts.leaderships(), "no leadership is lost");
     String end = kind.equals("daemon") ? "cancelled" : "done";
     all.forEach(id -> assertEquals(end, cluster.users.lastState(id), id.value()));
     assertEquals("done", cluster.users.lastState(next));
   }
 
-  /** Submits two jobs whose tasks take a machine each, and runs until all run, or for 90 s. */
-  private List<JobId> runOneTaskToAMachine(String kind) {
+  /**
+   * Submits two jobs with one task per machine, then waits until all tasks run, at most until 90 s.
+   */
+  private List<JobId> runOneTaskPerMachine(String kind) {
     List<JobId> all = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
       SubmissionBuilder body =
-          DependentJobs.job("wk-1" + i, 140, 200, List.of()).kind(kind).cpus(4.0);
+          ClusterFixture.job("wk-1" + i, 140, 200, List.of()).kind(kind).cpus(4.0);
       body.machineTypes("small");
       cluster.users.submit(body.spotAllowed(!kind.equals("daemon")));
       all.add(body.id());
     }
-    while (cluster.world.clock.seconds() < 90
-        && all.stream().anyMatch(id -> cluster.world.tasks.runningTasks(id) < 140)) {
+    while (cluster.simulation.clock.seconds() < 90
+        && all.stream().anyMatch(id -> cluster.simulation.tasks.runningTasks(id) < 140)) {
       cluster.run(1);
     }
     return all;
   }
 
-  private void replicasAreRestored(List<JobId> services) {
-    allReplicasRun(services);
-    for (var worker : cluster.world.machines.running(services.get(0)).subList(0, 30)) {
-      cluster.world.machineFaults.restart(worker);
+  private void assertReplicasRestored(List<JobId> services) {
+    assertAllReplicasRun(services);
+    for (var worker : cluster.simulation.machines.running(services.get(0)).subList(0, 30)) {
+      cluster.simulation.machineFaults.restart(worker);
     }
     cluster.run(120);
-    allReplicasRun(services);
+    assertAllReplicasRun(services);
   }
 
-  private void allReplicasRun(List<JobId> services) {
+  private void assertAllReplicasRun(List<JobId> services) {
     services.forEach(
-        id -> assertEquals(140, cluster.world.tasks.runningTasks(id), "replicas of " + id));
+        id -> assertEquals(140, cluster.simulation.tasks.runningTasks(id), "replicas of " + id));
   }
 
-  private static JobId[] listed(List<JobId> ids) {
+  private static JobId[] toArray(List<JobId> ids) {
     return ids.toArray(new JobId[0]);
   }
 }
--- a/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
+++ b/src/test/java/org/ternhinge/controller/RefusedControllerTest.java
@@ -13,16 +13,18 @@
 import org.ternhinge.model.JobId;
 import org.ternhinge.sim.SimCluster;
 
-/** A controller that the key-value store alone refuses, or that is cut off from others. */
+/** A controller that the key-value store refuses while it serves the others, or that is cut off. */
 class RefusedControllerTest {
-  /** Six seconds of lease, and what the next leader takes to claim it and to load. */
-  private static final double FAILOVER_S = 10;
+  /**
+   * Six seconds of lease, plus the time for the next leader to claim it and to load the records.
+   */
+  private static final double MAX_FAILOVER_S = 10;
 
-  /** A command, the fetch of an image, and some more. */
-  private static final double STARTS_S = 4;
+  /** A command and the pull of an image, with a margin. */
+  private static final double MAX_START_S = 4;
 
-  private final DependentJobs cluster =
-      DependentJobs.withoutAnnouncedLimits(47, new SimCluster.Size(5, 4, 100, 30));
+  private final ClusterFixture cluster =
+      ClusterFixture.withoutAnnouncedLimits(47, new SimCluster.Size(5, 4, 100, 30));
 
   private List<JobId> submitJobs() {
     List<JobId> jobs = new ArrayList<>();
@@ -34,74 +36,79 @@
   }
 
   /**
-   * The node that led can't read who leads now. It answered its users 503 for as long as it was
-   * refused; now it finds the leader by asking the others.
+   * The former leader can't read from the store which node leads, so it has to find the leader by
+   * asking the other nodes. Without that it would answer 503 for as long as the store refuses it.
    */
   @ParameterizedTest(name = "refused for {0} s")
   @CsvSource({"30", "90"})
-  void itsUsersAreServed(double seconds) {
+  void usersOfRefusedNodeAreServed(double seconds) {
     List<JobId> jobs = submitJobs();
-    int refused = cluster.world.leader();
-    cluster.world.storeFaults.refuse(refused, seconds);
-    cluster.run(FAILOVER_S);
-    assertNotEquals(refused, cluster.world.leader());
+    int refused = cluster.simulation.leader();
+    cluster.simulation.storeFaults.refuse(refused, seconds);
+    cluster.run(MAX_FAILOVER_S);
+    assertNotEquals(refused, cluster.simulation.leader());
     for (JobId job : jobs) {
       String state = cluster.stateAt(refused, job);
       assertTrue(Set.of("queued", "running").contains(state), job + ": " + state);
     }
     List<Double> cancelledAt = new ArrayList<>();
     cluster.users.cancelAt(
-        refused, jobs.get(0), () -> cancelledAt.add(cluster.world.clock.seconds()));
+        refused, jobs.get(0), () -> cancelledAt.add(cluster.simulation.clock.seconds()));
     cluster.run(3);
-    assertEquals(1, cancelledAt.size(), "a cancellation is confirmed");
-    cluster.run(seconds - FAILOVER_S + 2);
-    cluster.assertNoRuleBroken();
+    assertEquals(1, cancelledAt.size(), "confirmed cancellations");
+    cluster.run(seconds - MAX_FAILOVER_S + 2);
+    cluster.assertNoViolations();
   }
 
-  /** Leadership moves once, to a node that can serve, and stays there. */
+  /** Leadership moves at most once, to a node that can serve, and stays there. */
   @ParameterizedTest(name = "{0} for {1} s")
   @CsvSource({"refused,60", "alone,60", "from workers,60", "refused,8"})
   void leadershipChangesAtMostOnce(String fault, double seconds) {
     submitJobs();
-    // Leaves machines that idle, so that the next job waits for no boot.
+    // Leaves idle machines, so that the next job need not wait for machines to boot.
     cluster.submit("wk-19", 4, 2);
     cluster.run(25);
-    int before = cluster.world.counts.leaderships();
-    int leader = cluster.world.leader();
+    int before = cluster.simulation.counts.leaderships();
+    int leader = cluster.simulation.leader();
     switch (fault) {
-      case "refused" -> cluster.world.storeFaults.refuse(leader, seconds);
-      case "alone" -> cluster.world.networkFaults.cutOff(leader, seconds);
-      default -> cluster.world.networkFaults.cutWorkers(leader, seconds);
+      case "refused" -> cluster.simulation.storeFaults.refuse(leader, seconds);
+      case "alone" -> cluster.simulation.networkFaults.cutOff(leader, seconds);
+      default -> cluster.simulation.networkFaults.cutWorkers(leader, seconds);
     }
-    cluster.run(FAILOVER_S);
-    int starts = cluster.world.tasks.starts();
+    cluster.run(MAX_FAILOVER_S);
+    int starts = cluster.simulation.tasks.starts();
     cluster.submit("wk-20", 4, 5);
-    cluster.run(STARTS_S);
-    assertTrue(cluster.world.tasks.starts() >= starts + 4, "work starts again in time");
+    cluster.run(MAX_START_S);
+    assertTrue(
+        cluster.simulation.tasks.starts() >= starts + 4,
+        "too few tasks started after the failover");
     cluster.run(seconds + 10);
-    int changes = cluster.world.counts.leaderships() - before;
-    assertTrue(changes <= 1, changes + " changes of leader");
+    int changes = cluster.simulation.counts.leaderships() - before;
+    assertTrue(changes <= 1, changes + " leadership changes");
     assertEquals("done", cluster.users.lastState(new JobId("wk-20")));
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 
-  /** While nobody leads, a question costs few messages, however often it is asked. */
-  @ParameterizedTest(name = "{0} questions at once")
+  /**
+   * While no node leads, queries are answered at once, and repeated queries cause no repeated
+   * search.
+   */
+  @ParameterizedTest(name = "{0} concurrent queries")
   @CsvSource({"1", "100"})
-  void aSearchThatFindsNobodyIsNotRepeatedAtOnce(int questions) {
+  void failedLeaderSearchIsNotRepeatedAtOnce(int queries) {
     submitJobs();
-    cluster.world.storeFaults.outage(60);
+    cluster.simulation.storeFaults.outage(60);
     cluster.run(40);
     List<Integer> answers = new ArrayList<>();
-    for (int i = 0; i < questions; i++) {
-      cluster.world.controllers.user(
+    for (int i = 0; i < queries; i++) {
+      cluster.simulation.controllers.user(
           0,
           new Request("GET", "/submissions/wk-11", new byte[0]),
           response -> answers.add(response == null ? 0 : response.status()));
     }
-    cluster.world.clock.runFor(2);
-    assertEquals(questions, answers.size(), "each is answered at once");
+    cluster.simulation.clock.runFor(2);
+    assertEquals(queries, answers.size(), "answered queries");
     cluster.run(40);
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
   }
 }
--- a/src/test/java/org/ternhinge/controller/RequestRouterTest.java
+++ b/src/test/java/org/ternhinge/controller/RequestRouterTest.java
@@ -33,7 +33,7 @@
     "POST, /b, 405",
     "GET,  b,  404",
   })
-  void theFirstRouteOfThePathServesIt(String method, String path, int expected) {
+  void firstRouteOfPathServesRequest(String method, String path, int expected) {
     router.route(
         new Request(method, path, new byte[0]),
         RequestOrigin.CLIENT,
@@ -53,8 +53,8 @@
     "/submissions/job,                    ,",
     "/other/wk-1,                         ,",
   })
-  void aPathNamesAJobAsAWhole(String path, String queried, String cancelled) {
-    assertEquals(Optional.ofNullable(queried).map(JobId::new), JobPath.queried(path));
-    assertEquals(Optional.ofNullable(cancelled).map(JobId::new), JobPath.cancelled(path));
+  void onlyWholePathIdentifiesJob(String path, String queried, String cancelled) {
+    assertEquals(Optional.ofNullable(queried).map(JobId::new), JobPath.queriedJob(path));
+    assertEquals(Optional.ofNullable(cancelled).map(JobId::new), JobPath.cancelledJob(path));
   }
 }
--- a/src/test/java/org/ternhinge/controller/SeededFaultTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaultTest.java
@@ -12,13 +12,13 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * The whole controller under seeded faults, on virtual time. The rules are checked on what the
- * stand-ins saw running and on the answers to users.
+ * The whole controller under seeded faults, on virtual time. Invariants are checked against the
+ * tasks that the simulated workers ran and the answers that users got.
  */
 class SeededFaultTest {
-  private SimCluster world;
+  private SimCluster cluster;
   private SimUsers users;
-  private int jobs;
+  private int submittedJobs;
 
   @ParameterizedTest(name = "seed {0}, loss {1}, {2}")
   @CsvSource({
@@ -44,8 +44,8 @@
     "844, 0.04, BASIC",
     "21, 0.01, LOST_COMMANDS",
     "22, 0.02, LOST_COMMANDS",
-    "23, 0.01, HEARTBEAT_COPIES",
-    "24, 0.02, HEARTBEAT_COPIES",
+    "23, 0.01, DUPLICATE_HEARTBEATS",
+    "24, 0.02, DUPLICATE_HEARTBEATS",
     "25, 0.01, ISOLATED_CONTROLLERS",
     "26, 0.02, ISOLATED_CONTROLLERS",
     "31, 0.01, LATE_WRITES",
@@ -69,51 +69,51 @@
     "49, 0.03, COMBINED",
     "50, 0.02, COMBINED"
   })
-  void rulesHold(long seed, double loss, FaultKind kind) {
-    world = new SimCluster(seed, loss);
-    users = new SimUsers(world);
-    SeededFaults faults = new SeededFaults(world, users, kind);
+  void invariantsHold(long seed, double loss, FaultKind kind) {
+    cluster = new SimCluster(seed, loss);
+    users = new SimUsers(cluster);
+    SeededFaults faults = new SeededFaults(cluster, users, kind);
     boolean invalidRequests = kind.includes(FaultKind.INVALID_REQUESTS);
     if (invalidRequests) {
       users.cancelAtEnd(0.3);
     }
-    world.clock.runFor(5);
+    cluster.clock.runFor(5);
     for (int step = 0; step < 120; step++) {
-      askAndCancel(step, invalidRequests);
+      submitCancelAndPoll(step, invalidRequests);
       if (step < 80) {
         faults.step(step);
       }
       if (step == 90) {
-        // Services hold their team's limit for ever; the rest is to finish.
+        // Services would use their team's limit for ever; all other jobs have to finish.
         users.cancelServices();
       }
       if (step == 100) {
-        // The longest fault lasts less than a minute.
+        // The longest fault lasts for less than a minute.
         users.quiet();
       }
-      world.clock.runFor(3);
+      cluster.clock.runFor(3);
     }
     for (int i = 0; i < 39; i++) {
       users.pollAll();
-      world.clock.runFor(6);
+      cluster.clock.runFor(6);
     }
-    assertEquals(List.of(), world.violations());
-    assertTrue(world.tasks.starts() > 20, "only " + world.tasks.starts() + " starts");
+    assertEquals(List.of(), cluster.violations());
+    assertTrue(cluster.tasks.starts() > 20, "only " + cluster.tasks.starts() + " starts");
     for (JobId id : users.accepted()) {
       if (!users.spec(id).isService()) {
         String state = users.lastState(id);
-        assertTrue("done".equals(state) || "cancelled".equals(state), id + " was last " + state);
+        assertTrue("done".equals(state) || "cancelled".equals(state), id + " is " + state);
       }
     }
   }
 
-  /** Submissions, cancellations and polls of one step. */
-  private void askAndCancel(int step, boolean invalidRequests) {
-    if (step < 70 && world.nextInt(3) == 0) {
+  /** Sends the submissions, cancellations and polls of one step. */
+  private void submitCancelAndPoll(int step, boolean invalidRequests) {
+    if (step < 70 && cluster.nextInt(3) == 0) {
       submit();
     }
-    if (!users.accepted().isEmpty() && world.nextInt(12) == 0) {
-      users.cancel(users.accepted().get(world.nextInt(users.accepted().size())));
+    if (!users.accepted().isEmpty() && cluster.nextInt(12) == 0) {
+      users.cancel(users.accepted().get(cluster.nextInt(users.accepted().size())));
     }
     users.pollAll();
     if (invalidRequests && step < 100) {
@@ -122,15 +122,15 @@
   }
 
   private void submit() {
-    String id = String.format("wk-%06d", ++jobs);
-    String kind = List.of("batch", "batch", "group", "daemon").get(world.nextInt(4));
-    int tasks = kind.equals("group") ? 2 : kind.equals("daemon") ? 2 : 1 + world.nextInt(20);
+    String id = String.format("wk-%06d", ++submittedJobs);
+    String kind = List.of("batch", "batch", "group", "daemon").get(cluster.nextInt(4));
+    int tasks = kind.equals("group") ? 2 : kind.equals("daemon") ? 2 : 1 + cluster.nextInt(20);
     SubmissionBuilder body = SubmissionBuilder.job(id, kind, tasks);
-    body.team(world.nextInt(2) == 0 ? "red" : "blue");
+    body.team(cluster.nextInt(2) == 0 ? "red" : "blue");
     body.priority(kind.equals("daemon") ? "production" : "normal");
     body.scatter(kind.equals("daemon")).together(kind.equals("group"));
     body.spotAllowed(kind.equals("batch")).cpus(2.0);
-    body.runsFor(3.0 + world.nextInt(12));
+    body.runsFor(3.0 + cluster.nextInt(12));
     users.submit(body);
   }
 }
--- a/src/test/java/org/ternhinge/controller/SeededFaults.java
+++ b/src/test/java/org/ternhinge/controller/SeededFaults.java
@@ -4,9 +4,12 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimUsers;
 
-/** Draws faults of some kind, step by step, for the tests that run whole days of them. */
+/** Injects random faults of one kind, step by step. */
 final class SeededFaults {
-  /** Refusals of leaders last two minutes; after this step they would outlast the faulty time. */
+  /**
+   * Refusals of successive leaders last two minutes; later ones would outlast the steps with
+   * faults.
+   */
   private static final int LAST_STEP_OF_REFUSED_LEADERS = 55;
 
   private final SimCluster cluster;
@@ -19,7 +22,7 @@
     this.kind = kind;
   }
 
-  /** Draws the faults of one step. */
+  /** Injects the random faults of one step. */
   void step(int step) {
     basic(kind);
     if (kind == FaultKind.COMBINED && oneIn(3)) {
@@ -39,87 +42,87 @@
     return cluster.nextInt(steps) == 0;
   }
 
-  private int someController() {
+  private int randomController() {
     return cluster.nextInt(cluster.nodeCount());
   }
 
-  /** So many seconds and up to so many more. */
-  private int seconds(int least, int more) {
-    return least + cluster.nextInt(more);
+  /** A random number of seconds, at least {@code min} and less than {@code min + spread}. */
+  private int randomSeconds(int min, int spread) {
+    return min + cluster.nextInt(spread);
   }
 
   // ---- basic faults ---------------------------------------------------------------------------
 
   private void basic(FaultKind which) {
     if (which.includesBasic(FaultKind.CONTROLLER_CRASHES) && oneIn(8)) {
-      cluster.controllers.crash(someController(), oneIn(2) ? 0.3 : 5);
+      cluster.controllers.crash(randomController(), oneIn(2) ? 0.3 : 5);
     }
     if (which.includesBasic(FaultKind.CONNECTION_CUTS)) {
       connectionCuts();
     }
     if (which.includesBasic(FaultKind.LOST_COMMANDS) && oneIn(8)) {
-      cluster.machineFaults.dropInboundOfSomeWorker(seconds(5, 50));
+      cluster.machineFaults.dropInboundOfSomeWorker(randomSeconds(5, 50));
     }
-    if (which.includesBasic(FaultKind.HEARTBEAT_COPIES) && oneIn(10)) {
-      cluster.machineFaults.duplicateHeartbeats(0.3, seconds(5, 20));
+    if (which.includesBasic(FaultKind.DUPLICATE_HEARTBEATS) && oneIn(10)) {
+      cluster.machineFaults.duplicateHeartbeats(0.3, randomSeconds(5, 20));
     }
     if (which.includesBasic(FaultKind.ISOLATED_CONTROLLERS) && oneIn(10)) {
-      cluster.networkFaults.cutOff(someController(), seconds(5, 50));
+      cluster.networkFaults.cutOff(randomController(), randomSeconds(5, 50));
     }
     if (which.includesBasic(FaultKind.STORE_OUTAGES) && oneIn(25)) {
-      cluster.storeFaults.outage(seconds(5, 30));
+      cluster.storeFaults.outage(randomSeconds(5, 30));
     }
   }
 
   private void connectionCuts() {
     if (oneIn(10)) {
-      cluster.networkFaults.cutWorkers(someController(), seconds(5, 30));
+      cluster.networkFaults.cutWorkers(randomController(), randomSeconds(5, 30));
     }
     if (oneIn(10)) {
-      cluster.storeFaults.refuse(someController(), seconds(5, 20));
+      cluster.storeFaults.refuse(randomController(), randomSeconds(5, 20));
     }
     if (oneIn(8)) {
-      cluster.machineFaults.cutOrEndSomeWorker(oneIn(3) ? 0 : seconds(5, 40));
+      cluster.machineFaults.cutOrEndSomeWorker(oneIn(3) ? 0 : randomSeconds(5, 40));
     }
   }
 
-  // ---- faults that hold messages up or back ---------------------------------------------------
+  // ---- faults that delay or drop messages -----------------------------------------------------
 
   private void lateWrites() {
     if (kind.includes(FaultKind.LATE_WRITES) && oneIn(10)) {
-      cluster.storeFaults.lateWrites(0.3, seconds(5, 30));
+      cluster.storeFaults.lateWrites(0.3, randomSeconds(5, 30));
     }
   }
 
   private void lostHeartbeats() {
     if (kind.includes(FaultKind.LOST_HEARTBEATS) && oneIn(6)) {
-      cluster.machineFaults.dropHeartbeatsOfSomeWorker(seconds(5, 50));
+      cluster.machineFaults.dropHeartbeatsOfSomeWorker(randomSeconds(5, 50));
     }
     if (kind.includes(FaultKind.LOST_HEARTBEATS) && oneIn(25)) {
-      cluster.machineFaults.dropHeartbeatsOfShare(0.6, seconds(5, 50));
+      cluster.machineFaults.dropHeartbeatsOfShare(0.6, randomSeconds(5, 50));
     }
   }
 
   private void hangs() {
     if (kind.includes(FaultKind.MACHINE_HANGS) && oneIn(6)) {
-      cluster.machineFaults.hangSomeWorker(seconds(1, 40));
+      cluster.machineFaults.hangSomeWorker(randomSeconds(1, 40));
     }
     if (kind == FaultKind.MACHINE_HANGS && !users.accepted().isEmpty() && oneIn(12)) {
       JobId id = users.accepted().get(cluster.nextInt(users.accepted().size()));
-      cluster.machineFaults.hangWorkersOf(id, 8, seconds(2, 30));
+      cluster.machineFaults.hangWorkersOf(id, 8, randomSeconds(2, 30));
       users.cancel(id);
     }
   }
 
   private void slowStore() {
     if (kind.includes(FaultKind.SLOW_STORE) && oneIn(12)) {
-      cluster.storeFaults.slowDown(seconds(5, 40), 0.3 + cluster.nextInt(10) / 10.0);
+      cluster.storeFaults.slowDown(randomSeconds(5, 40), 0.3 + cluster.nextInt(10) / 10.0);
     }
   }
 
   private void delayedHeartbeats() {
     if (kind.includes(FaultKind.DELAYED_HEARTBEATS) && oneIn(4)) {
-      cluster.machineFaults.delayHeartbeat(seconds(3, 50));
+      cluster.machineFaults.delayHeartbeat(randomSeconds(3, 50));
     }
     boolean refusesLeader = kind == FaultKind.DELAYED_HEARTBEATS || kind == FaultKind.SLOW_STORE;
     if (refusesLeader && oneIn(15)) {
@@ -129,7 +132,7 @@
 
   private void zoneCuts() {
     if (kind.includes(FaultKind.ZONE_CUTS) && oneIn(20)) {
-      cluster.networkFaults.cutZone(oneIn(2) ? "east" : "west", seconds(5, 45));
+      cluster.networkFaults.cutZone(oneIn(2) ? "east" : "west", randomSeconds(5, 45));
     }
   }
 
@@ -139,13 +142,13 @@
       cluster.storeFaults.refuseLeaders(10, 12, 8);
     }
     if (kind == FaultKind.REFUSED_LEADERS && oneIn(30)) {
-      cluster.storeFaults.outage(seconds(5, 40));
+      cluster.storeFaults.outage(randomSeconds(5, 40));
     }
   }
 
   private void partitionedZones() {
     if (kind == FaultKind.PARTITIONED_ZONES && oneIn(12)) {
-      cluster.networkFaults.partitionZones(seconds(5, 50));
+      cluster.networkFaults.partitionZones(randomSeconds(5, 50));
     }
     if (kind == FaultKind.PARTITIONED_ZONES && oneIn(15)) {
       cluster.storeFaults.lateWrites(0.3, 15);
--- a/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
+++ b/src/test/java/org/ternhinge/controller/SeededPipelinesTest.java
@@ -11,16 +11,16 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * Pipelines under seeded faults on virtual time: no rule is broken, and every job ends as its user
- * and those of its dependencies have requested.
+ * Pipelines under seeded faults on virtual time: no invariant is violated, and every job ends as
+ * requested by its user and by the users of its dependencies.
  */
 class SeededPipelinesTest {
-  private DependentJobs cluster;
+  private ClusterFixture cluster;
 
-  /** Jobs submitted so far; the next one is named by it. */
-  private int jobs;
+  /** Number of jobs submitted so far, from which the next job's name is derived. */
+  private int submittedJobs;
 
-  /** Limits are lowered in mid-run for even seeds. */
+  /** For even seeds, the store's limits are lowered during the run. */
   @ParameterizedTest(name = "seed {0}, loss {1}, {2}")
   @CsvSource({
     "1001, 0.00, NONE",
@@ -33,8 +33,8 @@
     "1008, 0.02, STORE_OUTAGES",
     "1009, 0.01, LOST_COMMANDS",
     "1010, 0.02, LOST_COMMANDS",
-    "1011, 0.01, HEARTBEAT_COPIES",
-    "1012, 0.02, HEARTBEAT_COPIES",
+    "1011, 0.01, DUPLICATE_HEARTBEATS",
+    "1012, 0.02, DUPLICATE_HEARTBEATS",
     "1013, 0.01, ISOLATED_CONTROLLERS",
     "1014, 0.02, ISOLATED_CONTROLLERS",
     "1015, 0.01, LATE_WRITES",
@@ -67,18 +67,18 @@
     "1042, 0.02, PARTITIONED_ZONES",
     "1043, 0.02, PARTITIONED_ZONES"
   })
-  void rulesHold(long seed, double loss, FaultKind kind) {
-    cluster = new DependentJobs(seed, loss, new SimCluster.Size(3, 3, 36, 30));
-    SeededFaults faults = new SeededFaults(cluster.world, cluster.users, kind);
+  void invariantsHold(long seed, double loss, FaultKind kind) {
+    cluster = new ClusterFixture(seed, loss, new SimCluster.Size(3, 3, 36, 30));
+    SeededFaults faults = new SeededFaults(cluster.simulation, cluster.users, kind);
     boolean invalidRequests = kind.includes(FaultKind.INVALID_REQUESTS);
     if (invalidRequests) {
       cluster.users.cancelAtEnd(0.2);
     }
     for (int step = 0; step < 150; step++) {
       submitAndCancel(step);
-      askInvalid(step, invalidRequests);
+      pollAndSendInvalid(step, invalidRequests);
       if (seed % 2 == 0 && step == 20 + seed % 40) {
-        cluster.world.storeFaults.lowerLimits();
+        cluster.simulation.storeFaults.lowerLimits();
       }
       if (step < 80) {
         faults.step(step);
@@ -89,34 +89,35 @@
       if (step == 110) {
         cluster.users.quiet();
       }
-      cluster.world.clock.runFor(3);
+      cluster.simulation.clock.runFor(3);
     }
     for (int i = 0; i < 60; i++) {
       cluster.users.pollAll();
-      cluster.world.clock.runFor(6);
+      cluster.simulation.clock.runFor(6);
     }
-    cluster.assertNoRuleBroken();
+    cluster.assertNoViolations();
     assertTrue(
-        cluster.world.tasks.starts() > 20, "only " + cluster.world.tasks.starts() + " starts");
-    cluster.assertEndedWell();
+        cluster.simulation.tasks.starts() > 20,
+        "only " + cluster.simulation.tasks.starts() + " starts");
+    cluster.assertExpectedEndStates();
   }
 
   private void submitAndCancel(int step) {
-    if (step < 80 && cluster.world.nextInt(6) == 0) {
-      pipeline();
+    if (step < 80 && cluster.simulation.nextInt(6) == 0) {
+      submitPipeline();
     }
-    if (step < 60 && cluster.world.nextInt(25) == 0) {
-      service();
+    if (step < 60 && cluster.simulation.nextInt(25) == 0) {
+      submitService();
     }
     List<JobId> accepted = cluster.users.accepted();
-    if (!accepted.isEmpty() && cluster.world.nextInt(16) == 0) {
-      cluster.users.cancel(accepted.get(cluster.world.nextInt(accepted.size())));
+    if (!accepted.isEmpty() && cluster.simulation.nextInt(16) == 0) {
+      cluster.users.cancel(accepted.get(cluster.simulation.nextInt(accepted.size())));
     }
   }
 
-  private void askInvalid(int step, boolean invalidRequests) {
+  private void pollAndSendInvalid(int step, boolean invalidRequests) {
     cluster.users.pollAll();
-    if (step < 120 && cluster.world.nextInt(2) == 0) {
+    if (step < 120 && cluster.simulation.nextInt(2) == 0) {
       cluster.users.sendInvalidDependencies();
     }
     if (invalidRequests && step < 110) {
@@ -124,53 +125,58 @@
     }
   }
 
-  private String next() {
-    return String.format("wk-%06d", ++jobs);
+  private String nextId() {
+    return String.format("wk-%06d", ++submittedJobs);
   }
 
-  private SubmissionBuilder some(List<JobId> after) {
-    boolean gang = cluster.world.nextInt(3) == 0;
+  private SubmissionBuilder randomJob(List<JobId> after) {
+    boolean gang = cluster.simulation.nextInt(3) == 0;
     SubmissionBuilder body =
-        DependentJobs.job(
-            next(), gang ? 2 : 1 + cluster.world.nextInt(12), 3 + cluster.world.nextInt(8), after);
+        ClusterFixture.job(
+            nextId(),
+            gang ? 2 : 1 + cluster.simulation.nextInt(12),
+            3 + cluster.simulation.nextInt(8),
+            after);
     body.kind(gang ? "group" : "batch").together(gang).spotAllowed(!gang);
-    body.team(cluster.world.nextInt(2) == 0 ? "red" : "blue");
+    body.team(cluster.simulation.nextInt(2) == 0 ? "red" : "blue");
     return body;
   }
 
-  /** A chain, a fan-out or a diamond; its last job is urgent, and at times submitted late. */
-  private void pipeline() {
+  /**
+   * Submits a chain, a fan-out or a diamond, whose last job is urgent and sometimes submitted late.
+   */
+  private void submitPipeline() {
     List<SubmissionBuilder> all = new ArrayList<>();
-    SubmissionBuilder first = some(List.of());
+    SubmissionBuilder first = randomJob(List.of());
     all.add(first);
-    int shape = cluster.world.nextInt(3);
-    int length = 2 + cluster.world.nextInt(3);
+    int shape = cluster.simulation.nextInt(3);
+    int length = 2 + cluster.simulation.nextInt(3);
     List<JobId> ends = new ArrayList<>();
-    JobId before = first.id();
+    JobId predecessor = first.id();
     for (int i = 0; i < length; i++) {
-      SubmissionBuilder body = some(List.of(before));
+      SubmissionBuilder body = randomJob(List.of(predecessor));
       all.add(body);
       ends.add(body.id());
       if (shape == 0) {
-        before = body.id();
-        ends.retainAll(List.of(before));
+        predecessor = body.id();
+        ends.retainAll(List.of(predecessor));
       }
     }
     if (shape != 1) {
-      all.add(some(ends));
+      all.add(randomJob(ends));
     }
     SubmissionBuilder last = all.remove(all.size() - 1);
     last.priority("high").deadlineS(120.0);
     all.forEach(cluster.users::submitAfterNamed);
-    if (cluster.world.nextInt(4) == 0) {
-      cluster.users.submitLate(last, cluster.world.nextInt(60));
+    if (cluster.simulation.nextInt(4) == 0) {
+      cluster.users.submitLate(last, cluster.simulation.nextInt(60));
     } else {
       cluster.users.submitAfterNamed(last);
     }
   }
 
-  private void service() {
-    SubmissionBuilder body = DependentJobs.job(next(), 2, 0, List.of()).kind("daemon");
+  private void submitService() {
+    SubmissionBuilder body = ClusterFixture.job(nextId(), 2, 0, List.of()).kind("daemon");
     cluster.users.submit(body.priority("production").spotAllowed(false));
   }
 }
--- a/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
+++ b/src/test/java/org/ternhinge/controller/UnreachableMachinesTest.java
@@ -7,29 +7,30 @@
 import org.ternhinge.sim.SimCluster;
 import org.ternhinge.sim.SimWorker;
 
-/** Machines whose links lose messages in one or both directions, over changes of leader. */
+/** Machines whose links lose messages in one or both directions, combined with failovers. */
 class UnreachableMachinesTest extends CombinedFaultsFixture {
   /**
-   * A heartbeat of an earlier epoch reaches a leader that has never had a heartbeat of the machine.
+   * A heartbeat of an earlier epoch reaches a new leader that has received no heartbeat of the
+   * machine.
    */
   @ParameterizedTest(name = "delayed by {0} s")
   @CsvSource({"9", "15", "25", "40"})
-  void aLateHeartbeatOfAnEarlierEpochAtANewLeader(double delayS) {
-    begin(131, SimCluster.SMALL);
-    JobId stays = submit(job("wk-1", "daemon", 4, 0));
+  void newLeaderToleratesHeartbeatOfEarlierEpoch(double delayS) {
+    startCluster(131, SimCluster.SMALL);
+    JobId service = submit(job("wk-1", "daemon", 4, 0));
     run(60);
-    for (SimWorker worker : cluster.machines.running(stays)) {
+    for (SimWorker worker : cluster.machines.running(service)) {
       cluster.machineFaults.delayHeartbeat(worker.id(), delayS);
     }
     cluster.clock.runFor(4);
-    cluster.machineFaults.cutSomeWorkerWith(stays, 35);
+    cluster.machineFaults.cutSomeWorkerWith(service, 35);
     cluster.storeFaults.refuse(cluster.leader(), 9);
     run(60);
-    assertRulesHoldToTheEnd();
-    assertRunning(4, stays);
+    assertNoViolationsAtEnd();
+    assertRunning(4, service);
   }
 
-  /** Heartbeats are lost while commands arrive; a cancelled task must not live on. */
+  /** Heartbeats are lost while commands arrive; cancelled tasks must not keep running. */
   @ParameterizedTest(name = "lost heartbeats {0} s, cancelled after {1} s, leader crashes: {2}")
   @CsvSource({
     "20, 1, false",
@@ -39,10 +40,10 @@
     "40, 10, true",
     "90, 20, true"
   })
-  void aCancellationWhileHeartbeatsAreLost(double lostS, double afterS, boolean crash) {
-    begin(161, SimCluster.SMALL);
+  void cancelledTasksEndWhileHeartbeatsAreLost(double lostS, double afterS, boolean crash) {
+    startCluster(161, SimCluster.SMALL);
     JobId cancelled = submit(job("wk-1", "batch", 6, 400));
-    JobId stays = submit(job("wk-2", "daemon", 3, 0));
+    JobId service = submit(job("wk-2", "daemon", 3, 0));
     run(60);
     cluster.machineFaults.dropHeartbeatsOf(cancelled, lostS);
     cluster.clock.runFor(afterS);
@@ -51,13 +52,13 @@
     }
     users.cancel(cancelled);
     run(lostS);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertRunning(0, cancelled);
-    assertRunning(3, stays);
+    assertRunning(3, service);
   }
 
-  /** A leader crashes while machines with long tasks can't be reached. */
-  @ParameterizedTest(name = "{0} for {1} s, leader away for {2} s")
+  /** The leader crashes while machines with long tasks are unreachable. */
+  @ParameterizedTest(name = "{0} for {1} s, leader down for {2} s")
   @CsvSource({
     "cut, 10, 3",
     "cut, 40, 3",
@@ -68,8 +69,8 @@
     "hung, 22, 3",
     "hung, 40, 30"
   })
-  void aLeaderCrashesWhileMachinesAreUnreachable(String fault, double seconds, double awayS) {
-    begin(231, SimCluster.SMALL);
+  void jobsEndAfterLeaderCrashWithUnreachableMachines(String fault, double seconds, double downS) {
+    startCluster(231, SimCluster.SMALL);
     JobId job = submit(job("wk-1", "batch", 6, 120));
     JobId cancelled = submit(job("wk-2", "batch", 4, 400));
     run(40);
@@ -80,10 +81,10 @@
         default -> cluster.machineFaults.hangWorkersOf(id, 2, seconds);
       }
     }
-    cluster.controllers.crash(cluster.leader(), awayS);
+    cluster.controllers.crash(cluster.leader(), downS);
     cluster.clock.after(9, () -> users.cancel(cancelled));
     run(240);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertDone(job);
     assertCancelled(cancelled);
   }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverFixture.java
@@ -23,21 +23,22 @@
 
 /**
  * A simulated cluster of three zones with ordered failover, on virtual time. Machines are
- * provisioned in the first zone as long as the cloud has any there, so that zone is cut off.
+ * provisioned in the first zone for as long as the cloud has capacity there, so that is the zone
+ * that tests cut off.
  */
 abstract class ZoneFailoverFixture {
-  static final String FIRST = "north";
-  static final List<String> ZONES = List.of(FIRST, "east", "west");
+  static final String FIRST_ZONE = "north";
+  static final List<String> ZONES = List.of(FIRST_ZONE, "east", "west");
   static final List<String> TIERS = List.of("warning", "chart", "climate");
 
   static final ZoneFailoverSettings SETTINGS = settings(ZoneFailoverSettings.DEFAULT.release());
 
   static final SimCluster.Size SIZE = new SimCluster.Size(3, 20, 400, 60);
 
-  /** Longer than a lease, the failover and the boot of new machines together. */
+  /** Longer than lease expiry, failover and the boot of new machines together. */
   static final double RESTART_S = 90;
 
-  private static final double JOBS_END_S = 240;
+  private static final double JOB_COMPLETION_S = 240;
 
   SimCluster cluster;
   SimUsers users;
@@ -50,7 +51,7 @@
     return new Tier(name, Set.of(), classes, Set.of(), Set.<Priority>of());
   }
 
-  /** The usual settings with another rate of releases. */
+  /** The default failover settings with the tiers of these tests and the given release settings. */
   static ZoneFailoverSettings settings(ZoneFailoverSettings.Release release) {
     return new ZoneFailoverSettings(
         ZoneFailoverSettings.DEFAULT.detection(),
@@ -60,11 +61,11 @@
         List.of(tier("warning"), tier("chart"), tier("")));
   }
 
-  final void begin(long seed) {
-    begin(seed, SIZE, Tuning.DEFAULT.withZoneFailover(SETTINGS));
+  final void startCluster(long seed) {
+    startCluster(seed, SIZE, Tuning.DEFAULT.withZoneFailover(SETTINGS));
   }
 
-  final void begin(long seed, SimCluster.Size size, Tuning tuning) {
+  final void startCluster(long seed, SimCluster.Size size, Tuning tuning) {
     cluster = new SimCluster(seed, 0, size, null, new SimCluster.Site(ZONES, tuning));
     users = new SimUsers(cluster);
     jobs = 0;
@@ -76,7 +77,7 @@
     return body.id();
   }
 
-  /** A job of a tier, named after it; its tasks take two CPUs each. */
+  /** A job of a tier, whose number is the first digit of its name; its tasks take two CPUs each. */
   final SubmissionBuilder job(int tier, String kind, int tasks, double runS) {
     String id = String.format("wk-%d%05d", tier + 1, ++jobs);
     SubmissionBuilder body = SubmissionBuilder.job(id, kind, tasks).jobClass(TIERS.get(tier));
@@ -84,7 +85,9 @@
     return body.productionIfService();
   }
 
-  /** Arrays of every tier, the least important first, that fill most of the first zone. */
+  /**
+   * Submits array jobs of every tier, the least important first, which fill most of the first zone.
+   */
   final void submitAllTiers(int jobsEach, int tasks, double runS) {
     for (int i = 0; i < jobsEach; i++) {
       for (int tier = TIERS.size() - 1; tier >= 0; tier--) {
@@ -102,28 +105,30 @@
     users.runPolling(seconds);
   }
 
-  /** Tasks that run in the first zone now. */
-  final Set<TaskId> runningInFirst() {
+  /** The tasks that currently run in the first zone. */
+  final Set<TaskId> tasksInFirstZone() {
     for (SimWorker worker : cluster.machines.live()) {
       zones.put(worker.id(), worker.zone());
     }
-    return cluster.tasks.runningIn(FIRST, zones);
+    return cluster.tasks.runningIn(FIRST_ZONE, zones);
   }
 
-  final void cutFirst(double seconds) {
-    cluster.machineFaults.cutZone(FIRST, seconds);
+  final void cutFirstZone(double seconds) {
+    cluster.machineFaults.cutZone(FIRST_ZONE, seconds);
   }
 
-  /** Restarts may be observed out of order by so much, since commands take different times. */
-  static final double COMMAND_S = 0.5;
+  /**
+   * Restarts may be observed out of order by this many seconds, since commands differ in latency.
+   */
+  static final double COMMAND_JITTER_S = 0.5;
 
-  /** When the first and the last tasks of each tier started again. */
-  static final class Spans {
+  /** Times of the first and the last restart of each tier. */
+  static final class RestartSpans {
     private final double[] first = {1e9, 1e9, 1e9};
     private final double[] last = new double[3];
 
-    static Spans of(Map<TaskId, Start> restarts) {
-      Spans spans = new Spans();
+    static RestartSpans of(Map<TaskId, Start> restarts) {
+      RestartSpans spans = new RestartSpans();
       restarts.forEach(
           (task, start) -> {
             int tier = tierOf(task);
@@ -134,32 +139,32 @@
     }
 
     void assertInOrder() {
-      assertTrue(last[0] <= first[1] + COMMAND_S, last[0] + " before " + first[1]);
-      assertTrue(last[1] <= first[2] + COMMAND_S, last[1] + " before " + first[2]);
+      assertTrue(last[0] <= first[1] + COMMAND_JITTER_S, last[0] + " before " + first[1]);
+      assertTrue(last[1] <= first[2] + COMMAND_JITTER_S, last[1] + " before " + first[2]);
     }
   }
 
-  /** Cuts the first zone off and returns the tasks that were running there. */
-  final Set<TaskId> loseTheFirstZone(double seconds) {
-    Set<TaskId> lost = runningInFirst();
+  /** Cuts off the first zone and returns the tasks that were running there. */
+  final Set<TaskId> loseFirstZone(double seconds) {
+    Set<TaskId> lost = tasksInFirstZone();
     cluster.networkFaults.cutsLose();
-    cutFirst(seconds);
+    cutFirstZone(seconds);
     return lost;
   }
 
-  /** The first start of each of these tasks from a time on, outside the first zone. */
+  /** The first start of each of these tasks outside the first zone since the given time. */
   final Map<TaskId, Start> restarts(Set<TaskId> tasks, double from) {
     Map<TaskId, Start> restarts = new HashMap<>();
     for (Start start : cluster.tasks.startsSince(from)) {
-      if (tasks.contains(start.task()) && !start.zone().equals(FIRST)) {
+      if (tasks.contains(start.task()) && !start.zone().equals(FIRST_ZONE)) {
         restarts.putIfAbsent(start.task(), start);
       }
     }
     return restarts;
   }
 
-  /** Those of these tasks that started from a time on. */
-  final Set<TaskId> startsOf(Set<TaskId> tasks, double from) {
+  /** The subset of these tasks that have started since the given time. */
+  final Set<TaskId> startedSince(Set<TaskId> tasks, double from) {
     Set<TaskId> started = new HashSet<>();
     for (Start start : cluster.tasks.startsSince(from)) {
       if (tasks.contains(start.task())) {
@@ -169,12 +174,15 @@
     return started;
   }
 
-  /** Runs all jobs to their ends and asserts that no rule was broken and that each ended well. */
-  final void assertRulesHoldToTheEnd() {
+  /**
+   * Runs until all jobs have ended, then asserts that no invariant was violated and that each job
+   * that nobody may have cancelled is done.
+   */
+  final void assertNoViolationsAtEnd() {
     run(60);
     users.cancelServices();
     users.quiet();
-    run(JOBS_END_S);
+    run(JOB_COMPLETION_S);
     assertEquals(List.of(), cluster.violations());
     for (JobId id : users.accepted()) {
       if (!users.mayBeCancelled(id)) {
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverMeasurement.java
@@ -16,16 +16,16 @@
 import org.ternhinge.sim.TaskObservations.Start;
 
 /**
- * Measures the loss and return of a zone with zone failover off and on, in the stand-in world.
- * Takes too long for CI, which does not match its name: {@code mvn test
- * -Dtest=ZoneFailoverMeasurement}.
+ * Measures loss and return of a zone with zone failover off and on, in the simulated cluster. It
+ * takes too long for CI, so its name does not match the pattern of tests; run it with {@code mvn
+ * test -Dtest=ZoneFailoverMeasurement}.
  */
 class ZoneFailoverMeasurement extends ZoneFailoverFixture {
   private static final double CUT_S = 60;
   private static final double AFTER_S = 90;
   private static final int TASK_S = 400;
 
-  @ParameterizedTest(name = "{0} machines of each offer, {1} jobs of each tier, seed {2}, on {3}")
+  @ParameterizedTest(name = "{0} machines per offer, {1} jobs per tier, seed {2}, failover {3}")
   @CsvSource({
     "20, 3, 1, false",
     "20, 3, 1, true",
@@ -42,22 +42,22 @@
     "900, 140, 1, false",
     "900, 140, 1, true"
   })
-  void aZoneIsLostAndReturns(int machines, int jobs, long seed, boolean failover) {
+  void measureZoneLossAndReturn(int machines, int jobs, long seed, boolean failover) {
     SimCluster.Size size = new SimCluster.Size(3, machines, 100_000, 60);
     Tuning tuning = failover ? Tuning.DEFAULT.withZoneFailover(SETTINGS) : Tuning.DEFAULT;
-    begin(seed, size, tuning);
+    startCluster(seed, size, tuning);
     submitAllTiers(jobs, 8, TASK_S);
     run(90);
-    Set<TaskId> lost = new HashSet<>(runningInFirst());
+    Set<TaskId> lost = new HashSet<>(tasksInFirstZone());
     int live = cluster.machines.live().size();
     long changes = cluster.counts.storeChanges();
     long commands = cluster.counts.commandCalls();
     double cutAt = cluster.clock.seconds();
     cluster.networkFaults.cutsLose();
-    cutFirst(CUT_S);
+    cutFirstZone(CUT_S);
     run(CUT_S);
     double backAt = cluster.clock.seconds();
-    // New work of the size of the lost zone, to see how fast it comes back into use.
+    // New jobs of the size of the lost zone, to measure how fast that zone is used again.
     submitAllTiers(jobs, 8, TASK_S);
     run(AFTER_S);
     System.out.printf(
@@ -66,15 +66,15 @@
         live,
         lost.size(),
         failover ? "on" : "off",
-        waits(lost, cutAt),
-        mostStartsASecond(backAt),
+        restartDelays(lost, cutAt),
+        maxStartsPerSecond(backAt),
         cluster.violations().stream().filter(text -> text.startsWith("ran_twice")).count(),
         cluster.counts.storeChanges() - changes,
         cluster.counts.commandCalls() - commands);
   }
 
-  /** Seconds from the cut to the restart by tier: median and longest. */
-  private String waits(Set<TaskId> lost, double cutAt) {
+  /** Median and longest time from the cut to the restart for each tier, in seconds. */
+  private String restartDelays(Set<TaskId> lost, double cutAt) {
     Map<Integer, List<Double>> byTier = new HashMap<>();
     Set<TaskId> seen = new HashSet<>();
     for (Start start : cluster.tasks.startsSince(cutAt)) {
@@ -86,8 +86,8 @@
     }
     List<String> cells = new ArrayList<>();
     for (int tier = 0; tier < TIERS.size(); tier++) {
-      List<Double> waits = byTier.getOrDefault(tier, List.of());
-      List<Double> sorted = new ArrayList<>(waits);
+      List<Double> delays = byTier.getOrDefault(tier, List.of());
+      List<Double> sorted = new ArrayList<>(delays);
       Collections.sort(sorted);
       cells.add(
           sorted.isEmpty()
@@ -101,10 +101,10 @@
     return String.join(" | ", cells);
   }
 
-  private int mostStartsASecond(double from) {
+  private int maxStartsPerSecond(double from) {
     Map<Integer, Integer> perSecond = new HashMap<>();
     for (Start start : cluster.tasks.startsSince(from)) {
-      if (start.zone().equals(FIRST)) {
+      if (start.zone().equals(FIRST_ZONE)) {
         perSecond.merge((int) (start.at() - from), 1, Integer::sum);
       }
     }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverRaceTest.java
@@ -16,71 +16,72 @@
 import org.ternhinge.sim.TaskObservations.Start;
 
 /**
- * A lost zone in the same moment as something else: a change of leader, a slow key-value store, the
- * end of a task, a cancellation. On virtual time.
+ * The loss of a zone races with another event: a change of leader, a slow key-value store, the end
+ * of a task or a cancellation. On virtual time.
  */
 class ZoneFailoverRaceTest extends ZoneFailoverFixture {
   /**
-   * The same while leadership changes: the next leader goes on in that order. It waits longer for
-   * the proof that an attempt is over, so a tier may keep the next one waiting for longer here.
+   * Tasks restart in the order of their tiers even if leadership changes meanwhile. The next leader
+   * waits longer until an attempt is known to have ended, so a tier may hold back the next one for
+   * longer in these settings.
    */
-  @ParameterizedTest(name = "leader ended {0} s after the cut, back after {1} s")
+  @ParameterizedTest(name = "leader crashes {0} s after the cut, for {1} s")
   @CsvSource({"8, 0.3", "20, 0.3", "25, 5", "27, 0.3", "27, 5", "30, 5"})
-  void theOrderOutlivesTheLeader(double afterS, double backS) {
-    ZoneFailoverSettings patient = settings(new ZoneFailoverSettings.Release(70, 10));
-    begin(11, SIZE, Tuning.DEFAULT.withZoneFailover(patient));
+  void restartOrderSurvivesFailover(double afterS, double backS) {
+    ZoneFailoverSettings longHold = settings(new ZoneFailoverSettings.Release(70, 10));
+    startCluster(11, SIZE, Tuning.DEFAULT.withZoneFailover(longHold));
     submitAllTiers(3, 8, 200);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(150);
+    Set<TaskId> lost = loseFirstZone(150);
     cluster.clock.runFor(afterS);
     cluster.controllers.crash(cluster.leader(), backS);
     run(130);
     Map<TaskId, Start> restarts = restarts(lost, cutAt);
     assertEquals(lost, restarts.keySet());
-    Spans.of(restarts).assertInOrder();
-    assertRulesHoldToTheEnd();
+    RestartSpans.of(restarts).assertInOrder();
+    assertNoViolationsAtEnd();
   }
 
-  /** The next leader waits for the record of zones, however slowly it is read. */
-  @ParameterizedTest(name = "leader ended {0} s after the cut")
+  /** The next leader waits until it has read the zone record, however slow the store is. */
+  @ParameterizedTest(name = "leader crashes {0} s after the cut")
   @CsvSource({"25", "27", "29"})
-  void theOrderOutlivesTheLeaderWhileTheStateServiceIsSlow(double afterS) {
-    ZoneFailoverSettings patient = settings(new ZoneFailoverSettings.Release(70, 10));
-    begin(12, SIZE, Tuning.DEFAULT.withZoneFailover(patient));
-    // Leaves idle machines, on which lower tiers would find room at once.
+  void restartOrderSurvivesFailoverOverSlowStore(double afterS) {
+    ZoneFailoverSettings longHold = settings(new ZoneFailoverSettings.Release(70, 10));
+    startCluster(12, SIZE, Tuning.DEFAULT.withZoneFailover(longHold));
+    // Leaves idle machines, on which tasks of lower tiers could start at once.
     submit(job(1, "batch", 40, 30).zone("east"));
     submitAllTiers(3, 8, 200);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(150);
+    Set<TaskId> lost = loseFirstZone(150);
     cluster.clock.runFor(afterS);
     cluster.storeFaults.slowDown(20, 0.8);
     cluster.controllers.crash(cluster.leader(), 0.3);
     run(130);
     Map<TaskId, Start> restarts = restarts(lost, cutAt);
     assertEquals(lost, restarts.keySet());
-    Spans.of(restarts).assertInOrder();
-    assertRulesHoldToTheEnd();
+    RestartSpans.of(restarts).assertInOrder();
+    assertNoViolationsAtEnd();
   }
 
   @Test
-  void aSlowStateServiceInTheSameMoment() {
-    begin(52);
+  void lostTasksRestartOverSlowStore() {
+    startCluster(52);
     submitAllTiers(3, 8, 150);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(90);
+    Set<TaskId> lost = loseFirstZone(90);
     cluster.storeFaults.slowDown(60, 1.0);
     run(120);
-    assertEquals(lost, startsOf(lost, cutAt));
-    assertRulesHoldToTheEnd();
+    assertEquals(lost, startedSince(lost, cutAt));
+    assertNoViolationsAtEnd();
   }
 
   /**
-   * A task ends in the lost zone at any moment around its lease's end: while its copy is not
-   * recorded yet, is recorded, sent, started, or has ended. In each order every user hears the same
-   * one result.
+   * A task ends in the lost zone around the expiry of its lease: before its next attempt is
+   * recorded, or after that attempt is recorded, sent, started or ended. In each case all users get
+   * the same single result.
    */
   @ParameterizedTest(name = "{0} s after the cut, {1}")
   @CsvSource({
@@ -97,26 +98,26 @@
     "25, leader",
     "27, leader",
     "33, leader",
-    "22, copies",
-    "24, copies",
-    "24.5, copies",
-    "26, copies",
+    "22, duplicates",
+    "24, duplicates",
+    "24.5, duplicates",
+    "26, duplicates",
     "24, both",
     "25, both",
     "26, both"
   })
-  void aTaskEndsWhileItsCopyBegins(double endsAfterS, String fault) {
-    begin(64);
+  void resultStaysUniqueWhenTaskEndsDuringRestart(double endsAfterS, String fault) {
+    startCluster(64);
     JobId[] ids = new JobId[6];
     for (int i = 0; i < ids.length; i++) {
-      // Tasks begin some two seconds after submission; a spread of ends around the one asked for.
+      // Tasks start about 2 s after submission; their ends spread around the requested time.
       ids[i] = submit(job(i % 3, "batch", 3, 40 + endsAfterS - 1 + i * 0.4));
     }
     run(40);
     if (!fault.equals("leader")) {
       cluster.machineFaults.duplicateHeartbeats(fault.equals("none") ? 0 : 0.5, 80);
     }
-    cutFirst(30);
+    cutFirstZone(30);
     cluster.clock.runFor(endsAfterS);
     if (fault.equals("leader") || fault.equals("both")) {
       cluster.controllers.crash(cluster.leader(), 0.3);
@@ -127,21 +128,21 @@
         users.pollEverywhere(id);
       }
     }
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
   /**
-   * A cancellation that is confirmed for tasks in the lost zone: ended in time and not restarted
+   * Tasks in the lost zone whose cancellation is confirmed end in time and are not restarted
    * elsewhere.
    */
   @ParameterizedTest(name = "cancelled {0} s after the cut")
   @CsvSource({"1", "10", "23", "26", "32"})
-  void cancelledWorkIsNotCopied(double afterS) {
-    begin(61);
+  void cancelledTasksAreNotRestarted(double afterS) {
+    startCluster(61);
     JobId cancelled = submit(job(0, "batch", 12, 400));
     submitAllTiers(1, 6, 150);
     run(40);
-    loseTheFirstZone(70);
+    loseFirstZone(70);
     cluster.clock.runFor(afterS);
     users.cancel(cancelled);
     run(1);
@@ -149,10 +150,10 @@
     boolean confirmed = "cancelled".equals(users.lastState(cancelled));
     run(80);
     if (confirmed) {
-      List<Start> copies = cluster.tasks.startsSince(cancelledAt + COMMAND_S);
-      assertFalse(copies.stream().anyMatch(start -> start.task().job().equals(cancelled)));
+      List<Start> restarts = cluster.tasks.startsSince(cancelledAt + COMMAND_JITTER_S);
+      assertFalse(restarts.stream().anyMatch(start -> start.task().job().equals(cancelled)));
     }
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertEquals("cancelled", users.lastState(cancelled));
   }
 }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverSeedsTest.java
@@ -12,9 +12,9 @@
 import org.ternhinge.sim.SubmissionBuilder;
 
 /**
- * Zones that are lost, recover and flap by the seed, together with other faults, on virtual time.
- * The rules are checked on what the stand-ins saw and on the answers to users; work is bounded by
- * counts.
+ * Zones are lost, recover and flap at random, together with other faults, on virtual time.
+ * Invariants are checked against the tasks that the simulated workers ran and the answers that
+ * users got; work is bounded by counts.
  */
 class ZoneFailoverSeedsTest extends ZoneFailoverFixture {
   private static final SimCluster.Size SMALL = new SimCluster.Size(3, 3, 60, 40);
@@ -23,41 +23,43 @@
   private static final double STEP_S = 3;
   private static final double WRITES_PER_S = 40;
 
-  /** So many seeds from each of these on. */
+  /** Runs a range of consecutive seeds. */
   @ParameterizedTest(name = "{1} seeds from {0} on")
   @CsvSource({"1000, 50", "2000, 50", "3000, 50", "4000, 50"})
-  void rulesHold(long firstSeed, int count) {
+  void invariantsHold(long firstSeed, int count) {
     for (long seed = firstSeed; seed < firstSeed + count; seed++) {
-      play(seed, SMALL, 20);
+      runSeed(seed, SMALL, 20);
     }
   }
 
-  /** The same with more than four hundred machines. */
+  /** The same faults with a fleet of more than 300 machines. */
   @ParameterizedTest(name = "seed {0}")
   @CsvSource({"1", "2", "3", "4"})
-  void rulesHoldInALargeFleet(long seed) {
-    play(seed, LARGE, 500);
+  void invariantsHoldInLargeFleet(long seed) {
+    runSeed(seed, LARGE, 500);
     assertTrue(
         cluster.machines.everProvisioned() > 300, cluster.machines.everProvisioned() + " machines");
   }
 
-  private void play(long seed, SimCluster.Size size, int mostTasks) {
-    begin(seed, size, Tuning.DEFAULT.withZoneFailover(SETTINGS));
+  private void runSeed(long seed, SimCluster.Size size, int maxTasks) {
+    startCluster(seed, size, Tuning.DEFAULT.withZoneFailover(SETTINGS));
     long changes = cluster.counts.storeChanges();
     for (int step = 0; step < STEPS; step++) {
       if (step < STEPS * 2 / 3 && oneIn(2)) {
-        submitSome(mostTasks);
+        submitRandomJob(maxTasks);
       }
       if (!users.accepted().isEmpty() && oneIn(15)) {
         users.cancel(users.accepted().get(cluster.nextInt(users.accepted().size())));
       }
       if (step >= 8) {
-        drawFault();
+        injectRandomFault();
       }
       run(STEP_S);
     }
     double allowed = WRITES_PER_S * 1.5 * (STEPS * STEP_S + 1);
-    assertTrue(cluster.counts.storeChanges() - changes <= allowed, "seed " + seed + ": changes");
+    assertTrue(
+        cluster.counts.storeChanges() - changes <= allowed,
+        "seed " + seed + ": too many store changes");
     run(60);
     users.cancelServices();
     users.quiet();
@@ -70,13 +72,13 @@
     }
   }
 
-  private boolean oneIn(int many) {
-    return cluster.nextInt(many) == 0;
+  private boolean oneIn(int steps) {
+    return cluster.nextInt(steps) == 0;
   }
 
-  private void submitSome(int mostTasks) {
+  private void submitRandomJob(int maxTasks) {
     String kind = List.of("batch", "batch", "batch", "group", "daemon").get(cluster.nextInt(5));
-    int tasks = kind.equals("batch") ? 1 + cluster.nextInt(mostTasks) : 2;
+    int tasks = kind.equals("batch") ? 1 + cluster.nextInt(maxTasks) : 2;
     SubmissionBuilder body = job(cluster.nextInt(3), kind, tasks, 5.0 + cluster.nextInt(40));
     body.scatter(kind.equals("daemon")).together(kind.equals("group"));
     if (!kind.equals("daemon") && oneIn(8)) {
@@ -85,15 +87,15 @@
     submit(body);
   }
 
-  private String someZone() {
-    return oneIn(2) ? FIRST : ZONES.get(cluster.nextInt(ZONES.size()));
+  private String randomZone() {
+    return oneIn(2) ? FIRST_ZONE : ZONES.get(cluster.nextInt(ZONES.size()));
   }
 
-  private void drawFault() {
+  private void injectRandomFault() {
     double seconds = 3 + cluster.nextInt(45);
     switch (cluster.nextInt(24)) {
-      case 0, 1 -> cluster.machineFaults.cutZone(someZone(), seconds);
-      case 2 -> cluster.machineFaults.cutHalfOfZone(someZone(), seconds);
+      case 0, 1 -> cluster.machineFaults.cutZone(randomZone(), seconds);
+      case 2 -> cluster.machineFaults.cutHalfOfZone(randomZone(), seconds);
       case 3 -> cluster.networkFaults.cutZone(ZONES.get(1 + cluster.nextInt(2)), seconds);
       case 4 -> cluster.controllers.crash(Math.max(0, cluster.leader()), oneIn(2) ? 0.3 : 5);
       case 5 -> cluster.networkFaults.cutWorkers(cluster.nextInt(3), seconds);
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
@@ -22,39 +22,42 @@
 class ZoneFailoverTest extends ZoneFailoverFixture {
   @ParameterizedTest(name = "seed {0}")
   @CsvSource({"1", "2", "3", "4", "5", "6"})
-  void workMovesInTheStatedOrder(long seed) {
-    begin(seed);
+  void lostTasksRestartInTierOrder(long seed) {
+    startCluster(seed);
     submitAllTiers(3, 8, 150);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(80);
-    assertTrue(lost.size() > 20, lost.size() + " tasks are lost");
+    Set<TaskId> lost = loseFirstZone(80);
+    assertTrue(lost.size() > 20, lost.size() + " tasks ran in the lost zone");
     run(RESTART_S);
     Map<TaskId, Start> restarts = restarts(lost, cutAt);
-    assertEquals(lost, restarts.keySet(), "every lost task runs again elsewhere");
-    Spans.of(restarts).assertInOrder();
-    assertRulesHoldToTheEnd();
+    assertEquals(lost, restarts.keySet(), "lost tasks that restarted elsewhere");
+    RestartSpans.of(restarts).assertInOrder();
+    assertNoViolationsAtEnd();
   }
 
-  /** One warning may run in the lost zone only: it waits for that zone, and all others do not. */
+  /**
+   * A job of the highest tier that may run in the lost zone only waits for that zone and delays no
+   * other job.
+   */
   @Test
-  void aPinnedJobWaitsAndDelaysNoOther() {
-    begin(21);
+  void pinnedJobWaitsWithoutDelayingOthers() {
+    startCluster(21);
     SubmissionBuilder pinned = job(0, "batch", 4, 60);
-    JobId pinnedId = submit(pinned.zone(FIRST));
+    JobId pinnedId = submit(pinned.zone(FIRST_ZONE));
     SubmissionBuilder large = job(0, "group", 3, 60).cpus(14.0).accelerators(2.0);
     JobId gang = submit(large.together(true).spotAllowed(false));
     submitAllTiers(2, 6, 150);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(100);
+    Set<TaskId> lost = loseFirstZone(100);
     run(30);
-    assertEquals("queued", polledState(pinnedId), "it waits and is known");
+    assertEquals("queued", polledState(pinnedId), "state of the pinned job");
     run(60);
     Set<TaskId> movable = new HashSet<>(lost);
     movable.removeIf(task -> task.job().equals(pinnedId) || task.job().equals(gang));
     assertEquals(movable, restarts(movable, cutAt).keySet());
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
   private String polledState(JobId id) {
@@ -62,40 +65,44 @@
     return "running".equals(last) ? "queued" : last;
   }
 
-  /** No task that runs elsewhere by now is moved back, and new tasks start at the pacer's rate. */
+  /**
+   * When the zone returns, no task that runs elsewhere is moved back, and starts there are
+   * rate-limited.
+   */
   @ParameterizedTest(name = "seed {0}, cut for {1} s")
   @CsvSource({"31, 30", "32, 40", "33, 60"})
-  void theReturnIsCalm(long seed, double cutS) {
-    begin(seed);
+  void returnOfZoneMovesNothingBackAndIsPaced(long seed, double cutS) {
+    startCluster(seed);
     submitAllTiers(2, 8, 300);
     run(40);
-    Set<TaskId> lost = loseTheFirstZone(cutS);
+    Set<TaskId> lost = loseFirstZone(cutS);
     run(cutS);
     double backAt = cluster.clock.seconds();
     for (int i = 0; i < 6; i++) {
       submit(job(1, "batch", 30, 20));
     }
-    Set<TaskId> inPlace = new HashSet<>();
-    cluster.tasks.forEachRunningTask(inPlace::add);
+    Set<TaskId> running = new HashSet<>();
+    cluster.tasks.forEachRunningTask(running::add);
     run(45);
-    Set<TaskId> again = startsOf(inPlace, backAt);
-    // Without tasks that the cut zone's workers had ended, since their leases had expired.
-    again.removeIf(task -> lost.contains(task));
-    assertEquals(Set.of(), again, "what runs is not moved back");
+    Set<TaskId> restarted = startedSince(running, backAt);
+    // Except for tasks that workers of the cut zone ended because their leases had expired.
+    restarted.removeIf(task -> lost.contains(task));
+    assertEquals(Set.of(), restarted, "running tasks that were moved");
     assertStartsArePaced(backAt);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
-  /** Asserts that starts in the first zone keep to the pace, in each second and over all. */
+  /** Asserts that the starts in the first zone stay within the rate limit at each second. */
   private void assertStartsArePaced(double from) {
     double[] perSecond = new double[60];
     for (Start start : cluster.tasks.startsSince(from)) {
-      if (start.zone().equals(FIRST)) {
+      if (start.zone().equals(FIRST_ZONE)) {
         perSecond[(int) Math.min(59, start.at() - from)]++;
       }
     }
     double pacedFrom = SETTINGS.detection().settleS();
-    double machines = cluster.machines.live().stream().filter(w -> w.zone().equals(FIRST)).count();
+    double machines =
+        cluster.machines.live().stream().filter(w -> w.zone().equals(FIRST_ZONE)).count();
     double rate = Math.max(1, SETTINGS.pace().startsPerMachine() * machines);
     double allowed = 0;
     double started = 0;
@@ -112,101 +119,104 @@
     }
   }
 
-  /** After cuts shorter than a lease no task starts twice and none is moved. */
+  /** After cuts that are shorter than a lease, no task is restarted or moved. */
   @ParameterizedTest(name = "{0} s, {1} s apart")
   @CsvSource({"12, 10", "15, 20", "14, 8"})
-  void shortFlapsMoveNothing(double cutS, double gapS) {
-    begin(41);
+  void cutsShorterThanLeaseMoveNothing(double cutS, double gapS) {
+    startCluster(41);
     submitAllTiers(2, 8, 250);
     run(40);
-    Set<TaskId> running = runningInFirst();
+    Set<TaskId> running = tasksInFirstZone();
     double cutAt = cluster.clock.seconds();
-    cutFirst(cutS);
+    cutFirstZone(cutS);
     run(cutS + gapS);
-    cutFirst(cutS);
+    cutFirstZone(cutS);
     run(cutS + 20);
-    assertEquals(Set.of(), startsOf(running, cutAt), "nothing was proved over");
-    assertRulesHoldToTheEnd();
+    assertEquals(
+        Set.of(), startedSince(running, cutAt), "restarted tasks, though no lease expired");
+    assertNoViolationsAtEnd();
   }
 
   /** Two cuts within a minute, of which one or both outlast a lease. */
   @ParameterizedTest(name = "{0} s, then {1} s later {2} s")
   @CsvSource({"30, 5, 30", "12, 10, 40", "40, 12, 15", "26, 3, 26"})
-  void flapsWithinAMinuteKeepTheZoneOutOfUse(double firstS, double gapS, double secondS) {
-    begin(42);
+  void flappingZoneStaysOutOfUse(double firstS, double gapS, double secondS) {
+    startCluster(42);
     submitAllTiers(2, 8, 250);
     run(40);
-    Set<TaskId> lost = runningInFirst();
+    Set<TaskId> lost = tasksInFirstZone();
     double cutAt = cluster.clock.seconds();
-    cutFirst(firstS);
+    cutFirstZone(firstS);
     run(firstS + gapS);
-    cutFirst(secondS);
+    cutFirstZone(secondS);
     run(secondS);
     double backAt = cluster.clock.seconds();
     JobId next = submit(job(1, "batch", 60, 20));
     run(SETTINGS.detection().settleS() - 1);
-    // An attempt that was opened before the cut may get its start now; new ones are not opened.
-    boolean rushes =
+    // The start of an attempt recorded before the cut may be sent now; no new attempt is recorded.
+    boolean startedEarly =
         cluster.tasks.startsSince(backAt).stream()
-            .anyMatch(start -> start.zone().equals(FIRST) && start.task().job().equals(next));
-    assertFalse(rushes, "nothing rushes back");
+            .anyMatch(start -> start.zone().equals(FIRST_ZONE) && start.task().job().equals(next));
+    assertFalse(startedEarly, "tasks started in the zone before it settled");
     run(80);
-    assertTrue(startsOf(lost, cutAt).size() <= lost.size());
-    assertRulesHoldToTheEnd();
+    assertTrue(startedSince(lost, cutAt).size() <= lost.size());
+    assertNoViolationsAtEnd();
   }
 
-  /**
-   * The zone in which the leader stands is lost with its workers, and with the controllers there.
-   */
+  /** A zone is lost together with its workers and controllers, among them possibly the leader. */
   @ParameterizedTest(name = "{0} cut for {1} s")
   @CsvSource({"east, 15", "east, 50", "west, 50", "east, 90"})
-  void aZoneWithItsControllers(String zone, double seconds) {
-    begin(51);
+  void jobsSurviveLossOfZoneWithControllers(String zone, double seconds) {
+    startCluster(51);
     submitAllTiers(4, 10, 120);
     run(40);
     cluster.networkFaults.cutZone(zone, seconds);
     run(seconds);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
-  /** Half of the zone is lost: the other half goes on, and the lost tasks run again. */
+  /**
+   * Half of the zone's machines are lost: tasks on the other half keep running, and lost tasks
+   * restart.
+   */
   @Test
-  void halfAZone() {
-    begin(56);
+  void healthyHalfOfZoneKeepsItsTasks() {
+    startCluster(56);
     submitAllTiers(3, 8, 150);
     run(40);
-    Set<TaskId> before = runningInFirst();
+    Set<TaskId> before = tasksInFirstZone();
     double cutAt = cluster.clock.seconds();
     cluster.networkFaults.cutsLose();
-    cluster.machineFaults.cutHalfOfZone(FIRST, 100);
+    cluster.machineFaults.cutHalfOfZone(FIRST_ZONE, 100);
     run(SETTINGS.detection().suspectMaxS() + 10);
     submit(job(1, "batch", 20, 20));
     run(RESTART_S - 20);
-    Set<TaskId> again = startsOf(before, cutAt);
-    assertTrue(again.size() < before.size(), "the healthy half keeps its work");
-    assertTrue(!again.isEmpty(), "the other half's work runs again");
-    assertRulesHoldToTheEnd();
+    Set<TaskId> restarted = startedSince(before, cutAt);
+    assertTrue(restarted.size() < before.size(), "tasks of the healthy half were restarted");
+    assertTrue(!restarted.isEmpty(), "no lost task was restarted");
+    assertNoViolationsAtEnd();
   }
 
-  /** Two zones are lost one after the other; their tasks run in the last one. */
+  /** Two zones are lost one after the other; their tasks restart in the remaining one. */
   @Test
-  void twoZonesOneAfterTheOther() {
-    begin(53);
+  void jobsSurviveLossOfTwoZones() {
+    startCluster(53);
     submitAllTiers(3, 8, 150);
     run(40);
-    cutFirst(140);
+    cutFirstZone(140);
     run(20);
     cluster.machineFaults.cutMachinesOfZone("east", 100);
     run(140);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
   /**
-   * If all workers of all zones are silent, the leader's links are at fault: no failover begins.
+   * If the workers of all zones are silent, the fault is in the leader's own links, so no zone
+   * failover begins.
    */
   @Test
-  void allZonesAtOnceAreTheLeadersOwnLinks() {
-    begin(54);
+  void silenceOfAllZonesCausesNoFailover() {
+    startCluster(54);
     submitAllTiers(2, 8, 200);
     run(40);
     Set<TaskId> running = new HashSet<>();
@@ -216,52 +226,54 @@
       cluster.networkFaults.cutWorkers(i, 15);
     }
     run(60);
-    assertEquals(Set.of(), startsOf(running, cutAt));
-    assertRulesHoldToTheEnd();
+    assertEquals(Set.of(), startedSince(running, cutAt));
+    assertNoViolationsAtEnd();
   }
 
-  /** The remaining zones are full and the quota is used up: higher tiers still come first. */
+  /** The zone is lost while the remaining zones are full and the quota is used up. */
   @Test
-  void fullSurvivorsAndAUsedUpQuota() {
-    begin(55, new SimCluster.Size(3, 4, 120, 60), tuning());
+  void jobsSurviveFailoverWithoutFreeCapacity() {
+    startCluster(55, new SimCluster.Size(3, 4, 120, 60), tuning());
     submitAllTiers(3, 10, 100);
     run(40);
-    loseTheFirstZone(60);
+    loseFirstZone(60);
     run(100);
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
   }
 
   private static Tuning tuning() {
     return Tuning.DEFAULT.withZoneFailover(SETTINGS);
   }
 
-  /** Machine lists that lag or name dead machines do not decide the state of a zone. */
+  /**
+   * A machine list that lags, and so contains dead machines, does not affect the state of a zone.
+   */
   @Test
-  void listsThatLagChangeNothing() {
-    begin(62);
+  void laggingMachineListsDoNotAffectFailover() {
+    startCluster(62);
     cluster.bootFaults.listLags(20);
     submitAllTiers(3, 8, 150);
     run(40);
     double cutAt = cluster.clock.seconds();
-    Set<TaskId> lost = loseTheFirstZone(60);
+    Set<TaskId> lost = loseFirstZone(60);
     run(RESTART_S + 30);
-    assertEquals(lost, startsOf(lost, cutAt));
-    assertRulesHoldToTheEnd();
+    assertEquals(lost, startedSince(lost, cutAt));
+    assertNoViolationsAtEnd();
   }
 
-  /** Gangs, services and dependent jobs fail over too. */
+  /** Gangs, services and dependent jobs fail over like plain array jobs. */
   @Test
-  void gangsServicesAndDependentJobs() {
-    begin(63);
+  void gangsServicesAndDependentJobsFailOver() {
+    startCluster(63);
     JobId service = submit(job(0, "daemon", 4, 0).scatter(true));
     JobId gang = submit(job(1, "group", 4, 90).together(true).spotAllowed(false));
     JobId first = submit(job(1, "batch", 6, 90));
     users.submitAfterNamed(job(2, "batch", 6, 20).dependsOn(List.of(first)));
     run(40);
-    cutFirst(70);
+    cutFirstZone(70);
     run(RESTART_S + 20);
     assertEquals(4, cluster.tasks.runningTasks(service));
-    assertRulesHoldToTheEnd();
+    assertNoViolationsAtEnd();
     assertEquals("done", users.lastState(gang));
   }
 }
