--- a/src/test/java/org/ternhinge/controller/ClusterFixture.java
+++ b/src/test/java/org/ternhinge/controller/ClusterFixture.java
@@ -88,9 +88,7 @@
     assertEquals(0, simulation.store.tooLarge(), "transactions above the size limit");
   }
 
-  /**
-   * Declares all faults ended, then asserts that every accepted job is done after this time.
-   */
+  /** Declares all faults ended, then asserts that every accepted job is done after this time. */
   void assertAllDoneAfter(double seconds) {
     users.quiet();
     run(seconds);
--- a/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
+++ b/src/test/java/org/ternhinge/controller/CombinedFaultsFixture.java
@@ -52,7 +52,10 @@
     users.runPolling(seconds);
   }
 
-  /** Runs until all faults and then all jobs have ended, and asserts that every job was answered in time and no invariant was violated. */
+  /**
+   * Runs until all faults and then all jobs have ended, and asserts that every job was answered in
+   * time and no invariant was violated.
+   */
   final void assertNoViolationsAtEnd() {
     run(FAULT_SETTLING_S);
     users.quiet();
--- a/src/test/java/org/ternhinge/controller/LargeFleetTest.java
+++ b/src/test/java/org/ternhinge/controller/LargeFleetTest.java
@@ -82,7 +82,7 @@
         cluster.counts.mostCommandCallsAtOnce() <= sockets,
         cluster.counts.mostCommandCallsAtOnce() + " concurrent direct commands");
     long evaluations = cluster.metrics.mostEvaluations();
-    assertTrue(evaluations < 600L * FLEET_SIZE, evaluations + " evaluations in one round");
+    assertTrue(evaluations < 600L * FLEET_SIZE, "a round of " + evaluations + " evaluations");
   }
 
   /** Submits services that fill most of the fleet, gangs and long arrays. */
--- a/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
+++ b/src/test/java/org/ternhinge/controller/LimitsAndZonesUnderFaultsTest.java
@@ -31,7 +31,7 @@
     assertDone(waitingJob);
   }
 
-  /** Jobs that may run in one zone only lose machines in that zone. */
+  /** Jobs that are restricted to one zone lose machines in that zone. */
   @ParameterizedTest(name = "{0}, seed {1}")
   @CsvSource({"batch, 151", "batch, 152", "group, 153", "group, 154", "daemon, 155"})
   void zoneBoundJobsSurviveMachineLoss(String kind, long seed) {
--- a/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
@@ -97,8 +97,7 @@
         for (int node = 0; node < 3 && expectCancelled; node++) {
           String state = cluster.stateAt(node, id);
           assertTrue(
-              Set.of("cancelled", "503", "nothing").contains(state),
-              "node " + node + " answers " + state);
+              Set.of("cancelled", "503", "nothing").contains(state), node + " answers " + state);
         }
       }
       cluster.runPollingEverywhere(60, all);
@@ -343,8 +342,7 @@
     for (int i = 0; i < jobs.size(); i += 97) {
       for (int node = 0; node < 3; node++) {
         String state = cluster.stateAt(node, jobs.get(i));
-        assertTrue(
-            state.equals("cancelled") || state.equals("503"), "node " + node + " answers " + state);
+        assertTrue(state.equals("cancelled") || state.equals("503"), node + " answers " + state);
       }
     }
   }
--- a/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
+++ b/src/test/java/org/ternhinge/controller/ZoneFailoverTest.java
@@ -230,7 +230,7 @@
     assertNoViolationsAtEnd();
   }
 
-  /** The zone is lost while the remaining zones are full and the quota is used up. */
+  /** The remaining zones are full and the quota is used up; higher tiers still restart first. */
   @Test
   void jobsSurviveFailoverWithoutFreeCapacity() {
     startCluster(55, new SimCluster.Size(3, 4, 120, 60), tuning());
