--- a/src/test/java/org/ternhinge/controller/ClusterFixture.java
+++ b/src/test/java/org/ternhinge/controller/ClusterFixture.java
@@ -22,7 +22,7 @@
  */
 final class ClusterFixture {
   /** Time within which the tasks of a cancelled job have to end, in seconds. */
-  static final double CANCELLATION_TIMEOUT_S = 44;
+  static final double CANCEL_TIMEOUT_S = 44;
 
   /** Timeout of a user's submission, in seconds. */
   private static final double USER_TIMEOUT_S = 5;
@@ -168,10 +168,10 @@
       simulation.controllers.crash(leader, 3);
     }
     if (fault.endsWith("outage")) {
-      simulation.storeFaults.outage(CANCELLATION_TIMEOUT_S + 16);
+      simulation.storeFaults.outage(CANCEL_TIMEOUT_S + 16);
     }
     if (fault.equals("refused")) {
-      simulation.storeFaults.refuse(leader, CANCELLATION_TIMEOUT_S + 16);
+      simulation.storeFaults.refuse(leader, CANCEL_TIMEOUT_S + 16);
     }
     if (fault.equals("all crash")) {
       for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
+++ b/src/test/java/org/ternhinge/controller/PipelineCancellationTest.java
@@ -63,7 +63,7 @@
     "chain, 2, follower, late",
     "diamond, 1, leader, late"
   })
-  void dependentsAreCancelledInTime(String shape, int cancelled, String target, String fault) {
+  void dependentsAreCancelledInTime(String shape, int position, String target, String fault) {
     for (long seed = 301; seed < 304; seed++) {
       cluster = new ClusterFixture(seed);
       List<JobId> all = cluster.submitPipeline(shape, 60);
@@ -72,12 +72,12 @@
       if (fault.equals("late")) {
         cluster.simulation.storeFaults.lateWrites(0.5, 30);
       }
-      JobId cancelledJob = all.get(cancelled - 1);
+      JobId cancelled = all.get(position - 1);
       int leader = cluster.simulation.leader();
       double[] confirmedAt = {-1};
       cluster.users.cancelAt(
           target.equals("leader") ? leader : (leader + 1) % 3,
-          cancelledJob,
+          cancelled,
           () -> {
             confirmedAt[0] = cluster.simulation.clock.seconds();
             cluster.injectFault(fault);
@@ -85,15 +85,11 @@
       cluster.runPollingEverywhere(30, all);
       assertTrue(confirmedAt[0] >= 0, "the cancellation was not answered");
       cluster.runPollingEverywhere(
-          confirmedAt[0]
-              + ClusterFixture.CANCELLATION_TIMEOUT_S
-              + 1
-              - cluster.simulation.clock.seconds(),
+          confirmedAt[0] + ClusterFixture.CANCEL_TIMEOUT_S + 1 - cluster.simulation.clock.seconds(),
           all);
       for (JobId id : all) {
         boolean expectCancelled =
-            id.equals(cancelledJob)
-                || cluster.simulation.jobs.dependencies(id).contains(cancelledJob);
+            id.equals(cancelled) || cluster.simulation.jobs.dependencies(id).contains(cancelled);
         for (int node = 0; node < 3 && expectCancelled; node++) {
           String state = cluster.stateAt(node, id);
           assertTrue(
@@ -107,12 +103,11 @@
       cluster.assertExpectedEndStates();
       for (JobId id : all) {
         boolean expectCancelled =
-            id.equals(cancelledJob)
-                || cluster.simulation.jobs.dependencies(id).contains(cancelledJob);
+            id.equals(cancelled) || cluster.simulation.jobs.dependencies(id).contains(cancelled);
         assertEquals(
             expectCancelled ? "cancelled" : "done",
             cluster.users.lastState(id),
-            id + " with " + cancelledJob);
+            id + " with " + cancelled);
       }
     }
   }
@@ -136,7 +131,7 @@
         all.forEach(cluster.users::pollEverywhere);
         cluster.simulation.clock.runFor(0.05);
       }
-      cluster.run(ClusterFixture.CANCELLATION_TIMEOUT_S);
+      cluster.run(ClusterFixture.CANCEL_TIMEOUT_S);
       cluster.assertNoViolations();
       cluster.assertDependentsCancelled(all.get(cancelled - 1));
     }
@@ -294,10 +289,7 @@
     assertTrue(
         confirmedAt[0] >= 0 && confirmedAt[0] - askedAt < 2, "answered at " + confirmedAt[0]);
     cluster.simulation.clock.runFor(
-        confirmedAt[0]
-            + ClusterFixture.CANCELLATION_TIMEOUT_S
-            + 1
-            - cluster.simulation.clock.seconds());
+        confirmedAt[0] + ClusterFixture.CANCEL_TIMEOUT_S + 1 - cluster.simulation.clock.seconds());
     if (!fault.endsWith("outage")) {
       assertNoNodeAnswersQueued(all);
     }
