--- a/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
+++ b/src/test/java/org/ternhinge/ledger/LedgerWriterTest.java
@@ -92,14 +92,13 @@
         CompareAndSwap compareAndSwap, RequestPriority priority) {
       sent.add(compareAndSwap);
       CompletableFuture<Outcome<Revision>> out = new CompletableFuture<>();
-      boolean responseLost = lostResponses-- > 0;
+      boolean isLost = lostResponses-- > 0;
       Outcome<Revision> outcome =
-          responseLost && !applyDespiteLostResponse
+          isLost && !applyDespiteLostResponse
               ? Outcome.unknown("no answer")
               : core.compareAndSwap(compareAndSwap);
       afterEachWrite.run();
-      clock.schedule(
-          0.01, () -> out.complete(responseLost ? Outcome.unknown("no answer") : outcome));
+      clock.schedule(0.01, () -> out.complete(isLost ? Outcome.unknown("no answer") : outcome));
       return out;
     }
 
@@ -260,10 +259,7 @@
     assertEquals(durable, cancelled.isCancellationDurable());
   }
 
-  /**
-   * A segment is merged if its last task ends while it is being written. The write in progress
-   * still creates the segment's key, which must then be deleted.
-   */
+  /** A segment whose last task ends while it is written is created again and must be deleted. */
   @Test
   void segmentMergedWhileBeingWrittenIsDeleted() {
     core.compareAndSwap(
